--- a/src/constants.rs
+++ b/src/constants.rs
@@ -44,6 +44,9 @@
 pub const LISTEN_BACKLOG: i32 = 4_096;
 /// Milliseconds between sweeps for idle and overdue connections.
 pub const SWEEP_MS: u64 = 250;
+/// Milliseconds between two lines in the log of what was done: as often as the leader's line on how
+/// things stand.
+pub const METRICS_LOG_PERIOD_MS: u64 = 10_000;
 /// Longest wait of the poll loop in milliseconds, so that timers stay live.
 pub const POLL_MAX_MS: u64 = 100;
 
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -10,7 +10,7 @@
 use super::*;
 use crate::bookkeeping::books::*;
 use crate::bookkeeping::records::*;
-use crate::protocol::state::{raw, Committed, Conflict, If, Write};
+use crate::protocol::state::{raw, Committed, Conflict, If, Write, COMMIT_PATH};
 use crate::protocol::workers::Cause;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -197,9 +197,9 @@
         }
         f.sent = true;
         let body = f.body.clone();
-        self.metrics.state_writes += n as u64;
+        self.metrics.work.state_writes += n as u64;
         let purpose = Purpose::LeaderCommit { term: l.term };
-        self.state_call("POST", "/commit".into(), body, c::STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, purpose);
     }
 
     pub(super) fn leader_committed(&mut self, term: u64, reply: Option<(u16, Vec<u8>)>) {
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::bookkeeping::records::*;
-use crate::protocol::state::{raw, Committed, Hold, If, NewHold, Write};
+use crate::protocol::state::{raw, Committed, Hold, If, NewHold, Write, COMMIT_PATH};
 
 /// How far this controller is with becoming leader.
 #[derive(Debug, Default)]
@@ -80,7 +80,7 @@
         self.writes.take(2.0, f64::MIN, self.now.mono);
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let purpose = Purpose::Elect { tenancy: hold.tenancy, term };
-        self.state_call("POST", "/commit".into(), body, c::STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, purpose);
     }
 
     pub(super) fn elected(&mut self, tenancy: u64, term: u64, reply: Option<(u16, Vec<u8>)>) {
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -184,6 +184,7 @@
         };
         if now >= l.fleet.look_at {
             l.fleet.look_at = now + l.fleet_period();
+            self.metrics.work.fleet_scans += 1;
             if let Some(catalog) = &self.catalog {
                 l.note_arrivals(self.now, catalog);
             }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -279,6 +279,7 @@
         if self.leader.as_ref().is_none_or(|l| now < l.lapse_at) {
             return;
         }
+        self.metrics.work.lease_scans += 1;
         let alone_since = self.nobody_else_answered_before();
         let Some(l) = self.leader.as_mut() else {
             return;
@@ -349,6 +350,8 @@
             l.fleet.none_unmet();
             return;
         }
+        self.metrics.work.planner_passes += 1;
+        self.metrics.work.planner_machines += l.books.machines.len() as u64;
         let mut view = View::build(l, &cfg, &op, &catalog, Clock { mono: now, wall });
         let shares = planner::move_shares(&view.snapshot, l.shares.clone());
         if shares != l.shares {
--- /dev/null
+++ b/src/coordination/metrics.rs
@@ -0,0 +1,158 @@
+//! Counters and latencies: what a controller has done, for the operators' view and the log.
+
+use super::Controller;
+use crate::constants;
+use crate::transport::counts::TransportCounts;
+use serde::Serialize;
+
+/// Milliseconds in two significant digits.
+pub(super) type Latencies = hdrhistogram::Histogram<u64>;
+
+/// What the core has done since the process began.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
+pub struct WorkCounts {
+    /// Batches of commands handled.
+    pub batches: u64,
+    /// Batches that held no command: a timer was due, or none was.
+    pub batches_empty: u64,
+    /// Reports of workers.
+    pub reports: u64,
+    /// Reports that were answered with a redirect (421).
+    pub reports_redirected: u64,
+    /// Requests to submit a job.
+    pub submissions: u64,
+    /// Requests for a job's state.
+    pub polls: u64,
+    /// Requests to cancel a job.
+    pub cancellations: u64,
+    /// Health checks of the load balancer.
+    pub health_checks: u64,
+    /// Jobs accepted.
+    pub accepted: u64,
+    /// Requests refused with 429 or above.
+    pub refused: u64,
+    /// Messages sent to other controllers.
+    pub peer_requests_sent: u64,
+    /// Messages received from other controllers.
+    pub peer_requests_received: u64,
+    /// Requests to the state service, of every kind.
+    pub state_calls: u64,
+    /// Of these, reads: pages of the whole store, watches, zero-wait reads.
+    pub state_reads: u64,
+    /// Of the reads, those that brought no change.
+    pub state_reads_unchanged: u64,
+    /// Bytes of the answers to reads.
+    pub state_bytes_read: u64,
+    /// Transactions sent.
+    pub state_commits: u64,
+    /// Puts and deletes in them.
+    pub state_writes: u64,
+    /// Planning passes.
+    pub planner_passes: u64,
+    /// Machines that these passes looked at.
+    pub planner_machines: u64,
+    /// Looks at the size of the fleet.
+    pub fleet_scans: u64,
+    /// Searches for leases that have run out.
+    pub lease_scans: u64,
+}
+
+impl WorkCounts {
+    /// What was done between an earlier reading and this one.
+    pub fn since(&self, earlier: &WorkCounts) -> WorkCounts {
+        WorkCounts {
+            batches: self.batches - earlier.batches,
+            batches_empty: self.batches_empty - earlier.batches_empty,
+            reports: self.reports - earlier.reports,
+            reports_redirected: self.reports_redirected - earlier.reports_redirected,
+            submissions: self.submissions - earlier.submissions,
+            polls: self.polls - earlier.polls,
+            cancellations: self.cancellations - earlier.cancellations,
+            health_checks: self.health_checks - earlier.health_checks,
+            accepted: self.accepted - earlier.accepted,
+            refused: self.refused - earlier.refused,
+            peer_requests_sent: self.peer_requests_sent - earlier.peer_requests_sent,
+            peer_requests_received: self.peer_requests_received - earlier.peer_requests_received,
+            state_calls: self.state_calls - earlier.state_calls,
+            state_reads: self.state_reads - earlier.state_reads,
+            state_reads_unchanged: self.state_reads_unchanged - earlier.state_reads_unchanged,
+            state_bytes_read: self.state_bytes_read - earlier.state_bytes_read,
+            state_commits: self.state_commits - earlier.state_commits,
+            state_writes: self.state_writes - earlier.state_writes,
+            planner_passes: self.planner_passes - earlier.planner_passes,
+            planner_machines: self.planner_machines - earlier.planner_machines,
+            fleet_scans: self.fleet_scans - earlier.fleet_scans,
+            lease_scans: self.lease_scans - earlier.lease_scans,
+        }
+    }
+}
+
+/// Counters and latencies for the operators' view.
+pub(crate) struct Metrics {
+    /// From a submission to its acceptance.
+    pub submit_ms: Latencies,
+    /// From a poll to its answer.
+    pub poll_ms: Latencies,
+    /// From a report to its answer.
+    pub report_ms: Latencies,
+    /// From the decision to place a task to the report that shows it running.
+    pub start_ms: Latencies,
+    /// What the core has done.
+    pub work: WorkCounts,
+    /// What the transport has done, as last told.
+    pub transport: TransportCounts,
+    /// Both as of the last line in the log, and when the next one is due.
+    logged_work: WorkCounts,
+    logged_transport: TransportCounts,
+    log_at: u64,
+}
+
+impl Metrics {
+    pub(super) fn new(now: u64) -> Metrics {
+        let latencies = || Latencies::new(2).expect("two digits are in range");
+        Metrics {
+            submit_ms: latencies(),
+            poll_ms: latencies(),
+            report_ms: latencies(),
+            start_ms: latencies(),
+            work: WorkCounts::default(),
+            transport: TransportCounts::default(),
+            logged_work: WorkCounts::default(),
+            logged_transport: TransportCounts::default(),
+            log_at: now + constants::METRICS_LOG_PERIOD_MS,
+        }
+    }
+}
+
+impl Controller {
+    /// Takes over the transport's counts, which the core can't know by itself.
+    pub fn note_transport(&mut self, counts: TransportCounts) {
+        self.metrics.transport = counts;
+    }
+
+    /// What this controller has done since it began.
+    pub fn work_counts(&self) -> &WorkCounts {
+        &self.metrics.work
+    }
+
+    /// Writes a line with what was done since the last one, when it is due.
+    pub(super) fn log_metrics_due(&mut self) {
+        let now = self.now.mono;
+        let metrics = &mut self.metrics;
+        if now < metrics.log_at {
+            return;
+        }
+        metrics.log_at = now + constants::METRICS_LOG_PERIOD_MS;
+        let work = metrics.work.since(&metrics.logged_work);
+        let transport = metrics.transport.since(&metrics.logged_transport);
+        metrics.logged_work = metrics.work;
+        metrics.logged_transport = metrics.transport;
+        if log::log_enabled!(log::Level::Info) {
+            log::info!(
+                "work {} transport {}",
+                serde_json::to_string(&work).unwrap_or_default(),
+                serde_json::to_string(&transport).unwrap_or_default()
+            );
+        }
+    }
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -10,6 +10,7 @@
 mod fleet;
 mod lateness;
 mod leader;
+pub mod metrics;
 mod peers;
 pub mod planner;
 mod standin;
@@ -112,36 +113,6 @@
     Delete(Vec<Name>),
 }
 
-/// Counters and latencies for the operators' view.
-pub(crate) struct Metrics {
-    submit_ms: hdrhistogram::Histogram<u64>,
-    poll_ms: hdrhistogram::Histogram<u64>,
-    report_ms: hdrhistogram::Histogram<u64>,
-    start_ms: hdrhistogram::Histogram<u64>,
-    accepted: u64,
-    refused: u64,
-    reports: u64,
-    state_calls: u64,
-    state_writes: u64,
-}
-
-impl Metrics {
-    fn new() -> Metrics {
-        let h = || hdrhistogram::Histogram::new(2).expect("two digits are in range");
-        Metrics {
-            submit_ms: h(),
-            poll_ms: h(),
-            report_ms: h(),
-            start_ms: h(),
-            accepted: 0,
-            refused: 0,
-            reports: 0,
-            state_calls: 0,
-            state_writes: 0,
-        }
-    }
-}
-
 /// A controller.
 pub struct Controller {
     cfg: Rc<Platform>,
@@ -171,7 +142,7 @@
     stand_in: standin::StandIn,
     /// Jobs that are over by the word of peers, ahead of our copy of the store.
     told_over: HashSet<Name>,
-    metrics: Metrics,
+    metrics: metrics::Metrics,
     /// Submissions that gather for a batch, and batches on their way.
     gathering: Vec<users::Pending>,
     batches: HashMap<u64, users::Batch>,
@@ -209,7 +180,7 @@
             workers_seen: HashMap::new(),
             stand_in: standin::StandIn::new(clock.mono),
             told_over: HashSet::new(),
-            metrics: Metrics::new(),
+            metrics: metrics::Metrics::new(clock.mono),
             gathering: Vec::new(),
             batches: HashMap::new(),
             batches_made: 0,
@@ -222,6 +193,8 @@
     /// commands when [`Controller::next_wake`] has come.
     pub fn batch(&mut self, clock: Clock, mut commands: Vec<Command>) -> Vec<Effect> {
         self.now = clock;
+        self.metrics.work.batches += 1;
+        self.metrics.work.batches_empty += u64::from(commands.is_empty());
         commands.sort_by_key(rank_of);
         let mut users = 0;
         for command in commands {
@@ -262,7 +235,10 @@
         let asker = Asker { conn, relayed: false, since: self.now.mono };
         match (method, path) {
             ("POST", "/checkin") => self.checkin(conn, &body),
-            ("GET", "/up") => self.up(conn),
+            ("GET", "/up") => {
+                self.metrics.work.health_checks += 1;
+                self.up(conn)
+            }
             ("GET", "/v1/status") => self.status(conn),
             (_, "/checkin" | "/up" | "/v1/status") => self.refuse(asker, 405, "wrong method", None),
             _ => self.user_request(asker, method, path, &body),
@@ -310,6 +286,7 @@
         self.gossip_due();
         self.election_due();
         self.leader_due();
+        self.log_metrics_due();
     }
 
     fn call(
@@ -323,6 +300,7 @@
     ) {
         let id = self.next_call;
         self.next_call += 1;
+        self.metrics.work.peer_requests_sent += u64::from(matches!(service, Service::Peer(_)));
         self.calls.insert(id, purpose);
         self.out.push(Effect::Call { id, service, method, path, body, timeout_ms });
     }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -106,6 +106,7 @@
     }
 
     pub(super) fn peer_request(&mut self, conn: ConnId, method: &str, path: &str, body: &[u8]) {
+        self.metrics.work.peer_requests_received += 1;
         match (method, path) {
             ("POST", "/gossip") => {
                 if let Some(peer) = self.hear(body) {
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -45,9 +45,8 @@
                 "report": spread(&self.metrics.report_ms),
                 "placed_to_running": spread(&self.metrics.start_ms),
             },
-            "counts": {"accepted": self.metrics.accepted, "refused": self.metrics.refused,
-                       "reports": self.metrics.reports, "state_calls": self.metrics.state_calls,
-                       "state_writes": self.metrics.state_writes},
+            "work": self.metrics.work,
+            "transport": self.metrics.transport,
         });
         if let Some(l) = self.leader.as_ref().filter(|l| l.ready) {
             let machines: Vec<Value> = l
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -1,7 +1,7 @@
 //! Following the state service: the first load, the watch, and zero-wait reads.
 
 use super::*;
-use crate::protocol::state::{changes_path, list_path, Changes, Page};
+use crate::protocol::state::{changes_path, list_path, Changes, Page, COMMIT_PATH};
 
 /// What waits for a read begun after it came.
 #[derive(Debug)]
@@ -108,7 +108,13 @@
         timeout_ms: u64,
         purpose: Purpose,
     ) {
-        self.metrics.state_calls += 1;
+        let work = &mut self.metrics.work;
+        work.state_calls += 1;
+        match purpose {
+            Purpose::List | Purpose::Watch | Purpose::Fresh { .. } => work.state_reads += 1,
+            _ if path == COMMIT_PATH => work.state_commits += 1,
+            _ => {}
+        }
         self.reads.take(1.0, f64::MIN, self.now.mono);
         self.call(Service::State, method, path, body, timeout_ms, purpose);
     }
@@ -168,6 +174,8 @@
         let Some(page) = page else {
             return self.retry_later();
         };
+        self.metrics.work.state_bytes_read +=
+            reply.as_ref().map_or(0, |(_, body)| body.len() as u64);
         if self.sync.list_rev.is_none() {
             self.sync.list_rev = Some(page.ledger_rev);
         }
@@ -210,6 +218,9 @@
         match reply {
             Some((200, body)) => {
                 let changes: Changes = serde_json::from_slice(body).ok()?;
+                let work = &mut self.metrics.work;
+                work.state_bytes_read += body.len() as u64;
+                work.state_reads_unchanged += u64::from(changes.events.is_empty());
                 self.sync.max_rev = self.sync.max_rev.max(changes.ledger_rev);
                 let touched = self.replica.apply(&changes);
                 self.jobs_touched(&touched);
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -8,7 +8,7 @@
 use crate::bookkeeping::records::*;
 use crate::bookkeeping::replica::Stamped;
 use crate::protocol::peers::{encode, Relayed};
-use crate::protocol::state::{raw, Committed, Conflict, If, Write};
+use crate::protocol::state::{raw, Committed, Conflict, If, Write, COMMIT_PATH};
 use crate::protocol::users::*;
 use crate::protocol::Resources;
 
@@ -54,7 +54,7 @@
 
     pub(super) fn refuse(&mut self, asker: Asker, status: u16, error: &str, retry: Option<u64>) {
         if status >= 429 {
-            self.metrics.refused += 1;
+            self.metrics.work.refused += 1;
         }
         let body = serde_json::to_vec(&Refusal { error }).unwrap_or_default();
         self.answer(asker, status, retry, body);
@@ -69,16 +69,25 @@
             return self.refuse(asker, 404, "no such path", None);
         };
         let known = match (method, rest) {
-            ("POST", "") => return self.submit(asker, body),
+            ("POST", "") => {
+                self.metrics.work.submissions += 1;
+                return self.submit(asker, body);
+            }
             (_, "") => false,
             (_, rest) => {
                 let Some(rest) = rest.strip_prefix('/') else {
                     return self.refuse(asker, 404, "no such path", None);
                 };
                 match (method, rest.strip_suffix("/withdraw")) {
-                    ("POST", Some(uid)) => return self.withdraw(asker, uid),
+                    ("POST", Some(uid)) => {
+                        self.metrics.work.cancellations += 1;
+                        return self.withdraw(asker, uid);
+                    }
                     (_, Some(_)) => false,
-                    ("GET", None) if !rest.contains('/') => return self.poll_job(asker, rest),
+                    ("GET", None) if !rest.contains('/') => {
+                        self.metrics.work.polls += 1;
+                        return self.poll_job(asker, rest);
+                    }
                     (_, None) if !rest.contains('/') => false,
                     _ => true,
                 }
@@ -265,9 +274,9 @@
         }
         b.copies += 1;
         b.out += 1;
-        self.metrics.state_writes += b.values.len() as u64;
+        self.metrics.work.state_writes += b.values.len() as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        self.state_call("POST", "/commit".into(), body, c::STATE_CALL_MS, Purpose::Submit(id));
+        self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, Purpose::Submit(id));
     }
 
     /// A peer may be able to take a submission that we can't.
@@ -295,7 +304,7 @@
                     self.sync.max_rev = self.sync.max_rev.max(done.ledger_rev);
                 }
                 for p in batch.jobs {
-                    self.metrics.accepted += 1;
+                    self.metrics.work.accepted += 1;
                     let _ = self.metrics.submit_ms.record(self.now.mono - p.at);
                     log::debug!(
                         "{}: accepted in {} ms, {} tasks of {} for {}, {} of {} GB, due after {:?} s",
@@ -475,8 +484,8 @@
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let purpose = Purpose::Withdraw { asker, uid: uid.to_string(), commit };
-        self.metrics.state_writes += 1;
-        self.state_call("POST", "/commit".into(), body, c::STATE_CALL_MS, purpose);
+        self.metrics.work.state_writes += 1;
+        self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, purpose);
     }
 
     pub(super) fn withdrawn(
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -27,6 +27,7 @@
 
 impl Controller {
     pub(super) fn elsewhere(&mut self, conn: ConnId) {
+        self.metrics.work.reports_redirected += 1;
         let steward = match &self.replica.leader {
             Some(l) if l.value.label != self.cfg.label && l.value.term >= self.term_heard => {
                 Some(l.value.label.clone())
@@ -49,7 +50,7 @@
             }
         };
         let now = self.now.mono;
-        self.metrics.reports += 1;
+        self.metrics.work.reports += 1;
         self.workers_seen.insert(report.stead.clone(), now);
         if report.baton > self.term_heard {
             self.term_heard = report.baton;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -29,6 +29,7 @@
         let now = clock(start).mono;
         let wait = if net.has_incoming() { 0 } else { core.next_wake().saturating_sub(now) };
         let incoming = net.poll(Duration::from_millis(wait.min(c::POLL_MAX_MS)))?;
+        core.note_transport(net.counts());
         let commands = incoming.into_iter().map(command).collect();
         for effect in core.batch(clock(start), commands) {
             perform(&mut net, effect);
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -117,6 +117,9 @@
     pub tenancy: u64,
 }
 
+/// Path of a transaction.
+pub const COMMIT_PATH: &str = "/commit";
+
 /// Path of a page of all keys under a prefix.
 pub fn list_path(prefix: &str, since: Option<&str>, limit: usize) -> String {
     match since {
--- /dev/null
+++ b/src/transport/counts.rs
@@ -0,0 +1,67 @@
+//! Counts of the system calls and messages that the sockets cost.
+
+use serde::Serialize;
+
+/// What the transport has done since the process began, and what it holds now.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
+pub struct TransportCounts {
+    /// Waits for readiness.
+    pub waits: u64,
+    /// Waits that ended with no socket ready.
+    pub waits_without_event: u64,
+    /// Reads from sockets.
+    pub reads: u64,
+    /// Reads that found nothing.
+    pub reads_empty: u64,
+    /// Writes to sockets.
+    pub writes: u64,
+    /// Attempts to accept a connection.
+    pub accepts: u64,
+    /// Attempts that found none.
+    pub accepts_empty: u64,
+    /// Connections opened to the state service, the cloud and peers.
+    pub connects: u64,
+    /// Connections closed, by either side.
+    pub closes: u64,
+    /// Changes of what the poller is to watch a connection for.
+    pub interest_changes: u64,
+    /// Whole requests received.
+    pub requests: u64,
+    /// Whole replies received.
+    pub replies: u64,
+    /// Bytes read from sockets.
+    pub bytes_read: u64,
+    /// Bytes written to sockets.
+    pub bytes_written: u64,
+    /// The largest message received, in bytes.
+    pub largest_message: u64,
+    /// Connections open now.
+    pub connections: u64,
+    /// Bytes that the buffers of open connections hold now.
+    pub buffered_bytes: u64,
+}
+
+impl TransportCounts {
+    /// What was done between an earlier reading and this one; what is held now stays as it is.
+    pub fn since(&self, earlier: &TransportCounts) -> TransportCounts {
+        TransportCounts {
+            waits: self.waits - earlier.waits,
+            waits_without_event: self.waits_without_event - earlier.waits_without_event,
+            reads: self.reads - earlier.reads,
+            reads_empty: self.reads_empty - earlier.reads_empty,
+            writes: self.writes - earlier.writes,
+            accepts: self.accepts - earlier.accepts,
+            accepts_empty: self.accepts_empty - earlier.accepts_empty,
+            connects: self.connects - earlier.connects,
+            closes: self.closes - earlier.closes,
+            interest_changes: self.interest_changes - earlier.interest_changes,
+            requests: self.requests - earlier.requests,
+            replies: self.replies - earlier.replies,
+            bytes_read: self.bytes_read - earlier.bytes_read,
+            bytes_written: self.bytes_written - earlier.bytes_written,
+            largest_message: self.largest_message,
+            connections: self.connections,
+            buffered_bytes: self.buffered_bytes,
+        }
+    }
+}
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -1,5 +1,6 @@
 //! The poll loop's sockets: listeners, inbound connections, pooled outbound ones.
 
+use super::counts::TransportCounts;
 use super::http;
 use crate::constants as c;
 use polling::{Event, Events, PollMode, Poller};
@@ -89,6 +90,7 @@
     sweep_at: Instant,
     incoming: Vec<Incoming>,
     scratch: Vec<u8>,
+    counts: TransportCounts,
 }
 
 fn listen(addr: SocketAddrV4) -> io::Result<TcpListener> {
@@ -135,12 +137,13 @@
             sweep_at: Instant::now(),
             incoming: Vec::new(),
             scratch: vec![0; c::READ_CHUNK],
+            counts: TransportCounts::default(),
         })
     }
 
-    /// Inbound connections open now.
-    pub fn inbound_count(&self) -> usize {
-        self.inbound.len()
+    /// What was done so far; what the buffers hold is as of the last sweep.
+    pub fn counts(&self) -> TransportCounts {
+        TransportCounts { connections: self.conns.len() as u64, ..self.counts }
     }
 
     /// Waits for sockets or for the time to pass; gives what came in.
@@ -152,6 +155,8 @@
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
+        self.counts.waits += 1;
+        self.counts.waits_without_event += u64::from(events.is_empty());
         for ev in events.iter() {
             match ev.key {
                 KEY_PUBLIC => self.accept(Origin::Public),
@@ -181,10 +186,14 @@
                 Origin::Public => &self.public,
                 Origin::Peer => &self.peer,
             };
+            self.counts.accepts += 1;
             let stream = match l.accept() {
                 Ok((s, _)) => s,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
-                Err(_) => return,
+                Err(_) => {
+                    self.counts.accepts_empty += 1;
+                    return;
+                }
             };
             if origin == Origin::Public && self.inbound.len() >= self.inbound_max {
                 // Dropped at once: the balancer then tries another controller.
@@ -240,6 +249,7 @@
         if want != conn.interest || self.mode == PollMode::Oneshot {
             conn.interest = want;
             let ev = Event::new(key, read, write);
+            self.counts.interest_changes += 1;
             let _ = self.poller.modify_with_mode(&conn.stream, ev, self.mode);
         }
     }
@@ -272,12 +282,16 @@
             }
         }
         while conn.written < conn.output.len() {
+            self.counts.writes += 1;
             match conn.stream.write(&conn.output[conn.written..]) {
                 Ok(0) => {
                     self.close(key);
                     return false;
                 }
-                Ok(n) => conn.written += n,
+                Ok(n) => {
+                    conn.written += n;
+                    self.counts.bytes_written += n as u64;
+                }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
@@ -301,12 +315,14 @@
             let Some(conn) = self.conns.get_mut(&key) else {
                 return false;
             };
+            self.counts.reads += 1;
             match conn.stream.read(&mut self.scratch) {
                 Ok(0) => {
                     conn.ended = true;
                     break;
                 }
                 Ok(n) => {
+                    self.counts.bytes_read += n as u64;
                     if conn.input.is_empty() && matches!(conn.role, Role::Inbound { .. }) {
                         conn.since = Instant::now();
                     }
@@ -324,7 +340,10 @@
                         break;
                     }
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    self.counts.reads_empty += 1;
+                    break;
+                }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => {
                     self.close(key);
@@ -361,6 +380,9 @@
             },
         ) {
             Ok(Some(request)) => {
+                self.counts.requests += 1;
+                let bytes = request.body.len() as u64;
+                self.counts.largest_message = self.counts.largest_message.max(bytes);
                 *busy = true;
                 *keep_alive = request.keep_alive;
                 conn.since = Instant::now();
@@ -445,6 +467,7 @@
     }
 
     fn connect(&mut self, target: Target) -> Option<usize> {
+        self.counts.connects += 1;
         let s = Socket::new(Domain::IPV4, Type::STREAM, None).ok()?;
         s.set_nonblocking(true).ok()?;
         let _ = s.set_tcp_nodelay(true);
@@ -491,6 +514,9 @@
         };
         match http::take_response(&mut conn.input, conn.ended) {
             Ok(Some(r)) => {
+                self.counts.replies += 1;
+                let bytes = r.body.len() as u64;
+                self.counts.largest_message = self.counts.largest_message.max(bytes);
                 *call = None;
                 let keep = r.keep_alive && !conn.ended && conn.input.is_empty();
                 conn.input = Vec::new();
@@ -529,6 +555,7 @@
         let Some(conn) = self.conns.remove(&key) else {
             return;
         };
+        self.counts.closes += 1;
         let _ = self.poller.delete(&conn.stream);
         match conn.role {
             Role::Inbound { id, .. } => {
@@ -553,7 +580,10 @@
         let idle_ms = if crowded { c::HTTP_IDLE_CROWDED_MS } else { c::HTTP_IDLE_MS };
         let mut slow = Vec::new();
         let mut gone = Vec::new();
+        self.counts.buffered_bytes = 0;
         for (key, conn) in &self.conns {
+            let held = conn.input.capacity() + conn.output.capacity();
+            self.counts.buffered_bytes += held as u64;
             match &conn.role {
                 Role::Inbound { busy: true, .. } => {}
                 Role::Inbound { .. } if !conn.output.is_empty() => {
