--- a/src/constants.rs
+++ b/src/constants.rs
@@ -27,6 +27,9 @@
 pub const HTTP_IDLE_CROWDED_MS: u64 = 15_000;
 /// Share of the inbound connections from which on they are nearly all taken.
 pub const CROWDED_SHARE: f64 = 0.8;
+/// Sockets that one wait reports: those beyond are reported by the next one. A change of leader makes
+/// a whole fleet ready at once, and the kernel hands the rest out in turn.
+pub const READY_PER_WAIT: usize = 1_024;
 /// Bytes read from one socket at a time; one report or answer normally fits.
 pub const READ_CHUNK: usize = 16 * 1024;
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -3,3 +3,4 @@
 pub mod counts;
 pub mod http;
 pub mod net;
+pub mod readiness;
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -2,8 +2,8 @@
 
 use super::counts::TransportCounts;
 use super::http;
+use super::readiness::{Interest, Readiness};
 use crate::constants as c;
-use polling::{Event, Events, PollMode, Poller};
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, Read, Write};
@@ -61,7 +61,7 @@
     input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
-    interest: (bool, bool),
+    interest: Interest,
     /// When the current request began to arrive, or the connection fell idle.
     since: Instant,
     ended: bool,
@@ -73,9 +73,7 @@
 
 /// All sockets of the process.
 pub struct Net {
-    poller: Poller,
-    mode: PollMode,
-    events: Events,
+    readiness: Readiness,
     public: TcpListener,
     peer: TcpListener,
     conns: HashMap<usize, Conn>,
@@ -110,19 +108,13 @@
         targets: Vec<SocketAddrV4>,
         sockets: usize,
     ) -> io::Result<Net> {
-        let poller = Poller::new()?;
-        let mode = if poller.supports_level() { PollMode::Level } else { PollMode::Oneshot };
+        let readiness = Readiness::new()?;
         let (public, peer) = (listen(public)?, listen(peer)?);
-        // SAFETY: both listeners live as long as the poller they are added to.
-        unsafe {
-            poller.add_with_mode(&public, Event::readable(KEY_PUBLIC), mode)?;
-            poller.add_with_mode(&peer, Event::readable(KEY_PEER), mode)?;
-        }
+        readiness.add(&public, KEY_PUBLIC, Interest::READ)?;
+        readiness.add(&peer, KEY_PEER, Interest::READ)?;
         let n = targets.len();
         Ok(Net {
-            poller,
-            mode,
-            events: Events::new(),
+            readiness,
             public,
             peer,
             conns: HashMap::new(),
@@ -141,6 +133,11 @@
         })
     }
 
+    /// Where users and workers connect.
+    pub fn public_address(&self) -> io::Result<std::net::SocketAddr> {
+        self.public.local_addr()
+    }
+
     /// What was done so far; what the buffers hold is as of the last sweep.
     pub fn counts(&self) -> TransportCounts {
         TransportCounts { connections: self.conns.len() as u64, ..self.counts }
@@ -148,23 +145,16 @@
 
     /// Waits for sockets or for the time to pass; gives what came in.
     pub fn poll(&mut self, wait: Duration) -> io::Result<Vec<Incoming>> {
-        let mut events = std::mem::replace(&mut self.events, Events::new());
-        events.clear();
-        match self.poller.wait(&mut events, Some(wait)) {
-            Ok(_) => {}
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            Err(e) => return Err(e),
-        }
+        let ready = self.readiness.wait(wait)?;
         self.counts.waits += 1;
-        self.counts.waits_without_event += u64::from(events.is_empty());
-        for ev in events.iter() {
-            match ev.key {
+        self.counts.waits_without_event += u64::from(ready.is_empty());
+        for socket in ready {
+            match socket.key {
                 KEY_PUBLIC => self.accept(Origin::Public),
                 KEY_PEER => self.accept(Origin::Peer),
-                key => self.ready(key, ev.readable, ev.writable),
+                key => self.ready(key, socket.readable, socket.writable),
             }
         }
-        self.events = events;
         let now = Instant::now();
         if now >= self.sweep_at {
             self.sweep_at = now + Duration::from_millis(c::SWEEP_MS);
@@ -174,13 +164,6 @@
     }
 
     fn accept(&mut self, origin: Origin) {
-        if self.mode == PollMode::Oneshot {
-            let (l, key) = match origin {
-                Origin::Public => (&self.public, KEY_PUBLIC),
-                Origin::Peer => (&self.peer, KEY_PEER),
-            };
-            let _ = self.poller.modify_with_mode(l, Event::readable(key), self.mode);
-        }
         loop {
             let l = match origin {
                 Origin::Public => &self.public,
@@ -206,18 +189,16 @@
             let id = self.next_conn;
             self.next_conn += 1;
             let role = Role::Inbound { id, origin, busy: false, keep_alive: true, close: false };
-            if let Some(key) = self.add(stream, role, (true, false)) {
+            if let Some(key) = self.add(stream, role, Interest::READ) {
                 self.inbound.insert(id, key);
             }
         }
     }
 
-    fn add(&mut self, stream: TcpStream, role: Role, interest: (bool, bool)) -> Option<usize> {
+    fn add(&mut self, stream: TcpStream, role: Role, interest: Interest) -> Option<usize> {
         let key = self.next_key;
         self.next_key += 1;
-        let ev = Event::new(key, interest.0, interest.1);
-        // SAFETY: every connection is deleted from the poller before it is dropped.
-        unsafe { self.poller.add_with_mode(&stream, ev, self.mode) }.ok()?;
+        self.readiness.add(&stream, key, interest).ok()?;
         let conn = Conn {
             stream,
             role,
@@ -245,12 +226,11 @@
             }
             Role::Outbound { .. } => true,
         };
-        let want = (read, write);
-        if want != conn.interest || self.mode == PollMode::Oneshot {
+        let want = Interest { read, write };
+        if want != conn.interest {
             conn.interest = want;
-            let ev = Event::new(key, read, write);
             self.counts.interest_changes += 1;
-            let _ = self.poller.modify_with_mode(&conn.stream, ev, self.mode);
+            let _ = self.readiness.modify(&conn.stream, key, want);
         }
     }
 
@@ -478,7 +458,7 @@
             Err(_) => return None,
         }
         let role = Role::Outbound { target, call: None, connecting: true };
-        let key = self.add(s.into(), role, (true, true))?;
+        let key = self.add(s.into(), role, Interest::BOTH)?;
         self.open[target] += 1;
         Some(key)
     }
@@ -556,7 +536,7 @@
             return;
         };
         self.counts.closes += 1;
-        let _ = self.poller.delete(&conn.stream);
+        let _ = self.readiness.remove(&conn.stream);
         match conn.role {
             Role::Inbound { id, .. } => {
                 self.inbound.remove(&id);
