--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -362,6 +362,7 @@
             team.share = *share;
         }
         let plan = planner::plan(&view.snapshot);
+        self.metrics.work.planner_places += plan.places_examined;
         l.reservation =
             plan.reservation.map(|(j, m, _)| (view.jobs[j].clone(), view.machines[m].clone()));
         for (j, m) in &plan.places {
--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -51,6 +51,8 @@
     pub planner_passes: u64,
     /// Machines that these passes looked at.
     pub planner_machines: u64,
+    /// Places for tasks that these passes worked out.
+    pub planner_places: u64,
     /// Looks at the size of the fleet.
     pub fleet_scans: u64,
     /// Searches for leases that have run out.
@@ -81,6 +83,7 @@
             state_writes: self.state_writes - earlier.state_writes,
             planner_passes: self.planner_passes - earlier.planner_passes,
             planner_machines: self.planner_machines - earlier.planner_machines,
+            planner_places: self.planner_places - earlier.planner_places,
             fleet_scans: self.fleet_scans - earlier.fleet_scans,
             lease_scans: self.lease_scans - earlier.lease_scans,
         }
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -11,7 +11,10 @@
 //! services have no length, so a reference length stands in; where a higher rank can't
 //! start, tasks of lower ranks are stopped for it.
 
+mod offers;
 mod pass;
+#[cfg(test)]
+mod plain;
 mod room;
 mod search;
 mod shares;
@@ -144,4 +147,6 @@
     pub expected: Vec<Vec<u64>>,
     /// Tasks per job that were not placed.
     pub unmet: Vec<u32>,
+    /// Places that were worked out for this: what the pass cost.
+    pub places_examined: u64,
 }
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -1,12 +1,14 @@
 //! One planning pass: heads first, then the reservation, then backfill.
 
 use super::super::lateness;
+use super::offers::Offers;
 use super::search::Allocation;
 use super::shares::thousandths;
 use super::{Plan, Snapshot};
 use crate::bookkeeping::reservation::{Bucket, Row};
 use crate::constants as c;
 use crate::protocol::Resources;
+use std::cell::Cell;
 
 /// A pass under way: the snapshot, and what has been decided so far.
 pub(super) struct Pass<'a> {
@@ -16,6 +18,8 @@
     /// Service tasks on each machine.
     pub(super) standing: Vec<i64>,
     pub(super) kits: Vec<Vec<(usize, u64)>>,
+    /// Milliseconds until a machine has fetched all images that it waits for.
+    pub(super) images_done_in: Vec<u64>,
     pub(super) in_zone: Vec<Vec<u32>>,
     pub(super) waiting: Vec<u32>,
     /// How many of its times each job is not expected to meet.
@@ -35,6 +39,12 @@
     /// How often something was placed on each machine in this pass: tells whether a choice
     /// worked out earlier still holds.
     pub(super) changes: Vec<u32>,
+    /// Grows with every change of a machine, from 1 on: tells whether what it offers still holds.
+    pub(super) versions: Vec<u32>,
+    /// What the machines offer to the job that was looked at last.
+    pub(super) offers: Offers,
+    /// Places worked out so far.
+    pub(super) examined: Cell<u64>,
     /// Places that jobs which have waited too long may still take ahead of the others.
     pub(super) aged_left: usize,
     pub(super) plan: Plan,
@@ -64,6 +74,9 @@
         rows,
         roomy,
         changes: vec![0; s.machines.len()],
+        versions: vec![1; s.machines.len()],
+        offers: Offers::default(),
+        examined: Cell::new(0),
         aged_left: 0,
         slots: s.machines.iter().map(|m| m.slots).collect(),
         standing: s
@@ -72,6 +85,7 @@
             .map(|m| m.running.iter().filter(|r| r.standing).count() as i64)
             .collect(),
         kits: s.machines.iter().map(|m| m.kits.clone()).collect(),
+        images_done_in: s.machines.iter().map(|m| images_done_in(&m.kits)).collect(),
         in_zone: s.jobs.iter().map(|j| j.in_zone.clone()).collect(),
         waiting: s.jobs.iter().map(|j| j.waiting).collect(),
         missed: Vec::new(),
@@ -84,7 +98,7 @@
         plan: Plan { expected: vec![Vec::new(); s.jobs.len()], ..Plan::default() },
     };
     pass.run();
-    pass.plan
+    Plan { places_examined: pass.examined.get(), ..pass.plan }
 }
 
 impl Pass<'_> {
@@ -131,7 +145,7 @@
                         self.reserved = Some((a.machine, a.start, self.s.jobs[j].need));
                         self.plan.reservation = Some((j, a.machine, a.start));
                         self.plan.expected[j].push(a.start - self.s.now);
-                        self.rows[a.machine].claim(a.start, a.length, self.s.jobs[j].need);
+                        self.claim(j, a.machine, a.start, a.length);
                         break;
                     }
                     // At its limit, or no machine for it yet: skipped.
@@ -190,13 +204,22 @@
         if !self.kits[m].iter().any(|(k, _)| *k == job.kit) {
             self.kits[m].push((job.kit, fetch));
         }
+        self.images_done_in[m] = images_done_in(&self.kits[m]);
         self.changes[m] += 1;
+        self.versions[m] += 1;
         self.in_zone[j][self.s.machines[m].zone] += 1;
         self.waiting[j] -= 1;
         self.used[job.team] += job.need;
         self.plan.places.push((j, m));
     }
 
+    /// Counts a place that a task waits for, so that others see that they would not be alone. Whatever
+    /// else has just changed on the machine for it counts as changed with that.
+    pub(super) fn claim(&mut self, j: usize, m: usize, start: u64, length: u64) {
+        self.rows[m].claim(start, length, self.s.jobs[j].need);
+        self.versions[m] += 1;
+    }
+
     /// Jobs that start now without delaying the reservation, by penalty factor, then length.
     fn backfill(&mut self, rest: &[usize]) {
         // One computed choice per job. What is placed only takes room, so a choice whose
@@ -234,7 +257,6 @@
     /// so that not all of them count on the same one.
     fn start_now(&mut self, j: usize) -> Option<Allocation> {
         let now = self.s.now;
-        let need = self.s.jobs[j].need;
         while (self.plan.expected[j].len() as u32) < self.waiting[j] + self.promised[j] {
             // With enough claims worked out, only what can start now is of interest.
             let may_wait = self.claims < c::CLAIMS_PER_PASS;
@@ -247,12 +269,17 @@
             }
             self.claims += 1;
             self.plan.expected[j].push(a.start - now);
-            self.rows[a.machine].claim(a.start, a.length, need);
+            self.claim(j, a.machine, a.start, a.length);
         }
         None
     }
 }
 
+/// Milliseconds until the last of a machine's images is there.
+fn images_done_in(kits: &[(usize, u64)]) -> u64 {
+    kits.iter().map(|(_, ms)| *ms).max().unwrap_or(0)
+}
+
 /// The least that any waiting task takes, in each dimension.
 fn least_need(s: &Snapshot) -> Resources {
     let of = |f: fn(&Resources) -> i64| s.jobs.iter().map(|j| f(&j.need)).min().unwrap_or(0);
--- /dev/null
+++ b/src/coordination/planner/plain.rs
@@ -0,0 +1,145 @@
+//! The plain form of the choice of a place: every machine and every time is looked at anew for each
+//! task. The planner's own form keeps what still holds; in unit tests each of its choices is
+//! compared with this one.
+
+use super::pass::Pass;
+use super::search::{Allocation, Search, Taste};
+use crate::protocol::users::Rank;
+
+/// Panics unless the plain form chooses the same.
+pub(super) fn compare(pass: &Pass, job: usize, may_wait: bool, chosen: Option<Allocation>) {
+    let examined = pass.examined.get();
+    assert_eq!(chosen, pass.plain_allocate(job, may_wait), "job {job}, may wait: {may_wait}");
+    assert_eq!(pass.examined.get(), examined, "the plain form does not count");
+}
+
+impl Pass<'_> {
+    fn plain_fetch_ms(&self, j: usize, m: usize, start: u64) -> u64 {
+        let job = &self.s.jobs[j];
+        match self.kits[m].iter().find(|(k, _)| *k == job.kit) {
+            Some((_, in_ms)) => in_ms.saturating_sub(start.saturating_sub(self.s.now)),
+            None => {
+                // Images fetched at the same time share the rate.
+                let others = self.kits[m].iter().map(|(_, ms)| *ms).max().unwrap_or(0);
+                (job.size_gb * self.s.machines[m].fetch_ms_per_gb) as u64 + others
+            }
+        }
+    }
+
+    fn plain_better_on_the_way(&self, j: usize, m: usize) -> bool {
+        let job = &self.s.jobs[j];
+        let kits = &self.kits[m];
+        if kits.iter().any(|(k, _)| *k == job.kit) {
+            return false;
+        }
+        let ahead = kits.iter().map(|(_, ms)| *ms).max().unwrap_or(0);
+        let [ordinary, spot] = self.s.coming;
+        let soon = ordinary.into_iter().chain(spot.filter(|_| job.spot_ok)).min();
+        soon.is_some_and(|ms| ms < ahead)
+    }
+
+    fn plain_at(&self, j: usize, m: usize, start: u64) -> Option<Allocation> {
+        let job = &self.s.jobs[j];
+        let row = &self.rows[m];
+        let now = self.s.now;
+        let mut free = row.free_at(start);
+        if job.rank > Rank::High {
+            free -= self.held[m];
+        }
+        if !free.fits(&job.need) {
+            return None;
+        }
+        let fetch = self.plain_fetch_ms(j, m, start);
+        if start == now && self.plain_better_on_the_way(j, m) {
+            return None;
+        }
+        let run = job.run_ms.max(1);
+        let penalized = row.penalized_ms(start, run + fetch, job.bandwidth);
+        let length = run + fetch + penalized as u64;
+        if start > now && !row.fits_later(start, length, &job.need) {
+            return None;
+        }
+        if let Some((rm, rt, need)) = &self.reserved {
+            if *rm == m && start + length > *rt {
+                let mut at = row.free_at(*rt);
+                at -= job.need;
+                if !at.fits(need) {
+                    return None;
+                }
+            }
+        }
+        let factor = (run + fetch) as f64 / run as f64 + penalized / run as f64;
+        Some(Allocation { machine: m, start, length, factor })
+    }
+
+    fn plain_allocate(&self, j: usize, may_wait: bool) -> Option<Allocation> {
+        if !self.within_limit(j) {
+            return None;
+        }
+        let now = self.s.now;
+        let need = &self.s.jobs[j].need;
+        // Among places that are free now, the least factor, then taste.
+        let mut least: Option<(Allocation, Taste)> = None;
+        let mut first: Option<(Allocation, Taste)> = None;
+        for &m in &self.roomy {
+            if !self.rows[m].free.fits(need) || !self.allowed(j, m) {
+                continue;
+            }
+            let Some(a) = self.plain_at(j, m, now) else { continue };
+            let taste = self.taste(j, m);
+            if first.as_ref().is_none_or(|(_, t)| taste < *t) {
+                first = Some((a, taste));
+            }
+            let better = least
+                .as_ref()
+                .is_none_or(|(b, t)| a.factor < b.factor || (a.factor == b.factor && taste < *t));
+            if better {
+                least = Some((a, taste));
+            }
+        }
+        let lowest = self.s.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
+        if !may_wait || least.as_ref().is_some_and(|(a, _)| a.factor < lowest) {
+            return least.map(|(a, _)| a);
+        }
+        // For each threshold the earliest place under it, of the least factor at that time; if
+        // there is none, the least factor of all. First fit is the earliest place of all.
+        let mut search = Search::new(&self.s.thresholds);
+        for (a, taste) in first.into_iter().chain(least) {
+            search.see(a, taste);
+        }
+        let bound = least.map_or(f64::INFINITY, |(a, _)| a.factor);
+        let mut only = None;
+        if let Some((_, m)) = self.s.reserved.filter(|(rj, _)| *rj == j) {
+            // What is reserved stays where it is, if it can.
+            only = self.plain_later(j, m, bound).next().map(|_| m);
+        }
+        for m in 0..self.s.machines.len() {
+            if only.is_none_or(|x| x == m) {
+                self.plain_later(j, m, bound).for_each(|a| search.see(a, self.taste(j, m)));
+            }
+        }
+        search.best()
+    }
+
+    fn plain_later(&self, j: usize, m: usize, bound: f64) -> impl Iterator<Item = Allocation> + '_ {
+        let now = self.s.now;
+        let run = self.s.jobs[j].run_ms.max(1) as f64;
+        let lowest = (run + self.plain_fetch_ms(j, m, u64::MAX) as f64) / run;
+        let row = &self.rows[m];
+        let mut last = bound;
+        let times = if lowest < bound && self.allowed(j, m) { &row.times[..] } else { &[] };
+        times
+            .iter()
+            .filter(move |t| **t > now)
+            .map_while(move |t| {
+                // Nothing can lower it any further.
+                if last <= lowest {
+                    return None;
+                }
+                let a = self.plain_at(j, m, *t).filter(|a| a.factor < last);
+                last = a.map_or(last, |a| a.factor);
+                Some(a)
+            })
+            .flatten()
+    }
+}
--- a/src/coordination/planner/room.rs
+++ b/src/coordination/planner/room.rs
@@ -33,14 +33,16 @@
         let may_stop = |r: &Running, rank: Rank, within: bool, team: usize| {
             r.rank > rank || within && r.team.is_some_and(|t| t != team && borrows[t])
         };
-        let mut softest: Vec<HashMap<(Rank, bool, usize), Resources>> =
-            vec![HashMap::new(); self.rows.len()];
+        let mut stoppable: HashMap<(Rank, bool, usize), Vec<Option<Resources>>> = HashMap::new();
         for &j in order {
             let job = &self.s.jobs[j];
             let within = job.within;
             if job.rank > Rank::High && !within {
                 continue;
             }
+            let stoppable = stoppable
+                .entry((job.rank, within, job.team))
+                .or_insert_with(|| vec![None; room.len()]);
             for _ in 0..self.waiting[j].min(c::JOB_TASKS_PER_PASS as u32) {
                 let mut with = used[job.team];
                 with += job.need;
@@ -53,17 +55,15 @@
                 for m in 0..room.len() {
                     let here = room[m].fits(&job.need);
                     if !here {
-                        let most =
-                            softest[m].entry((job.rank, within, job.team)).or_insert_with(|| {
-                                let mut most = Resources::default();
-                                for r in &self.s.machines[m].running {
-                                    if !r.halting && may_stop(r, job.rank, within, job.team) {
-                                        most += r.need;
-                                    }
+                        let mut most = *stoppable[m].get_or_insert_with(|| {
+                            let mut most = Resources::default();
+                            for r in &self.s.machines[m].running {
+                                if !r.halting && may_stop(r, job.rank, within, job.team) {
+                                    most += r.need;
                                 }
-                                most
-                            });
-                        let mut most = *most;
+                            }
+                            most
+                        });
                         most += room[m];
                         if !most.fits(&job.need) {
                             continue;
@@ -118,7 +118,7 @@
                 self.promised[j] += 1;
                 self.waiting[j] -= 1;
                 self.plan.expected[j].push(wait);
-                self.rows[m].claim(self.s.now + wait, job.run_ms, job.need);
+                self.claim(j, m, self.s.now + wait, job.run_ms);
             }
         }
     }
--- a/src/coordination/planner/search.rs
+++ b/src/coordination/planner/search.rs
@@ -1,5 +1,6 @@
 //! The places that a task may take: what each costs, and which of them LessConsume Threshold chooses.
 
+use super::offers::Offers;
 use super::pass::Pass;
 use crate::protocol::users::Rank;
 
@@ -18,7 +19,7 @@
 pub(super) type Taste = (u32, u8, i64, i64, usize);
 
 /// The places that LessConsume Threshold chooses between, one for each threshold.
-struct Search<'a> {
+pub(super) struct Search<'a> {
     thresholds: &'a [f64],
     under: Vec<Option<(Allocation, Taste)>>,
     least: Option<(Allocation, Taste)>,
@@ -26,11 +27,11 @@
 }
 
 impl<'a> Search<'a> {
-    fn new(thresholds: &'a [f64]) -> Search<'a> {
+    pub(super) fn new(thresholds: &'a [f64]) -> Search<'a> {
         Search { thresholds, under: vec![None; thresholds.len()], least: None, first: None }
     }
 
-    fn see(&mut self, a: Allocation, taste: Taste) {
+    pub(super) fn see(&mut self, a: Allocation, taste: Taste) {
         type Key = (u64, f64, Taste);
         fn keep(
             slot: &mut Option<(Allocation, Taste)>,
@@ -64,7 +65,7 @@
     /// Of places that end alike the earlier start: to start where the image is on its way ends
     /// no later than to wait for the image first. Services waited so, the places went to tasks
     /// of lower ranks, and these were stopped for them in the next pass, again and again.
-    fn best(self) -> Option<Allocation> {
+    pub(super) fn best(self) -> Option<Allocation> {
         let least = self.least;
         let chosen = self.under.into_iter().filter_map(|u| u.or(least)).chain(self.first);
         chosen.map(|(a, _)| a).min_by_key(|a| (a.start + a.length, a.start))
@@ -82,17 +83,15 @@
         if job.zone.is_some_and(|z| z != machine.zone) || job.avoid.contains(&m) {
             return false;
         }
-        if self.in_zone[j][machine.zone] >= job.zone_cap {
-            return false;
-        }
-        if job.together {
-            let elsewhere =
-                self.in_zone[j].iter().enumerate().any(|(z, n)| z != machine.zone && *n > 0);
-            if elsewhere {
-                return false;
-            }
-        }
-        machine.total.fits(&job.need)
+        self.zone_allowed(j, machine.zone) && machine.total.fits(&job.need)
+    }
+
+    /// Whether one more task of the job may be in the zone, given those that are placed.
+    pub(super) fn zone_allowed(&self, j: usize, zone: usize) -> bool {
+        let job = &self.s.jobs[j];
+        let placed = &self.in_zone[j];
+        let elsewhere = || placed.iter().enumerate().any(|(z, n)| z != zone && *n > 0);
+        placed[zone] < job.zone_cap && !(job.together && elsewhere())
     }
 
     pub(super) fn within_limit(&self, j: usize) -> bool {
@@ -109,8 +108,7 @@
             Some((_, in_ms)) => in_ms.saturating_sub(start.saturating_sub(self.s.now)),
             None => {
                 // Images fetched at the same time share the rate.
-                let others = self.kits[m].iter().map(|(_, ms)| *ms).max().unwrap_or(0);
-                (job.size_gb * self.s.machines[m].fetch_ms_per_gb) as u64 + others
+                (job.size_gb * self.s.machines[m].fetch_ms_per_gb) as u64 + self.images_done_in[m]
             }
         }
     }
@@ -121,22 +119,20 @@
     /// images deep; the last of them took minutes.
     pub(super) fn better_on_the_way(&self, j: usize, m: usize) -> bool {
         let job = &self.s.jobs[j];
-        let kits = &self.kits[m];
-        if kits.iter().any(|(k, _)| *k == job.kit) {
-            return false;
-        }
-        let ahead = kits.iter().map(|(_, ms)| *ms).max().unwrap_or(0);
         let [ordinary, spot] = self.s.coming;
         let soon = ordinary.into_iter().chain(spot.filter(|_| job.spot_ok)).min();
-        soon.is_some_and(|ms| ms < ahead)
+        soon.is_some_and(|ms| ms < self.images_done_in[m])
+            && !self.kits[m].iter().any(|(k, _)| *k == job.kit)
     }
 
     /// The allocation on one machine at one time.
-    fn at(&self, j: usize, m: usize, start: u64) -> Option<Allocation> {
+    pub(super) fn at(&self, j: usize, m: usize, start: u64) -> Option<Allocation> {
         let job = &self.s.jobs[j];
         let row = &self.rows[m];
         let now = self.s.now;
-        let mut free = row.free_at(start);
+        self.examined.set(self.examined.get() + 1);
+        // Whatever runs now ends later than now.
+        let mut free = if start <= now { row.free } else { row.free_at(start) };
         if job.rank > Rank::High {
             free -= self.held[m];
         }
@@ -192,20 +188,26 @@
     /// A place that is free now and whose factor is under all thresholds is what every one of
     /// them yields, so later places are worked out only where there is none: at hundreds of
     /// machines they are nearly all the work.
-    pub(super) fn allocate(&self, j: usize, may_wait: bool) -> Option<Allocation> {
+    pub(super) fn allocate(&mut self, j: usize, may_wait: bool) -> Option<Allocation> {
         if !self.within_limit(j) {
             return None;
         }
-        let now = self.s.now;
-        let need = &self.s.jobs[j].need;
+        let mut offers = std::mem::take(&mut self.offers);
+        offers.rest_on(self.basis(j), self.rows.len());
+        let chosen = self.choose(j, may_wait, &mut offers);
+        self.offers = offers;
+        #[cfg(test)]
+        super::plain::compare(self, j, may_wait, chosen);
+        chosen
+    }
+
+    /// The choice of [`Pass::allocate`] among the offers of all machines.
+    fn choose(&self, j: usize, may_wait: bool, offers: &mut Offers) -> Option<Allocation> {
         // Among places that are free now, the least factor, then taste.
         let mut least: Option<(Allocation, Taste)> = None;
         let mut first: Option<(Allocation, Taste)> = None;
         for &m in &self.roomy {
-            if !self.rows[m].free.fits(need) || !self.allowed(j, m) {
-                continue;
-            }
-            let Some(a) = self.at(j, m, now) else { continue };
+            let Some(a) = offers.now(self, j, m) else { continue };
             let taste = self.taste(j, m);
             if first.as_ref().is_none_or(|(_, t)| taste < *t) {
                 first = Some((a, taste));
@@ -231,19 +233,31 @@
         let mut only = None;
         if let Some((_, m)) = self.s.reserved.filter(|(rj, _)| *rj == j) {
             // What is reserved stays where it is, if it can.
-            only = self.later(j, m, bound).next().map(|_| m);
+            only = (!offers.later(self, j, m, bound).is_empty()).then_some(m);
         }
         for m in 0..self.s.machines.len() {
             if only.is_none_or(|x| x == m) {
-                self.later(j, m, bound).for_each(|a| search.see(a, self.taste(j, m)));
+                let later = offers.later(self, j, m, bound);
+                later.iter().for_each(|a| search.see(*a, self.taste(j, m)));
             }
         }
         search.best()
     }
 
+    /// The place on a machine that is free now, if the job may be there.
+    pub(super) fn offer_now(&self, j: usize, m: usize) -> Option<Allocation> {
+        let fits = self.rows[m].free.fits(&self.s.jobs[j].need) && self.allowed(j, m);
+        fits.then(|| self.at(j, m, self.s.now)).flatten()
+    }
+
     /// At a machine the first time after now that there is room, and later ones as long as
     /// they lower the factor; none whose factor is not under the bound.
-    fn later(&self, j: usize, m: usize, bound: f64) -> impl Iterator<Item = Allocation> + '_ {
+    pub(super) fn offers_later(
+        &self,
+        j: usize,
+        m: usize,
+        bound: f64,
+    ) -> impl Iterator<Item = Allocation> + '_ {
         let now = self.s.now;
         let run = self.s.jobs[j].run_ms.max(1) as f64;
         let lowest = (run + self.fetch_ms(j, m, u64::MAX) as f64) / run;
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the planner on small snapshots made by hand.
 
 use super::*;
+use rand::{rngs::SmallRng, Rng, SeedableRng};
 
 const GPU: Resources = Resources { cpu: 1_000, gpu: 1_000, ram: 0 };
 
@@ -284,3 +285,100 @@
     s.teams[1].used = gpus(5);
     assert_eq!(move_shares(&s, vec![500, 500]), vec![500, 500], "nothing is unused");
 }
+
+/// A small snapshot drawn at random, with all that a job or a machine can differ in.
+fn random_snapshot(rng: &mut SmallRng) -> Snapshot {
+    const ZONES: usize = 2;
+    let ranks = [Rank::Production, Rank::High, Rank::Standard, Rank::BestEffort];
+    let rank = |rng: &mut SmallRng| ranks[rng.random_range(0..ranks.len())];
+    let machines = (0..rng.random_range(1..9)).map(|_| {
+        let mut m = machine(rng.random_range(1..5));
+        m.zone = rng.random_range(0..ZONES);
+        m.spot = rng.random_bool(0.3);
+        m.slots = rng.random_range(0..5);
+        m.kits = (0..3).map(|k| (k, rng.random_range(0..2) * 7_000)).collect();
+        m.kits.retain(|_| rng.random_bool(0.5));
+        for handle in 0..rng.random_range(0..=m.total.gpu / 1_000) {
+            let mut r = running(rng.random_range(0..40) * 1_000);
+            r.rank = rank(rng);
+            r.team = Some(rng.random_range(0..2));
+            r.bandwidth = f64::from(rng.random_range(0..3));
+            r.standing = rng.random_bool(0.2);
+            r.ran_ms = rng.random_bool(0.8).then(|| rng.random_range(0..90_000));
+            r.saves = rng.random_bool(0.5);
+            r.halting = rng.random_bool(0.1);
+            r.handle = handle as usize;
+            m.running.push(r);
+        }
+        m
+    });
+    let machines: Vec<MachineView> = machines.collect();
+    let jobs = (0..rng.random_range(1..10)).map(|n| {
+        let mut j = job(n, rng.random_range(1..3), rng.random_range(1..60) * 1_000);
+        j.rank = rank(rng);
+        j.team = rng.random_range(0..2);
+        j.within = rng.random_bool(0.2);
+        j.standing = rng.random_bool(0.3);
+        j.waited_ms = rng.random_range(0..2) * c::AGED_MS;
+        j.times = if rng.random_bool(0.5) { vec![rng.random_range(0..90_000)] } else { vec![] };
+        j.bandwidth = f64::from(rng.random_range(0..3));
+        j.spot_ok = rng.random_bool(0.7);
+        j.zone = rng.random_bool(0.1).then(|| rng.random_range(0..ZONES));
+        j.waiting = rng.random_range(1..9);
+        j.in_zone = vec![rng.random_range(0..2), rng.random_range(0..2)];
+        j.together = rng.random_bool(0.2);
+        j.zone_cap = if rng.random_bool(0.3) { rng.random_range(1..5) } else { 100 };
+        j.begun = rng.random_bool(0.5);
+        j.kit = rng.random_range(0..4);
+        j.size_gb = f64::from(rng.random_range(0..8));
+        j.avoid = if rng.random_bool(0.1) { vec![0] } else { vec![] };
+        j
+    });
+    let mut s = snapshot(machines, jobs.collect());
+    s.teams.push(TeamView { share: 400, guarantee: gpus(2), ..TeamView::default() });
+    s.teams[0].share = 600;
+    for team in &mut s.teams {
+        team.used = gpus(rng.random_range(0..6));
+        team.limit = if rng.random_bool(0.3) { gpus(rng.random_range(1..20)) } else { gpus(0) };
+    }
+    s.coming = [0, 1].map(|_| rng.random_bool(0.3).then(|| rng.random_range(0..20_000)));
+    s.reserved = rng.random_bool(0.3).then(|| (0, rng.random_range(0..s.machines.len())));
+    s
+}
+
+#[test]
+fn every_choice_on_random_snapshots_is_that_of_the_plain_form() {
+    // Each choice of a place is compared where it is made, see `plain`.
+    let mut rng = SmallRng::seed_from_u64(11);
+    let (mut places, mut halts, mut reservations, mut waits) = (0, 0, 0, 0);
+    for _ in 0..8_000 {
+        let plan = plan(&random_snapshot(&mut rng));
+        places += plan.places.len();
+        halts += plan.halts.len();
+        reservations += usize::from(plan.reservation.is_some());
+        waits += plan.expected.iter().map(Vec::len).sum::<usize>();
+    }
+    assert!(places > 10_000, "{places} places");
+    assert!(halts > 1_000, "{halts} tasks stopped");
+    assert!(reservations > 1_000, "{reservations} reservations");
+    assert!(waits > 5_000, "{waits} tasks that wait for a place");
+}
+
+#[test]
+fn the_tasks_of_a_job_are_placed_without_looking_at_every_machine_for_each() {
+    const MACHINES: usize = 200;
+    let mut wide = job(1, 1, 30_000);
+    wide.waiting = 60;
+    let s = snapshot(vec![machine(4); MACHINES], vec![wide]);
+    let p = plan(&s);
+    assert_eq!(p.places.len(), 60);
+    assert!(p.places_examined < MACHINES as u64 + 2 * 60, "{} places", p.places_examined);
+    // All are taken: the tasks wait, each for another place.
+    let mut full = s;
+    for m in &mut full.machines {
+        m.running = vec![running(20_000); 4];
+    }
+    let p = plan(&full);
+    assert!(p.expected[0].len() > 50);
+    assert!(p.places_examined < 3 * MACHINES as u64 + 4 * 60, "{} places", p.places_examined);
+}
