--- a/src/bookkeeping/budget.rs
+++ b/src/bookkeeping/budget.rs
@@ -47,6 +47,12 @@
         self.tokens
     }
 
+    /// When so many may be taken, if none are taken before: in whole milliseconds, rounded up.
+    pub fn available_at(&self, n: f64) -> u64 {
+        let missing = (n.min(self.burst) - self.tokens).max(0.0);
+        self.at.saturating_add((missing / self.per_s * 1000.0).ceil() as u64)
+    }
+
     /// How many there are at the most.
     pub fn burst(&self) -> f64 {
         self.burst
@@ -72,5 +78,7 @@
         }
         assert!((29..=31).contains(&given), "burst of 10 and 10 a second: {given}");
         assert!(!b.take(1.0, 5.0, 2_000), "the reserve is kept");
+        let at = b.available_at(6.0);
+        assert!(!b.take(1.0, 5.0, at - 1) && b.take(1.0, 5.0, at), "neither later nor sooner");
     }
 }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -6,6 +6,7 @@
 use super::workers::HeldReport;
 use super::*;
 use crate::bookkeeping::books::*;
+use crate::bookkeeping::budget::Bucket;
 use crate::bookkeeping::records::*;
 use crate::protocol::users::{Rank, Shape};
 use crate::protocol::workers::{Cause, TaskStatus};
@@ -165,15 +166,20 @@
         c::FLEET_PERIOD_MS + (self.books.machines.len() as f64 * c::FLEET_MACHINE_MS) as u64
     }
 
-    /// When it has to look again at the latest, if nothing comes in before. Answers to commits
-    /// come in; what waits for a pass, for a write to spare or for its longest time does not.
-    pub(super) fn next_wake(&self, now: u64) -> u64 {
-        let writes = self.flight.as_ref().map_or(!self.books.proposals.is_empty(), |f| !f.sent);
-        if writes {
-            return now + c::POLL_SOON_MS;
-        }
+    /// When it has to look again if nothing comes in before. Answers to commits come in; what
+    /// waits for a pass, for a write to spare or for its longest time does not.
+    pub(super) fn next_wake(&self, now: u64, writes: &Bucket) -> Option<u64> {
+        let write = match &self.flight {
+            Some(f) if f.sent || f.reading.is_some() => None,
+            Some(f) => Some(f.not_before.max(writes.available_at(f.commit.writes.len() as f64))),
+            None if self.books.proposals.is_empty() => None,
+            None => Some(writes.available_at(c::WRITE_RESERVE + 1.0)),
+        };
         let held = self.held.iter().map(|h| h.since + c::REPORT_HOLD_MS).min();
-        held.map_or(u64::MAX, |t| t.min(self.plan_at).max(now + 1))
+        // A pass waits until what the last one decided is stored.
+        let pass = (held.is_some() && self.books.proposals.is_empty()).then_some(self.plan_at);
+        let pass = pass.map(|t| t.max(now + 1));
+        [write, held, pass].into_iter().flatten().min()
     }
 
     /// Whether a commit that may bring orders for a worker is under way or due.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -215,9 +215,12 @@
     /// When the next batch is due at the latest.
     pub fn next_wake(&self) -> u64 {
         let now = self.now.mono;
-        let users = !self.gathering.is_empty() || !self.batches.is_empty();
-        let soon = now + if users { c::POLL_SOON_MS } else { c::POLL_MAX_MS };
-        self.leader.as_ref().map_or(soon, |l| soon.min(l.next_wake(now)))
+        let leader = self.leader.as_ref().filter(|_| self.served());
+        let leader = leader.and_then(|l| l.next_wake(now, &self.writes));
+        let times = [leader, self.batches_wake()].into_iter().flatten();
+        // What is due already waits for something that no time tells, and is looked at now and then.
+        let times = times.map(|t| if t > now { t } else { now + c::POLL_SOON_MS });
+        times.fold(now + c::POLL_MAX_MS, u64::min)
     }
 
     fn command(&mut self, command: Command) {
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -253,6 +253,19 @@
         self.send_batch(id, f64::MIN);
     }
 
+    /// When batches have to be looked at again if nothing comes in before.
+    pub(super) fn batches_wake(&self) -> Option<u64> {
+        let gathered = self.gathering.first().map(|first| {
+            let plenty = self.writes.available_at(self.writes.burst() * c::WRITES_SHORT_SHARE);
+            let one = self.writes.available_at(c::WRITE_KEEP_USERS + 1.0);
+            let sent = (first.at + c::BATCH_GATHER_MS).min(plenty).max(one);
+            sent.min(first.at + c::BATCH_WAIT_MS + 1)
+        });
+        let hedges = self.batches.values().filter(|b| b.copies == 1);
+        let hedge = hedges.map(|b| b.sent_at + c::BATCH_HEDGE_MS + 1).min();
+        [gathered, hedge].into_iter().flatten().min()
+    }
+
     /// Sends a copy of a batch, if that leaves `keep` writes.
     fn send_batch(&mut self, id: u64, keep: f64) {
         let now = self.now.mono;
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -69,3 +69,21 @@
     assert!(counts.state_commits >= 3, "accepted, placed, cancelled: {counts:?}");
     assert!(counts.state_bytes_read > 0 && counts.state_reads_unchanged < counts.state_reads);
 }
+
+#[test]
+fn a_leader_that_waits_for_slow_commits_does_not_wake_up_for_nothing() {
+    // A pass that waited for its predecessor's commit once woke the leader in every millisecond
+    // in which a report waited for the same commit.
+    let mut world = World::fleet(5, 20);
+    world.until(10_000, "a leader", |w| w.leader().is_some());
+    world.run(4_000);
+    world.state.slow_commits = 300;
+    for n in 1..=20 {
+        let mut spec = world.spec(n, "batch", 10);
+        spec["crew"] = serde_json::json!("blue");
+        world.submit(spec, 2_000, n as usize % 3);
+    }
+    let (leader, _) = work_of_leader_and_follower(&mut world);
+    assert!(leader.planner_passes > 10 && leader.state_commits > 10, "{leader:?}");
+    assert!(leader.batches_empty <= SECONDS * 9, "{leader:?}");
+}
