--- a/src/bookkeeping/books.rs
+++ b/src/bookkeeping/books.rs
@@ -7,7 +7,7 @@
 use super::records::*;
 use super::replica::Replica;
 use crate::constants as c;
-use crate::protocol::users::{Shape, Spec};
+use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::workers::{Cause, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
@@ -91,7 +91,7 @@
 pub struct Machine {
     pub name: Name,
     pub sku: String,
-    pub yard: String,
+    pub zone: String,
     pub spot: bool,
     pub total: Resources,
     pub life: Life,
@@ -103,17 +103,17 @@
     pub up_at: Option<u64>,
     /// When a list first named it.
     pub listed_at: Option<u64>,
-    /// The newest report: tenure and tally.
+    /// The newest report: session and sequence.
     pub newest: (u64, u64),
-    /// The worker has shown our baton.
-    pub shows_baton: bool,
+    /// The worker has shown our token.
+    pub shows_token: bool,
     pub reported_at: Option<u64>,
     /// When the newest report came, whoever's token it shows.
     pub received_at: Option<u64>,
     /// When we last answered it with 200.
     pub answered_at: Option<u64>,
     /// When the cloud takes it.
-    pub recall_at: Option<u64>,
+    pub reclaim_at: Option<u64>,
     /// Its lease has run out and its tasks are settled, until it reports again.
     pub lapsed: bool,
     /// Signs in a row that our answers do not reach it.
@@ -124,7 +124,7 @@
     pub deaf_since: Option<u64>,
     pub placements: BTreeMap<TaskId, Placement>,
     /// Images it holds, newest last, with their size.
-    pub kits: Vec<(String, f64)>,
+    pub images: Vec<(String, f64)>,
     /// Placements on it that are not in the store yet.
     pub proposed: u32,
     /// Set aside: gets no new tasks and is returned when empty.
@@ -147,7 +147,7 @@
         Machine {
             name,
             sku: String::new(),
-            yard: String::new(),
+            zone: String::new(),
             spot: false,
             total: Resources::default(),
             life: Life::Booting,
@@ -156,17 +156,17 @@
             up_at: None,
             listed_at: None,
             newest: (0, 0),
-            shows_baton: false,
+            shows_token: false,
             reported_at: None,
             received_at: None,
             answered_at: None,
-            recall_at: None,
+            reclaim_at: None,
             lapsed: false,
             unheeded: 0,
             unheeded_at: 0,
             deaf_since: None,
             placements: BTreeMap::new(),
-            kits: Vec::new(),
+            images: Vec::new(),
             proposed: 0,
             draining: false,
             failed: false,
@@ -197,17 +197,17 @@
     }
 
     /// Remembers that it holds an image, and forgets the oldest beyond what fits.
-    pub fn note_kit(&mut self, kit: &str, gb: f64, room_gb: f64) {
-        if self.kits.last().is_some_and(|(k, _)| k == kit) {
+    pub fn note_image(&mut self, image: &str, gb: f64, room_gb: f64) {
+        if self.images.last().is_some_and(|(k, _)| k == image) {
             return;
         }
-        self.kits.retain(|(k, _)| k != kit);
-        self.kits.push((kit.to_string(), gb));
-        while self.kits.len() > 1
-            && (self.kits.len() > c::IMAGES_KEPT
-                || (room_gb > 0.0 && self.kits.iter().map(|(_, g)| g).sum::<f64>() > room_gb))
+        self.images.retain(|(k, _)| k != image);
+        self.images.push((image.to_string(), gb));
+        while self.images.len() > 1
+            && (self.images.len() > c::IMAGES_KEPT
+                || (room_gb > 0.0 && self.images.iter().map(|(_, g)| g).sum::<f64>() > room_gb))
         {
-            self.kits.remove(0);
+            self.images.remove(0);
         }
     }
 }
@@ -217,7 +217,7 @@
 pub struct Job {
     pub uid: Name,
     /// None only for a job whose record was reduced at its end.
-    pub spec: Option<Rc<Spec>>,
+    pub spec: Option<Rc<JobSpec>>,
     pub need: Resources,
     pub stage: Stage,
     /// Grows from job to job.
@@ -335,7 +335,7 @@
     /// Live jobs whose tasks are all done.
     pub complete: BTreeSet<Name>,
     /// Images on machines that are not known yet in this term.
-    pub kits_told: HashMap<Name, Vec<(String, f64)>>,
+    pub stored_images: HashMap<Name, Vec<(String, f64)>>,
     /// Keys to remove when there is room in a commit: key, stamp.
     pub garbage: Vec<(String, u64)>,
 }
@@ -344,10 +344,11 @@
     /// Builds the books at the start of a term. Every placement counts as possibly running.
     pub fn from_replica(r: &Replica, now: u64) -> Books {
         let mut b = Books::default();
-        for part in r.kits.values() {
+        for part in r.images.values() {
             for (machine, held) in &part.value.held {
-                let kits = held.iter().filter_map(|i| part.value.kits.get(*i).cloned()).collect();
-                b.kits_told.insert(machine.as_str().into(), kits);
+                let images =
+                    held.iter().filter_map(|i| part.value.images.get(*i).cloned()).collect();
+                b.stored_images.insert(machine.as_str().into(), images);
             }
         }
         let mut placed: HashMap<Name, Vec<(u32, Name)>> = HashMap::new();
@@ -404,7 +405,7 @@
     pub fn machine_entry(&mut self, name: &Name, now: u64) -> &mut Machine {
         if !self.machines.contains_key(name) {
             let mut m = Machine::new(name.clone(), now);
-            m.kits = self.kits_told.remove(name).unwrap_or_default();
+            m.images = self.stored_images.remove(name).unwrap_or_default();
             self.machines.insert(name.clone(), m);
         }
         self.machines.get_mut(name).expect("just made")
@@ -455,7 +456,7 @@
         }
         if let Some(spec) = &job.spec {
             let used = job.need * job.placed.len() as i64;
-            *self.usage.entry(spec.crew.clone()).or_default() += used;
+            *self.usage.entry(spec.team.clone()).or_default() += used;
         }
         if job.stage == Stage::Live {
             self.queue.insert(job.arrival, uid.clone());
@@ -531,7 +532,7 @@
         job.take_waiting(task);
         job.placed.insert(task, machine.clone());
         if let Some(spec) = &job.spec {
-            *self.usage.entry(spec.crew.clone()).or_default() += job.need;
+            *self.usage.entry(spec.team.clone()).or_default() += job.need;
         }
         let p = Placement::new(attempt, Phase::Proposed, now);
         m.placements.insert((uid.clone(), task), p);
@@ -551,7 +552,7 @@
         m.placements.remove(id);
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
         job.placed.remove(&id.1);
-        if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.crew)) {
+        if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.team)) {
             *u -= job.need;
         }
         if job.stage == Stage::Live && !job.done.get(id.1) {
@@ -603,7 +604,7 @@
             job.placed.remove(&id.1);
         }
         job.settling.insert(id.1);
-        if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.crew)) {
+        if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.team)) {
             *u -= job.need;
         }
         if cause == Cause::Done && job.stage == Stage::Live {
@@ -689,7 +690,7 @@
     pub fn room_for_services(&self, m: &Machine) -> Resources {
         let mut room = self.free(m);
         for ((uid, _), p) in &m.placements {
-            if p.ended.is_none() && !self.is_standing(uid) {
+            if p.ended.is_none() && !self.is_service(uid) {
                 if let Some(j) = self.jobs.get(uid) {
                     room += j.need;
                 }
@@ -699,8 +700,8 @@
     }
 
     /// Whether a job's tasks run until it is withdrawn.
-    pub fn is_standing(&self, uid: &str) -> bool {
-        self.jobs.get(uid).and_then(|j| j.spec.as_ref()).is_some_and(|s| s.shape == Shape::Standing)
+    pub fn is_service(&self, uid: &str) -> bool {
+        self.jobs.get(uid).and_then(|j| j.spec.as_ref()).is_some_and(|s| s.kind == JobKind::Service)
     }
 }
 
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -1,7 +1,7 @@
 //! The stored forms: keys and values of the state service.
 
 use crate::constants as c;
-use crate::protocol::users::{Spec, UID_PREFIX};
+use crate::protocol::users::{JobSpec, UID_PREFIX};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -50,7 +50,7 @@
 }
 
 /// The key of a part of the list of images that machines hold.
-pub fn kits_key(part: u32) -> String {
+pub fn images_key(part: u32) -> String {
     format!("{}kits/{part:04}", c::KEY_ROOT)
 }
 
@@ -65,7 +65,7 @@
     End(&'a str),
     Done(u32),
     Place(u32),
-    Kits(u32),
+    Images(u32),
 }
 
 /// Takes a key apart; `None` for keys of others.
@@ -83,7 +83,7 @@
                 "end" => Key::End(name),
                 "done" => Key::Done(name.parse().ok()?),
                 "place" => Key::Place(name.parse().ok()?),
-                "kits" => Key::Kits(name.parse().ok()?),
+                "kits" => Key::Images(name.parse().ok()?),
                 _ => return None,
             }
         }
@@ -116,7 +116,8 @@
 pub enum Stage {
     Live,
     Done,
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 /// Jobs accepted by one controller with one write: a write a job would allow no more
@@ -132,7 +133,7 @@
     /// the same revision, and no two jobs may have the same arrival number.
     #[serde(default)]
     pub first: u64,
-    pub jobs: Vec<Rc<Spec>>,
+    pub jobs: Vec<Rc<JobSpec>>,
 }
 
 /// How a job ended.
@@ -153,7 +154,7 @@
     pub stage: Stage,
     pub loads: u32,
     /// Known as long as its batch is kept.
-    pub spec: Option<Rc<Spec>>,
+    pub spec: Option<Rc<JobSpec>>,
     /// Tasks that were done when it ended.
     pub done: u32,
     /// Revision at which it ended; 0 while it is live.
@@ -233,9 +234,10 @@
 
 /// Images that machines hold, for a new leader: hints, written seldom.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct KitsRec {
+pub struct ImagesRec {
     /// Image and size.
-    pub kits: Vec<(String, f64)>,
+    #[serde(rename = "kits")]
+    pub images: Vec<(String, f64)>,
     /// Per machine the images by index, newest last.
     pub held: BTreeMap<String, Vec<usize>>,
 }
--- a/src/bookkeeping/replica.rs
+++ b/src/bookkeeping/replica.rs
@@ -35,7 +35,7 @@
     pub batches: HashMap<Name, Stamped<Vec<Name>>>,
     pub done: BTreeMap<u32, Stamped<DoneRec>>,
     pub places: BTreeMap<u32, Stamped<PlaceRec>>,
-    pub kits: BTreeMap<u32, Stamped<KitsRec>>,
+    pub images: BTreeMap<u32, Stamped<ImagesRec>>,
     /// Tasks placed per job, for users' polls.
     placed: HashMap<Name, u32>,
     /// Keys removed ahead of the watch.
@@ -100,7 +100,7 @@
             Some(Key::End(u)) => self.jobs.get(u).map_or(0, |j| j.value.end_stamp),
             Some(Key::Done(g)) => of(self.done.get(&g)),
             Some(Key::Place(g)) => of(self.places.get(&g)),
-            Some(Key::Kits(n)) => of(self.kits.get(&n)),
+            Some(Key::Images(n)) => of(self.images.get(&n)),
             None => 0,
         }
     }
@@ -113,7 +113,7 @@
         match parse_key(key) {
             Some(Key::Place(g)) => same(self.places.get(&g).map(|s| &s.value), data),
             Some(Key::Done(g)) => same(self.done.get(&g).map(|s| &s.value), data),
-            Some(Key::Kits(n)) => same(self.kits.get(&n).map(|s| &s.value), data),
+            Some(Key::Images(n)) => same(self.images.get(&n).map(|s| &s.value), data),
             Some(Key::End(u)) => {
                 let rec: Option<EndRec> = serde_json::from_str(data.get()).ok();
                 self.jobs.get(u).map(|s| s.value.stage) == rec.map(|r| r.stage)
@@ -165,9 +165,9 @@
                     self.count_placed(&old.value, -1);
                 }
             }
-            Some(Key::Kits(n)) => {
+            Some(Key::Images(n)) => {
                 if let Some(rec) = stamped(key, data, stamp) {
-                    self.kits.insert(n, rec);
+                    self.images.insert(n, rec);
                 }
             }
         }
@@ -271,8 +271,8 @@
                     self.count_placed(&old.value, -1);
                 }
             }
-            Some(Key::Kits(n)) => {
-                self.kits.remove(&n);
+            Some(Key::Images(n)) => {
+                self.images.remove(&n);
             }
         }
     }
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -142,7 +142,7 @@
 /// Images remembered for a machine.
 pub const IMAGES_KEPT: usize = 10;
 /// Milliseconds between two writes of the images that machines hold: hints for a new leader.
-pub const KITS_PERIOD_MS: u64 = 15_000;
+pub const IMAGES_PERIOD_MS: u64 = 15_000;
 /// Milliseconds between two searches for keys that nobody needs any more.
 pub const GARBAGE_PERIOD_MS: u64 = 10_000;
 
@@ -221,8 +221,8 @@
 /// no answer reaches begins a new session with every lease.
 pub const DEAF_CALM_LEASES: f64 = 1.3;
 
-/// Seconds of `wind_down_s` beyond a task's `mark_cost_s`: a machine may be slow.
-pub const WIND_DOWN_EXTRA_S: f64 = 1.0;
+/// Seconds of `grace_s` beyond a task's `checkpoint_cost_s`: a machine may be slow.
+pub const GRACE_EXTRA_S: f64 = 1.0;
 
 /// Milliseconds between two lines of the leader on how things stand.
 pub const STORY_PERIOD_MS: u64 = 10_000;
@@ -250,10 +250,10 @@
 pub const BANDWIDTH_HIGH: f64 = 2000.0 / 1500.0;
 /// Seconds a service is taken to run on in the reservation table; long enough that
 /// nothing waits for it to end.
-pub const STANDING_RUN_S: f64 = 3_600.0;
+pub const SERVICE_RUN_S: f64 = 3_600.0;
 /// Seconds that stand in for a service's run time where slowdowns are compared: about
 /// what its users would wait for it.
-pub const STANDING_REF_S: f64 = 30.0;
+pub const SERVICE_REFERENCE_S: f64 = 30.0;
 /// Runs of a class to see before its guesses are corrected.
 pub const RATIO_SAMPLES_MIN: u32 = 5;
 /// Least seconds of an estimate: keeps slowdowns finite.
@@ -371,12 +371,12 @@
 pub const DRAIN_TARGET_S: f64 = 45.0;
 /// Seconds of notice believed at the most: clouds give seconds or minutes, and a nonsense figure
 /// must not overflow a time.
-pub const RECALL_MOST_S: f64 = 86_400.0;
+pub const RECLAIM_MOST_S: f64 = 86_400.0;
 /// Milliseconds after its time at which a silent machine that was to be taken is deleted.
-pub const RECALL_PAST_MS: u64 = 500;
+pub const RECLAIM_PAST_MS: u64 = 500;
 /// Seconds before a spot machine is taken at which tasks that can save are told to, beyond
-/// their own `mark_cost_s`.
-pub const RECALL_MARGIN_S: f64 = 4.0;
+/// their own `checkpoint_cost_s`.
+pub const RECLAIM_MARGIN_S: f64 = 4.0;
 /// Milliseconds added to how long the machine list may lag before absence is believed.
 pub const LIST_MARGIN_MS: u64 = 2_000;
 /// Slots below which a demand is met: rounding.
--- a/src/coordination/blind.rs
+++ b/src/coordination/blind.rs
@@ -89,7 +89,7 @@
     /// What a relayed answer says of a job is heard as well.
     pub(super) fn hear_answer(&mut self, body: &[u8]) {
         if let Ok(view) = serde_json::from_slice::<Told>(body) {
-            if matches!(view.status, Status::Done | Status::Withdrawn) {
+            if matches!(view.status, Status::Done | Status::Cancelled) {
                 self.hear_end(view.uid);
             }
         }
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -49,7 +49,7 @@
         if fits {
             self.bytes += bytes;
             self.ifs.insert(key.clone(), stamp);
-            self.writes.push(Write::Put { write: key, data, tenancy: None });
+            self.writes.push(Write::Put { write: key, data, lease_id: None });
         }
         fits
     }
@@ -153,17 +153,17 @@
             let stamp = self.replica.shares.as_ref().map_or(0, |s| s.stamp);
             l.shares_written = p.put(shares_key(), raw(&rec), stamp);
         }
-        if now >= l.kits_at {
+        if now >= l.images_at {
             let mut all = true;
-            for (n, rec) in l.books.kits_parts(p.cap).into_iter().enumerate() {
-                let known = self.replica.kits.get(&(n as u32));
+            for (n, rec) in l.books.image_records(p.cap).into_iter().enumerate() {
+                let known = self.replica.images.get(&(n as u32));
                 if known.is_none_or(|k| k.value != rec) {
                     let stamp = known.map_or(0, |k| k.stamp);
-                    all &= p.put(kits_key(n as u32), raw(&rec), stamp);
+                    all &= p.put(images_key(n as u32), raw(&rec), stamp);
                 }
             }
             if all {
-                l.kits_at = now + c::KITS_PERIOD_MS;
+                l.images_at = now + c::IMAGES_PERIOD_MS;
             }
         }
         if now >= l.garbage_at && l.books.garbage.is_empty() {
@@ -460,7 +460,7 @@
             let Some(m) = self.machines.get(&machine) else { continue };
             let Some(held) = m.placements.get(&id).filter(|x| x.ended.is_none()) else { continue };
             let live = self.jobs.get(&id.0).is_some_and(|j| j.stage == Stage::Live);
-            let there = m.life == Life::Up && !m.lapsed && m.recall_at.is_none();
+            let there = m.life == Life::Up && !m.lapsed && m.reclaim_at.is_none();
             if held.phase == Phase::Proposed && (!live || !there || held.halt.is_some()) {
                 self.retract(&machine, &id);
                 continue;
@@ -541,26 +541,26 @@
     }
 
     /// The images on machines, in parts that fit into a value each.
-    fn kits_parts(&self, cap: usize) -> Vec<KitsRec> {
-        let mut parts: Vec<KitsRec> = Vec::new();
+    fn image_records(&self, cap: usize) -> Vec<ImagesRec> {
+        let mut parts: Vec<ImagesRec> = Vec::new();
         let mut bytes = cap;
-        for m in self.machines.values().filter(|m| !m.kits.is_empty() && m.life != Life::Gone) {
+        for m in self.machines.values().filter(|m| !m.images.is_empty() && m.life != Life::Gone) {
             // Each image is named once a part; index and comma take a few bytes each.
-            let names: usize = m.kits.iter().map(|(k, _)| k.len() + 24).sum();
-            let most = m.name.len() + 8 + m.kits.len() * 5;
+            let names: usize = m.images.iter().map(|(k, _)| k.len() + 24).sum();
+            let most = m.name.len() + 8 + m.images.len() * 5;
             if bytes + names + most + c::GROUP_FRAME_BYTES > cap {
-                parts.push(KitsRec::default());
+                parts.push(ImagesRec::default());
                 bytes = 0;
             }
             let Some(part) = parts.last_mut() else { continue };
             let mut held = Vec::new();
-            for (kit, gb) in &m.kits {
-                let i = match part.kits.iter().position(|(k, _)| k == kit) {
+            for (image, gb) in &m.images {
+                let i = match part.images.iter().position(|(k, _)| k == image) {
                     Some(i) => i,
                     None => {
-                        part.kits.push((kit.clone(), *gb));
-                        bytes += kit.len() + 24;
-                        part.kits.len() - 1
+                        part.images.push((image.clone(), *gb));
+                        bytes += image.len() + 24;
+                        part.images.len() - 1
                     }
                 };
                 held.push(i);
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::bookkeeping::records::*;
-use crate::protocol::state::{raw, Committed, Hold, If, NewHold, Write, COMMIT_PATH};
+use crate::protocol::state::{raw, Committed, If, Lease, NewLease, Write, COMMIT_PATH};
 
 /// How far this controller is with becoming leader.
 #[derive(Debug, Default)]
@@ -46,14 +46,14 @@
             return;
         }
         self.election.busy = true;
-        let body = serde_json::to_vec(&NewHold { life_ms: c::LEADER_LIFE_MS }).unwrap_or_default();
-        self.state_call("POST", "/holds".into(), body, c::STATE_CALL_MS, Purpose::Hold);
+        let body = serde_json::to_vec(&NewLease { life_ms: c::LEADER_LIFE_MS }).unwrap_or_default();
+        self.state_call("POST", "/holds".into(), body, c::STATE_CALL_MS, Purpose::Lease);
     }
 
-    pub(super) fn hold_given(&mut self, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn lease_granted(&mut self, reply: Option<(u16, Vec<u8>)>) {
         self.election.busy = false;
         self.election.stand_at = None;
-        let hold: Option<Hold> = match reply {
+        let hold: Option<Lease> = match reply {
             Some((200 | 201, body)) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
@@ -72,18 +72,18 @@
                 If { key: term_key(), stamp: self.replica.stamp(&term_key()) },
             ],
             writes: vec![
-                Write::Put { write: leader_key(), data: raw(&rec), tenancy: Some(hold.tenancy) },
+                Write::Put { write: leader_key(), data: raw(&rec), lease_id: Some(hold.lease_id) },
                 Write::put(term_key(), &TermRec { term }),
             ],
         };
         self.election.busy = true;
         self.writes.take(2.0, f64::MIN, self.now.mono);
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = Purpose::Elect { tenancy: hold.tenancy, term };
+        let purpose = Purpose::Elect { lease_id: hold.lease_id, term };
         self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, purpose);
     }
 
-    pub(super) fn elected(&mut self, tenancy: u64, term: u64, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn elected(&mut self, lease_id: u64, term: u64, reply: Option<(u16, Vec<u8>)>) {
         self.election.busy = false;
         let won: Option<Committed> = match reply {
             Some((200, body)) => serde_json::from_slice(&body).ok(),
@@ -107,7 +107,7 @@
         let all = self.cfg.params.cloud.rps * c::STATE_RPS_SHARE;
         self.cloud.set_rate(all, self.now.mono);
         self.leader =
-            Some(Leader::new(term, won.ledger_rev, tenancy, self.peers.len(), self.now.mono));
+            Some(Leader::new(term, won.ledger_rev, lease_id, self.peers.len(), self.now.mono));
         self.leader_wants_fresh();
     }
 
@@ -121,15 +121,15 @@
         }
         l.renewing = true;
         l.renew_at = now + c::LEADER_RENEW_MS;
-        let tenancy = l.tenancy;
-        let path = format!("/holds/{tenancy}/renew");
-        let purpose = Purpose::Renew { tenancy };
+        let lease_id = l.lease_id;
+        let path = format!("/holds/{lease_id}/renew");
+        let purpose = Purpose::Renew { lease_id };
         self.state_call("POST", path, b"{}".to_vec(), c::LEADER_RENEW_CALL_MS, purpose);
     }
 
-    pub(super) fn renewed(&mut self, tenancy: u64, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn renewed(&mut self, lease_id: u64, reply: Option<(u16, Vec<u8>)>) {
         let now = self.now.mono;
-        let Some(l) = self.leader.as_mut().filter(|l| l.tenancy == tenancy) else {
+        let Some(l) = self.leader.as_mut().filter(|l| l.lease_id == lease_id) else {
             return;
         };
         l.renewing = false;
@@ -161,14 +161,14 @@
         let rps = self.cfg.params.cloud.rps * c::STATE_RPS_SHARE / n;
         self.cloud.set_rate(rps, self.now.mono);
         for held in l.held {
-            self.elsewhere(held.conn);
+            self.redirect(held.conn);
         }
     }
 
     /// Gives leadership up so that a controller that hears the workers can take it.
     pub(super) fn hand_over(&mut self, why: &str) {
         let Some(l) = &self.leader else { return };
-        let path = format!("/holds/{}", l.tenancy);
+        let path = format!("/holds/{}", l.lease_id);
         self.state_call("DELETE", path, vec![], c::STATE_CALL_MS, Purpose::StepDown);
         self.election.rest_until = self.now.mono + c::HANDOVER_REST_MS;
         self.step_down(why);
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -6,7 +6,7 @@
 use crate::bookkeeping::books::*;
 use crate::bookkeeping::records::*;
 use crate::protocol::cloud::{hosts_path, Build, Host, HostStatus, Hosts, Names, Rent};
-use crate::protocol::users::Shape;
+use crate::protocol::users::JobKind;
 use crate::protocol::workers::Cause;
 use crate::protocol::Resources;
 use std::collections::{HashSet, VecDeque};
@@ -14,9 +14,9 @@
 /// A rental under way. Its name is never used for another one.
 #[derive(Debug, Clone)]
 pub(crate) struct Rental {
-    hire: String,
+    request_id: String,
     build: usize,
-    yard: String,
+    zone: String,
     spot: bool,
     number: usize,
 }
@@ -29,14 +29,14 @@
 struct Unmet {
     need: Resources,
     spot_ok: bool,
-    standing: bool,
+    service: bool,
     skus: Vec<bool>,
-    yard: Option<String>,
+    zone: Option<String>,
     /// Tasks, and slots that are wanted for them.
     slots: f64,
     /// Of these, the slots worth an ordinary machine.
     dear: f64,
-    in_yard: Vec<(String, u32)>,
+    in_zone: Vec<(String, u32)>,
     zone_cap: u32,
 }
 
@@ -117,16 +117,16 @@
             }
             // A slot serves short tasks one after the other.
             let run_s = job.run_ms as f64 / c::MS_PER_S;
-            let per_task = if job.standing { 1.0 } else { (run_s / c::DRAIN_TARGET_S).min(1.0) };
+            let per_task = if job.service { 1.0 } else { (run_s / c::DRAIN_TARGET_S).min(1.0) };
             self.unmet.push(Unmet {
                 need: job.need,
                 spot_ok: job.spot_ok,
-                standing: job.standing,
+                service: job.service,
                 skus: job.skus.clone(),
-                yard: job.zone.map(|z| view.zones[z].clone()),
+                zone: job.zone.map(|z| view.zones[z].clone()),
                 slots: left as f64 * per_task,
                 dear: left.min(i64::from(dear)) as f64 * per_task,
-                in_yard: view.zones.iter().cloned().zip(job.in_zone.iter().copied()).collect(),
+                in_zone: view.zones.iter().cloned().zip(job.in_zone.iter().copied()).collect(),
                 zone_cap: job.zone_cap,
             });
         }
@@ -217,8 +217,8 @@
             l.fleet.list_at = now + c::CLOUD_RETRY_MS;
             return;
         };
-        let last = hosts.steads.last().map(|h| h.uid.clone());
-        l.fleet.pages.extend(hosts.steads);
+        let last = hosts.machines.last().map(|h| h.uid.clone());
+        l.fleet.pages.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
             self.cloud.take(1.0, f64::MIN, now);
             let path = hosts_path(Some(&last), c::LIST_LIMIT);
@@ -250,8 +250,8 @@
             let m = l.books.machine_entry(&name, now);
             if m.sku.is_empty() {
                 m.sku = h.build.clone();
-                m.yard = h.yard.clone();
-                m.spot = h.lendables;
+                m.zone = h.zone.clone();
+                m.spot = h.spot;
             }
             if new || m.listed_at.is_none() {
                 m.rented_at = begun.saturating_sub((h.age_s.max(0.0) * c::MS_PER_S) as u64);
@@ -306,7 +306,7 @@
         l.books.settle_all(name);
         if let Some(m) = l.books.machines.get_mut(name) {
             m.life = Life::Gone;
-            m.kits.clear();
+            m.images.clear();
         }
         l.plan_soon(now);
     }
@@ -349,7 +349,7 @@
         let mut free: f64 = open.iter().map(|(_, share)| 1.0 - share).sum();
         let busy: f64 = open.iter().map(|(_, share)| share).sum();
         let batch_now: f64 =
-            open.iter().map(|(m, share)| share * (1.0 - standing_share(books, m))).sum();
+            open.iter().map(|(m, share)| share * (1.0 - service_share(books, m))).sum();
         // What comes at the usual rate may be more than what runs at this moment.
         let lull = (l.batch_machines(now) - batch_now).max(0.0);
         let headroom = (busy + lull) * op.headroom_share + lull + c::HEADROOM_MACHINES;
@@ -458,17 +458,17 @@
                 break;
             }
             let Some(job) = books.jobs.get(&id.0) else { continue };
-            let Some(spec) = job.spec.as_ref().filter(|s| s.shape == Shape::Standing) else {
+            let Some(spec) = job.spec.as_ref().filter(|s| s.kind == JobKind::Service) else {
                 continue;
             };
             if p.ended.is_some() || p.halt.is_some() || p.running_since.is_none() {
                 continue;
             }
             let target = targets.iter_mut().find(|(t, free)| {
-                t.yard == m.yard
-                    && (!t.spot || spec.lendables)
+                t.zone == m.zone
+                    && (!t.spot || spec.spot_allowed)
                     && t.sku == m.sku
-                    && t.kits.iter().any(|(k, _)| *k == spec.kit)
+                    && t.images.iter().any(|(k, _)| *k == spec.image)
                     && free.fits(&job.need)
             });
             if let Some((_, free)) = target {
@@ -532,8 +532,8 @@
                 }
                 // Empty, or past its time and silent: to wait for the list would hold its
                 // tasks for twice its lag.
-                Life::Up if m.recall_at.is_some() => {
-                    let past = m.recall_at.is_some_and(|t| now > t + c::RECALL_PAST_MS);
+                Life::Up if m.reclaim_at.is_some() => {
+                    let past = m.reclaim_at.is_some_and(|t| now > t + c::RECLAIM_PAST_MS);
                     let quiet = m.reported_at.is_none_or(|t| now > t + silent_ms);
                     empty || (past && quiet)
                 }
@@ -588,7 +588,7 @@
             }
         }
         log::info!("returns {}", names.join(", "));
-        let body = Names { steads: names.iter().map(|n| n.to_string()).collect() };
+        let body = Names { machines: names.iter().map(|n| n.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = Purpose::Delete(names);
         self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, c::CLOUD_CALL_MS, purpose);
@@ -631,7 +631,7 @@
         struct Coming {
             total: Resources,
             build: usize,
-            yard: String,
+            zone: String,
             spot: bool,
         }
         let mut coming: Vec<Coming> = Vec::new();
@@ -645,7 +645,7 @@
                 coming.push(Coming {
                     total: total(build),
                     build: b,
-                    yard: m.yard.clone(),
+                    zone: m.zone.clone(),
                     spot: m.spot,
                 });
             }
@@ -653,7 +653,7 @@
         for r in &l.fleet.rentals {
             for _ in 0..r.number {
                 let total = total(&catalog.builds[r.build]);
-                coming.push(Coming { total, build: r.build, yard: r.yard.clone(), spot: r.spot });
+                coming.push(Coming { total, build: r.build, zone: r.zone.clone(), spot: r.spot });
             }
         }
         let mut unmet = l.fleet.unmet.clone();
@@ -669,55 +669,55 @@
                 unmet.push(Unmet {
                     need,
                     spot_ok: false,
-                    standing: true,
+                    service: true,
                     skus: vec![true; catalog.builds.len()],
-                    yard: None,
+                    zone: None,
                     slots: missing,
                     dear: missing,
-                    in_yard: vec![],
+                    in_zone: vec![],
                     zone_cap: u32::MAX,
                 });
             }
         }
-        // How many machines of each kind there are: yards with fewer come first.
+        // How many machines of each kind there are: zones with fewer come first.
         let mut counts: HashMap<(&str, bool), usize> = HashMap::new();
         for m in l.books.machines.values().filter(|m| m.life != Life::Gone) {
-            *counts.entry((m.yard.as_str(), m.spot)).or_default() += 1;
+            *counts.entry((m.zone.as_str(), m.spot)).or_default() += 1;
         }
         let mut wanted: HashMap<(usize, String, bool), usize> = HashMap::new();
         // Services first: they may not be able to use what the others get.
-        unmet.sort_by_key(|u| (!u.standing, u.spot_ok));
+        unmet.sort_by_key(|u| (!u.service, u.spot_ok));
         for u in &unmet {
             let mut slots = u.slots;
             // Those before this one have no room for such a task any more.
             let mut from = 0;
-            let mut in_yard: HashMap<String, u32> = u.in_yard.iter().cloned().collect();
+            let mut in_zone: HashMap<String, u32> = u.in_zone.iter().cloned().collect();
             while slots > c::SLOT_EPSILON {
-                let open = |yard: &str| {
-                    u.yard.as_ref().is_none_or(|y| y == yard)
-                        && in_yard.get(yard).copied().unwrap_or(0) < u.zone_cap
+                let open = |zone: &str| {
+                    u.zone.as_ref().is_none_or(|y| y == zone)
+                        && in_zone.get(zone).copied().unwrap_or(0) < u.zone_cap
                 };
                 let on_way = coming.iter().skip(from).position(|x| {
                     (u.spot_ok || !x.spot)
                         && u.skus[x.build]
-                        && open(&x.yard)
+                        && open(&x.zone)
                         && x.total.fits(&u.need)
                 });
                 from = on_way.map_or(coming.len(), |n| from + n);
                 if let Some(x) = coming.get_mut(from) {
                     x.total -= u.need;
-                    *in_yard.entry(x.yard.clone()).or_default() += 1;
+                    *in_zone.entry(x.zone.clone()).or_default() += 1;
                     slots -= 1.0;
                     continue;
                 }
-                // The cheapest kind for such a task; yards with fewer machines first.
+                // The cheapest kind for such a task; zones with fewer machines first.
                 let mut best: Option<(f64, usize, (usize, String, bool))> = None;
                 for (i, b) in catalog.builds.iter().enumerate() {
                     if !u.skus[i] || !total(b).fits(&u.need) {
                         continue;
                     }
                     let per = total(b).times(&u.need).max(1) as f64;
-                    for yard in b.yards.iter().filter(|y| open(y)) {
+                    for zone in b.zones.iter().filter(|y| open(y)) {
                         for spot in [true, false] {
                             if spot && !(u.spot_ok && rent_spot) {
                                 continue;
@@ -725,26 +725,26 @@
                             if !spot && u.spot_ok && slots <= u.slots - u.dear {
                                 continue;
                             }
-                            let kind = (b.sku.clone(), yard.clone(), spot);
+                            let kind = (b.sku.clone(), zone.clone(), spot);
                             if l.fleet.no_capacity.get(&kind).is_some_and(|t| now < *t) {
                                 continue;
                             }
                             let price = if spot { b.low_price } else { b.rate } / per;
-                            let same = counts.get(&(yard.as_str(), spot)).copied().unwrap_or(0)
-                                + wanted.get(&(i, yard.clone(), spot)).copied().unwrap_or(0);
+                            let same = counts.get(&(zone.as_str(), spot)).copied().unwrap_or(0)
+                                + wanted.get(&(i, zone.clone(), spot)).copied().unwrap_or(0);
                             let better = best.as_ref().is_none_or(|(p, n, _)| {
                                 price < *p - 1e-9 || (price < *p + 1e-9 && same < *n)
                             });
                             if better {
-                                best = Some((price, same, (i, yard.clone(), spot)));
+                                best = Some((price, same, (i, zone.clone(), spot)));
                             }
                         }
                     }
                 }
                 let Some((_, _, kind)) = best else { break };
                 *wanted.entry(kind.clone()).or_default() += 1;
-                let (build, yard, spot) = kind;
-                coming.push(Coming { total: total(&catalog.builds[build]), build, yard, spot });
+                let (build, zone, spot) = kind;
+                coming.push(Coming { total: total(&catalog.builds[build]), build, zone, spot });
             }
         }
         let mut rentals: Vec<Rental> = Vec::new();
@@ -752,7 +752,7 @@
         kinds.sort();
         // As many requests as it takes, a kind each in turn, as long as the cloud's rate allows.
         while let Some(n) = kinds.iter().position(|(_, number)| *number > 0) {
-            for ((build, yard, spot), left) in &mut kinds[n..] {
+            for ((build, zone, spot), left) in &mut kinds[n..] {
                 let number = (*left).min(c::RENT_MAX);
                 if number == 0 {
                     continue;
@@ -762,9 +762,9 @@
                     continue;
                 }
                 *left -= number;
-                let (build, yard, spot) = (*build, yard.clone(), *spot);
-                let hire = format!("mg-{}", l.unique());
-                rentals.push(Rental { hire, build, yard, spot, number });
+                let (build, zone, spot) = (*build, zone.clone(), *spot);
+                let request_id = format!("mg-{}", l.unique());
+                rentals.push(Rental { request_id, build, zone, spot, number });
             }
         }
         for r in rentals {
@@ -772,14 +772,14 @@
                 "rents {} {} in {}{}",
                 r.number,
                 catalog.builds[r.build].sku,
-                r.yard,
+                r.zone,
                 if r.spot { ", spot" } else { "" }
             );
             let body = Rent {
-                hire: r.hire.clone(),
+                request_id: r.request_id.clone(),
                 build: catalog.builds[r.build].sku.clone(),
-                yard: r.yard.clone(),
-                lendables: r.spot,
+                zone: r.zone.clone(),
+                spot: r.spot,
                 number: r.number,
             };
             let body = serde_json::to_vec(&body).unwrap_or_default();
@@ -805,20 +805,20 @@
         let Some(l) = self.leader.as_mut() else {
             return;
         };
-        l.fleet.rentals.retain(|r| r.hire != rental.hire);
+        l.fleet.rentals.retain(|r| r.request_id != rental.request_id);
         let Some(build) = catalog.builds.get(rental.build) else {
             return;
         };
-        let kind = (build.sku.clone(), rental.yard.clone(), rental.spot);
+        let kind = (build.sku.clone(), rental.zone.clone(), rental.spot);
         match reply {
             Some((200, body)) => {
                 let Ok(names) = serde_json::from_slice::<Names>(&body) else {
                     return;
                 };
-                if names.steads.len() < rental.number {
+                if names.machines.len() < rental.number {
                     l.fleet.no_capacity.insert(kind, now + c::CAPACITY_REST_MS);
                 }
-                for n in names.steads {
+                for n in names.machines {
                     let name: Name = n.as_str().into();
                     if l.fleet.is_gone(&n) {
                         continue;
@@ -826,7 +826,7 @@
                     let m = l.books.machine_entry(&name, now);
                     if m.sku.is_empty() {
                         m.sku = build.sku.clone();
-                        m.yard = rental.yard.clone();
+                        m.zone = rental.zone.clone();
                         m.spot = rental.spot;
                         m.rented_at = now;
                     }
@@ -878,7 +878,7 @@
                 let services: Vec<Resources> = m
                     .placements
                     .iter()
-                    .filter(|((uid, _), p)| p.ended.is_none() && books.is_standing(uid))
+                    .filter(|((uid, _), p)| p.ended.is_none() && books.is_service(uid))
                     .filter_map(|((uid, _), _)| books.jobs.get(uid).map(|j| j.need))
                     .collect();
                 let Some(need) = services.first() else { return false };
@@ -911,7 +911,7 @@
             if ago > c::ARRIVAL_WINDOW_MS {
                 continue;
             }
-            if spec.shape == Shape::Standing {
+            if spec.kind == JobKind::Service {
                 services.push((at, job.loads));
             } else {
                 let each = self.run_ms(spec) as f64 * job.need.share_of(&whole);
@@ -941,7 +941,7 @@
     /// to arrive while a machine boots.
     fn spare_slots(&self, now: u64, catalog: &Catalog) -> Option<(Resources, f64)> {
         let books = &self.books;
-        let newest = books.queue.values().rev().find(|uid| books.is_standing(uid))?;
+        let newest = books.queue.values().rev().find(|uid| books.is_service(uid))?;
         let need = books.jobs.get(newest)?.need;
         let tasks: u32 = self.fleet.arrivals.iter().map(|(_, n)| n).sum();
         let ready = catalog.builds.iter().map(|b| b.ready_s).fold(0.0, f64::max) * c::MS_PER_S;
@@ -953,24 +953,24 @@
 
 /// Tasks of services on a machine.
 fn services(books: &Books, m: &Machine) -> f64 {
-    let on = |((uid, _), p): &(&TaskId, &Placement)| p.ended.is_none() && books.is_standing(uid);
+    let on = |((uid, _), p): &(&TaskId, &Placement)| p.ended.is_none() && books.is_service(uid);
     m.placements.iter().filter(on).count() as f64
 }
 
 /// The part of a machine's load that services make up.
-fn standing_share(books: &Books, m: &Machine) -> f64 {
-    let (mut standing, mut all) = (0.0, 0.0);
+fn service_share(books: &Books, m: &Machine) -> f64 {
+    let (mut service, mut all) = (0.0, 0.0);
     for ((uid, _), p) in &m.placements {
         if let (None, Some(j)) = (p.ended, books.jobs.get(uid)) {
             let share = j.need.share_of(&m.total);
             all += share;
-            if books.is_standing(uid) {
-                standing += share;
+            if books.is_service(uid) {
+                service += share;
             }
         }
     }
     if all > 0.0 {
-        standing / all
+        service / all
     } else {
         0.0
     }
@@ -982,7 +982,7 @@
         && !m.closing
         && !m.lapsed
         && m.deaf_since.is_none()
-        && m.recall_at.is_none()
+        && m.reclaim_at.is_none()
 }
 
 fn total(b: &Build) -> Resources {
--- a/src/coordination/lateness.rs
+++ b/src/coordination/lateness.rs
@@ -13,13 +13,13 @@
 /// For each job, how many of the times by which it should be complete it is not expected to
 /// meet. `order` are the jobs as they would be served if none were late.
 pub fn missed(s: &Snapshot, order: &[usize], total: &Resources) -> Vec<usize> {
-    let times = |j: &JobView| if j.standing { 0 } else { j.times.len() };
+    let times = |j: &JobView| if j.service { 0 } else { j.times.len() };
     let mut missed: Vec<usize> = s.jobs.iter().map(times).collect();
     let room = Room::new(s, total);
     let levels = missed.iter().copied().max().unwrap_or(0);
     // Work that goes before, of jobs that meet more of their times.
     let mut ahead = 0.0;
-    let mut open: Vec<usize> = order.iter().copied().filter(|j| !s.jobs[*j].standing).collect();
+    let mut open: Vec<usize> = order.iter().copied().filter(|j| !s.jobs[*j].service).collect();
     for level in 0..=levels {
         let mut kept: BinaryHeap<(u64, usize)> = BinaryHeap::new();
         let mut late = Vec::new();
@@ -72,13 +72,13 @@
         let (mut ran, mut fetched) = (0.0, 0.0);
         for r in s.machines.iter().flat_map(|m| &m.running) {
             let share = r.need.share_of(total);
-            match (r.standing, r.ran_ms) {
+            match (r.service, r.ran_ms) {
                 (true, _) => rate -= share,
                 (false, Some(_)) => ran += share,
                 (false, None) => fetched += share,
             }
         }
-        for j in s.jobs.iter().filter(|j| j.standing) {
+        for j in s.jobs.iter().filter(|j| j.service) {
             rate -= j.need.share_of(total) * f64::from(j.waiting);
         }
         let mut coming = s.arriving.clone();
@@ -149,7 +149,7 @@
         j.times = vec![35_000];
         let mut m = machine(4);
         m.running = vec![running(90_000), running(90_000)];
-        m.running.iter_mut().for_each(|r| r.standing = true);
+        m.running.iter_mut().for_each(|r| r.service = true);
         let mut s = snapshot(vec![m], vec![j]);
         assert_eq!(missed(&s, &[0], &gpus(4)), vec![1], "eight tasks on two slots take 40 s");
         s.arriving = vec![(5_000, gpus(4))];
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -8,7 +8,7 @@
 use crate::bookkeeping::books::*;
 use crate::bookkeeping::budget::Bucket;
 use crate::bookkeeping::records::*;
-use crate::protocol::users::{Rank, Shape};
+use crate::protocol::users::{JobKind, Priority};
 use crate::protocol::workers::{Cause, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
     pub term: u64,
     /// Stamp of the leader key: condition of every commit.
     pub stamp: u64,
-    pub(super) tenancy: u64,
+    pub(super) lease_id: u64,
     pub(super) renew_at: u64,
     pub(super) renewing: bool,
     /// The books are built.
@@ -72,7 +72,7 @@
     pub(super) done_at: u64,
     /// When the images on machines are written next, and when keys that nobody needs are
     /// looked for.
-    pub(super) kits_at: u64,
+    pub(super) images_at: u64,
     pub(super) garbage_at: u64,
     pub(super) runs: BTreeMap<String, RunStats>,
     pub(super) reservation: Option<(Name, Name)>,
@@ -83,11 +83,11 @@
 }
 
 impl Leader {
-    pub(super) fn new(term: u64, stamp: u64, tenancy: u64, peers: usize, now: u64) -> Leader {
+    pub(super) fn new(term: u64, stamp: u64, lease_id: u64, peers: usize, now: u64) -> Leader {
         Leader {
             term,
             stamp,
-            tenancy,
+            lease_id,
             renew_at: now + c::LEADER_RENEW_MS,
             renewing: false,
             ready: false,
@@ -104,7 +104,7 @@
             plan_at: now,
             planned_at: 0,
             done_at: now,
-            kits_at: now + c::KITS_PERIOD_MS,
+            images_at: now + c::IMAGES_PERIOD_MS,
             garbage_at: now + c::GARBAGE_PERIOD_MS,
             runs: BTreeMap::new(),
             reservation: None,
@@ -191,24 +191,24 @@
 
     /// The run time to expect of a job's task, in milliseconds: the owner's guess, corrected
     /// by what its class was seen to take.
-    pub(super) fn run_ms(&self, spec: &Spec) -> u64 {
-        if spec.shape == Shape::Standing {
-            return (c::STANDING_REF_S * c::MS_PER_S) as u64;
+    pub(super) fn run_ms(&self, spec: &JobSpec) -> u64 {
+        if spec.kind == JobKind::Service {
+            return (c::SERVICE_REFERENCE_S * c::MS_PER_S) as u64;
         }
-        let ratio = match self.runs.get(&spec.duty) {
+        let ratio = match self.runs.get(&spec.class) {
             Some(r) if r.samples >= c::RATIO_SAMPLES_MIN => r.ratio,
             _ => 1.0,
         };
-        ((spec.run_guess_s * ratio).max(c::ESTIMATE_MIN_S) * c::MS_PER_S) as u64
+        ((spec.run_estimate_s * ratio).max(c::ESTIMATE_MIN_S) * c::MS_PER_S) as u64
     }
 
     /// Learns from a run that ended well.
-    pub(super) fn learn_run(&mut self, spec: &Spec, ran_ms: u64) {
-        if spec.run_guess_s <= 0.0 {
+    pub(super) fn learn_run(&mut self, spec: &JobSpec, ran_ms: u64) {
+        if spec.run_estimate_s <= 0.0 {
             return;
         }
-        let seen = (ran_ms as f64 / c::MS_PER_S / spec.run_guess_s).clamp(0.05, 20.0);
-        let r = self.runs.entry(spec.duty.clone()).or_default();
+        let seen = (ran_ms as f64 / c::MS_PER_S / spec.run_estimate_s).clamp(0.05, 20.0);
+        let r = self.runs.entry(spec.class.clone()).or_default();
         r.samples += 1;
         let w = c::AVERAGE_WEIGHT.max(1.0 / f64::from(r.samples));
         r.ratio += (seen - r.ratio) * w;
@@ -276,7 +276,7 @@
 
     // --- evidence by time --------------------------------------------------------
 
-    /// Leases that have surely run out: the worker had shown our baton, so nobody of a
+    /// Leases that have surely run out: the worker had shown our token, so nobody of a
     /// lower term can have renewed it, our last answer is older than the lease, and no peer
     /// has answered it in our place since.
     fn lapse_due(&mut self) {
@@ -301,7 +301,7 @@
             // One whose report waits for its answer is not silent: it was once taken for silent
             // again when it came back, with a start for it on the way, and that task ran twice.
             let last = answered.max(m.received_at.unwrap_or(0));
-            let counts = m.shows_baton && !m.lapsed && m.life == Life::Up;
+            let counts = m.shows_token && !m.lapsed && m.life == Life::Up;
             if counts && now > last + lease && last <= alone_since {
                 m.lapsed = true;
                 lapsed.push(m.name.clone());
@@ -399,14 +399,14 @@
 
 /// What a pass needs to know of a job for each of its placements.
 struct Facts {
-    rank: Rank,
+    priority: Priority,
     team: Option<usize>,
     need: Resources,
     bandwidth: f64,
     run: u64,
-    standing: bool,
+    service: bool,
     saves: bool,
-    kit: usize,
+    image: usize,
     size_gb: f64,
     halt_ms: u64,
 }
@@ -431,7 +431,7 @@
         let now = clock.mono;
         let books = &l.books;
         let mut zones: Vec<&str> = Vec::new();
-        for z in catalog.builds.iter().flat_map(|b| b.yards.iter()).chain(&cfg.params.zones) {
+        for z in catalog.builds.iter().flat_map(|b| b.zones.iter()).chain(&cfg.params.zones) {
             if !zones.contains(&z.as_str()) {
                 zones.push(z);
             }
@@ -439,10 +439,10 @@
         let zone_of = |y: &str| zones.iter().position(|z| *z == y);
         let sku_of = |s: &str| catalog.builds.iter().position(|b| b.sku == s);
         let team_of = |t: &str| cfg.params.teams.iter().position(|x| x.name == t);
-        let mut kits: HashMap<&str, usize> = HashMap::new();
-        let mut kit_of = |k: &'a str| {
-            let n = kits.len();
-            *kits.entry(k).or_insert(n)
+        let mut images: HashMap<&str, usize> = HashMap::new();
+        let mut image_of = |k: &'a str| {
+            let n = images.len();
+            *images.entry(k).or_insert(n)
         };
         // What all placements of a job share is worked out once a job, not once a placement.
         let mut facts: HashMap<&Name, Option<Facts>> = HashMap::new();
@@ -479,7 +479,7 @@
         }
         v.snapshot.thresholds = op.thresholds.clone();
         for m in books.machines.values() {
-            let (Some(zone), Some(sku)) = (zone_of(&m.yard), sku_of(&m.sku)) else {
+            let (Some(zone), Some(sku)) = (zone_of(&m.zone), sku_of(&m.sku)) else {
                 continue;
             };
             let open = m.life == Life::Up
@@ -488,10 +488,10 @@
                 && !m.lapsed
                 // What is to be taken gets nothing more: it would not be stored, and the same tasks
                 // were placed there pass after pass while others had room for them.
-                && m.recall_at.is_none()
+                && m.reclaim_at.is_none()
                 // Nothing goes to a machine before it has shown our token: what reports may be
                 // a late copy of one that is gone, or a machine that hears nobody.
-                && m.shows_baton
+                && m.shows_token
                 && m.deaf_since.is_none()
                 && m.reported_at.is_some_and(|t| now - t <= silent);
             if !open {
@@ -500,7 +500,8 @@
             let build = &catalog.builds[sku];
             let per_gb =
                 if build.pull_gb_per_s > 0.0 { c::MS_PER_S / build.pull_gb_per_s } else { 0.0 };
-            let mut held: Vec<(usize, u64)> = m.kits.iter().map(|(k, _)| (kit_of(k), 0)).collect();
+            let mut held: Vec<(usize, u64)> =
+                m.images.iter().map(|(k, _)| (image_of(k), 0)).collect();
             let mut running = Vec::new();
             let mut handles = Vec::new();
             for (id, p) in &m.placements {
@@ -511,32 +512,32 @@
                     let job = books.jobs.get(&id.0)?;
                     let spec = job.spec.as_ref()?;
                     Some(Facts {
-                        rank: spec.rank,
-                        team: team_of(&spec.crew),
+                        priority: spec.priority,
+                        team: team_of(&spec.team),
                         need: job.need,
-                        bandwidth: spec.cores * op.bandwidth(&spec.duty),
+                        bandwidth: spec.cores * op.bandwidth(&spec.class),
                         run: l.run_ms(spec),
-                        standing: spec.shape == Shape::Standing,
+                        service: spec.kind == JobKind::Service,
                         saves: spec.saves(),
-                        kit: kit_of(&spec.kit),
+                        image: image_of(&spec.image),
                         size_gb: spec.size_gb,
-                        halt_ms: (spec.mark_cost_s * c::MS_PER_S) as u64 + silent / 2,
+                        halt_ms: (spec.checkpoint_cost_s * c::MS_PER_S) as u64 + silent / 2,
                     })
                 });
                 let Some(fact) = fact else { continue };
-                let Facts { run, standing, kit, halt_ms, .. } = *fact;
+                let Facts { run, service, image, halt_ms, .. } = *fact;
                 let fetch = (fact.size_gb * per_gb) as u64;
                 if p.running_since.is_none() {
                     let left = (p.placed_at + fetch).saturating_sub(now);
-                    if !held.iter().any(|(k, _)| *k == kit) {
-                        held.push((kit, left));
+                    if !held.iter().any(|(k, _)| *k == image) {
+                        held.push((image, left));
                     }
                 }
                 let ran = p.running_since.map(|t| now - t);
                 let end = if p.halt.is_some() {
                     now + halt_ms
-                } else if standing {
-                    now + (c::STANDING_RUN_S * c::MS_PER_S) as u64
+                } else if service {
+                    now + (c::SERVICE_RUN_S * c::MS_PER_S) as u64
                 } else {
                     let begun = p.running_since.unwrap_or_else(|| (p.placed_at + fetch).max(now));
                     let end = begun + run;
@@ -548,12 +549,12 @@
                 };
                 handles.push(id.clone());
                 running.push(Running {
-                    rank: fact.rank,
+                    priority: fact.priority,
                     team: fact.team,
                     need: fact.need,
                     bandwidth: fact.bandwidth,
                     end,
-                    standing,
+                    service,
                     ran_ms: ran,
                     saves: fact.saves,
                     halting: p.halt.is_some(),
@@ -568,7 +569,7 @@
                 total: m.total,
                 slots: slots.saturating_sub(m.placements.len()),
                 running,
-                kits: held,
+                images: held,
                 fetch_ms_per_gb: per_gb,
             });
             v.machines.push(m.name.clone());
@@ -585,7 +586,7 @@
             let Some(spec) = &job.spec else { continue };
             // A job that fails everywhere is tried one task at a time.
             let waiting = if job.suspect() { job.waiting().min(1) } else { job.waiting() };
-            let Some(team) = team_of(&spec.crew) else {
+            let Some(team) = team_of(&spec.team) else {
                 continue;
             };
             claimed[team] += job.need * i64::from(job.loads - job.done_count.min(job.loads));
@@ -594,16 +595,16 @@
             }
             let mut in_zone = vec![0; zones.len()];
             let mut lost_zone = false;
-            if spec.apart || spec.together || spec.shape == Shape::Standing {
+            if spec.spread || spec.one_zone || spec.kind == JobKind::Service {
                 for name in job.placed.values() {
-                    match books.machines.get(name).and_then(|m| zone_of(&m.yard)) {
+                    match books.machines.get(name).and_then(|m| zone_of(&m.zone)) {
                         Some(z) => in_zone[z] += 1,
                         // Where it is is not known yet: `apart` and `together` can't be kept.
                         None => lost_zone = true,
                     }
                 }
             }
-            if lost_zone && (spec.apart || spec.together) {
+            if lost_zone && (spec.spread || spec.one_zone) {
                 continue;
             }
             let skus = catalog
@@ -611,7 +612,7 @@
                 .iter()
                 .map(|b| spec.builds.as_ref().is_none_or(|list| list.contains(&b.sku)))
                 .collect();
-            let zone = match &spec.yard {
+            let zone = match &spec.zone {
                 Some(y) => match zone_of(y) {
                     Some(z) => Some(z),
                     None => continue,
@@ -629,33 +630,33 @@
                 .params
                 .objectives
                 .iter()
-                .filter(|o| o.class.as_deref().is_none_or(|class| class == spec.duty))
-                .filter_map(|o| o.complete_within(spec.due_s, run_ms as f64 / c::MS_PER_S))
-                .chain(spec.due_s)
+                .filter(|o| o.class.as_deref().is_none_or(|class| class == spec.class))
+                .filter_map(|o| o.complete_within(spec.deadline_s, run_ms as f64 / c::MS_PER_S))
+                .chain(spec.deadline_s)
                 .map(|s| ((s * c::MS_PER_S) as u64).saturating_sub(waited_ms))
                 .collect();
             times.sort_unstable();
             times.dedup();
             v.snapshot.jobs.push(JobView {
-                rank: spec.rank,
+                priority: spec.priority,
                 team,
-                standing: spec.shape == Shape::Standing,
+                service: spec.kind == JobKind::Service,
                 arrival: job.arrival,
                 waited_ms,
                 times,
                 within,
                 need: job.need,
-                bandwidth: spec.cores * op.bandwidth(&spec.duty),
+                bandwidth: spec.cores * op.bandwidth(&spec.class),
                 run_ms,
                 skus,
                 zone,
-                spot_ok: spec.lendables,
+                spot_ok: spec.spot_allowed,
                 in_zone,
                 zone_cap: spec.zone_cap(),
-                together: spec.together,
+                one_zone: spec.one_zone,
                 waiting,
                 begun: job.begun || job.done_count > 0 || !job.placed.is_empty(),
-                kit: kit_of(&spec.kit),
+                image: image_of(&spec.image),
                 size_gb: spec.size_gb,
                 avoid,
             });
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -27,7 +27,7 @@
 use crate::constants as c;
 use crate::protocol::cloud::Catalog;
 use crate::protocol::state::Commit;
-use crate::protocol::users::Spec;
+use crate::protocol::users::JobSpec;
 use crate::settings::{Operator, Platform};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::{HashMap, HashSet};
@@ -98,13 +98,13 @@
     List,
     Watch,
     Fresh { begun: u64 },
-    Hold,
-    Elect { tenancy: u64, term: u64 },
-    Renew { tenancy: u64 },
+    Lease,
+    Elect { lease_id: u64, term: u64 },
+    Renew { lease_id: u64 },
     StepDown,
     LeaderCommit { term: u64 },
     Submit(u64),
-    Withdraw { asker: Asker, uid: String, commit: Commit },
+    Cancel { asker: Asker, uid: String, commit: Commit },
     Gossip { peer: usize, begun: u64 },
     Relay { asker: Asker },
     Catalog,
@@ -237,7 +237,7 @@
         let path = path.split('?').next().unwrap_or("");
         let asker = Asker { conn, relayed: false, since: self.now.mono };
         match (method, path) {
-            ("POST", "/checkin") => self.checkin(conn, &body),
+            ("POST", "/checkin") => self.worker_report(conn, &body),
             ("GET", "/up") => {
                 self.metrics.work.health_checks += 1;
                 self.up(conn)
@@ -266,13 +266,15 @@
             Purpose::List => self.listed(reply),
             Purpose::Watch => self.watched(reply),
             Purpose::Fresh { begun } => self.fresh_read(begun, reply),
-            Purpose::Hold => self.hold_given(reply),
-            Purpose::Elect { tenancy, term } => self.elected(tenancy, term, reply),
-            Purpose::Renew { tenancy } => self.renewed(tenancy, reply),
+            Purpose::Lease => self.lease_granted(reply),
+            Purpose::Elect { lease_id, term } => self.elected(lease_id, term, reply),
+            Purpose::Renew { lease_id } => self.renewed(lease_id, reply),
             Purpose::StepDown => {}
             Purpose::LeaderCommit { term } => self.leader_committed(term, reply),
             Purpose::Submit(id) => self.submitted(id, reply),
-            Purpose::Withdraw { asker, uid, commit } => self.withdrawn(asker, uid, commit, reply),
+            Purpose::Cancel { asker, uid, commit } => {
+                self.cancel_committed(asker, uid, commit, reply)
+            }
             Purpose::Gossip { peer, begun } => self.gossip_answered(peer, begun, reply),
             Purpose::Relay { asker } => self.relay_answered(asker, reply),
             Purpose::Catalog => self.catalog_answered(reply),
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -25,19 +25,19 @@
 pub use shares::{move_shares, within};
 
 use crate::constants as c;
-use crate::protocol::users::Rank;
+use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 
 /// A task that runs, as far as planning goes.
 #[derive(Debug, Clone)]
 pub struct Running {
-    pub rank: Rank,
+    pub priority: Priority,
     /// The team, by index; `None` if unknown.
     pub team: Option<usize>,
     pub need: Resources,
     pub bandwidth: f64,
     pub end: u64,
-    pub standing: bool,
+    pub service: bool,
     /// Milliseconds since it was seen running; `None` if it was not yet.
     pub ran_ms: Option<u64>,
     pub saves: bool,
@@ -59,7 +59,7 @@
     pub slots: usize,
     pub running: Vec<Running>,
     /// Images it holds or fetches: image, milliseconds until it is there.
-    pub kits: Vec<(usize, u64)>,
+    pub images: Vec<(usize, u64)>,
     /// Milliseconds to fetch a gigabyte.
     pub fetch_ms_per_gb: f64,
 }
@@ -67,9 +67,9 @@
 /// A job with waiting tasks.
 #[derive(Debug, Clone)]
 pub struct JobView {
-    pub rank: Rank,
+    pub priority: Priority,
     pub team: usize,
-    pub standing: bool,
+    pub service: bool,
     pub arrival: u64,
     pub waited_ms: u64,
     /// Milliseconds until each of the times by which it should be complete, the soonest first.
@@ -87,11 +87,11 @@
     /// Unsettled tasks per zone.
     pub in_zone: Vec<u32>,
     pub zone_cap: u32,
-    pub together: bool,
+    pub one_zone: bool,
     pub waiting: u32,
     /// A task of it has started before, or is placed.
     pub begun: bool,
-    pub kit: usize,
+    pub image: usize,
     pub size_gb: f64,
     /// Machines it must not use for now (it failed there), by index.
     pub avoid: Vec<usize>,
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -16,8 +16,8 @@
     pub(super) rows: Vec<Row>,
     pub(super) slots: Vec<usize>,
     /// Service tasks on each machine.
-    pub(super) standing: Vec<i64>,
-    pub(super) kits: Vec<Vec<(usize, u64)>>,
+    pub(super) service: Vec<i64>,
+    pub(super) images: Vec<Vec<(usize, u64)>>,
     /// Milliseconds until a machine has fetched all images that it waits for.
     pub(super) images_done_in: Vec<u64>,
     pub(super) in_zone: Vec<Vec<u32>>,
@@ -79,13 +79,13 @@
         examined: Cell::new(0),
         aged_left: 0,
         slots: s.machines.iter().map(|m| m.slots).collect(),
-        standing: s
+        service: s
             .machines
             .iter()
-            .map(|m| m.running.iter().filter(|r| r.standing).count() as i64)
+            .map(|m| m.running.iter().filter(|r| r.service).count() as i64)
             .collect(),
-        kits: s.machines.iter().map(|m| m.kits.clone()).collect(),
-        images_done_in: s.machines.iter().map(|m| images_done_in(&m.kits)).collect(),
+        images: s.machines.iter().map(|m| m.images.clone()).collect(),
+        images_done_in: s.machines.iter().map(|m| images_done_in(&m.images)).collect(),
         in_zone: s.jobs.iter().map(|j| j.in_zone.clone()).collect(),
         waiting: s.jobs.iter().map(|j| j.waiting).collect(),
         missed: Vec::new(),
@@ -106,7 +106,7 @@
         let mut order: Vec<usize> = (0..self.s.jobs.len()).collect();
         let turn = |pass: &Self, j: usize| {
             let job = &pass.s.jobs[j];
-            (job.rank, !job.within, pass.over_share(j))
+            (job.priority, !job.within, pass.over_share(j))
         };
         order.sort_by_key(|j| (turn(self, *j), self.s.jobs[*j].arrival));
         self.missed = lateness::missed(self.s, &order, &self.total);
@@ -200,11 +200,11 @@
             bandwidth: job.bandwidth,
         });
         self.slots[m] -= 1;
-        self.standing[m] += i64::from(job.standing);
-        if !self.kits[m].iter().any(|(k, _)| *k == job.kit) {
-            self.kits[m].push((job.kit, fetch));
+        self.service[m] += i64::from(job.service);
+        if !self.images[m].iter().any(|(k, _)| *k == job.image) {
+            self.images[m].push((job.image, fetch));
         }
-        self.images_done_in[m] = images_done_in(&self.kits[m]);
+        self.images_done_in[m] = images_done_in(&self.images[m]);
         self.changes[m] += 1;
         self.versions[m] += 1;
         self.in_zone[j][self.s.machines[m].zone] += 1;
@@ -237,7 +237,7 @@
                 .min_by(|(_, j, a, _), (_, k, b, _)| {
                     // The rank first: else what was stopped for a service takes its place again
                     // while the service's image is still to come.
-                    let turn = |j: &usize| (self.s.jobs[*j].rank, self.missed[*j]);
+                    let turn = |j: &usize| (self.s.jobs[*j].priority, self.missed[*j]);
                     turn(j)
                         .cmp(&turn(k))
                         .then(a.factor.total_cmp(&b.factor))
@@ -276,8 +276,8 @@
 }
 
 /// Milliseconds until the last of a machine's images is there.
-fn images_done_in(kits: &[(usize, u64)]) -> u64 {
-    kits.iter().map(|(_, ms)| *ms).max().unwrap_or(0)
+fn images_done_in(images: &[(usize, u64)]) -> u64 {
+    images.iter().map(|(_, ms)| *ms).max().unwrap_or(0)
 }
 
 /// The least that any waiting task takes, in each dimension.
--- a/src/coordination/planner/plain.rs
+++ b/src/coordination/planner/plain.rs
@@ -4,7 +4,7 @@
 
 use super::pass::Pass;
 use super::search::{Allocation, Search, Taste};
-use crate::protocol::users::Rank;
+use crate::protocol::users::Priority;
 
 /// Panics unless the plain form chooses the same.
 pub(super) fn compare(pass: &Pass, job: usize, may_wait: bool, chosen: Option<Allocation>) {
@@ -16,11 +16,11 @@
 impl Pass<'_> {
     fn plain_fetch_ms(&self, j: usize, m: usize, start: u64) -> u64 {
         let job = &self.s.jobs[j];
-        match self.kits[m].iter().find(|(k, _)| *k == job.kit) {
+        match self.images[m].iter().find(|(k, _)| *k == job.image) {
             Some((_, in_ms)) => in_ms.saturating_sub(start.saturating_sub(self.s.now)),
             None => {
                 // Images fetched at the same time share the rate.
-                let others = self.kits[m].iter().map(|(_, ms)| *ms).max().unwrap_or(0);
+                let others = self.images[m].iter().map(|(_, ms)| *ms).max().unwrap_or(0);
                 (job.size_gb * self.s.machines[m].fetch_ms_per_gb) as u64 + others
             }
         }
@@ -28,11 +28,11 @@
 
     fn plain_better_on_the_way(&self, j: usize, m: usize) -> bool {
         let job = &self.s.jobs[j];
-        let kits = &self.kits[m];
-        if kits.iter().any(|(k, _)| *k == job.kit) {
+        let images = &self.images[m];
+        if images.iter().any(|(k, _)| *k == job.image) {
             return false;
         }
-        let ahead = kits.iter().map(|(_, ms)| *ms).max().unwrap_or(0);
+        let ahead = images.iter().map(|(_, ms)| *ms).max().unwrap_or(0);
         let [ordinary, spot] = self.s.coming;
         let soon = ordinary.into_iter().chain(spot.filter(|_| job.spot_ok)).min();
         soon.is_some_and(|ms| ms < ahead)
@@ -43,7 +43,7 @@
         let row = &self.rows[m];
         let now = self.s.now;
         let mut free = row.free_at(start);
-        if job.rank > Rank::High {
+        if job.priority > Priority::High {
             free -= self.held[m];
         }
         if !free.fits(&job.need) {
--- a/src/coordination/planner/room.rs
+++ b/src/coordination/planner/room.rs
@@ -4,7 +4,7 @@
 use super::search::Taste;
 use super::Running;
 use crate::constants as c;
-use crate::protocol::users::Rank;
+use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 use std::collections::HashMap;
 
@@ -30,18 +30,19 @@
         let borrows: Vec<bool> = (0..self.s.teams.len())
             .map(|t| !self.used[t].under(&self.s.teams[t].guarantee))
             .collect();
-        let may_stop = |r: &Running, rank: Rank, within: bool, team: usize| {
-            r.rank > rank || within && r.team.is_some_and(|t| t != team && borrows[t])
+        let may_stop = |r: &Running, priority: Priority, within: bool, team: usize| {
+            r.priority > priority || within && r.team.is_some_and(|t| t != team && borrows[t])
         };
-        let mut stoppable: HashMap<(Rank, bool, usize), Vec<Option<Resources>>> = HashMap::new();
+        let mut stoppable: HashMap<(Priority, bool, usize), Vec<Option<Resources>>> =
+            HashMap::new();
         for &j in order {
             let job = &self.s.jobs[j];
             let within = job.within;
-            if job.rank > Rank::High && !within {
+            if job.priority > Priority::High && !within {
                 continue;
             }
             let stoppable = stoppable
-                .entry((job.rank, within, job.team))
+                .entry((job.priority, within, job.team))
                 .or_insert_with(|| vec![None; room.len()]);
             for _ in 0..self.waiting[j].min(c::JOB_TASKS_PER_PASS as u32) {
                 let mut with = used[job.team];
@@ -58,7 +59,7 @@
                         let mut most = *stoppable[m].get_or_insert_with(|| {
                             let mut most = Resources::default();
                             for r in &self.s.machines[m].running {
-                                if !r.halting && may_stop(r, job.rank, within, job.team) {
+                                if !r.halting && may_stop(r, job.priority, within, job.team) {
                                     most += r.need;
                                 }
                             }
@@ -141,7 +142,7 @@
                 if stopped[*v] || r.halting {
                     return false;
                 }
-                let lower = r.rank > job.rank;
+                let lower = r.priority > job.priority;
                 let borrowed = within
                     && r.team.is_some_and(|t| {
                         t != job.team && !self.used[t].under(&self.s.teams[t].guarantee)
@@ -153,8 +154,8 @@
                 // A young start would not count for its users; old work without saves is lost.
                 let shield = if ran < c::PREEMPT_SHIELD_MS { c::PREEMPT_SHIELD_MS } else { 0 };
                 let lost = if r.saves { 0 } else { ran };
-                let standing = if r.standing { c::PREEMPT_SHIELD_MS * 4 } else { 0 };
-                (1_000 + shield + lost + standing, v)
+                let service = if r.service { c::PREEMPT_SHIELD_MS * 4 } else { 0 };
+                (1_000 + shield + lost + service, v)
             })
             .collect();
         can.sort_unstable();
--- a/src/coordination/planner/search.rs
+++ b/src/coordination/planner/search.rs
@@ -2,7 +2,7 @@
 
 use super::offers::Offers;
 use super::pass::Pass;
-use crate::protocol::users::Rank;
+use crate::protocol::users::Priority;
 
 /// A place and a time for one task.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -90,8 +90,8 @@
     pub(super) fn zone_allowed(&self, j: usize, zone: usize) -> bool {
         let job = &self.s.jobs[j];
         let placed = &self.in_zone[j];
-        let elsewhere = || placed.iter().enumerate().any(|(z, n)| z != zone && *n > 0);
-        placed[zone] < job.zone_cap && !(job.together && elsewhere())
+        let redirect = || placed.iter().enumerate().any(|(z, n)| z != zone && *n > 0);
+        placed[zone] < job.zone_cap && !(job.one_zone && redirect())
     }
 
     pub(super) fn within_limit(&self, j: usize) -> bool {
@@ -104,7 +104,7 @@
     /// Milliseconds for which a task that starts then waits for its image.
     pub(super) fn fetch_ms(&self, j: usize, m: usize, start: u64) -> u64 {
         let job = &self.s.jobs[j];
-        match self.kits[m].iter().find(|(k, _)| *k == job.kit) {
+        match self.images[m].iter().find(|(k, _)| *k == job.image) {
             Some((_, in_ms)) => in_ms.saturating_sub(start.saturating_sub(self.s.now)),
             None => {
                 // Images fetched at the same time share the rate.
@@ -122,7 +122,7 @@
         let [ordinary, spot] = self.s.coming;
         let soon = ordinary.into_iter().chain(spot.filter(|_| job.spot_ok)).min();
         soon.is_some_and(|ms| ms < self.images_done_in[m])
-            && !self.kits[m].iter().any(|(k, _)| *k == job.kit)
+            && !self.images[m].iter().any(|(k, _)| *k == job.image)
     }
 
     /// The allocation on one machine at one time.
@@ -133,7 +133,7 @@
         self.examined.set(self.examined.get() + 1);
         // Whatever runs now ends later than now.
         let mut free = if start <= now { row.free } else { row.free_at(start) };
-        if job.rank > Rank::High {
+        if job.priority > Priority::High {
             free -= self.held[m];
         }
         if !free.fits(&job.need) {
@@ -171,11 +171,11 @@
         let machine = &self.s.machines[m];
         let free = self.rows[m].free;
         let rest = free.gpu * 1_000 + free.cpu;
-        let standing = self.standing[m];
-        if job.standing {
-            return (self.in_zone[j][machine.zone], u8::from(machine.spot), -standing, rest, m);
+        let service = self.service[m];
+        if job.service {
+            return (self.in_zone[j][machine.zone], u8::from(machine.spot), -service, rest, m);
         }
-        let kind = match (standing > 0, job.spot_ok == machine.spot) {
+        let kind = match (service > 0, job.spot_ok == machine.spot) {
             (true, _) => 0,
             (false, true) => 1,
             (false, false) => 2,
--- a/src/coordination/planner/shares.rs
+++ b/src/coordination/planner/shares.rs
@@ -38,7 +38,7 @@
         shares.iter_mut().for_each(|x| *x = *x * 1_000 / sum);
         shares[0] += 1_000 - shares.iter().sum::<i64>();
     }
-    let Some(head) = s.jobs.iter().min_by_key(|j| (j.rank, j.arrival)) else { return shares };
+    let Some(head) = s.jobs.iter().min_by_key(|j| (j.priority, j.arrival)) else { return shares };
     let mut with = s.teams[head.team].used;
     with += head.need;
     let mut lacks = thousandths(&with, &total) - shares[head.team];
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -17,19 +17,19 @@
         total: gpus(n),
         slots: 100,
         running: vec![],
-        kits: vec![(0, 0)],
+        images: vec![(0, 0)],
         fetch_ms_per_gb: 4_000.0,
     }
 }
 
 pub fn running(end: u64) -> Running {
     Running {
-        rank: Rank::Standard,
+        priority: Priority::Standard,
         team: Some(0),
         need: GPU,
         bandwidth: 0.0,
         end,
-        standing: false,
+        service: false,
         ran_ms: Some(60_000),
         saves: false,
         halting: false,
@@ -40,9 +40,9 @@
 
 pub fn job(arrival: u64, n: i64, run_ms: u64) -> JobView {
     JobView {
-        rank: Rank::Standard,
+        priority: Priority::Standard,
         team: 0,
-        standing: false,
+        service: false,
         arrival,
         waited_ms: 0,
         times: vec![],
@@ -55,10 +55,10 @@
         spot_ok: true,
         in_zone: vec![0],
         zone_cap: 100,
-        together: false,
+        one_zone: false,
         waiting: 1,
         begun: false,
-        kit: 0,
+        image: 0,
         size_gb: 5.0,
         avoid: vec![],
     }
@@ -138,7 +138,7 @@
     let mut here = machine(1);
     here.running = vec![running(5_000)];
     let mut cold = machine(2);
-    cold.kits = vec![];
+    cold.images = vec![];
     let mut j = job(1, 1, 40_000);
     j.waiting = 3;
     let p = plan(&snapshot(vec![here, cold], vec![j]));
@@ -165,7 +165,7 @@
     m.running[1].handle = 7;
     let mut s = snapshot(vec![m], vec![job(1, 1, 1_000)]);
     assert!(plan(&s).halts.is_empty(), "not for the same rank");
-    s.jobs[0].rank = Rank::Production;
+    s.jobs[0].priority = Priority::Production;
     assert_eq!(plan(&s).halts, vec![(0, 7)]);
     s.machines[0].running[1].halting = true;
     s.machines[0].running[1].end = 2_000;
@@ -175,7 +175,7 @@
 #[test]
 fn images_are_not_queued_on_one_machine_while_others_come_up() {
     let mut m = machine(2);
-    m.kits = vec![(7, 30_000)];
+    m.images = vec![(7, 30_000)];
     let mut s = snapshot(vec![m], vec![job(1, 1, 30_000)]);
     s.jobs[0].spot_ok = false;
     s.coming = [Some(10_000), Some(1_000)];
@@ -183,14 +183,14 @@
     s.coming[0] = Some(40_000);
     assert_eq!(plan(&s).places, vec![(0, 0)], "not that soon");
     s.coming[0] = Some(10_000);
-    s.machines[0].kits = vec![(0, 5_000), (7, 30_000)];
+    s.machines[0].images = vec![(0, 5_000), (7, 30_000)];
     assert_eq!(plan(&s).places, vec![(0, 0)], "its own is on its way");
 }
 
 #[test]
 fn a_task_starts_where_its_image_is_on_its_way_rather_than_wait_for_the_image() {
     let mut m = machine(2);
-    m.kits = vec![(0, 20_000)];
+    m.images = vec![(0, 20_000)];
     m.running = vec![running(10_000)];
     let p = plan(&snapshot(vec![m], vec![job(1, 1, 30_000)]));
     assert_eq!(p.places, vec![(0, 0)]);
@@ -199,10 +199,10 @@
 #[test]
 fn room_is_not_made_where_a_task_would_not_start_for_its_image() {
     let mut m = machine(1);
-    m.kits = vec![(7, 30_000)];
+    m.images = vec![(7, 30_000)];
     m.running = vec![running(90_000)];
     let mut s = snapshot(vec![m], vec![job(1, 1, 30_000)]);
-    s.jobs[0].rank = Rank::Production;
+    s.jobs[0].priority = Priority::Production;
     s.coming = [Some(10_000), None];
     assert!(plan(&s).halts.is_empty(), "it waits for the machine that is on its way");
     s.coming = [None, None];
@@ -214,14 +214,14 @@
     // What had been stopped for services was placed again beside them, since its image was
     // there and theirs was not, and stopped again: thousands of times in a minute.
     let mut here = machine(1);
-    here.kits = vec![];
+    here.images = vec![];
     let mut s = snapshot(vec![here], vec![job(1, 8, 1_000), job(2, 1, 30_000), job(3, 1, 60_000)]);
     s.machines.push(machine(8));
-    s.machines[1].running = vec![Running { rank: Rank::Production, ..running(9_000) }; 8];
-    s.jobs[0].rank = Rank::Production;
-    s.jobs[1].rank = Rank::Production;
-    s.jobs[1].kit = 5;
-    s.jobs[2].kit = 6;
+    s.machines[1].running = vec![Running { priority: Priority::Production, ..running(9_000) }; 8];
+    s.jobs[0].priority = Priority::Production;
+    s.jobs[1].priority = Priority::Production;
+    s.jobs[1].image = 5;
+    s.jobs[2].image = 6;
     s.jobs[2].size_gb = 0.1;
     assert_eq!(plan(&s).places, vec![(1, 0)]);
 }
@@ -233,9 +233,9 @@
     here.running = vec![running(90_000)];
     here.running[0].saves = true;
     let mut free = machine(1);
-    free.kits = vec![];
+    free.images = vec![];
     let mut j = job(1, 1, 30_000);
-    j.rank = Rank::Production;
+    j.priority = Priority::Production;
     let mut s = snapshot(vec![here, free], vec![j]);
     let p = plan(&s);
     assert_eq!((p.halts.len(), p.places.len()), (1, 0), "stopped for it, and it waits");
@@ -260,7 +260,7 @@
     late.waiting = 100;
     late.times = vec![0, 0];
     let mut higher = job(2, 1, 60_000);
-    higher.rank = Rank::High;
+    higher.priority = Priority::High;
     higher.waiting = 100;
     let mut s = snapshot(vec![machine(8)], vec![late, higher, job(3, 1, 1_000)]);
     assert!(plan(&s).places.iter().all(|(j, _)| *j != 0), "late, and lower");
@@ -289,21 +289,21 @@
 /// A small snapshot drawn at random, with all that a job or a machine can differ in.
 fn random_snapshot(rng: &mut SmallRng) -> Snapshot {
     const ZONES: usize = 2;
-    let ranks = [Rank::Production, Rank::High, Rank::Standard, Rank::BestEffort];
-    let rank = |rng: &mut SmallRng| ranks[rng.random_range(0..ranks.len())];
+    let ranks = [Priority::Production, Priority::High, Priority::Standard, Priority::BestEffort];
+    let priority = |rng: &mut SmallRng| ranks[rng.random_range(0..ranks.len())];
     let machines = (0..rng.random_range(1..9)).map(|_| {
         let mut m = machine(rng.random_range(1..5));
         m.zone = rng.random_range(0..ZONES);
         m.spot = rng.random_bool(0.3);
         m.slots = rng.random_range(0..5);
-        m.kits = (0..3).map(|k| (k, rng.random_range(0..2) * 7_000)).collect();
-        m.kits.retain(|_| rng.random_bool(0.5));
+        m.images = (0..3).map(|k| (k, rng.random_range(0..2) * 7_000)).collect();
+        m.images.retain(|_| rng.random_bool(0.5));
         for handle in 0..rng.random_range(0..=m.total.gpu / 1_000) {
             let mut r = running(rng.random_range(0..40) * 1_000);
-            r.rank = rank(rng);
+            r.priority = priority(rng);
             r.team = Some(rng.random_range(0..2));
             r.bandwidth = f64::from(rng.random_range(0..3));
-            r.standing = rng.random_bool(0.2);
+            r.service = rng.random_bool(0.2);
             r.ran_ms = rng.random_bool(0.8).then(|| rng.random_range(0..90_000));
             r.saves = rng.random_bool(0.5);
             r.halting = rng.random_bool(0.1);
@@ -315,10 +315,10 @@
     let machines: Vec<MachineView> = machines.collect();
     let jobs = (0..rng.random_range(1..10)).map(|n| {
         let mut j = job(n, rng.random_range(1..3), rng.random_range(1..60) * 1_000);
-        j.rank = rank(rng);
+        j.priority = priority(rng);
         j.team = rng.random_range(0..2);
         j.within = rng.random_bool(0.2);
-        j.standing = rng.random_bool(0.3);
+        j.service = rng.random_bool(0.3);
         j.waited_ms = rng.random_range(0..2) * c::AGED_MS;
         j.times = if rng.random_bool(0.5) { vec![rng.random_range(0..90_000)] } else { vec![] };
         j.bandwidth = f64::from(rng.random_range(0..3));
@@ -326,10 +326,10 @@
         j.zone = rng.random_bool(0.1).then(|| rng.random_range(0..ZONES));
         j.waiting = rng.random_range(1..9);
         j.in_zone = vec![rng.random_range(0..2), rng.random_range(0..2)];
-        j.together = rng.random_bool(0.2);
+        j.one_zone = rng.random_bool(0.2);
         j.zone_cap = if rng.random_bool(0.3) { rng.random_range(1..5) } else { 100 };
         j.begun = rng.random_bool(0.5);
-        j.kit = rng.random_range(0..4);
+        j.image = rng.random_range(0..4);
         j.size_gb = f64::from(rng.random_range(0..8));
         j.avoid = if rng.random_bool(0.1) { vec![0] } else { vec![] };
         j
--- a/src/coordination/standin.rs
+++ b/src/coordination/standin.rs
@@ -11,7 +11,7 @@
 use super::*;
 use crate::bookkeeping::records::Stage;
 use crate::protocol::parse_task;
-use crate::protocol::workers::{Order, Orders, Report};
+use crate::protocol::workers::{Report, WorkerCommand, WorkerCommands};
 
 /// What a controller knows of its own standing in.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
 impl Controller {
     /// Whether a worker that shows this token may be answered in the leader's place: nobody else
     /// is to be had for it, as far as we can tell.
-    pub(super) fn may_stand_in(&self, baton: u64) -> bool {
+    pub(super) fn may_stand_in(&self, token: u64) -> bool {
         let now = self.now.mono;
         let (Some((term, begun)), Some(known)) = (self.stand_in.permit, self.sync.fresh_at) else {
             return false;
@@ -50,7 +50,7 @@
         let alone = !self.served() && !self.fresh_gossip().any(|g| g.leads || served_gossip(g));
         alone
             && term == self.term_heard
-            && baton <= term
+            && token <= term
             && now <= begun.min(known) + self.blind_ms()
     }
 
@@ -67,7 +67,7 @@
             .into_iter()
             .filter(|x| super::leader::is_on(x.status) && over(&x.load))
             .take(c::ORDERS_MAX)
-            .map(|x| Order::Halt { load: x.load, attempt: x.attempt, wind_down_s: 0.0 })
+            .map(|x| WorkerCommand::Halt { load: x.load, attempt: x.attempt, grace_s: 0.0 })
             .collect();
         let now = self.now.mono;
         if now > self.stand_in.last_at + self.lease_ms() {
@@ -77,8 +77,8 @@
             );
         }
         self.stand_in.last_at = now;
-        let body =
-            serde_json::to_vec(&Orders { baton: self.term_heard, orders }).unwrap_or_default();
+        let body = serde_json::to_vec(&WorkerCommands { token: self.term_heard, orders })
+            .unwrap_or_default();
         self.respond(conn, 200, None, body);
     }
 
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -38,7 +38,7 @@
             "term": self.replica.term(),
             "revision": self.replica.rev,
             "jobs": {"live": count(Stage::Live), "done": count(Stage::Done),
-                     "withdrawn": count(Stage::Withdrawn)},
+                     "withdrawn": count(Stage::Cancelled)},
             "latency_ms": {
                 "submit": spread(&self.metrics.submit_ms),
                 "poll": spread(&self.metrics.poll_ms),
@@ -60,11 +60,11 @@
                         Life::Deleting => "deleting",
                         Life::Gone => "gone",
                         Life::Up if m.lapsed => "silent",
-                        Life::Up if m.recall_at.is_some() => "recalled",
+                        Life::Up if m.reclaim_at.is_some() => "recalled",
                         Life::Up if m.draining => "set aside",
                         Life::Up => "up",
                     };
-                    json!({"name": &*m.name, "build": m.sku, "yard": m.yard, "spot": m.spot,
+                    json!({"name": &*m.name, "build": m.sku, "yard": m.zone, "spot": m.spot,
                            "state": state, "tasks": m.placements.len()})
                 })
                 .collect();
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -10,7 +10,7 @@
         asker: Asker,
         uid: String,
     },
-    Withdraw {
+    Cancel {
         asker: Asker,
         uid: String,
     },
@@ -19,7 +19,7 @@
         asker: Asker,
         uid: String,
         verdict: Option<(u16, String)>,
-        spec: Option<Rc<Spec>>,
+        spec: Option<Rc<JobSpec>>,
     },
     /// The leader's takeover or an unclear commit.
     Leader,
@@ -68,9 +68,7 @@
                 log::debug!("state service: too many requests");
                 if matches!(
                     purpose,
-                    Purpose::LeaderCommit { .. }
-                        | Purpose::Submit { .. }
-                        | Purpose::Withdraw { .. }
+                    Purpose::LeaderCommit { .. } | Purpose::Submit { .. } | Purpose::Cancel { .. }
                 ) {
                     self.writes.drain(self.now.mono);
                 } else {
@@ -284,7 +282,7 @@
     fn fresh_done(&mut self, w: Waiter, begun: u64) {
         match w {
             Waiter::Poll { asker, uid } => self.answer_poll(asker, &uid),
-            Waiter::Withdraw { asker, uid } => self.withdraw_known(asker, uid),
+            Waiter::Cancel { asker, uid } => self.cancel_known(asker, uid),
             Waiter::Submit { asker, uid, verdict, spec } => {
                 self.submit_known(asker, uid, verdict, spec)
             }
@@ -297,7 +295,7 @@
             Waiter::Poll { asker, uid } => {
                 self.relay_or_refuse(asker, "GET", format!("/v1/jobs/{uid}"), vec![])
             }
-            Waiter::Withdraw { asker, uid } => {
+            Waiter::Cancel { asker, uid } => {
                 self.relay_or_refuse(asker, "POST", format!("/v1/jobs/{uid}/withdraw"), vec![])
             }
             Waiter::Submit { asker, spec, .. } => match spec {
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(crate) struct Pending {
     askers: Vec<Asker>,
-    spec: Rc<Spec>,
+    spec: Rc<JobSpec>,
     bytes: usize,
     at: u64,
 }
@@ -26,7 +26,7 @@
 pub(crate) struct Batch {
     jobs: Vec<Pending>,
     /// The jobs as divided into values.
-    values: Vec<Vec<Rc<Spec>>>,
+    values: Vec<Vec<Rc<JobSpec>>>,
     sent_at: u64,
     /// Copies sent, and those not answered yet.
     copies: u32,
@@ -81,7 +81,7 @@
                 match (method, rest.strip_suffix("/withdraw")) {
                     ("POST", Some(uid)) => {
                         self.metrics.work.cancellations += 1;
-                        return self.withdraw(asker, uid);
+                        return self.cancel(asker, uid);
                     }
                     (_, Some(_)) => false,
                     ("GET", None) if !rest.contains('/') => {
@@ -141,9 +141,9 @@
     }
 
     /// Whether the job can ever run: 422 with the reason if not, 503 if we can't tell.
-    fn judge(&self, spec: &Spec) -> Result<(), (u16, String)> {
-        let Some(team) = self.cfg.params.teams.iter().find(|t| t.name == spec.crew) else {
-            return Err((422, format!("unknown team {}", spec.crew)));
+    fn judge(&self, spec: &JobSpec) -> Result<(), (u16, String)> {
+        let Some(team) = self.cfg.params.teams.iter().find(|t| t.name == spec.team) else {
+            return Err((422, format!("unknown team {}", spec.team)));
         };
         let Some(catalog) = &self.catalog else {
             return Err((503, "machine types are not known yet".into()));
@@ -151,13 +151,13 @@
         let need = spec.need();
         let fits = catalog.builds.iter().any(|b| {
             spec.builds.as_ref().is_none_or(|list| list.contains(&b.sku))
-                && spec.yard.as_ref().is_none_or(|y| b.yards.contains(y))
+                && spec.zone.as_ref().is_none_or(|y| b.zones.contains(y))
                 && Resources::new(b.cores, b.gpus, b.ram_gb).fits(&need)
         });
         if !fits {
             return Err((422, "a task fits no allowed machine type".into()));
         }
-        let n = if spec.shape == Shape::Standing { i64::from(spec.loads) } else { 1 };
+        let n = if spec.kind == JobKind::Service { i64::from(spec.loads) } else { 1 };
         let all = need * n;
         let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
         if !all.under(&limit) {
@@ -167,7 +167,7 @@
     }
 
     /// Takes a job that is to be accepted into the next batch. A repeat joins the first.
-    fn commit_job(&mut self, asker: Asker, spec: Rc<Spec>) {
+    fn commit_job(&mut self, asker: Asker, spec: Rc<JobSpec>) {
         let bytes = raw(&spec).get().len() + c::BATCH_FRAME_BYTES;
         if (bytes + c::BATCH_FRAME_BYTES) as f64 > self.cfg.params.state.value_kb * 1024.0 {
             return self.refuse(asker, 422, "the submission is too large to be kept", None);
@@ -217,7 +217,7 @@
         let left = self.writes.left(now) - c::WRITE_KEEP_USERS;
         let max_ops = (left.max(0.0) as usize).min(txn);
         // As many values as there are writes for, each filled with jobs.
-        let mut values: Vec<(usize, Vec<Rc<Spec>>)> = Vec::new();
+        let mut values: Vec<(usize, Vec<Rc<JobSpec>>)> = Vec::new();
         let mut jobs: Vec<Pending> = Vec::new();
         let mut wait: Vec<Pending> = Vec::new();
         let mut bytes = 0;
@@ -324,11 +324,11 @@
                         p.spec.uid,
                         self.now.mono - p.at,
                         p.spec.loads,
-                        p.spec.duty,
-                        p.spec.crew,
-                        p.spec.kit,
+                        p.spec.class,
+                        p.spec.team,
+                        p.spec.image,
                         p.spec.size_gb,
-                        p.spec.due_s
+                        p.spec.deadline_s
                     );
                     for asker in p.askers {
                         let accepted = Accepted { uid: &p.spec.uid, status: Status::Queued };
@@ -396,7 +396,7 @@
         asker: Asker,
         uid: String,
         verdict: Option<(u16, String)>,
-        spec: Option<Rc<Spec>>,
+        spec: Option<Rc<JobSpec>>,
     ) {
         if self.replica.jobs.contains_key(uid.as_str()) {
             return self.answer_known(asker, &uid);
@@ -414,7 +414,7 @@
     fn status_of(&self, uid: &str, job: &Stamped<JobRec>) -> Status {
         match job.value.stage {
             Stage::Done => Status::Done,
-            Stage::Withdrawn => Status::Withdrawn,
+            Stage::Cancelled => Status::Cancelled,
             Stage::Live if self.replica.placed(uid) > 0 => Status::Running,
             Stage::Live => Status::Queued,
         }
@@ -448,13 +448,13 @@
         let status = self.status_of(uid, job);
         let (done, running) = match status {
             Status::Done => (job.value.loads, 0),
-            Status::Withdrawn => (job.value.done, 0),
+            Status::Cancelled => (job.value.done, 0),
             _ => (self.replica.done_bitmap(uid).count(), self.replica.placed(uid)),
         };
         self.answer_json(asker, 200, &View { uid, status, done, running });
     }
 
-    fn withdraw(&mut self, asker: Asker, uid: &str) {
+    fn cancel(&mut self, asker: Asker, uid: &str) {
         if !valid_uid(uid) {
             return self.refuse(asker, 404, "no such job", None);
         }
@@ -464,12 +464,12 @@
         match self.replica.jobs.get(uid).map(|j| j.value.stage) {
             Some(Stage::Live) => self.commit_withdrawal(asker, uid),
             Some(_) => self.answer_known(asker, uid),
-            None => self.want_fresh(Waiter::Withdraw { asker, uid: uid.to_string() }),
+            None => self.want_fresh(Waiter::Cancel { asker, uid: uid.to_string() }),
         }
     }
 
     /// A withdrawal after a fresh read.
-    pub(super) fn withdraw_known(&mut self, asker: Asker, uid: String) {
+    pub(super) fn cancel_known(&mut self, asker: Asker, uid: String) {
         match self.replica.jobs.get(uid.as_str()).map(|j| j.value.stage) {
             Some(Stage::Live) => self.commit_withdrawal(asker, &uid),
             Some(_) => self.answer_known(asker, &uid),
@@ -483,7 +483,7 @@
         };
         let rec = EndRec {
             at: job.value.at,
-            stage: Stage::Withdrawn,
+            stage: Stage::Cancelled,
             loads: job.value.loads,
             done: self.replica.done_bitmap(uid).count(),
         };
@@ -496,12 +496,12 @@
             return self.refuse(asker, 503, "too many requests", Some(c::RETRY_AFTER_S));
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = Purpose::Withdraw { asker, uid: uid.to_string(), commit };
+        let purpose = Purpose::Cancel { asker, uid: uid.to_string(), commit };
         self.metrics.work.state_writes += 1;
         self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, purpose);
     }
 
-    pub(super) fn withdrawn(
+    pub(super) fn cancel_committed(
         &mut self,
         asker: Asker,
         uid: String,
@@ -515,10 +515,10 @@
                 };
                 self.own_commit(&commit, done.ledger_rev);
                 log::debug!("{uid}: withdrawn");
-                self.answer_json(asker, 200, &Accepted { uid: &uid, status: Status::Withdrawn });
+                self.answer_json(asker, 200, &Accepted { uid: &uid, status: Status::Cancelled });
             }
             // Done in the meantime, or withdrawn already.
-            Some((409, _)) => self.want_fresh(Waiter::Withdraw { asker, uid }),
+            Some((409, _)) => self.want_fresh(Waiter::Cancel { asker, uid }),
             Some((429, _)) => self.refuse(asker, 503, "too many requests", Some(c::RETRY_AFTER_S)),
             _ => self.relay_or_refuse(asker, "POST", format!("/v1/jobs/{uid}/withdraw"), vec![]),
         }
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -1,14 +1,14 @@
 //! Workers' reports and the orders that travel in their answers.
 //!
-//! What a report settles, and when: only a report that shows our baton, the newest by
-//! tenure and tally. A start that a newer report doesn't show was not executed, since a
+//! What a report settles, and when: only a report that shows our token, the newest by
+//! session and sequence. A start that a newer report doesn't show was not executed, since a
 //! worker has one report in flight and drops late answers, so it is sent again.
 
 use super::leader::{is_failure, is_on};
 use super::*;
 use crate::bookkeeping::books::*;
 use crate::bookkeeping::records::*;
-use crate::protocol::users::Shape;
+use crate::protocol::users::JobKind;
 use crate::protocol::workers::*;
 use crate::protocol::{parse_task, task_name, Resources};
 
@@ -26,9 +26,9 @@
 }
 
 impl Controller {
-    pub(super) fn elsewhere(&mut self, conn: ConnId) {
+    pub(super) fn redirect(&mut self, conn: ConnId) {
         self.metrics.work.reports_redirected += 1;
-        let steward = match &self.replica.leader {
+        let leader = match &self.replica.leader {
             Some(l) if l.value.label != self.cfg.label && l.value.term >= self.term_heard => {
                 Some(l.value.label.clone())
             }
@@ -37,11 +37,11 @@
                 .find(|g| g.leads && g.term >= self.term_heard)
                 .map(|g| g.label.clone()),
         };
-        let body = serde_json::to_vec(&Elsewhere { steward }).unwrap_or_default();
+        let body = serde_json::to_vec(&Redirect { leader }).unwrap_or_default();
         self.respond(conn, 421, None, body);
     }
 
-    pub(super) fn checkin(&mut self, conn: ConnId, body: &[u8]) {
+    pub(super) fn worker_report(&mut self, conn: ConnId, body: &[u8]) {
         let report: Report = match serde_json::from_slice(body) {
             Ok(r) => r,
             Err(e) => {
@@ -51,18 +51,18 @@
         };
         let now = self.now.mono;
         self.metrics.work.reports += 1;
-        self.workers_seen.insert(report.stead.clone(), now);
-        if report.baton > self.term_heard {
-            self.term_heard = report.baton;
+        self.workers_seen.insert(report.machine.clone(), now);
+        if report.token > self.term_heard {
+            self.term_heard = report.token;
             self.check_term();
         }
         let ready = self.leader.as_ref().is_some_and(|l| l.ready);
         if ready && self.may_answer() {
             self.absorb(conn, report);
-        } else if self.leader.is_none() && self.may_stand_in(report.baton) {
+        } else if self.leader.is_none() && self.may_stand_in(report.token) {
             self.stand_in_for(conn, report);
         } else {
-            self.elsewhere(conn);
+            self.redirect(conn);
         }
     }
 
@@ -73,36 +73,36 @@
             return;
         };
         l.heard_at = now;
-        if l.fleet.is_gone(&report.stead) {
+        if l.fleet.is_gone(&report.machine) {
             // A late report of a machine that was deleted.
-            return self.elsewhere(conn);
+            return self.redirect(conn);
         }
-        let name: Name = report.stead.as_str().into();
-        let ours = report.baton == l.term;
+        let name: Name = report.machine.as_str().into();
+        let ours = report.token == l.term;
         let m = l.books.machine_entry(&name, now);
-        let id = (report.tenure, report.tally);
+        let id = (report.session, report.sequence);
         let (before, answered, received) = (m.newest, m.answered_at, m.received_at);
         if id <= m.newest {
             // Late or repeated: the worker has given it up.
-            return self.elsewhere(conn);
+            return self.redirect(conn);
         }
-        if m.lapsed && report.tenure <= m.newest.0 {
+        if m.lapsed && report.session <= m.newest.0 {
             // Sent before its lease ran out and held on the way: what it shows is over, and
             // the worker has begun another session since. Such reports once brought back
             // machines that were still cut off, with tasks long started elsewhere.
-            return self.elsewhere(conn);
+            return self.redirect(conn);
         }
         m.newest = id;
         m.received_at = Some(now);
         m.sku = report.build;
-        m.yard = report.yard;
-        m.spot = report.lendables;
+        m.zone = report.zone;
+        m.spot = report.spot;
         if let Some(b) = catalog.iter().flat_map(|c| &c.builds).find(|b| b.sku == m.sku) {
             m.total = Resources::new(b.cores, b.gpus, b.ram_gb);
         }
         if matches!(m.life, Life::Booting | Life::Unheard) {
             m.life = Life::Up;
-            log::info!("{name}: up, {} in {}{}", m.sku, m.yard, if m.spot { ", spot" } else { "" });
+            log::info!("{name}: up, {} in {}{}", m.sku, m.zone, if m.spot { ", spot" } else { "" });
         }
         m.up_at.get_or_insert(now);
         // A report that does not show our token though we answered one before may be a late copy
@@ -119,19 +119,19 @@
         let wait = (c::WORKER_WAIT_S * c::MS_PER_S) as u64;
         let follows = id == (before.0, before.1.saturating_add(1));
         let heard = answered_last && follows && received.is_some_and(|r| now < r + wait);
-        let heeded = heard || ours && !m.shows_baton;
-        m.shows_baton |= ours;
+        let heeded = heard || ours && !m.shows_token;
+        m.shows_token |= ours;
         let mut signs = u32::from(!ours && answered.is_some());
-        if answered_last && report.tenure > before.0 {
+        if answered_last && report.session > before.0 {
             // A worker that an answer reaches keeps its session.
             signs += c::DEAF_SESSION_SIGNS;
         }
-        signs += u32::from(answered_last && report.tally > before.1.saturating_add(1));
-        let recalled = m.recall_at.is_some();
-        let notice = |s: f64| (s.clamp(0.0, c::RECALL_MOST_S) * c::MS_PER_S) as u64;
-        m.recall_at = report.recall_s.map(|s| now + notice(s));
-        if m.recall_at.is_some() && !recalled {
-            log::info!("{name}: to be taken in {:.0} s", report.recall_s.unwrap_or(0.0));
+        signs += u32::from(answered_last && report.sequence > before.1.saturating_add(1));
+        let reclaimed = m.reclaim_at.is_some();
+        let notice = |s: f64| (s.clamp(0.0, c::RECLAIM_MOST_S) * c::MS_PER_S) as u64;
+        m.reclaim_at = report.reclaim_s.map(|s| now + notice(s));
+        if m.reclaim_at.is_some() && !reclaimed {
+            log::info!("{name}: to be taken in {:.0} s", report.reclaim_s.unwrap_or(0.0));
         }
         let mut held = HeldReport {
             conn,
@@ -206,7 +206,7 @@
                 .find(|b| b.sku == l.books.machines[&name].sku)
                 .map_or(0.0, |b| b.local_gb);
             if let Some(m) = l.books.machines.get_mut(&name) {
-                m.note_kit(&spec.kit, spec.size_gb, room);
+                m.note_image(&spec.image, spec.size_gb, room);
             }
             let _ = self.metrics.start_ms.record(now - placed_at);
             log::debug!("{job}/{task}: runs on {name}, {} ms after it was placed", now - placed_at);
@@ -236,7 +236,7 @@
         if l.books.machines[&name].placements.is_empty() {
             l.books.machines.get_mut(&name).map(|m| m.idle_since.get_or_insert(now));
         }
-        l.recall(&name, now, &self.cfg);
+        l.reclaim(&name, now, &self.cfg);
         l.held.push(held);
     }
 
@@ -251,7 +251,7 @@
         let mut keep = Vec::new();
         for h in l.held.drain(..) {
             let wants = l.books.machines.get(&h.machine).is_some_and(|m| {
-                m.proposed > 0 || (m.life == Life::Up && !m.draining && m.recall_at.is_none())
+                m.proposed > 0 || (m.life == Life::Up && !m.draining && m.reclaim_at.is_none())
             });
             if deciding && wants && now < h.since + c::REPORT_HOLD_MS {
                 keep.push(h);
@@ -268,26 +268,26 @@
     fn answer_report(&mut self, h: HeldReport) {
         let now = self.now.mono;
         if !self.may_answer() {
-            return self.elsewhere(h.conn);
+            return self.redirect(h.conn);
         }
         let may_start = self.may_start();
         let Some(l) = self.leader.as_mut() else {
-            return self.elsewhere(h.conn);
+            return self.redirect(h.conn);
         };
         let term = l.term;
         let jobs = &l.books.jobs;
         let Some(m) = l.books.machines.get_mut(&h.machine) else {
-            return self.elsewhere(h.conn);
+            return self.redirect(h.conn);
         };
         if m.newest != h.newest || m.life == Life::Gone {
-            return self.elsewhere(h.conn);
+            return self.redirect(h.conn);
         }
         let mut orders = Vec::new();
         let mut starts = Vec::new();
         let mut never_ordered = Vec::new();
         // What does not fit into an answer goes out with the next one.
         for (load, attempt) in h.strays.into_iter().take(c::ORDERS_MAX) {
-            orders.push(Order::Halt { load, attempt, wind_down_s: 0.0 });
+            orders.push(WorkerCommand::Halt { load, attempt, grace_s: 0.0 });
         }
         for (load, attempt) in h.ended {
             // Only once what it said is committed, which takes the placement out.
@@ -295,7 +295,7 @@
                 m.placements.get(&(job.into(), task)).is_some_and(|p| p.attempt == attempt)
             });
             if !open && orders.len() < c::ORDERS_MAX {
-                orders.push(Order::Clear { load, attempt });
+                orders.push(WorkerCommand::Clear { load, attempt });
             }
         }
         for (id, p) in &mut m.placements {
@@ -320,11 +320,11 @@
                     continue;
                 }
                 let saves = job.and_then(|j| j.spec.as_ref()).filter(|s| s.saves());
-                let wind_down_s = match (halt, saves) {
-                    (Halt::MakeRoom, Some(s)) => s.mark_cost_s + c::WIND_DOWN_EXTRA_S,
+                let grace_s = match (halt, saves) {
+                    (Halt::MakeRoom, Some(s)) => s.checkpoint_cost_s + c::GRACE_EXTRA_S,
                     _ => 0.0,
                 };
-                orders.push(Order::Halt { load, attempt: p.attempt, wind_down_s });
+                orders.push(WorkerCommand::Halt { load, attempt: p.attempt, grace_s });
             } else if may_start
                 && p.seen.is_none()
                 && m.life == Life::Up
@@ -332,7 +332,7 @@
                 && (!inherited || h.ours)
             {
                 p.ordered = Some(h.newest);
-                starts.push(Order::Start { load, attempt: p.attempt });
+                starts.push(WorkerCommand::Start { load, attempt: p.attempt });
             }
         }
         orders.extend(starts);
@@ -341,7 +341,7 @@
             l.books.settle(&h.machine, &id, Cause::Lost);
         }
         let _ = self.metrics.report_ms.record(now - h.since);
-        let body = serde_json::to_vec(&Orders { baton: term, orders }).unwrap_or_default();
+        let body = serde_json::to_vec(&WorkerCommands { token: term, orders }).unwrap_or_default();
         self.respond(h.conn, 200, None, body);
     }
 }
@@ -405,12 +405,12 @@
 
     /// A machine that the cloud will take: tasks that can't end in time are stopped while
     /// they can still save, and those that can't save at once, so that they start elsewhere.
-    fn recall(&mut self, name: &Name, now: u64, cfg: &Platform) {
+    fn reclaim(&mut self, name: &Name, now: u64, cfg: &Platform) {
         let jobs = &self.books.jobs;
         let Some(m) = self.books.machines.get_mut(name) else {
             return;
         };
-        let Some(at) = m.recall_at else { return };
+        let Some(at) = m.reclaim_at else { return };
         let left = at.saturating_sub(now);
         let report = (cfg.params.workers.report_s * c::MS_PER_S) as u64;
         for ((uid, _), p) in &mut m.placements {
@@ -420,14 +420,14 @@
             if p.ended.is_some() || p.halt.is_some() {
                 continue;
             }
-            let stop = if spec.shape == Shape::Standing || p.running_since.is_none() {
+            let stop = if spec.kind == JobKind::Service || p.running_since.is_none() {
                 true
             } else if spec.saves() {
-                let needs = ((spec.mark_cost_s + c::RECALL_MARGIN_S) * c::MS_PER_S) as u64;
+                let needs = ((spec.checkpoint_cost_s + c::RECLAIM_MARGIN_S) * c::MS_PER_S) as u64;
                 left <= needs + report * 2
             } else {
                 let ran = p.running_since.map_or(0, |t| now - t);
-                let run = (spec.run_guess_s * c::MS_PER_S) as u64;
+                let run = (spec.run_estimate_s * c::MS_PER_S) as u64;
                 run.saturating_sub(ran) > left
             };
             if stop {
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -23,23 +23,28 @@
     #[serde(default)]
     pub low_price: f64,
     pub ready_s: f64,
-    pub yards: Vec<String>,
+    #[serde(rename = "yards")]
+    pub zones: Vec<String>,
 }
 
 /// `POST /hosts`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Rent {
-    pub hire: String,
+    #[serde(rename = "hire")]
+    pub request_id: String,
     pub build: String,
-    pub yard: String,
-    pub lendables: bool,
+    #[serde(rename = "yard")]
+    pub zone: String,
+    #[serde(rename = "lendables")]
+    pub spot: bool,
     pub number: usize,
 }
 
 /// Names of machines: answer to a rental, body of a deletion.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Names {
-    pub steads: Vec<String>,
+    #[serde(rename = "steads")]
+    pub machines: Vec<String>,
 }
 
 /// State of a machine in the list.
@@ -60,8 +65,10 @@
     #[serde(default)]
     pub address: String,
     pub build: String,
-    pub yard: String,
-    pub lendables: bool,
+    #[serde(rename = "yard")]
+    pub zone: String,
+    #[serde(rename = "lendables")]
+    pub spot: bool,
     pub status: HostStatus,
     #[serde(default)]
     pub age_s: f64,
@@ -70,7 +77,8 @@
 /// `GET /hosts`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Hosts {
-    pub steads: Vec<Host>,
+    #[serde(rename = "steads")]
+    pub machines: Vec<Host>,
     #[serde(default)]
     pub has_next: bool,
 }
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -35,7 +35,8 @@
         write: String,
         data: Box<RawValue>,
         #[serde(skip_serializing_if = "Option::is_none")]
-        tenancy: Option<u64>,
+        #[serde(rename = "tenancy")]
+        lease_id: Option<u64>,
     },
     Remove {
         remove: String,
@@ -45,7 +46,7 @@
 impl Write {
     /// A write of a value with no lease.
     pub fn put<T: Serialize>(key: String, value: &T) -> Write {
-        Write::Put { write: key, data: raw(value), tenancy: None }
+        Write::Put { write: key, data: raw(value), lease_id: None }
     }
 
     /// The key that is changed.
@@ -107,14 +108,15 @@
 
 /// `POST /holds`.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct NewHold {
+pub struct NewLease {
     pub life_ms: u64,
 }
 
 /// Answer to a new hold.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Hold {
-    pub tenancy: u64,
+pub struct Lease {
+    #[serde(rename = "tenancy")]
+    pub lease_id: u64,
 }
 
 /// Path of a transaction.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -15,15 +15,16 @@
 /// Whether tasks end by themselves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shape {
+pub enum JobKind {
     Batch,
-    Standing,
+    #[serde(rename = "standing")]
+    Service,
 }
 
 /// Priority, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Rank {
+pub enum Priority {
     Production,
     High,
     Standard,
@@ -32,33 +33,46 @@
 
 /// A submission, as users send it and as it is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct JobSpec {
     pub uid: String,
-    pub duty: String,
-    pub crew: String,
-    pub shape: Shape,
-    pub rank: Rank,
+    #[serde(rename = "duty")]
+    pub class: String,
+    #[serde(rename = "crew")]
+    pub team: String,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     pub loads: u32,
     pub cores: f64,
     pub gpus: f64,
     pub ram_gb: f64,
-    pub kit: String,
+    #[serde(rename = "kit")]
+    pub image: String,
     pub size_gb: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub builds: Option<Vec<String>>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub yard: Option<String>,
-    pub together: bool,
-    pub apart: bool,
-    pub lendables: bool,
-    pub run_guess_s: f64,
-    pub mark_every_s: f64,
-    pub mark_cost_s: f64,
+    #[serde(rename = "yard")]
+    pub zone: Option<String>,
+    #[serde(rename = "together")]
+    pub one_zone: bool,
+    #[serde(rename = "apart")]
+    pub spread: bool,
+    #[serde(rename = "lendables")]
+    pub spot_allowed: bool,
+    #[serde(rename = "run_guess_s")]
+    pub run_estimate_s: f64,
+    #[serde(rename = "mark_every_s")]
+    pub checkpoint_interval_s: f64,
+    #[serde(rename = "mark_cost_s")]
+    pub checkpoint_cost_s: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub due_s: Option<f64>,
+    #[serde(rename = "due_s")]
+    pub deadline_s: Option<f64>,
 }
 
-impl Spec {
+impl JobSpec {
     /// What each task takes.
     pub fn need(&self) -> Resources {
         Resources::new(self.cores, self.gpus, self.ram_gb)
@@ -66,12 +80,12 @@
 
     /// Whether a stopped task can keep its progress.
     pub fn saves(&self) -> bool {
-        self.mark_every_s > 0.0
+        self.checkpoint_interval_s > 0.0
     }
 
     /// Most tasks that may be in one zone.
     pub fn zone_cap(&self) -> u32 {
-        if self.apart {
+        if self.spread {
             self.loads.div_ceil(2)
         } else {
             self.loads
@@ -101,8 +115,8 @@
 }
 
 /// Parses and checks the whole submission.
-pub fn parse_submission(value: serde_json::Value) -> Result<Spec, String> {
-    let s: Spec = serde_json::from_value(value).map_err(|e| e.to_string())?;
+pub fn parse_submission(value: serde_json::Value) -> Result<JobSpec, String> {
+    let s: JobSpec = serde_json::from_value(value).map_err(|e| e.to_string())?;
     let name = |field: &str, v: &str| {
         if v.is_empty() || v.len() > NAME_MAX {
             Err(format!("{field}: must have 1 to {NAME_MAX} bytes"))
@@ -110,11 +124,11 @@
             Ok(())
         }
     };
-    name("duty", &s.duty)?;
-    name("crew", &s.crew)?;
-    name("kit", &s.kit)?;
-    if let Some(yard) = &s.yard {
-        name("yard", yard)?;
+    name("duty", &s.class)?;
+    name("crew", &s.team)?;
+    name("kit", &s.image)?;
+    if let Some(zone) = &s.zone {
+        name("yard", zone)?;
     }
     if let Some(builds) = &s.builds {
         if builds.len() > BUILDS_MAX {
@@ -132,10 +146,10 @@
         ("gpus", s.gpus),
         ("ram_gb", s.ram_gb),
         ("size_gb", s.size_gb),
-        ("run_guess_s", s.run_guess_s),
-        ("mark_every_s", s.mark_every_s),
-        ("mark_cost_s", s.mark_cost_s),
-        ("due_s", s.due_s.unwrap_or(0.0)),
+        ("run_guess_s", s.run_estimate_s),
+        ("mark_every_s", s.checkpoint_interval_s),
+        ("mark_cost_s", s.checkpoint_cost_s),
+        ("due_s", s.deadline_s.unwrap_or(0.0)),
     ];
     for (field, v) in amounts {
         if !(0.0..=AMOUNT_MAX).contains(&v) {
@@ -155,7 +169,8 @@
     Queued,
     Running,
     Done,
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 /// Answer to a submission or a withdrawal.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -46,17 +46,24 @@
 /// A worker's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
-    pub stead: String,
+    #[serde(rename = "stead")]
+    pub machine: String,
     pub address: String,
     pub build: String,
-    pub yard: String,
-    pub lendables: bool,
-    pub tenure: u64,
-    pub tally: u64,
+    #[serde(rename = "yard")]
+    pub zone: String,
+    #[serde(rename = "lendables")]
+    pub spot: bool,
+    #[serde(rename = "tenure")]
+    pub session: u64,
+    #[serde(rename = "tally")]
+    pub sequence: u64,
     #[serde(default)]
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub token: u64,
     #[serde(default)]
-    pub recall_s: Option<f64>,
+    #[serde(rename = "recall_s")]
+    pub reclaim_s: Option<f64>,
     #[serde(default)]
     pub loads: Vec<Load>,
 }
@@ -64,7 +71,7 @@
 /// An order to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
-pub enum Order {
+pub enum WorkerCommand {
     Start {
         load: String,
         #[serde(rename = "try")]
@@ -74,7 +81,8 @@
         load: String,
         #[serde(rename = "try")]
         attempt: u64,
-        wind_down_s: f64,
+        #[serde(rename = "wind_down_s")]
+        grace_s: f64,
     },
     Clear {
         load: String,
@@ -85,14 +93,16 @@
 
 /// Answer to a report.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Orders {
-    pub baton: u64,
-    pub orders: Vec<Order>,
+pub struct WorkerCommands {
+    #[serde(rename = "baton")]
+    pub token: u64,
+    pub orders: Vec<WorkerCommand>,
 }
 
 /// Answer of a controller that doesn't lead.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct Redirect {
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub steward: Option<String>,
+    #[serde(rename = "steward")]
+    pub leader: Option<String>,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -96,13 +96,13 @@
 
 impl Objective {
     /// Seconds within which a job of an array has to be complete for this aim, if the aim asks
-    /// for that: `due_s` is its deadline, and its tasks run for `run_s`.
-    pub fn complete_within(&self, due_s: Option<f64>, run_s: f64) -> Option<f64> {
+    /// for that: `deadline_s` is its deadline, and its tasks run for `run_s`.
+    pub fn complete_within(&self, deadline_s: Option<f64>, run_s: f64) -> Option<f64> {
         match self.kind.as_str() {
             "finished" => self.within_s,
             // Its last task has started by then.
             "wait" => self.within_s.map(|s| s + run_s),
-            "deadline" => due_s.map(|s| s * self.times.unwrap_or(1.0)),
+            "deadline" => deadline_s.map(|s| s * self.times.unwrap_or(1.0)),
             _ => None,
         }
     }
@@ -192,7 +192,7 @@
 pub struct Operator {
     pub thresholds: Vec<f64>,
     pub pass_period_ms: u64,
-    pub duty_bandwidth: Vec<(String, Bandwidth)>,
+    pub class_bandwidth: Vec<(String, Bandwidth)>,
     pub headroom_share: f64,
     /// None: as long as a boot takes, by type.
     pub idle_return_s: Option<f64>,
@@ -204,7 +204,7 @@
         Operator {
             thresholds: c::THRESHOLDS.to_vec(),
             pass_period_ms: c::PASS_PERIOD_MS,
-            duty_bandwidth: Vec::new(),
+            class_bandwidth: Vec::new(),
             headroom_share: c::HEADROOM_SHARE,
             idle_return_s: None,
             rent_spot: true,
@@ -241,7 +241,7 @@
                 proto::BandwidthClass::MEDIUM => c::BANDWIDTH_MEDIUM,
                 proto::BandwidthClass::HIGH => c::BANDWIDTH_HIGH,
             };
-            o.duty_bandwidth.push((d.duty().to_string(), class));
+            o.class_bandwidth.push((d.duty().to_string(), class));
         }
         let fleet = msg.fleet.get_or_default();
         if let Some(v) = fleet.headroom_share {
@@ -261,8 +261,8 @@
     }
 
     /// What a core of a task of this class takes of a core's bandwidth.
-    pub fn bandwidth(&self, duty: &str) -> Bandwidth {
-        self.duty_bandwidth.iter().find(|(d, _)| d == duty).map_or(c::BANDWIDTH_LOW, |(_, b)| *b)
+    pub fn bandwidth(&self, class: &str) -> Bandwidth {
+        self.class_bandwidth.iter().find(|(d, _)| d == class).map_or(c::BANDWIDTH_LOW, |(_, b)| *b)
     }
 }
 
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -34,7 +34,7 @@
     assert_eq!(records::end_key("job-1"), "mg/2/end/job-1");
     assert_eq!(records::done_key(3), "mg/2/done/0003");
     assert_eq!(records::place_key(12), "mg/2/place/0012");
-    assert_eq!(records::kits_key(0), "mg/2/kits/0000");
+    assert_eq!(records::images_key(0), "mg/2/kits/0000");
     assert_eq!(records::chunk_name("job-1", 2), "job-1/2");
 }
 
@@ -53,7 +53,7 @@
     json::<records::PlaceRec>(
         r#"{"tasks":"000412/3@n-000231#1c000001 000412/4@n-000232#1c000002"}"#,
     );
-    json::<records::KitsRec>(r#"{"kits":[["img",1.5]],"held":{"n-1":[0]}}"#);
+    json::<records::ImagesRec>(r#"{"kits":[["img",1.5]],"held":{"n-1":[0]}}"#);
     json::<records::ShareRec>(r#"{"term":7,"teams":[["red",600],["blue",400]]}"#);
     let text = records::Placed::text("job-000412", 3, "n-000231", 0x1c00_0001);
     assert_eq!(text.as_deref(), Some("000412/3@n-000231#1c000001"));
@@ -64,14 +64,14 @@
 
 #[test]
 fn messages_of_users() {
-    json::<users::Spec>(SUBMISSION);
+    json::<users::JobSpec>(SUBMISSION);
     let bare = SUBMISSION
         .replace(r#""builds":["g8"],"yard":"a","#, "")
         .replace(r#","due_s":900.0"#, "")
         .replace("batch", "standing");
-    json::<users::Spec>(&bare);
+    json::<users::JobSpec>(&bare);
     for rank in ["production", "high", "standard", "best_effort"] {
-        json::<users::Spec>(
+        json::<users::JobSpec>(
             &SUBMISSION.replace(r#""rank":"high""#, &format!(r#""rank":"{rank}""#)),
         );
     }
@@ -91,11 +91,11 @@
     for cause in ["done", "halted", "error", "no_room", "busy", "no_such"] {
         json::<workers::Cause>(&format!("\"{cause}\""));
     }
-    json::<workers::Orders>(
+    json::<workers::WorkerCommands>(
         r#"{"baton":41,"orders":[{"verb":"start","load":"job-000412/4","try":2},{"verb":"halt","load":"job-000377/1","try":1,"wind_down_s":10.0},{"verb":"clear","load":"job-000398/0","try":1}]}"#,
     );
-    json::<workers::Elsewhere>(r#"{"steward":"stead-2"}"#);
-    json::<workers::Elsewhere>("{}");
+    json::<workers::Redirect>(r#"{"steward":"stead-2"}"#);
+    json::<workers::Redirect>("{}");
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let commit = state::Commit {
         conditions: vec![state::If { key: "a/b".into(), stamp: 0 }],
         writes: vec![
-            state::Write::Put { write: "a/b".into(), data: state::raw(&[1]), tenancy: Some(7) },
+            state::Write::Put { write: "a/b".into(), data: state::raw(&[1]), lease_id: Some(7) },
             state::Write::put("a/c".into(), &"x"),
             state::Write::Remove { remove: "c/d".into() },
         ],
@@ -129,8 +129,8 @@
     );
     json::<state::Committed>(r#"{"ledger_rev":432}"#);
     json::<state::Conflict>(r#"{"failed":["a/b"],"ledger_rev":431}"#);
-    json::<state::NewHold>(r#"{"life_ms":5000}"#);
-    json::<state::Hold>(r#"{"tenancy":7}"#);
+    json::<state::NewLease>(r#"{"life_ms":5000}"#);
+    json::<state::Lease>(r#"{"tenancy":7}"#);
     assert_eq!(state::list_path("c/", None, 200), "/store?prefix=c/&limit=200");
     assert_eq!(state::list_path("c/", Some("c/7"), 200), "/store?prefix=c/&since=c/7&limit=200");
     assert_eq!(state::changes_path("c/", 431, 0), "/changes?prefix=c/&since=431&block_ms=0");
