--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -287,7 +287,7 @@
     let mut specs = w
         .keys
         .iter()
-        .filter(|(k, _)| k.starts_with(&mountgap::bookkeeping::records::batch_key("")))
+        .filter(|(k, _)| k.starts_with(&mountgap::storage::records::batch_key("")))
         .flat_map(|(_, v)| v.0["jobs"].as_array().into_iter().flatten());
     let spec = specs.find(|s| s["uid"] == job)?;
     let run = spec["run_guess_s"].as_f64().unwrap_or(0.0);
--- a/src/constants.rs
+++ b/src/constants.rs
@@ -89,7 +89,7 @@
 pub const WATCH_CALL_MS: u64 = 8_000;
 /// Milliseconds between zero-wait reads when nobody asks for one: shows whether the
 /// state service serves us and replaces a stuck watch.
-pub const PULSE_MS: u64 = 700;
+pub const READ_PERIOD_MS: u64 = 700;
 /// Least milliseconds between two zero-wait reads; polls in between share one.
 pub const FRESH_GAP_MS: u64 = 20;
 /// Milliseconds to wait before asking again after the state service refused.
@@ -138,7 +138,7 @@
 /// Groups that are written only to take out what has ended, with each batch of bitmaps.
 pub const CLEAN_GROUPS: usize = 2;
 /// Orders in one answer: at less than these bytes each, its line stays under 64 KiB.
-pub const ORDERS_MAX: usize = 500;
+pub const COMMANDS_MAX: usize = 500;
 /// Images remembered for a machine.
 pub const IMAGES_KEPT: usize = 10;
 /// Milliseconds between two writes of the images that machines hold: hints for a new leader.
@@ -175,7 +175,7 @@
 /// for refused, for `/up` and relaying.
 pub const STATE_LOST_MS: u64 = 2_000;
 /// Milliseconds of silence of all workers, while peers see them, before a leader hands over.
-pub const LEADER_DEAF_MS: u64 = 9_000;
+pub const LEADER_UNHEARD_MS: u64 = 9_000;
 
 // --- workers --------------------------------------------------------------------
 
@@ -190,18 +190,18 @@
 /// Milliseconds for which what is known of cancellations is recent enough to order a start: one
 /// period of reads and the longest wait for an answer, so that a start waits for nothing while
 /// the state service answers at all.
-pub const START_KNOWN_MS: u64 = PULSE_MS + STATE_CALL_MS + 100;
+pub const START_READ_AGE_MAX_MS: u64 = READ_PERIOD_MS + STATE_CALL_MS + 100;
 /// Milliseconds without a read of the store after which a leader asks its peers for ends: one
 /// period of reads and an answer as slow as most slow ones, so that a quiet day asks nothing.
-pub const BLIND_ASK_MS: u64 = PULSE_MS + 300;
+pub const ISOLATED_ASK_MS: u64 = READ_PERIOD_MS + 300;
 /// Ends that a controller names to a peer at most. Far more than users cancel in the longest
 /// outage that leases outlive; beyond it, leases count from the last read alone.
-pub const ENDS_TOLD_MAX: usize = 4_096;
+pub const ENDS_NAMED_MAX: usize = 4_096;
 /// Milliseconds between two looks for leases that have run out: far less than a lease, and more
 /// than a batch of commands takes, since it looks at every machine.
-pub const LAPSE_LOOK_MS: u64 = 100;
+pub const LEASE_SCAN_MS: u64 = 100;
 /// Longest time in milliseconds that the answer to a report waits for a commit that
-/// may add orders to it; a worker gives up after 4 s.
+/// may add commands to it; a worker gives up after 4 s.
 pub const REPORT_HOLD_MS: u64 = 400;
 /// Seconds that a worker waits for an answer (protocol).
 pub const WORKER_WAIT_S: f64 = 4.0;
@@ -214,18 +214,18 @@
 
 /// Signs in a row that our answers do not reach a machine, after which it is held for deaf: one
 /// may be a copy of an old report or an answer that came too late.
-pub const DEAF_SIGNS: u32 = 3;
+pub const UNREACHABLE_SIGNS: u32 = 3;
 /// Signs that a session which ended in spite of a recent answer counts for.
-pub const DEAF_SESSION_SIGNS: u32 = 2;
+pub const UNREACHABLE_SESSION_SIGNS: u32 = 2;
 /// Leases without a further sign after which a machine is no longer held for deaf: one that
 /// no answer reaches begins a new session with every lease.
-pub const DEAF_CALM_LEASES: f64 = 1.3;
+pub const UNREACHABLE_CALM_LEASES: f64 = 1.3;
 
 /// Seconds of `grace_s` beyond a task's `checkpoint_cost_s`: a machine may be slow.
 pub const GRACE_EXTRA_S: f64 = 1.0;
 
 /// Milliseconds between two lines of the leader on how things stand.
-pub const STORY_PERIOD_MS: u64 = 10_000;
+pub const STATUS_LOG_PERIOD_MS: u64 = 10_000;
 
 // --- planning -------------------------------------------------------------------
 
@@ -277,13 +277,13 @@
 /// Milliseconds of waiting after which a job of which no task ever started goes first,
 /// whatever its rank: users want the largest jobs to begin within four minutes, a place may
 /// have to be waited for (half a minute) and its image fetched (up to one and a half).
-pub const AGED_MS: u64 = 120_000;
+pub const STARVING_MS: u64 = 120_000;
 /// Milliseconds after which a job that has begun gets its part of the places ahead of
 /// jobs that can still be in time.
-pub const AGED_LATE_MS: u64 = 240_000;
+pub const STARVING_BEGUN_MS: u64 = 240_000;
 /// One in so many of the free places goes to jobs that have waited too long: enough that
 /// they end, and little enough that others are not late for them.
-pub const AGED_PLACES: usize = 4;
+pub const STARVING_PLACES_PART: usize = 4;
 /// Parts of what the whole fleet does in a millisecond, in which jobs' work is ordered: a heap
 /// takes no fractions.
 pub const WORK_UNITS: f64 = 1e6;
@@ -303,9 +303,9 @@
 /// Different machines on which a job failed, with no success, before it is held for a bad job.
 pub const BAD_JOB_MACHINES: usize = 2;
 /// Failures on a machine of jobs not held for bad before the machine is set aside.
-pub const SICK_FAILURES: u32 = 2;
+pub const FAULTY_FAILURES: u32 = 2;
 /// Milliseconds for which a failure counts against a machine.
-pub const SICK_WINDOW_MS: u64 = 60_000;
+pub const FAULTY_WINDOW_MS: u64 = 60_000;
 
 // --- fleet ----------------------------------------------------------------------
 
@@ -325,20 +325,20 @@
 pub const RENT_MAX: usize = 50;
 /// Machines in one deletion; the protocol's maximum.
 pub const DELETE_MAX: usize = 100;
-/// Times its `ready_s` after which a booting machine no longer counts as coming soon.
+/// Times its `boot_s` after which a booting machine no longer counts as coming soon.
 pub const BOOT_LATE: f64 = 1.8;
 /// Machines of a kind on their way from which on tasks may wait for one rather than queue their
 /// image on another: of so many one is up every few seconds, while the boot of a single one
 /// may take half as long again as expected.
 pub const COMING_MANY: u64 = 32;
-/// A booting machine past its `ready_s` is expected within this part of it.
+/// A booting machine past its `boot_s` is expected within this part of it.
 pub const BOOT_SOON_PART: u64 = 8;
-/// Times its `ready_s` after which a booting machine is deleted.
+/// Times its `boot_s` after which a booting machine is deleted.
 pub const BOOT_LOST: f64 = 2.8;
-/// Times its `ready_s` that an idle machine is kept: to rent it again costs a boot and the
+/// Times its `boot_s` that an idle machine is kept: to rent it again costs a boot and the
 /// fetch of its images, so that returning it pays only after about as long.
 pub const IDLE_RETURN_BOOTS: f64 = 1.0;
-/// Times `ready_s` that a task may have to wait for a machine we have before another one is
+/// Times `boot_s` that a task may have to wait for a machine we have before another one is
 /// rented for it.
 pub const RENT_PATIENCE_BOOTS: f64 = 0.5;
 /// Seconds paid for at least (protocol: a deleted machine costs at least 60 s): returning
@@ -349,14 +349,14 @@
 /// Machines' worth of room kept free beside the share, so that small fleets keep some too.
 pub const HEADROOM_MACHINES: f64 = 0.5;
 /// Milliseconds for which there must be too much room before a machine is emptied.
-pub const ROOMY_MS: u64 = 8_000;
+pub const EXCESS_ROOM_MS: u64 = 8_000;
 /// Share of the machines that may be closed, or opened again, at a time.
 pub const CLOSE_SHARE: f64 = 0.06;
 /// Machines' worth of tasks without a place, as a share of the machines, beyond which none is
 /// closed: in a small fleet any such task, in a large one not just a few.
-pub const UNMET_SHARE: f64 = 0.002;
+pub const UNPLACED_SHARE: f64 = 0.002;
 /// Load up to which a machine with services is emptied by moving them.
-pub const THIN_SHARE: f64 = 0.5;
+pub const LOW_LOAD_SHARE: f64 = 0.5;
 /// Services moved at a time, as a share of the machines; one at the least.
 pub const MOVE_SHARE: f64 = 0.01;
 /// Milliseconds between two moves of services: each is a short gap for its users.
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -6,12 +6,12 @@
 //! One commit is under way at a time. Each depends on the stamp of the leader key, of every
 //! key that it writes, and on every job that it starts not having ended.
 
-use super::leader::InFlight;
+use super::leader::PendingCommit;
 use super::*;
-use crate::bookkeeping::books::*;
-use crate::bookkeeping::records::*;
 use crate::protocol::state::{raw, Committed, Conflict, If, Write, COMMIT_PATH};
 use crate::protocol::workers::Cause;
+use crate::storage::cluster::*;
+use crate::storage::records::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A placement that a commit stores or takes out: group, machine, task, attempt.
@@ -59,31 +59,31 @@
     pub(super) fn commit_due(&mut self) {
         let now = self.now.mono;
         let Some(l) = self.leader.as_mut() else { return };
-        if let Some(f) = &l.flight {
+        if let Some(f) = &l.pending_commit {
             if !f.sent && f.reading.is_none() && now >= f.not_before {
-                self.send_flight();
+                self.send_commit();
             }
             return;
         }
         // What was never stored needs no commit to be over.
-        if l.books.settle_loose() {
+        if l.cluster.settle_loose() {
             l.plan_soon(now);
         }
         let batch = now >= l.done_at;
-        let urgent = !l.books.proposals.is_empty()
-            || !l.books.complete.is_empty()
-            || l.books.groups.values().any(|g| g.urgent);
+        let urgent = !l.cluster.proposals.is_empty()
+            || !l.cluster.complete.is_empty()
+            || l.cluster.groups.values().any(|g| g.urgent);
         if (urgent || batch) && self.served() {
             let left = (self.writes.left(now) - c::WRITE_RESERVE).max(0.0) as usize;
             if left > 0 {
-                self.build_flight(batch, left.min(self.cfg.params.state.txn_ops));
-                self.send_flight();
+                self.build_commit(batch, left.min(self.cfg.params.state.txn_ops));
+                self.send_commit();
             }
         }
     }
 
     /// Packs what is to be written into one commit, the most urgent first.
-    fn build_flight(&mut self, batch: bool, max_ops: usize) {
+    fn build_commit(&mut self, batch: bool, max_ops: usize) {
         let now = self.now.mono;
         let cap = (self.cfg.params.state.value_kb * 1024.0) as usize;
         let Some(l) = self.leader.as_mut() else { return };
@@ -95,16 +95,16 @@
             max_ifs: self.cfg.params.state.txn_ops * 4,
             cap,
         };
-        let mut f = InFlight::default();
-        let starting = !l.books.proposals.is_empty();
+        let mut f = PendingCommit::default();
+        let starting = !l.cluster.proposals.is_empty();
         // Ends of jobs: users wait for them, but starts go along.
         let ends = if starting { max_ops.div_ceil(2) } else { max_ops };
-        for uid in &l.books.complete {
-            let Some(job) = l.books.jobs.get(uid) else { continue };
+        for uid in &l.cluster.complete {
+            let Some(job) = l.cluster.jobs.get(uid) else { continue };
             let rec = EndRec {
                 at: job.at_wall,
                 stage: Stage::Done,
-                loads: job.loads,
+                tasks: job.tasks,
                 done: job.done_count,
             };
             if p.writes.len() >= ends || !p.put(end_key(uid), raw(&rec), 0) {
@@ -114,9 +114,9 @@
         }
         if batch {
             l.done_at = now + c::DONE_BATCH_MS;
-            l.books.pack_done(&mut p, &mut f, usize::from(starting));
+            l.cluster.pack_done(&mut p, &mut f, usize::from(starting));
         }
-        l.books.pack_places(&mut p, &mut f, batch);
+        l.cluster.pack_places(&mut p, &mut f, batch);
         if batch {
             // Hints and tidying up only with writes to spare.
             let plenty = self.writes.left(now) >= self.writes.burst() * c::WRITES_SHORT_SHARE;
@@ -131,18 +131,22 @@
         f.commit = Commit { conditions, writes: p.writes };
         f.body = serde_json::to_vec(&f.commit).unwrap_or_default();
         if let Some(l) = self.leader.as_mut() {
-            l.flight = Some(f);
+            l.pending_commit = Some(f);
         }
     }
 
     /// Catalogue, shares, images on machines, and keys that nobody needs any more.
-    fn pack_rest(&mut self, p: &mut Packer, f: &mut InFlight) {
+    fn pack_rest(&mut self, p: &mut Packer, f: &mut PendingCommit) {
         let now = self.now.mono;
         let Some(l) = self.leader.as_mut() else { return };
         if let Some(catalog) = self.catalog.as_ref().filter(|_| !l.catalog_written) {
             let known = self.replica.catalog.as_ref();
             let alike = known.is_some_and(|k| {
-                k.value.builds.iter().map(|b| &b.sku).eq(catalog.builds.iter().map(|b| &b.sku))
+                k.value
+                    .machine_types
+                    .iter()
+                    .map(|b| &b.type_name)
+                    .eq(catalog.machine_types.iter().map(|b| &b.type_name))
             });
             let stamp = known.map_or(0, |k| k.stamp);
             l.catalog_written = alike || p.put(catalog_key(), raw(&**catalog), stamp);
@@ -155,7 +159,7 @@
         }
         if now >= l.images_at {
             let mut all = true;
-            for (n, rec) in l.books.image_records(p.cap).into_iter().enumerate() {
+            for (n, rec) in l.cluster.image_records(p.cap).into_iter().enumerate() {
                 let known = self.replica.images.get(&(n as u32));
                 if known.is_none_or(|k| k.value != rec) {
                     let stamp = known.map_or(0, |k| k.stamp);
@@ -166,31 +170,31 @@
                 l.images_at = now + c::IMAGES_PERIOD_MS;
             }
         }
-        if now >= l.garbage_at && l.books.garbage.is_empty() {
+        if now >= l.garbage_at && l.cluster.garbage.is_empty() {
             l.garbage_at = now + c::GARBAGE_PERIOD_MS;
             // Batches whose jobs are all over, with nothing left on machines.
             let over = |uid: &Name| {
                 self.replica.jobs.get(uid).is_some_and(|j| j.value.stage != Stage::Live)
-                    && !l.books.jobs.contains_key(uid)
+                    && !l.cluster.jobs.contains_key(uid)
             };
             for (id, batch) in &self.replica.batches {
                 if batch.value.iter().all(over) {
-                    l.books.garbage.push((batch_key(id), batch.stamp));
+                    l.cluster.garbage.push((batch_key(id), batch.stamp));
                 }
             }
         }
         while p.room(1, 1) {
-            let Some((key, stamp)) = l.books.garbage.pop() else { break };
+            let Some((key, stamp)) = l.cluster.garbage.pop() else { break };
             p.ifs.insert(key.clone(), stamp);
             p.writes.push(Write::Remove { remove: key.clone() });
             f.garbage.push((key, stamp));
         }
     }
 
-    fn send_flight(&mut self) {
+    fn send_commit(&mut self) {
         let now = self.now.mono;
         let Some(l) = self.leader.as_mut() else { return };
-        let Some(f) = l.flight.as_mut() else { return };
+        let Some(f) = l.pending_commit.as_mut() else { return };
         let n = f.commit.writes.len() as f64;
         if !self.writes.take(n, 0.0, now) {
             return;
@@ -206,11 +210,11 @@
         let now = self.now.mono;
         // An answer to a commit of an earlier term of ours says nothing about this one's.
         let Some(l) = self.leader.as_mut().filter(|l| l.term == term) else { return };
-        let Some(f) = l.flight.as_mut() else { return };
+        let Some(f) = l.pending_commit.as_mut() else { return };
         f.sent = false;
         match reply {
             Some((200, body)) => match serde_json::from_slice::<Committed>(&body) {
-                Ok(done) => self.flight_applied(done.ledger_rev),
+                Ok(done) => self.commit_applied(done.ledger_rev),
                 Err(_) => f.unclear = true,
             },
             Some((409, body)) => {
@@ -227,14 +231,14 @@
             Some((429 | 503, _)) => {
                 f.not_before = now + c::STATE_RETRY_MS;
                 if !f.unclear {
-                    self.flight_dropped();
+                    self.commit_dropped();
                 }
             }
             Some((status, body)) => {
                 log::error!("commit answered {status}: {}", String::from_utf8_lossy(&body));
                 f.not_before = now + c::STATE_RETRY_MS;
                 if !f.unclear {
-                    self.flight_dropped();
+                    self.commit_dropped();
                 }
             }
             None => f.unclear = true,
@@ -242,9 +246,9 @@
     }
 
     /// A refused commit, after a fresh read: applied by an earlier copy, or not at all.
-    pub(super) fn resolve_flight(&mut self, begun: u64) {
+    pub(super) fn resolve_commit(&mut self, begun: u64) {
         let Some(l) = self.leader.as_mut() else { return };
-        let Some(f) = l.flight.as_mut() else { return };
+        let Some(f) = l.pending_commit.as_mut() else { return };
         let Some(since) = f.reading else { return };
         if begun < since {
             // A read from before the refusal can't tell.
@@ -252,7 +256,7 @@
         }
         f.reading = None;
         if !f.unclear {
-            return self.flight_dropped();
+            return self.commit_dropped();
         }
         // All or nothing: one written key tells.
         let applied = f.commit.writes.iter().find_map(|w| {
@@ -267,84 +271,84 @@
             self.replica.holds(write, data).then_some(stamp)
         });
         match applied {
-            Some(rev) => self.flight_applied(rev),
-            None => self.flight_dropped(),
+            Some(rev) => self.commit_applied(rev),
+            None => self.commit_dropped(),
         }
     }
 
     /// The commit was not applied and never will be: all of it is to be written again.
-    fn flight_dropped(&mut self) {
+    fn commit_dropped(&mut self) {
         let Some(l) = self.leader.as_mut() else { return };
-        let Some(f) = l.flight.take() else { return };
+        let Some(f) = l.pending_commit.take() else { return };
         for (uid, chunk) in f.chunks {
-            if let Some(j) = l.books.jobs.get_mut(&uid).filter(|j| j.stage == Stage::Live) {
+            if let Some(j) = l.cluster.jobs.get_mut(&uid).filter(|j| j.stage == Stage::Live) {
                 j.dirty_chunks.insert(chunk);
                 if let Some(g) = j.chunk_groups.get(&chunk) {
-                    l.books.done_groups.entry(*g).or_default().dirty = true;
+                    l.cluster.done_groups.entry(*g).or_default().dirty = true;
                 }
             }
         }
         for e in &f.adds {
-            let held = l.books.machines.get(&e.machine).and_then(|m| m.placements.get(&e.id));
+            let held = l.cluster.machines.get(&e.machine).and_then(|m| m.placements.get(&e.id));
             let kept = held.is_some_and(|p| p.attempt == e.attempt && p.phase == Phase::Committed);
             match kept {
                 // On the machine whatever the store says: it must be recorded.
-                true => l.books.proposals.push_back((e.machine.clone(), e.id.clone())),
-                false => l.books.retract(&e.machine, &e.id),
+                true => l.cluster.proposals.push_back((e.machine.clone(), e.id.clone())),
+                false => l.cluster.retract(&e.machine, &e.id),
             }
         }
         // Stamps of keys that changed under us are taken from the replica. Only our own
         // earlier commits and users' requests write, so nothing is lost by that.
         for n in f.groups {
-            if let Some(g) = l.books.groups.get_mut(&n) {
+            if let Some(g) = l.cluster.groups.get_mut(&n) {
                 g.stamp = self.replica.stamp(&place_key(n));
                 g.urgent |= !g.leaving.is_empty();
             }
         }
         for n in f.done_groups {
-            if let Some(g) = l.books.done_groups.get_mut(&n) {
+            if let Some(g) = l.cluster.done_groups.get_mut(&n) {
                 g.stamp = self.replica.stamp(&done_key(n));
             }
         }
         for (key, before) in f.garbage {
             // Only what is still as it was: it may have come into use again.
             if self.replica.stamp(&key) == before && before != 0 {
-                l.books.garbage.push((key, before));
+                l.cluster.garbage.push((key, before));
             }
         }
         l.plan_soon(self.now.mono);
         self.check_term();
     }
 
-    fn flight_applied(&mut self, rev: u64) {
+    fn commit_applied(&mut self, rev: u64) {
         let now = self.now.mono;
         let Some(l) = self.leader.as_mut() else { return };
-        let Some(f) = l.flight.take() else { return };
+        let Some(f) = l.pending_commit.take() else { return };
         for n in &f.groups {
-            l.books.groups.entry(*n).or_default().stamp = rev;
+            l.cluster.groups.entry(*n).or_default().stamp = rev;
         }
         for n in &f.done_groups {
-            l.books.done_groups.entry(*n).or_default().stamp = rev;
+            l.cluster.done_groups.entry(*n).or_default().stamp = rev;
         }
         for uid in &f.finishes {
             log::debug!("{uid}: done");
-            l.books.end_job(uid, Stage::Done);
+            l.cluster.end_job(uid, Stage::Done);
         }
         for e in &f.leaves {
-            if let Some(g) = l.books.groups.get_mut(&e.group) {
+            if let Some(g) = l.cluster.groups.get_mut(&e.group) {
                 let key = (e.id.clone(), e.attempt);
                 g.leaving.remove(&key);
                 if let Some((_, bytes)) = g.tasks.remove(&key) {
                     g.bytes -= bytes;
                 }
             }
-            l.books.settled(&e.machine, &e.id, e.attempt);
+            l.cluster.settled(&e.machine, &e.id, e.attempt);
         }
         for e in &f.adds {
-            let g = l.books.groups.entry(e.group).or_default();
+            let g = l.cluster.groups.entry(e.group).or_default();
             g.bytes += e.bytes;
             g.tasks.insert((e.id.clone(), e.attempt), (e.machine.clone(), e.bytes));
-            l.books.committed(&e.machine, &e.id, e.attempt, e.group);
+            l.cluster.committed(&e.machine, &e.id, e.attempt, e.group);
         }
         if !f.leaves.is_empty() {
             l.plan_soon(now);
@@ -354,9 +358,9 @@
     }
 }
 
-impl Books {
+impl ClusterState {
     /// Bitmaps that changed, as far as they fit beside `keep` other writes.
-    fn pack_done(&mut self, p: &mut Packer, f: &mut InFlight, keep: usize) {
+    fn pack_done(&mut self, p: &mut Packer, f: &mut PendingCommit, keep: usize) {
         let cap = p.cap - c::GROUP_FRAME_BYTES;
         let dirty: Vec<(Name, u32)> = self
             .queue
@@ -408,7 +412,7 @@
     }
 
     /// Whether a settled placement may be taken out of the store: what it did must be there.
-    fn may_leave(&self, machine: &Name, id: &TaskId, f: &InFlight) -> bool {
+    fn may_leave(&self, machine: &Name, id: &TaskId, f: &PendingCommit) -> bool {
         let cause = self.machines.get(machine).and_then(|m| m.placements.get(id)?.ended);
         if cause != Some(Cause::Done) || f.finishes.contains(&id.0) {
             return true;
@@ -421,7 +425,7 @@
 
     /// Starts and settlements. What starts goes to the groups where most room is or has
     /// fallen free, those first whose settlements are urgent.
-    fn pack_places(&mut self, p: &mut Packer, f: &mut InFlight, batch: bool) {
+    fn pack_places(&mut self, p: &mut Packer, f: &mut PendingCommit, batch: bool) {
         let cap = p.cap - c::GROUP_FRAME_BYTES;
         let mut leaving: BTreeMap<u32, Vec<Entry>> = BTreeMap::new();
         let mut fill: BTreeMap<u32, usize> = BTreeMap::new();
@@ -460,7 +464,7 @@
             let Some(m) = self.machines.get(&machine) else { continue };
             let Some(held) = m.placements.get(&id).filter(|x| x.ended.is_none()) else { continue };
             let live = self.jobs.get(&id.0).is_some_and(|j| j.stage == Stage::Live);
-            let there = m.life == Life::Up && !m.lapsed && m.reclaim_at.is_none();
+            let there = m.life == Life::Up && !m.lease_expired && m.reclaim_at.is_none();
             if held.phase == Phase::Proposed && (!live || !there || held.halt.is_some()) {
                 self.retract(&machine, &id);
                 continue;
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,8 +1,8 @@
 //! Leadership: a leased key, and a term that only grows, taken in one commit.
 
 use super::*;
-use crate::bookkeeping::records::*;
 use crate::protocol::state::{raw, Committed, If, Lease, NewLease, Write, COMMIT_PATH};
+use crate::storage::records::*;
 
 /// How far this controller is with becoming leader.
 #[derive(Debug, Default)]
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -3,19 +3,19 @@
 use super::leader::View;
 use super::planner::Plan;
 use super::*;
-use crate::bookkeeping::books::*;
-use crate::bookkeeping::records::*;
-use crate::protocol::cloud::{hosts_path, Build, Host, HostStatus, Hosts, Names, Rent};
+use crate::protocol::cloud::{hosts_path, Host, HostStatus, Hosts, MachineType, Names, Rent};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::Cause;
 use crate::protocol::Resources;
+use crate::storage::cluster::*;
+use crate::storage::records::*;
 use std::collections::{HashSet, VecDeque};
 
 /// A rental under way. Its name is never used for another one.
 #[derive(Debug, Clone)]
 pub(crate) struct Rental {
     request_id: String,
-    build: usize,
+    machine_type: usize,
     zone: String,
     spot: bool,
     number: usize,
@@ -26,11 +26,11 @@
 
 /// Tasks that found no room in the last pass.
 #[derive(Debug, Clone)]
-struct Unmet {
+struct UnplacedTasks {
     need: Resources,
     spot_ok: bool,
     service: bool,
-    skus: Vec<bool>,
+    allowed_types: Vec<bool>,
     zone: Option<String>,
     /// Tasks, and slots that are wanted for them.
     slots: f64,
@@ -52,14 +52,14 @@
     rentals: Vec<Rental>,
     no_capacity: HashMap<Kind, u64>,
     gone: HashSet<Name>,
-    unmet: Vec<Unmet>,
+    unplaced: Vec<UnplacedTasks>,
     /// Arrivals of service tasks: when, how many.
     arrivals: VecDeque<(u64, u32)>,
     /// Arrivals of batch work: when, milliseconds times the share of a machine it takes.
     work: VecDeque<(u64, f64)>,
     seen_arrival: u64,
     /// Since when there has been more room than is wanted.
-    roomy_since: Option<u64>,
+    excess_since: Option<u64>,
     /// When the next service may be moved.
     move_at: u64,
     cloud_at: u64,
@@ -75,23 +75,24 @@
     }
 
     /// A pass found nothing waiting.
-    pub(super) fn none_unmet(&mut self) {
-        self.unmet.clear();
+    pub(super) fn none_unplaced(&mut self) {
+        self.unplaced.clear();
     }
 
     /// Remembers what a pass found no room for.
-    pub(super) fn note_unmet(&mut self, view: &View, plan: &Plan, catalog: &Catalog) {
-        let ready_ms = catalog.builds.iter().map(|b| b.ready_s).fold(0.0, f64::max) * c::MS_PER_S;
+    pub(super) fn note_unplaced(&mut self, view: &View, plan: &Plan, catalog: &Catalog) {
+        let boot_ms =
+            catalog.machine_types.iter().map(|b| b.boot_s).fold(0.0, f64::max) * c::MS_PER_S;
         let s = &view.snapshot;
-        self.unmet.clear();
-        let patience = ready_ms * c::RENT_PATIENCE_BOOTS;
+        self.unplaced.clear();
+        let patience = boot_ms * c::RENT_PATIENCE_BOOTS;
         let dearer = catalog
-            .builds
+            .machine_types
             .iter()
-            .filter(|b| b.low_price > 0.0)
-            .map(|b| b.rate / b.low_price)
+            .filter(|b| b.spot_price > 0.0)
+            .map(|b| b.rate / b.spot_price)
             .fold(1.0, f64::max);
-        for (j, n) in plan.unmet.iter().enumerate() {
+        for (j, n) in plan.unplaced.iter().enumerate() {
             let job = &s.jobs[j];
             // What will soon find a place on what we have needs no new machine.
             let within =
@@ -118,11 +119,11 @@
             // A slot serves short tasks one after the other.
             let run_s = job.run_ms as f64 / c::MS_PER_S;
             let per_task = if job.service { 1.0 } else { (run_s / c::DRAIN_TARGET_S).min(1.0) };
-            self.unmet.push(Unmet {
+            self.unplaced.push(UnplacedTasks {
                 need: job.need,
                 spot_ok: job.spot_ok,
                 service: job.service,
-                skus: job.skus.clone(),
+                allowed_types: job.allowed_types.clone(),
                 zone: job.zone.map(|z| view.zones[z].clone()),
                 slots: left as f64 * per_task,
                 dear: left.min(i64::from(dear)) as f64 * per_task,
@@ -229,7 +230,7 @@
         self.list_complete(begun);
     }
 
-    /// Compares a whole list with the books. A list asked for at `begun` describes a moment
+    /// Compares a whole list with the state. A list asked for at `begun` describes a moment
     /// no more than twice the lag earlier.
     fn list_complete(&mut self, begun: u64) {
         let now = self.now.mono;
@@ -246,10 +247,10 @@
                 continue;
             }
             let name: Name = h.uid.as_str().into();
-            let new = !l.books.machines.contains_key(&name);
-            let m = l.books.machine_entry(&name, now);
-            if m.sku.is_empty() {
-                m.sku = h.build.clone();
+            let new = !l.cluster.machines.contains_key(&name);
+            let m = l.cluster.machine_entry(&name, now);
+            if m.type_name.is_empty() {
+                m.type_name = h.machine_type.clone();
                 m.zone = h.zone.clone();
                 m.spot = h.spot;
             }
@@ -264,7 +265,7 @@
             // boot: a new leader once returned healthy machines for that.
             if m.life == Life::Booting && h.status == HostStatus::Running {
                 m.life = Life::Unheard;
-                m.known_at = now;
+                m.confirmed_read_at = now;
             }
             if h.status == HostStatus::Failed && !m.failed && m.life != Life::Gone {
                 dead.push(name);
@@ -272,18 +273,19 @@
         }
         for name in dead {
             log::info!("{name}: listed as failed");
-            l.books.settle_all(&name);
-            if let Some(m) = l.books.machines.get_mut(&name) {
+            l.cluster.settle_all(&name);
+            if let Some(m) = l.cluster.machines.get_mut(&name) {
                 m.draining = true;
-                m.lapsed = true;
+                m.lease_expired = true;
                 m.failed = true;
             }
             l.plan_soon(now);
         }
         let mut gone = Vec::new();
-        for m in l.books.machines.values() {
-            let known_at = m.listed_at.or(m.up_at).unwrap_or(m.known_at);
-            if m.life != Life::Gone && !listed.contains(&*m.name) && begun > known_at + lag {
+        for m in l.cluster.machines.values() {
+            let confirmed_read_at = m.listed_at.or(m.up_at).unwrap_or(m.confirmed_read_at);
+            if m.life != Life::Gone && !listed.contains(&*m.name) && begun > confirmed_read_at + lag
+            {
                 // A worker that reported after that moment is surely there.
                 if m.reported_at.is_none_or(|t| begun > t + lag) {
                     gone.push(m.name.clone());
@@ -303,8 +305,8 @@
             return;
         };
         l.fleet.gone.insert(name.clone());
-        l.books.settle_all(name);
-        if let Some(m) = l.books.machines.get_mut(name) {
+        l.cluster.settle_all(name);
+        if let Some(m) = l.cluster.machines.get_mut(name) {
             m.life = Life::Gone;
             m.images.clear();
         }
@@ -316,17 +318,17 @@
         // A placement whose commit was under way when its machine was found gone or silent was
         // never ordered; it once stayed for ever, and its task with it.
         let mut over: Vec<(Name, TaskId)> = Vec::new();
-        for m in l.books.machines.values().filter(|m| m.life == Life::Gone || m.lapsed) {
-            // On a silent one only what was not ordered since it lapsed.
+        for m in l.cluster.machines.values().filter(|m| m.life == Life::Gone || m.lease_expired) {
+            // On a silent one only what was not ordered since it expired.
             let never = |p: &Placement| m.life == Life::Gone || p.ordered.is_none();
             let open = |p: &Placement| p.ended.is_none() && p.phase == Phase::Committed;
             let ids = m.placements.iter().filter(|(_, p)| open(p) && never(p));
             over.extend(ids.map(|(id, _)| (m.name.clone(), id.clone())));
         }
         for (name, id) in over {
-            l.books.settle(&name, &id, Cause::Lost);
+            l.cluster.settle(&name, &id, Cause::Lost);
         }
-        l.books.machines.retain(|_, m| m.life != Life::Gone || !m.placements.is_empty());
+        l.cluster.machines.retain(|_, m| m.life != Life::Gone || !m.placements.is_empty());
     }
 
     /// Empties the dearest thinly used machines when the others have room for their work and
@@ -338,18 +340,18 @@
         let Some(catalog) = self.catalog.clone() else { return };
         let Some(l) = self.leader.as_mut() else { return };
         let spare = l.spare_slots(now, &catalog);
-        let books = &l.books;
+        let cluster = &l.cluster;
         let load = |m: &Machine| {
             let mut used = m.total;
-            used -= books.free(m);
+            used -= cluster.free(m);
             used.share_of(&m.total)
         };
         let open: Vec<(&Machine, f64)> =
-            books.machines.values().filter(|m| usable(m)).map(|m| (m, load(m))).collect();
+            cluster.machines.values().filter(|m| usable(m)).map(|m| (m, load(m))).collect();
         let mut free: f64 = open.iter().map(|(_, share)| 1.0 - share).sum();
         let busy: f64 = open.iter().map(|(_, share)| share).sum();
         let batch_now: f64 =
-            open.iter().map(|(m, share)| share * (1.0 - service_share(books, m))).sum();
+            open.iter().map(|(m, share)| share * (1.0 - service_share(cluster, m))).sum();
         // What comes at the usual rate may be more than what runs at this moment.
         let lull = (l.batch_machines(now) - batch_now).max(0.0);
         let headroom = (busy + lull) * op.headroom_share + lull + c::HEADROOM_MACHINES;
@@ -357,14 +359,15 @@
         // A few tasks that find no place for reasons of their own (a zone, a kind of machine) must
         // not keep hundreds of machines open.
         let whole = open.first().map_or(Resources::default(), |(m, _)| m.total);
-        let unmet: f64 = l.fleet.unmet.iter().map(|u| u.slots * u.need.share_of(&whole)).sum();
-        let unmet = unmet > open.len() as f64 * c::UNMET_SHARE;
-        let short = unmet || free < headroom || early;
+        let unplaced: f64 =
+            l.fleet.unplaced.iter().map(|u| u.slots * u.need.share_of(&whole)).sum();
+        let unplaced = unplaced > open.len() as f64 * c::UNPLACED_SHARE;
+        let short = unplaced || free < headroom || early;
         let most = ((open.len() as f64 * c::CLOSE_SHARE) as usize).max(1);
         if short {
-            l.fleet.roomy_since = None;
+            l.fleet.excess_since = None;
             // The fullest first: they have the most work that need not move.
-            let mut again: Vec<(f64, Name)> = books
+            let mut again: Vec<(f64, Name)> = cluster
                 .machines
                 .values()
                 .filter(|m| m.closing && m.life == Life::Up && !m.draining)
@@ -372,7 +375,7 @@
                 .collect();
             again.sort_by(|a, b| b.0.total_cmp(&a.0));
             for (_, name) in again.into_iter().take(most) {
-                if let Some(m) = l.books.machines.get_mut(&name) {
+                if let Some(m) = l.cluster.machines.get_mut(&name) {
                     log::debug!("{name}: opened again");
                     m.closing = false;
                     l.plan_soon(now);
@@ -381,17 +384,17 @@
             return;
         }
         let room = |m: &Machine| match &spare {
-            Some((need, _)) if !m.spot => books.room_for_services(m).times(need) as f64,
+            Some((need, _)) if !m.spot => cluster.room_for_services(m).times(need) as f64,
             _ => 0.0,
         };
         let mut ordinary_free: f64 = open.iter().map(|(m, _)| room(m)).sum();
         let want = spare.as_ref().map_or(0.0, |(_, w)| *w);
         let mut candidates: Vec<(&Machine, f64, f64)> = open
             .iter()
-            .map(|(m, share)| (*m, *share, services(books, m)))
+            .map(|(m, share)| (*m, *share, services(cluster, m)))
             .filter(|(m, share, services)| {
-                let thin = *services == 0.0 || *share <= c::THIN_SHARE;
-                thin && m.up_at.is_some_and(|t| now > t + ready_ms(&catalog, &m.sku))
+                let thin = *services == 0.0 || *share <= c::LOW_LOAD_SHARE;
+                thin && m.up_at.is_some_and(|t| now > t + boot_ms(&catalog, &m.type_name))
             })
             .collect();
         // The dearest kind first, then those with the least to move, then the emptiest.
@@ -412,17 +415,17 @@
             }
         }
         if chosen.is_empty() {
-            l.fleet.roomy_since = None;
+            l.fleet.excess_since = None;
             return;
         }
-        let since = *l.fleet.roomy_since.get_or_insert(now);
-        if now < since + c::ROOMY_MS {
+        let since = *l.fleet.excess_since.get_or_insert(now);
+        if now < since + c::EXCESS_ROOM_MS {
             return;
         }
-        l.fleet.roomy_since = None;
+        l.fleet.excess_since = None;
         log::debug!("closes {}, the others have room for their work", chosen.join(", "));
         for name in chosen {
-            if let Some(m) = l.books.machines.get_mut(&name) {
+            if let Some(m) = l.cluster.machines.get_mut(&name) {
                 m.closing = true;
             }
         }
@@ -436,28 +439,28 @@
         if now < l.fleet.move_at {
             return;
         }
-        let books = &l.books;
-        let mut from: Vec<(f64, &Machine)> = books
+        let cluster = &l.cluster;
+        let mut from: Vec<(f64, &Machine)> = cluster
             .machines
             .values()
             .filter(|m| m.closing && m.life == Life::Up)
-            .map(|m| (services(books, m), m))
+            .map(|m| (services(cluster, m), m))
             .filter(|(n, _)| *n > 0.0)
             .collect();
         if from.is_empty() {
             return;
         }
         from.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let most = ((books.machines.len() as f64 * c::MOVE_SHARE) as usize).max(1);
+        let most = ((cluster.machines.len() as f64 * c::MOVE_SHARE) as usize).max(1);
         let mut targets: Vec<(&Machine, Resources)> =
-            books.machines.values().filter(|t| usable(t)).map(|t| (t, books.free(t))).collect();
+            cluster.machines.values().filter(|t| usable(t)).map(|t| (t, cluster.free(t))).collect();
         let mut chosen = Vec::new();
         for (m, (id, p)) in from.iter().flat_map(|(_, m)| m.placements.iter().map(move |x| (m, x)))
         {
             if chosen.len() >= most {
                 break;
             }
-            let Some(job) = books.jobs.get(&id.0) else { continue };
+            let Some(job) = cluster.jobs.get(&id.0) else { continue };
             let Some(spec) = job.spec.as_ref().filter(|s| s.kind == JobKind::Service) else {
                 continue;
             };
@@ -467,7 +470,7 @@
             let target = targets.iter_mut().find(|(t, free)| {
                 t.zone == m.zone
                     && (!t.spot || spec.spot_allowed)
-                    && t.sku == m.sku
+                    && t.type_name == m.type_name
                     && t.images.iter().any(|(k, _)| *k == spec.image)
                     && free.fits(&job.need)
             });
@@ -481,7 +484,8 @@
         }
         l.fleet.move_at = now + c::MOVE_GAP_MS;
         for (name, id) in chosen {
-            if let Some(p) = l.books.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
+            if let Some(p) =
+                l.cluster.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
             {
                 log::debug!("{}/{}: moves off {name}", id.0, id.1);
                 p.halt = Some(Halt::MakeRoom);
@@ -498,7 +502,7 @@
             return;
         };
         // Leases may be kept in our place for so long after we were last heard.
-        let blind = self.blind_ms() + self.lease_ms();
+        let isolation = self.isolated_ms() + self.lease_ms();
         let Some(l) = self.leader.as_mut() else {
             return;
         };
@@ -507,15 +511,15 @@
         let lease = (self.cfg.params.workers.lease_s * c::MS_PER_S) as u64;
         let silent_ms = (self.cfg.params.workers.report_s * c::SILENT_PERIODS * c::MS_PER_S) as u64;
         let mut free_slots: f64 = 0.0;
-        for m in l.books.machines.values().filter(|m| usable(m) && !m.spot) {
+        for m in l.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
             free_slots +=
-                spare.as_ref().map_or(0.0, |(need, _)| l.books.free(m).times(need) as f64);
+                spare.as_ref().map_or(0.0, |(need, _)| l.cluster.free(m).times(need) as f64);
         }
         let mut names = Vec::new();
-        for m in l.books.machines.values() {
-            let ready = ready_ms(&catalog, &m.sku);
+        for m in l.cluster.machines.values() {
+            let ready = boot_ms(&catalog, &m.type_name);
             let empty = m.placements.is_empty();
-            let age = now.saturating_sub(m.rented_at);
+            let start_starving = now.saturating_sub(m.rented_at);
             // Cut off it may come back, and another one in its place takes a boot before it is of
             // use: it is kept for that long. A zone that was cut off was once returned whole.
             let give_up = lease + ready;
@@ -526,8 +530,8 @@
             let back = match m.life {
                 Life::Booting | Life::Unheard | Life::Up if m.failed => true,
                 Life::Gone | Life::Deleting | Life::Unheard => false,
-                Life::Booting => age as f64 > ready as f64 * c::BOOT_LOST,
-                Life::Up if m.lapsed => {
+                Life::Booting => start_starving as f64 > ready as f64 * c::BOOT_LOST,
+                Life::Up if m.lease_expired => {
                     m.answered_at.is_none_or(|t| now > t + give_up) || m.draining
                 }
                 // Empty, or past its time and silent: to wait for the list would hold its
@@ -538,11 +542,13 @@
                     empty || (past && quiet)
                 }
                 Life::Up if m.draining => empty,
-                Life::Up if m.closing => empty && age as f64 >= c::CHARGE_MIN_S * c::MS_PER_S,
+                Life::Up if m.closing => {
+                    empty && start_starving as f64 >= c::CHARGE_MIN_S * c::MS_PER_S
+                }
                 Life::Up if !empty => false,
                 Life::Up => {
                     let idle = m.idle_since.is_some_and(|t| now >= t + idle_ms);
-                    let paid = age as f64 >= c::CHARGE_MIN_S * c::MS_PER_S;
+                    let paid = start_starving as f64 >= c::CHARGE_MIN_S * c::MS_PER_S;
                     let needed = match &spare {
                         Some((need, want)) if !m.spot => {
                             let here = m.total.times(need) as f64;
@@ -559,9 +565,10 @@
             };
             // Silent since before this term: nobody may tell any more what runs there.
             let mute = m.life == Life::Up
-                && !m.lapsed
-                && m.reported_at.is_some_and(|t| now > t + give_up.max(blind));
-            let unheard = m.life == Life::Unheard && now > m.known_at + lease + c::SILENT_DELETE_MS;
+                && !m.lease_expired
+                && m.reported_at.is_some_and(|t| now > t + give_up.max(isolation));
+            let unheard =
+                m.life == Life::Unheard && now > m.confirmed_read_at + lease + c::SILENT_DELETE_MS;
             let doubtful = silent.contains(&m.name);
             // What nobody can order about any more is replaced: with tasks on it once its lease
             // must be over, so that they start elsewhere.
@@ -569,13 +576,14 @@
                 true => c::SILENT_DELETE_MS,
                 false => lease,
             };
-            let deaf = m.life == Life::Up && m.deaf_since.is_some_and(|t| now > t + patience);
+            let deaf =
+                m.life == Life::Up && m.unreachable_since.is_some_and(|t| now > t + patience);
             if back || mute || unheard || doubtful || deaf {
                 names.push(m.name.clone());
             }
         }
         // A leader that hears nobody must not take that for the death of all.
-        if names.is_empty() || now > l.heard_at + c::LEADER_DEAF_MS {
+        if names.is_empty() || now > l.heard_at + c::LEADER_UNHEARD_MS {
             return;
         }
         names.truncate(c::DELETE_MAX);
@@ -583,7 +591,7 @@
             return;
         }
         for n in &names {
-            if let Some(m) = l.books.machines.get_mut(n) {
+            if let Some(m) = l.cluster.machines.get_mut(n) {
                 m.life = Life::Deleting;
             }
         }
@@ -606,7 +614,7 @@
         };
         for n in names {
             // Perhaps carried out, perhaps later: asked for again.
-            if let Some(m) = l.books.machines.get_mut(&n).filter(|m| m.life == Life::Deleting) {
+            if let Some(m) = l.cluster.machines.get_mut(&n).filter(|m| m.life == Life::Deleting) {
                 m.life = if m.up_at.is_some() { Life::Up } else { Life::Unheard };
                 m.draining = true;
             }
@@ -630,21 +638,22 @@
         // Room that is on its way.
         struct Coming {
             total: Resources,
-            build: usize,
+            machine_type: usize,
             zone: String,
             spot: bool,
         }
         let mut coming: Vec<Coming> = Vec::new();
-        for m in l.books.machines.values().filter(|m| m.life == Life::Booting) {
-            let Some(b) = catalog.builds.iter().position(|b| b.sku == m.sku) else {
+        for m in l.cluster.machines.values().filter(|m| m.life == Life::Booting) {
+            let Some(b) = catalog.machine_types.iter().position(|b| b.type_name == m.type_name)
+            else {
                 continue;
             };
-            let build = &catalog.builds[b];
-            let age = now.saturating_sub(m.rented_at) as f64 / c::MS_PER_S;
-            if age <= build.ready_s * c::BOOT_LATE {
+            let machine_type = &catalog.machine_types[b];
+            let start_starving = now.saturating_sub(m.rented_at) as f64 / c::MS_PER_S;
+            if start_starving <= machine_type.boot_s * c::BOOT_LATE {
                 coming.push(Coming {
-                    total: total(build),
-                    build: b,
+                    total: total(machine_type),
+                    machine_type: b,
                     zone: m.zone.clone(),
                     spot: m.spot,
                 });
@@ -652,25 +661,30 @@
         }
         for r in &l.fleet.rentals {
             for _ in 0..r.number {
-                let total = total(&catalog.builds[r.build]);
-                coming.push(Coming { total, build: r.build, zone: r.zone.clone(), spot: r.spot });
+                let total = total(&catalog.machine_types[r.machine_type]);
+                coming.push(Coming {
+                    total,
+                    machine_type: r.machine_type,
+                    zone: r.zone.clone(),
+                    spot: r.spot,
+                });
             }
         }
-        let mut unmet = l.fleet.unmet.clone();
+        let mut unplaced = l.fleet.unplaced.clone();
         // Room for services to come, on ordinary machines: free now, or held by tasks that
         // may be stopped for them.
         if let Some((need, want)) = l.spare_slots(now, &catalog) {
             let mut have = 0.0;
-            for m in l.books.machines.values().filter(|m| usable(m) && !m.spot) {
-                have += l.books.room_for_services(m).times(&need) as f64;
+            for m in l.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
+                have += l.cluster.room_for_services(m).times(&need) as f64;
             }
             let missing = want - have;
             if missing > 0.0 {
-                unmet.push(Unmet {
+                unplaced.push(UnplacedTasks {
                     need,
                     spot_ok: false,
                     service: true,
-                    skus: vec![true; catalog.builds.len()],
+                    allowed_types: vec![true; catalog.machine_types.len()],
                     zone: None,
                     slots: missing,
                     dear: missing,
@@ -681,13 +695,13 @@
         }
         // How many machines of each kind there are: zones with fewer come first.
         let mut counts: HashMap<(&str, bool), usize> = HashMap::new();
-        for m in l.books.machines.values().filter(|m| m.life != Life::Gone) {
+        for m in l.cluster.machines.values().filter(|m| m.life != Life::Gone) {
             *counts.entry((m.zone.as_str(), m.spot)).or_default() += 1;
         }
         let mut wanted: HashMap<(usize, String, bool), usize> = HashMap::new();
         // Services first: they may not be able to use what the others get.
-        unmet.sort_by_key(|u| (!u.service, u.spot_ok));
-        for u in &unmet {
+        unplaced.sort_by_key(|u| (!u.service, u.spot_ok));
+        for u in &unplaced {
             let mut slots = u.slots;
             // Those before this one have no room for such a task any more.
             let mut from = 0;
@@ -699,7 +713,7 @@
                 };
                 let on_way = coming.iter().skip(from).position(|x| {
                     (u.spot_ok || !x.spot)
-                        && u.skus[x.build]
+                        && u.allowed_types[x.machine_type]
                         && open(&x.zone)
                         && x.total.fits(&u.need)
                 });
@@ -712,8 +726,8 @@
                 }
                 // The cheapest kind for such a task; zones with fewer machines first.
                 let mut best: Option<(f64, usize, (usize, String, bool))> = None;
-                for (i, b) in catalog.builds.iter().enumerate() {
-                    if !u.skus[i] || !total(b).fits(&u.need) {
+                for (i, b) in catalog.machine_types.iter().enumerate() {
+                    if !u.allowed_types[i] || !total(b).fits(&u.need) {
                         continue;
                     }
                     let per = total(b).times(&u.need).max(1) as f64;
@@ -725,11 +739,11 @@
                             if !spot && u.spot_ok && slots <= u.slots - u.dear {
                                 continue;
                             }
-                            let kind = (b.sku.clone(), zone.clone(), spot);
+                            let kind = (b.type_name.clone(), zone.clone(), spot);
                             if l.fleet.no_capacity.get(&kind).is_some_and(|t| now < *t) {
                                 continue;
                             }
-                            let price = if spot { b.low_price } else { b.rate } / per;
+                            let price = if spot { b.spot_price } else { b.rate } / per;
                             let same = counts.get(&(zone.as_str(), spot)).copied().unwrap_or(0)
                                 + wanted.get(&(i, zone.clone(), spot)).copied().unwrap_or(0);
                             let better = best.as_ref().is_none_or(|(p, n, _)| {
@@ -743,8 +757,13 @@
                 }
                 let Some((_, _, kind)) = best else { break };
                 *wanted.entry(kind.clone()).or_default() += 1;
-                let (build, zone, spot) = kind;
-                coming.push(Coming { total: total(&catalog.builds[build]), build, zone, spot });
+                let (machine_type, zone, spot) = kind;
+                coming.push(Coming {
+                    total: total(&catalog.machine_types[machine_type]),
+                    machine_type,
+                    zone,
+                    spot,
+                });
             }
         }
         let mut rentals: Vec<Rental> = Vec::new();
@@ -752,7 +771,7 @@
         kinds.sort();
         // As many requests as it takes, a kind each in turn, as long as the cloud's rate allows.
         while let Some(n) = kinds.iter().position(|(_, number)| *number > 0) {
-            for ((build, zone, spot), left) in &mut kinds[n..] {
+            for ((machine_type, zone, spot), left) in &mut kinds[n..] {
                 let number = (*left).min(c::RENT_MAX);
                 if number == 0 {
                     continue;
@@ -762,22 +781,22 @@
                     continue;
                 }
                 *left -= number;
-                let (build, zone, spot) = (*build, zone.clone(), *spot);
+                let (machine_type, zone, spot) = (*machine_type, zone.clone(), *spot);
                 let request_id = format!("mg-{}", l.unique());
-                rentals.push(Rental { request_id, build, zone, spot, number });
+                rentals.push(Rental { request_id, machine_type, zone, spot, number });
             }
         }
         for r in rentals {
             log::info!(
                 "rents {} {} in {}{}",
                 r.number,
-                catalog.builds[r.build].sku,
+                catalog.machine_types[r.machine_type].type_name,
                 r.zone,
                 if r.spot { ", spot" } else { "" }
             );
             let body = Rent {
                 request_id: r.request_id.clone(),
-                build: catalog.builds[r.build].sku.clone(),
+                machine_type: catalog.machine_types[r.machine_type].type_name.clone(),
                 zone: r.zone.clone(),
                 spot: r.spot,
                 number: r.number,
@@ -806,10 +825,10 @@
             return;
         };
         l.fleet.rentals.retain(|r| r.request_id != rental.request_id);
-        let Some(build) = catalog.builds.get(rental.build) else {
+        let Some(machine_type) = catalog.machine_types.get(rental.machine_type) else {
             return;
         };
-        let kind = (build.sku.clone(), rental.zone.clone(), rental.spot);
+        let kind = (machine_type.type_name.clone(), rental.zone.clone(), rental.spot);
         match reply {
             Some((200, body)) => {
                 let Ok(names) = serde_json::from_slice::<Names>(&body) else {
@@ -823,9 +842,9 @@
                     if l.fleet.is_gone(&n) {
                         continue;
                     }
-                    let m = l.books.machine_entry(&name, now);
-                    if m.sku.is_empty() {
-                        m.sku = build.sku.clone();
+                    let m = l.cluster.machine_entry(&name, now);
+                    if m.type_name.is_empty() {
+                        m.type_name = machine_type.type_name.clone();
                         m.zone = rental.zone.clone();
                         m.spot = rental.spot;
                         m.rented_at = now;
@@ -853,16 +872,16 @@
         let round = w.report_s * 2.5 + c::WORKER_WAIT_S + c::WORKER_RETRY_S * 2.0;
         let round_ms = (round * c::MS_PER_S) as u64;
         let recent_ms = (w.report_s * c::SILENT_PERIODS * c::MS_PER_S) as u64;
-        let books = &self.books;
+        let cluster = &self.cluster;
         let last = |m: &Machine| m.reported_at.unwrap_or(0).max(self.began);
-        let known: Vec<&Machine> = books
+        let known: Vec<&Machine> = cluster
             .machines
             .values()
             .filter(|m| matches!(m.life, Life::Up | Life::Unheard) && !m.failed)
             .collect();
         let quiet: Vec<&&Machine> = known
             .iter()
-            .filter(|m| !m.lapsed && now > last(m).max(m.known_at) + round_ms)
+            .filter(|m| !m.lease_expired && now > last(m).max(m.confirmed_read_at) + round_ms)
             .collect();
         let heard =
             known.iter().filter(|m| m.reported_at.is_some_and(|t| now <= t + recent_ms)).count();
@@ -878,13 +897,13 @@
                 let services: Vec<Resources> = m
                     .placements
                     .iter()
-                    .filter(|((uid, _), p)| p.ended.is_none() && books.is_service(uid))
-                    .filter_map(|((uid, _), _)| books.jobs.get(uid).map(|j| j.need))
+                    .filter(|((uid, _), p)| p.ended.is_none() && cluster.is_service(uid))
+                    .filter_map(|((uid, _), _)| cluster.jobs.get(uid).map(|j| j.need))
                     .collect();
                 let Some(need) = services.first() else { return false };
                 let mut room = 0;
                 for o in open.iter().filter(|o| !o.spot) {
-                    room += books.room_for_services(o).times(need);
+                    room += cluster.room_for_services(o).times(need);
                 }
                 room >= services.len() as i64
             })
@@ -895,16 +914,17 @@
     /// Takes note of jobs that came since the last look. What a new leader finds counts at
     /// the time of day that it was accepted.
     fn note_arrivals(&mut self, now: Clock, catalog: &Catalog) {
-        let Some(whole) = catalog.builds.iter().map(total).max_by_key(|t| (t.gpu, t.cpu)) else {
+        let Some(whole) = catalog.machine_types.iter().map(total).max_by_key(|t| (t.gpu, t.cpu))
+        else {
             return;
         };
         let from = self.fleet.seen_arrival;
         let mut services = Vec::new();
         let mut work = Vec::new();
         let mut last = from;
-        for (stamp, uid) in self.books.queue.range(from + 1..) {
+        for (stamp, uid) in self.cluster.queue.range(from + 1..) {
             last = *stamp;
-            let Some(job) = self.books.jobs.get(uid) else { continue };
+            let Some(job) = self.cluster.jobs.get(uid) else { continue };
             let Some(spec) = &job.spec else { continue };
             let ago = if from == 0 { now.wall.saturating_sub(job.at_wall) } else { 0 };
             let at = now.mono.saturating_sub(ago);
@@ -912,10 +932,10 @@
                 continue;
             }
             if spec.kind == JobKind::Service {
-                services.push((at, job.loads));
+                services.push((at, job.tasks));
             } else {
                 let each = self.run_ms(spec) as f64 * job.need.share_of(&whole);
-                work.push((at, f64::from(job.loads) * each));
+                work.push((at, f64::from(job.tasks) * each));
             }
         }
         let f = &mut self.fleet;
@@ -940,11 +960,12 @@
     /// Room to keep for services: what one of their tasks takes, and how many are expected
     /// to arrive while a machine boots.
     fn spare_slots(&self, now: u64, catalog: &Catalog) -> Option<(Resources, f64)> {
-        let books = &self.books;
-        let newest = books.queue.values().rev().find(|uid| books.is_service(uid))?;
-        let need = books.jobs.get(newest)?.need;
+        let cluster = &self.cluster;
+        let newest = cluster.queue.values().rev().find(|uid| cluster.is_service(uid))?;
+        let need = cluster.jobs.get(newest)?.need;
         let tasks: u32 = self.fleet.arrivals.iter().map(|(_, n)| n).sum();
-        let ready = catalog.builds.iter().map(|b| b.ready_s).fold(0.0, f64::max) * c::MS_PER_S;
+        let ready =
+            catalog.machine_types.iter().map(|b| b.boot_s).fold(0.0, f64::max) * c::MS_PER_S;
         let expected =
             (f64::from(tasks) / self.watched_ms(now, c::ARRIVAL_WINDOW_MS) * ready).ceil();
         Some((need, expected + c::SPARE_SERVICE_SLOTS))
@@ -952,19 +973,19 @@
 }
 
 /// Tasks of services on a machine.
-fn services(books: &Books, m: &Machine) -> f64 {
-    let on = |((uid, _), p): &(&TaskId, &Placement)| p.ended.is_none() && books.is_service(uid);
+fn services(cluster: &ClusterState, m: &Machine) -> f64 {
+    let on = |((uid, _), p): &(&TaskId, &Placement)| p.ended.is_none() && cluster.is_service(uid);
     m.placements.iter().filter(on).count() as f64
 }
 
 /// The part of a machine's load that services make up.
-fn service_share(books: &Books, m: &Machine) -> f64 {
+fn service_share(cluster: &ClusterState, m: &Machine) -> f64 {
     let (mut service, mut all) = (0.0, 0.0);
     for ((uid, _), p) in &m.placements {
-        if let (None, Some(j)) = (p.ended, books.jobs.get(uid)) {
+        if let (None, Some(j)) = (p.ended, cluster.jobs.get(uid)) {
             let share = j.need.share_of(&m.total);
             all += share;
-            if books.is_service(uid) {
+            if cluster.is_service(uid) {
                 service += share;
             }
         }
@@ -980,16 +1001,17 @@
     m.life == Life::Up
         && !m.draining
         && !m.closing
-        && !m.lapsed
-        && m.deaf_since.is_none()
+        && !m.lease_expired
+        && m.unreachable_since.is_none()
         && m.reclaim_at.is_none()
 }
 
-fn total(b: &Build) -> Resources {
+fn total(b: &MachineType) -> Resources {
     Resources::new(b.cores, b.gpus, b.ram_gb)
 }
 
-fn ready_ms(catalog: &Catalog, sku: &str) -> u64 {
-    let s = catalog.builds.iter().find(|b| b.sku == sku).map_or(60.0, |b| b.ready_s);
+fn boot_ms(catalog: &Catalog, type_name: &str) -> u64 {
+    let s =
+        catalog.machine_types.iter().find(|b| b.type_name == type_name).map_or(60.0, |b| b.boot_s);
     (s * c::MS_PER_S) as u64
 }
--- a/src/coordination/blind.rs
+++ b/src/coordination/isolation.rs
@@ -1,9 +1,9 @@
 //! Leading without the state service: which leases are renewed, what is started, and how peers'
 //! word of jobs that have ended counts.
 //!
-//! All of it rests on one time, [`Controller::known_at`]. Before it nobody was told of an end that we
+//! All of it rests on one time, [`Controller::confirmed_read_at`]. Before it nobody was told of an end that we
 //! don't know. A task of a job that was cancelled after it, on a worker that we answer no later
-//! than [`Controller::blind_ms`] after it, is gone by its lease within `cancel_s`.
+//! than [`Controller::isolated_ms`] after it, is gone by its lease within `cancel_s`.
 //!
 //! A controller tells users of ends only out of its copy of the store, or passes on the answer of
 //! another one that does. So a peer whose copy is whole, and that names every end in it after the
@@ -11,15 +11,15 @@
 //! earlier life of it, whose commits were all there when this life read the store.
 
 use super::*;
-use crate::bookkeeping::records::Stage;
 use crate::protocol::peers::Gossip;
 use crate::protocol::users::{Status, Told};
+use crate::storage::records::Stage;
 
 impl Controller {
     /// The latest time before which no user can have been told of an end that we don't know of:
     /// the begin of our last read, or of the earliest of the last questions that every peer
     /// has vouched in answer to.
-    pub(super) fn known_at(&self) -> Option<u64> {
+    pub(super) fn confirmed_read_at(&self) -> Option<u64> {
         let read = self.sync.fresh_at?;
         let vouched = self.peers.iter().map(|p| p.ends_asked).min().flatten();
         Some(read.max(vouched.unwrap_or(0)))
@@ -28,19 +28,19 @@
     /// Whether workers may be answered: a worker that we answer runs its tasks for one more
     /// lease, and those of a job cancelled since must be gone within `cancel_s` of that.
     pub(super) fn may_answer(&self) -> bool {
-        self.known_at().is_some_and(|t| self.now.mono - t <= self.blind_ms())
+        self.confirmed_read_at().is_some_and(|t| self.now.mono - t <= self.isolated_ms())
     }
 
     /// Whether what we know is recent enough to order a start. Nothing may start once a
     /// cancellation is confirmed, so an order rests on no older word than one read takes at the
     /// most; one that is given in that time is as late as any that is on its way.
     pub(super) fn may_start(&self) -> bool {
-        self.known_at().is_some_and(|t| self.now.mono - t <= c::START_KNOWN_MS)
+        self.confirmed_read_at().is_some_and(|t| self.now.mono - t <= c::START_READ_AGE_MAX_MS)
     }
 
     /// Milliseconds after the time of our knowledge for which workers may still be answered:
     /// every lease renewed by then is over when tasks cancelled since must be gone.
-    pub(super) fn blind_ms(&self) -> u64 {
+    pub(super) fn isolated_ms(&self) -> u64 {
         let w = &self.cfg.params.workers;
         let lease = (w.lease_s * (1.0 + c::CLOCK_DRIFT) * c::MS_PER_S) as u64;
         let cancel = (w.cancel_s * (1.0 - c::CLOCK_DRIFT) * c::MS_PER_S) as u64;
@@ -49,18 +49,18 @@
 
     /// The revision after which peers are asked for ends: none while we read the store ourselves.
     pub(super) fn asks_since(&self) -> Option<u64> {
-        let late = |t| self.now.mono > t + c::BLIND_ASK_MS;
-        let blind = self.sync.refused || self.sync.fresh_at.is_none_or(late);
-        (blind && self.leader.is_some()).then_some(self.replica.rev)
+        let late = |t| self.now.mono > t + c::ISOLATED_ASK_MS;
+        let isolation = self.sync.refused || self.sync.fresh_at.is_none_or(late);
+        (isolation && self.leader.is_some()).then_some(self.replica.rev)
     }
 
     /// Names the ends after a revision in the answer to a peer that asks for them.
     pub(super) fn name_ends(&self, since: u64, answer: &mut Gossip) {
         let jobs = self.replica.jobs.iter().filter(|(_, j)| j.value.end_stamp > since);
         let mut names: Vec<String> =
-            jobs.take(c::ENDS_TOLD_MAX + 1).map(|(uid, _)| uid.to_string()).collect();
-        answer.ended_all = self.sync.loaded && names.len() <= c::ENDS_TOLD_MAX;
-        names.truncate(c::ENDS_TOLD_MAX);
+            jobs.take(c::ENDS_NAMED_MAX + 1).map(|(uid, _)| uid.to_string()).collect();
+        answer.ended_all = self.sync.loaded && names.len() <= c::ENDS_NAMED_MAX;
+        names.truncate(c::ENDS_NAMED_MAX);
         answer.ended = names;
     }
 
@@ -81,7 +81,7 @@
     /// to start none; nothing is stored, settled or told to users for it.
     fn hear_end(&mut self, uid: &str) {
         let open = self.replica.jobs.get(uid).is_some_and(|j| j.value.stage == Stage::Live);
-        if open && self.told_over.insert(uid.into()) {
+        if open && self.ended_by_peers.insert(uid.into()) {
             log::debug!("{uid}: over, as a peer says");
         }
     }
@@ -96,8 +96,9 @@
     }
 
     /// The copy has come further: word of what it holds by now is not needed any more.
-    pub(super) fn forget_told(&mut self) {
+    pub(super) fn forget_ended_by_peers(&mut self) {
         let jobs = &self.replica.jobs;
-        self.told_over.retain(|uid| jobs.get(uid).is_some_and(|j| j.value.stage == Stage::Live));
+        self.ended_by_peers
+            .retain(|uid| jobs.get(uid).is_some_and(|j| j.value.stage == Stage::Live));
     }
 }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -5,17 +5,17 @@
 use super::planner::{self, JobView, MachineView, Running, Snapshot, TeamView};
 use super::workers::HeldReport;
 use super::*;
-use crate::bookkeeping::books::*;
-use crate::bookkeeping::budget::Bucket;
-use crate::bookkeeping::records::*;
 use crate::protocol::users::{JobKind, Priority};
 use crate::protocol::workers::{Cause, TaskStatus};
 use crate::protocol::Resources;
+use crate::storage::budget::Bucket;
+use crate::storage::cluster::*;
+use crate::storage::records::*;
 use std::collections::BTreeMap;
 
 /// A commit that is under way.
 #[derive(Debug, Default)]
-pub(super) struct InFlight {
+pub(super) struct PendingCommit {
     pub commit: Commit,
     pub body: Vec<u8>,
     /// Groups of placements that it writes, with what it stores and takes out.
@@ -51,9 +51,9 @@
     pub(super) lease_id: u64,
     pub(super) renew_at: u64,
     pub(super) renewing: bool,
-    /// The books are built.
+    /// The state of the cluster is built.
     pub ready: bool,
-    pub books: Books,
+    pub cluster: ClusterState,
     pub(super) fleet: Fleet,
     pub(super) held: Vec<HeldReport>,
     pub(super) began: u64,
@@ -62,11 +62,11 @@
     /// When each peer was last told that we lead: what permits it to stand in for us.
     pub(super) permitted: Vec<Option<u64>>,
     /// When leases are looked at next.
-    lapse_at: u64,
+    lease_scan_at: u64,
     /// When the next line of the day's story is due.
-    story_at: u64,
+    status_log_at: u64,
     counter: u64,
-    pub(super) flight: Option<InFlight>,
+    pub(super) pending_commit: Option<PendingCommit>,
     plan_at: u64,
     planned_at: u64,
     pub(super) done_at: u64,
@@ -91,16 +91,16 @@
             renew_at: now + c::LEADER_RENEW_MS,
             renewing: false,
             ready: false,
-            books: Books::default(),
+            cluster: ClusterState::default(),
             fleet: Fleet::new(now),
             held: Vec::new(),
             began: now,
             heard_at: now,
             permitted: vec![None; peers],
-            lapse_at: now,
-            story_at: now + c::STORY_PERIOD_MS,
+            lease_scan_at: now,
+            status_log_at: now + c::STATUS_LOG_PERIOD_MS,
             counter: 0,
-            flight: None,
+            pending_commit: None,
             plan_at: now,
             planned_at: 0,
             done_at: now,
@@ -121,16 +121,17 @@
     }
 
     /// One line on how things stand.
-    fn tell(&self) {
-        let books = &self.books;
-        let count = |f: &dyn Fn(&Machine) -> bool| books.machines.values().filter(|m| f(m)).count();
-        let up = |m: &Machine| m.life == Life::Up && !m.lapsed;
+    fn log_status(&self) {
+        let cluster = &self.cluster;
+        let count =
+            |f: &dyn Fn(&Machine) -> bool| cluster.machines.values().filter(|m| f(m)).count();
+        let up = |m: &Machine| m.life == Life::Up && !m.lease_expired;
         let mut free = Resources::default();
-        for m in books.machines.values().filter(|m| up(m)) {
-            free += books.free(m);
+        for m in cluster.machines.values().filter(|m| up(m)) {
+            free += cluster.free(m);
         }
         let open = || {
-            books
+            cluster
                 .machines
                 .values()
                 .flat_map(|m| m.placements.values())
@@ -145,7 +146,7 @@
             open().filter(|p| p.running_since.is_some() && p.halt.is_none()).count(),
             open().filter(|p| p.running_since.is_none() && p.halt.is_none()).count(),
             open().filter(|p| p.halt.is_some()).count(),
-            books.jobs.values().map(|j| u64::from(j.waiting())).sum::<u64>(),
+            cluster.jobs.values().map(|j| u64::from(j.waiting())).sum::<u64>(),
             free.cpu / 1000,
             free.gpu / 1000,
         );
@@ -158,34 +159,34 @@
 
     /// Least milliseconds between two passes: what a pass costs grows with the fleet.
     fn pass_gap(&self) -> u64 {
-        c::PASS_GAP_MS + (self.books.machines.len() as f64 * c::PASS_GAP_MACHINE_MS) as u64
+        c::PASS_GAP_MS + (self.cluster.machines.len() as f64 * c::PASS_GAP_MACHINE_MS) as u64
     }
 
     /// Milliseconds between two looks at the size of the fleet, for the same reason.
     pub(super) fn fleet_period(&self) -> u64 {
-        c::FLEET_PERIOD_MS + (self.books.machines.len() as f64 * c::FLEET_MACHINE_MS) as u64
+        c::FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * c::FLEET_MACHINE_MS) as u64
     }
 
     /// When it has to look again if nothing comes in before. Answers to commits come in; what
     /// waits for a pass, for a write to spare or for its longest time does not.
     pub(super) fn next_wake(&self, now: u64, writes: &Bucket) -> Option<u64> {
-        let write = match &self.flight {
+        let write = match &self.pending_commit {
             Some(f) if f.sent || f.reading.is_some() => None,
             Some(f) => Some(f.not_before.max(writes.available_at(f.commit.writes.len() as f64))),
-            None if self.books.proposals.is_empty() => None,
+            None if self.cluster.proposals.is_empty() => None,
             None => Some(writes.available_at(c::WRITE_RESERVE + 1.0)),
         };
         let held = self.held.iter().map(|h| h.since + c::REPORT_HOLD_MS).min();
         // A pass waits until what the last one decided is stored.
-        let pass = (held.is_some() && self.books.proposals.is_empty()).then_some(self.plan_at);
+        let pass = (held.is_some() && self.cluster.proposals.is_empty()).then_some(self.plan_at);
         let pass = pass.map(|t| t.max(now + 1));
         [write, held, pass].into_iter().flatten().min()
     }
 
-    /// Whether a commit that may bring orders for a worker is under way or due.
+    /// Whether a commit that may bring commands for a worker is under way or due.
     pub(super) fn deciding(&self, now: u64) -> bool {
-        self.flight.as_ref().is_some_and(|f| !f.unclear)
-            || !self.books.proposals.is_empty()
+        self.pending_commit.as_ref().is_some_and(|f| !f.unclear)
+            || !self.cluster.proposals.is_empty()
             || self.plan_at <= now + self.pass_gap()
     }
 
@@ -226,19 +227,19 @@
             self.flush_held();
             return;
         }
-        self.lapse_due();
-        self.deaf_due();
+        self.expire_leases();
+        self.hand_over_if_unheard();
         if self.leader.is_none() {
             return;
         }
         self.fleet_due();
         let now = self.now.mono;
-        if let Some(l) = self.leader.as_mut().filter(|l| now >= l.story_at) {
-            l.story_at = now + c::STORY_PERIOD_MS;
-            l.tell();
+        if let Some(l) = self.leader.as_mut().filter(|l| now >= l.status_log_at) {
+            l.status_log_at = now + c::STATUS_LOG_PERIOD_MS;
+            l.log_status();
         }
         // What the last pass decided is stored first: to decide more would only queue it.
-        let due = |l: &Leader| l.plan_at <= now && l.books.proposals.is_empty();
+        let due = |l: &Leader| l.plan_at <= now && l.cluster.proposals.is_empty();
         if self.leader.as_ref().is_some_and(due) && self.served() {
             self.plan_pass();
         }
@@ -256,7 +257,7 @@
             if self.replica.rev < l.stamp {
                 return self.leader_wants_fresh();
             }
-            l.books = Books::from_replica(&self.replica, now);
+            l.cluster = ClusterState::from_replica(&self.replica, now);
             l.ready = true;
             if let Some(rec) = &self.replica.shares {
                 let of = |t: &str| rec.value.teams.iter().find(|(n, _)| n == t).map(|(_, s)| *s);
@@ -266,12 +267,12 @@
             log::info!(
                 "term {}: {} live jobs, {} machines with placements",
                 l.term,
-                l.books.queue.len(),
-                l.books.machines.len()
+                l.cluster.queue.len(),
+                l.cluster.machines.len()
             );
             return self.check_term();
         }
-        self.resolve_flight(begun);
+        self.resolve_commit(begun);
     }
 
     // --- evidence by time --------------------------------------------------------
@@ -279,10 +280,10 @@
     /// Leases that have surely run out: the worker had shown our token, so nobody of a
     /// lower term can have renewed it, our last answer is older than the lease, and no peer
     /// has answered it in our place since.
-    fn lapse_due(&mut self) {
+    fn expire_leases(&mut self) {
         let now = self.now.mono;
         let lease = self.lease_ms();
-        if self.leader.as_ref().is_none_or(|l| now < l.lapse_at) {
+        if self.leader.as_ref().is_none_or(|l| now < l.lease_scan_at) {
             return;
         }
         self.metrics.work.lease_scans += 1;
@@ -293,26 +294,26 @@
         // No lease that runs now can be over before the oldest of them: until then a look at
         // every machine would find nothing.
         let mut oldest = now;
-        let mut lapsed = Vec::new();
-        for m in l.books.machines.values_mut() {
+        let mut lease_expired = Vec::new();
+        for m in l.cluster.machines.values_mut() {
             let Some(answered) = m.answered_at else {
                 continue;
             };
             // One whose report waits for its answer is not silent: it was once taken for silent
             // again when it came back, with a start for it on the way, and that task ran twice.
             let last = answered.max(m.received_at.unwrap_or(0));
-            let counts = m.shows_token && !m.lapsed && m.life == Life::Up;
+            let counts = m.shows_token && !m.lease_expired && m.life == Life::Up;
             if counts && now > last + lease && last <= alone_since {
-                m.lapsed = true;
-                lapsed.push(m.name.clone());
+                m.lease_expired = true;
+                lease_expired.push(m.name.clone());
             } else if counts {
                 oldest = oldest.min(last);
             }
         }
-        l.lapse_at = (oldest + lease + 1).max(now + c::LAPSE_LOOK_MS);
-        for name in lapsed {
+        l.lease_scan_at = (oldest + lease + 1).max(now + c::LEASE_SCAN_MS);
+        for name in lease_expired {
             log::info!("{name}: silent, its lease has run out");
-            l.books.settle_all(&name);
+            l.cluster.settle_all(&name);
             l.plan_soon(now);
         }
     }
@@ -324,10 +325,10 @@
     }
 
     /// All workers are silent here while peers see them come round: someone else should lead.
-    fn deaf_due(&mut self) {
+    fn hand_over_if_unheard(&mut self) {
         let now = self.now.mono;
         let Some(l) = &self.leader else { return };
-        let quiet = now > l.heard_at + c::LEADER_DEAF_MS && now > l.began + c::LEADER_DEAF_MS;
+        let quiet = now > l.heard_at + c::LEADER_UNHEARD_MS && now > l.began + c::LEADER_UNHEARD_MS;
         let peers_hear =
             self.fresh_gossip().any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
         if quiet && peers_hear {
@@ -350,15 +351,15 @@
         };
         l.planned_at = now;
         l.plan_at = now + op.pass_period_ms;
-        if !l.books.anything_waits() && l.shares.len() == cfg.params.teams.len() {
+        if !l.cluster.anything_waits() && l.shares.len() == cfg.params.teams.len() {
             // There is nothing to place, to make room for or to reserve.
             l.reservation = None;
-            l.fleet.none_unmet();
+            l.fleet.none_unplaced();
             return;
         }
         self.metrics.work.planner_passes += 1;
-        self.metrics.work.planner_machines += l.books.machines.len() as u64;
-        let mut view = View::build(l, &cfg, &op, &catalog, Clock { mono: now, wall });
+        self.metrics.work.planner_machines += l.cluster.machines.len() as u64;
+        let mut view = View::of_cluster(l, &cfg, &op, &catalog, Clock { mono: now, wall });
         let shares = planner::move_shares(&view.snapshot, l.shares.clone());
         if shares != l.shares {
             l.shares = shares;
@@ -373,27 +374,27 @@
             plan.reservation.map(|(j, m, _)| (view.jobs[j].clone(), view.machines[m].clone()));
         for (j, m) in &plan.places {
             let (uid, machine) = (view.jobs[*j].clone(), view.machines[*m].clone());
-            let Some(task) = l.books.jobs.get(&uid).and_then(|j| j.next_waiting()) else {
+            let Some(task) = l.cluster.jobs.get(&uid).and_then(|j| j.next_waiting()) else {
                 continue;
             };
             let attempt = l.unique();
-            l.books.propose(&uid, task, &machine, attempt, now);
+            l.cluster.propose(&uid, task, &machine, attempt, now);
             log::debug!("{uid}/{task}: placed on {machine}, attempt {attempt}");
         }
         for (m, handle) in &plan.halts {
             let id = view.handles[*m][*handle].clone();
             let machine = &view.machines[*m];
-            let held = l.books.machines.get_mut(machine).and_then(|m| m.placements.get_mut(&id));
+            let held = l.cluster.machines.get_mut(machine).and_then(|m| m.placements.get_mut(&id));
             let Some(p) = held else { continue };
             log::debug!("{}/{}: stopped on {machine} to make room", id.0, id.1);
             p.halt = p.halt.max(Some(Halt::MakeRoom));
             // Stored but never ordered by us: it can't be there, so its place is free at once.
             let ours = p.attempt >> c::ATTEMPT_BITS == l.term;
             if ours && p.phase == Phase::Committed && p.ordered.is_none() && p.seen.is_none() {
-                l.books.settle(machine, &id, Cause::Lost);
+                l.cluster.settle(machine, &id, Cause::Lost);
             }
         }
-        l.fleet.note_unmet(&view, &plan, &catalog);
+        l.fleet.note_unplaced(&view, &plan, &catalog);
     }
 }
 
@@ -421,7 +422,7 @@
 }
 
 impl View {
-    fn build<'a>(
+    fn of_cluster<'a>(
         l: &'a Leader,
         cfg: &Platform,
         op: &Operator,
@@ -429,15 +430,16 @@
         clock: Clock,
     ) -> View {
         let now = clock.mono;
-        let books = &l.books;
+        let cluster = &l.cluster;
         let mut zones: Vec<&str> = Vec::new();
-        for z in catalog.builds.iter().flat_map(|b| b.zones.iter()).chain(&cfg.params.zones) {
+        for z in catalog.machine_types.iter().flat_map(|b| b.zones.iter()).chain(&cfg.params.zones)
+        {
             if !zones.contains(&z.as_str()) {
                 zones.push(z);
             }
         }
         let zone_of = |y: &str| zones.iter().position(|z| *z == y);
-        let sku_of = |s: &str| catalog.builds.iter().position(|b| b.sku == s);
+        let type_index_of = |s: &str| catalog.machine_types.iter().position(|b| b.type_name == s);
         let team_of = |t: &str| cfg.params.teams.iter().position(|x| x.name == t);
         let mut images: HashMap<&str, usize> = HashMap::new();
         let mut image_of = |k: &'a str| {
@@ -459,14 +461,15 @@
         v.snapshot.now = now;
         for (i, spot) in [false, true].into_iter().enumerate() {
             let coming =
-                books.machines.values().filter(|m| m.life == Life::Booting && m.spot == spot);
+                cluster.machines.values().filter(|m| m.life == Life::Booting && m.spot == spot);
             let coming: Vec<(u64, Resources)> = coming
                 .filter_map(|m| {
-                    let build = &catalog.builds[sku_of(&m.sku)?];
-                    let ready = (build.ready_s * c::MS_PER_S) as u64;
+                    let machine_type = &catalog.machine_types[type_index_of(&m.type_name)?];
+                    let ready = (machine_type.boot_s * c::MS_PER_S) as u64;
                     let left = (m.rented_at + ready).saturating_sub(now);
                     let late = now > m.rented_at + (ready as f64 * c::BOOT_LATE) as u64;
-                    let has = Resources::new(build.cores, build.gpus, build.ram_gb);
+                    let has =
+                        Resources::new(machine_type.cores, machine_type.gpus, machine_type.ram_gb);
                     // One that is late may come at any time.
                     (!late).then_some((left.max(ready / c::BOOT_SOON_PART), has))
                 })
@@ -478,28 +481,32 @@
             v.snapshot.arriving.extend(coming);
         }
         v.snapshot.thresholds = op.thresholds.clone();
-        for m in books.machines.values() {
-            let (Some(zone), Some(sku)) = (zone_of(&m.zone), sku_of(&m.sku)) else {
+        for m in cluster.machines.values() {
+            let (Some(zone), Some(type_index)) = (zone_of(&m.zone), type_index_of(&m.type_name))
+            else {
                 continue;
             };
             let open = m.life == Life::Up
                 && !m.draining
                 && !m.closing
-                && !m.lapsed
+                && !m.lease_expired
                 // What is to be taken gets nothing more: it would not be stored, and the same tasks
                 // were placed there pass after pass while others had room for them.
                 && m.reclaim_at.is_none()
                 // Nothing goes to a machine before it has shown our token: what reports may be
                 // a late copy of one that is gone, or a machine that hears nobody.
                 && m.shows_token
-                && m.deaf_since.is_none()
+                && m.unreachable_since.is_none()
                 && m.reported_at.is_some_and(|t| now - t <= silent);
             if !open {
                 continue;
             }
-            let build = &catalog.builds[sku];
-            let per_gb =
-                if build.pull_gb_per_s > 0.0 { c::MS_PER_S / build.pull_gb_per_s } else { 0.0 };
+            let machine_type = &catalog.machine_types[type_index];
+            let per_gb = if machine_type.fetch_gb_per_s > 0.0 {
+                c::MS_PER_S / machine_type.fetch_gb_per_s
+            } else {
+                0.0
+            };
             let mut held: Vec<(usize, u64)> =
                 m.images.iter().map(|(k, _)| (image_of(k), 0)).collect();
             let mut running = Vec::new();
@@ -509,7 +516,7 @@
                     continue;
                 }
                 let fact = facts.entry(&id.0).or_insert_with(|| {
-                    let job = books.jobs.get(&id.0)?;
+                    let job = cluster.jobs.get(&id.0)?;
                     let spec = job.spec.as_ref()?;
                     Some(Facts {
                         priority: spec.priority,
@@ -564,7 +571,7 @@
             }
             v.snapshot.machines.push(MachineView {
                 zone,
-                sku,
+                type_index,
                 spot: m.spot,
                 total: m.total,
                 slots: slots.saturating_sub(m.placements.len()),
@@ -579,8 +586,8 @@
             v.machines.iter().enumerate().map(|(i, m)| (m, i)).collect();
         // What each team's unfinished jobs take together, up to the one looked at.
         let mut claimed = vec![Resources::default(); cfg.params.teams.len()];
-        for uid in books.queue.values() {
-            let Some(job) = books.jobs.get(uid) else {
+        for uid in cluster.queue.values() {
+            let Some(job) = cluster.jobs.get(uid) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
@@ -589,7 +596,7 @@
             let Some(team) = team_of(&spec.team) else {
                 continue;
             };
-            claimed[team] += job.need * i64::from(job.loads - job.done_count.min(job.loads));
+            claimed[team] += job.need * i64::from(job.tasks - job.done_count.min(job.tasks));
             if waiting == 0 || job.paused_until > now {
                 continue;
             }
@@ -597,7 +604,7 @@
             let mut lost_zone = false;
             if spec.spread || spec.one_zone || spec.kind == JobKind::Service {
                 for name in job.placed.values() {
-                    match books.machines.get(name).and_then(|m| zone_of(&m.zone)) {
+                    match cluster.machines.get(name).and_then(|m| zone_of(&m.zone)) {
                         Some(z) => in_zone[z] += 1,
                         // Where it is is not known yet: `apart` and `together` can't be kept.
                         None => lost_zone = true,
@@ -607,10 +614,10 @@
             if lost_zone && (spec.spread || spec.one_zone) {
                 continue;
             }
-            let skus = catalog
-                .builds
+            let allowed_types = catalog
+                .machine_types
                 .iter()
-                .map(|b| spec.builds.as_ref().is_none_or(|list| list.contains(&b.sku)))
+                .map(|b| spec.machine_types.as_ref().is_none_or(|list| list.contains(&b.type_name)))
                 .collect();
             let zone = match &spec.zone {
                 Some(y) => match zone_of(y) {
@@ -648,7 +655,7 @@
                 need: job.need,
                 bandwidth: spec.cores * op.bandwidth(&spec.class),
                 run_ms,
-                skus,
+                allowed_types,
                 zone,
                 spot_ok: spec.spot_allowed,
                 in_zone,
@@ -664,7 +671,7 @@
         }
         for t in &cfg.params.teams {
             v.snapshot.teams.push(TeamView {
-                used: books.usage.get(&t.name).copied().unwrap_or_default(),
+                used: cluster.usage.get(&t.name).copied().unwrap_or_default(),
                 guarantee: guarantee(t),
                 limit: Resources::new(t.cpus_max, t.gpus_max, 0.0),
                 share: 0,
--- a/src/coordination/standin.rs
+++ b/src/coordination/lease_extension.rs
@@ -1,7 +1,7 @@
 //! Standing in for the leader: a controller that is left with nothing but workers, in a zone that
 //! is cut off, say, keeps their leases for a while.
 //!
-//! It has no orders to give, only halts of tasks whose jobs it knows to be over. What permits it is
+//! It has no commands to give, only halts of tasks whose jobs it knows to be over. What permits it is
 //! the leader's own word in answer to a question of ours: for as long after the question as
 //! leases may be renewed without the state service (see [`Controller::may_answer`]). The leader
 //! knows when it last gave that word. So it takes no lease for over until every peer has vouched, after the
@@ -9,22 +9,22 @@
 
 use super::users::served_gossip;
 use super::*;
-use crate::bookkeeping::records::Stage;
 use crate::protocol::parse_task;
 use crate::protocol::workers::{Report, WorkerCommand, WorkerCommands};
+use crate::storage::records::Stage;
 
 /// What a controller knows of its own standing in.
 #[derive(Debug)]
-pub(crate) struct StandIn {
+pub(crate) struct LeaseExtension {
     /// The leader's term, and when we asked the question that it answered.
     permit: Option<(u64, u64)>,
     /// When we last answered a worker in the leader's place, or began.
     last_at: u64,
 }
 
-impl StandIn {
-    pub(super) fn new(now: u64) -> StandIn {
-        StandIn { permit: None, last_at: now }
+impl LeaseExtension {
+    pub(super) fn new(now: u64) -> LeaseExtension {
+        LeaseExtension { permit: None, last_at: now }
     }
 
     /// The leader of a term has answered a question asked at `begun`.
@@ -42,42 +42,43 @@
 impl Controller {
     /// Whether a worker that shows this token may be answered in the leader's place: nobody else
     /// is to be had for it, as far as we can tell.
-    pub(super) fn may_stand_in(&self, token: u64) -> bool {
+    pub(super) fn may_extend_lease(&self, token: u64) -> bool {
         let now = self.now.mono;
-        let (Some((term, begun)), Some(known)) = (self.stand_in.permit, self.sync.fresh_at) else {
+        let (Some((term, begun)), Some(known)) = (self.lease_extension.permit, self.sync.fresh_at)
+        else {
             return false;
         };
         let alone = !self.served() && !self.fresh_gossip().any(|g| g.leads || served_gossip(g));
         alone
             && term == self.term_heard
             && token <= term
-            && now <= begun.min(known) + self.blind_ms()
+            && now <= begun.min(known) + self.isolated_ms()
     }
 
     /// Answers a report in the leader's place.
-    pub(super) fn stand_in_for(&mut self, conn: ConnId, report: Report) {
-        let over = |load: &str| {
-            let Some((uid, _)) = parse_task(load) else { return false };
+    pub(super) fn extend_lease(&mut self, conn: ConnId, report: Report) {
+        let over = |task_id: &str| {
+            let Some((uid, _)) = parse_task(task_id) else { return false };
             let job = self.replica.jobs.get(uid);
-            job.is_some_and(|j| j.value.stage != Stage::Live) || self.told_over.contains(uid)
+            job.is_some_and(|j| j.value.stage != Stage::Live) || self.ended_by_peers.contains(uid)
         };
         // What was cancelled before we were left alone must not outlive its time for that.
-        let orders = report
-            .loads
+        let commands = report
+            .tasks
             .into_iter()
-            .filter(|x| super::leader::is_on(x.status) && over(&x.load))
-            .take(c::ORDERS_MAX)
-            .map(|x| WorkerCommand::Halt { load: x.load, attempt: x.attempt, grace_s: 0.0 })
+            .filter(|x| super::leader::is_on(x.status) && over(&x.task_id))
+            .take(c::COMMANDS_MAX)
+            .map(|x| WorkerCommand::Halt { task_id: x.task_id, attempt: x.attempt, grace_s: 0.0 })
             .collect();
         let now = self.now.mono;
-        if now > self.stand_in.last_at + self.lease_ms() {
+        if now > self.lease_extension.last_at + self.lease_ms() {
             log::info!(
                 "left with nothing but workers, keeps their leases in term {}",
                 self.term_heard
             );
         }
-        self.stand_in.last_at = now;
-        let body = serde_json::to_vec(&WorkerCommands { token: self.term_heard, orders })
+        self.lease_extension.last_at = now;
+        let body = serde_json::to_vec(&WorkerCommands { token: self.term_heard, commands })
             .unwrap_or_default();
         self.respond(conn, 200, None, body);
     }
@@ -89,11 +90,11 @@
         let now = self.now.mono;
         let lease = self.lease_ms();
         let Some(l) = &self.leader else { return 0 };
-        let permitted = self.blind_ms() + lease;
+        let permitted = self.isolated_ms() + lease;
         let of = |(peer, told): (&peers::PeerView, &Option<u64>)| match (told, peer.vouch) {
             (None, _) => u64::MAX,
             (Some(t), _) if now > t + permitted => u64::MAX,
-            (_, Some((asked, stood_in))) if stood_in + lease <= asked => asked - lease,
+            (_, Some((asked, extended))) if extended + lease <= asked => asked - lease,
             _ => 0,
         };
         self.peers.iter().zip(&l.permitted).map(of).min().unwrap_or(u64::MAX)
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,19 +1,19 @@
-//! Leadership, planning, machines, workers' orders and users' requests.
+//! Leadership, planning, machines, workers' commands and users' requests.
 //!
 //! [`Controller`] owns all state of a controller. It takes commands in batches, in the
 //! order of their rank (workers' reports, then answers and timers, then users' requests),
 //! and gives effects. It does no I/O; the clock and the seed of its randomness are passed in.
 
-mod blind;
 mod commits;
 mod election;
 mod fleet;
+mod isolation;
 mod lateness;
 mod leader;
+mod lease_extension;
 pub mod metrics;
 mod peers;
 pub mod planner;
-mod standin;
 mod status;
 mod sync;
 mod users;
@@ -21,14 +21,14 @@
 
 pub use leader::Leader;
 
-use crate::bookkeeping::budget::Bucket;
-use crate::bookkeeping::records::Name;
-use crate::bookkeeping::replica::Replica;
 use crate::constants as c;
 use crate::protocol::cloud::Catalog;
 use crate::protocol::state::Commit;
 use crate::protocol::users::JobSpec;
 use crate::settings::{Operator, Platform};
+use crate::storage::budget::Bucket;
+use crate::storage::records::Name;
+use crate::storage::replica::Replica;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -139,9 +139,9 @@
     term_heard: u64,
     /// When each worker last reported here.
     workers_seen: HashMap<String, u64>,
-    stand_in: standin::StandIn,
+    lease_extension: lease_extension::LeaseExtension,
     /// Jobs that are over by the word of peers, ahead of our copy of the store.
-    told_over: HashSet<Name>,
+    ended_by_peers: HashSet<Name>,
     metrics: metrics::Metrics,
     /// Submissions that gather for a batch, and batches on their way.
     gathering: Vec<users::Pending>,
@@ -178,8 +178,8 @@
             peers,
             term_heard: 0,
             workers_seen: HashMap::new(),
-            stand_in: standin::StandIn::new(clock.mono),
-            told_over: HashSet::new(),
+            lease_extension: lease_extension::LeaseExtension::new(clock.mono),
+            ended_by_peers: HashSet::new(),
             metrics: metrics::Metrics::new(clock.mono),
             gathering: Vec::new(),
             batches: HashMap::new(),
@@ -319,7 +319,7 @@
         self.leader.as_ref().map(|l| l.term)
     }
 
-    /// The leader's books, for tests and the operators' view.
+    /// The leader's state, for tests and the operators' view.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -40,7 +40,7 @@
             },
             workers_seen: self.workers_seen.values().filter(|t| now - **t <= seen_ms).count()
                 as u32,
-            stood_in_ago_ms: now - self.stand_in.last_at(),
+            extended_lease_ago_ms: now - self.lease_extension.last_at(),
             since: self.asks_since(),
             ended: Vec::new(),
             ended_all: false,
@@ -75,9 +75,9 @@
         let now = self.now.mono;
         let p = &mut self.peers[peer];
         let Some(g) = &p.gossip else { return };
-        p.vouch = Some((begun, now.saturating_sub(g.stood_in_ago_ms)));
+        p.vouch = Some((begun, now.saturating_sub(g.extended_lease_ago_ms)));
         if g.leads {
-            self.stand_in.permitted(g.term, begun);
+            self.lease_extension.permitted(g.term, begun);
         }
         self.hear_ends(peer, begun);
     }
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone)]
 pub struct MachineView {
     pub zone: usize,
-    pub sku: usize,
+    pub type_index: usize,
     pub spot: bool,
     pub total: Resources,
     /// How many more tasks its key can hold.
@@ -81,7 +81,7 @@
     pub bandwidth: f64,
     /// Expected run time of a task in milliseconds, without its image.
     pub run_ms: u64,
-    pub skus: Vec<bool>,
+    pub allowed_types: Vec<bool>,
     pub zone: Option<usize>,
     pub spot_ok: bool,
     /// Unsettled tasks per zone.
@@ -99,8 +99,8 @@
 
 impl JobView {
     /// Whether it has waited for longer than anyone should.
-    fn aged(&self) -> bool {
-        self.waited_ms >= if self.begun { c::AGED_LATE_MS } else { c::AGED_MS }
+    fn starving(&self) -> bool {
+        self.waited_ms >= if self.begun { c::STARVING_BEGUN_MS } else { c::STARVING_MS }
     }
 }
 
@@ -146,7 +146,7 @@
     /// that are not named can count on none.
     pub expected: Vec<Vec<u64>>,
     /// Tasks per job that were not placed.
-    pub unmet: Vec<u32>,
+    pub unplaced: Vec<u32>,
     /// Places that were worked out for this: what the pass cost.
     pub places_examined: u64,
 }
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -5,9 +5,9 @@
 use super::search::Allocation;
 use super::shares::thousandths;
 use super::{Plan, Snapshot};
-use crate::bookkeeping::reservation::{Bucket, Row};
 use crate::constants as c;
 use crate::protocol::Resources;
+use crate::storage::reservation::{Bucket, Row};
 use std::cell::Cell;
 
 /// A pass under way: the snapshot, and what has been decided so far.
@@ -35,7 +35,7 @@
     pub(super) reserved: Option<(usize, u64, Resources)>,
     pub(super) claims: usize,
     /// Machines with anything free: only these are looked at for a start now.
-    pub(super) roomy: Vec<usize>,
+    pub(super) with_room: Vec<usize>,
     /// How often something was placed on each machine in this pass: tells whether a choice
     /// worked out earlier still holds.
     pub(super) changes: Vec<u32>,
@@ -46,7 +46,7 @@
     /// Places worked out so far.
     pub(super) examined: Cell<u64>,
     /// Places that jobs which have waited too long may still take ahead of the others.
-    pub(super) aged_left: usize,
+    pub(super) starving_left: usize,
     pub(super) plan: Plan,
 }
 
@@ -68,16 +68,16 @@
         })
         .collect();
     let least = least_need(s);
-    let roomy = (0..rows.len()).filter(|m| rows[*m].free.fits(&least)).collect();
+    let with_room = (0..rows.len()).filter(|m| rows[*m].free.fits(&least)).collect();
     let mut pass = Pass {
         s,
         rows,
-        roomy,
+        with_room,
         changes: vec![0; s.machines.len()],
         versions: vec![1; s.machines.len()],
         offers: Offers::default(),
         examined: Cell::new(0),
-        aged_left: 0,
+        starving_left: 0,
         slots: s.machines.iter().map(|m| m.slots).collect(),
         service: s
             .machines
@@ -114,17 +114,17 @@
         // Whoever has waited too long goes first, the oldest ahead, for a part of the places:
         // jobs that are late in any case would otherwise wait for ever behind those that can
         // still be in time.
-        let mut aged: Vec<usize> =
-            order.iter().copied().filter(|j| self.s.jobs[*j].aged()).collect();
-        aged.sort_by_key(|j| (self.s.jobs[*j].begun, self.s.jobs[*j].arrival));
+        let mut starving: Vec<usize> =
+            order.iter().copied().filter(|j| self.s.jobs[*j].starving()).collect();
+        starving.sort_by_key(|j| (self.s.jobs[*j].begun, self.s.jobs[*j].arrival));
         order.truncate(c::JOBS_PER_PASS);
-        aged.truncate(c::JOBS_PER_PASS);
-        self.aged_left = match aged.is_empty() {
+        starving.truncate(c::JOBS_PER_PASS);
+        self.starving_left = match starving.is_empty() {
             true => 0,
-            false => (self.places_now() / c::AGED_PLACES).max(1),
+            false => (self.places_now() / c::STARVING_PLACES_PART).max(1),
         };
-        for &j in &aged {
-            self.age(j);
+        for &j in &starving {
+            self.start_starving(j);
         }
         self.make_room(&order);
         // Heads that can start now start; the first that can't gets the reservation.
@@ -157,23 +157,23 @@
             }
         }
         self.backfill(&rest);
-        self.plan.unmet =
+        self.plan.unplaced =
             self.waiting.iter().zip(&self.promised).map(|(waiting, n)| waiting + n).collect();
     }
 
     /// Places for a task like the smallest that waits.
     fn places_now(&self) -> usize {
         let least = least_need(self.s);
-        self.roomy.iter().map(|m| self.rows[*m].free.times(&least).max(0) as usize).sum()
+        self.with_room.iter().map(|m| self.rows[*m].free.times(&least).max(0) as usize).sum()
     }
 
     /// Starts tasks of a job that has waited too long: one if none ever started, whatever
     /// its rank, and the next ones as long as the part kept for such jobs lasts.
-    fn age(&mut self, j: usize) {
-        while self.aged_left > 0 && self.waiting[j] > 0 && !self.full() {
+    fn start_starving(&mut self, j: usize) {
+        while self.starving_left > 0 && self.waiting[j] > 0 && !self.full() {
             let Some(a) = self.allocate(j, false) else { return };
             self.place(j, a);
-            self.aged_left -= 1;
+            self.starving_left -= 1;
         }
     }
 
--- a/src/coordination/planner/plain.rs
+++ b/src/coordination/planner/plain.rs
@@ -3,7 +3,7 @@
 //! compared with this one.
 
 use super::pass::Pass;
-use super::search::{Allocation, Search, Taste};
+use super::search::{Allocation, Preference, Search};
 use crate::protocol::users::Priority;
 
 /// Panics unless the plain form chooses the same.
@@ -79,22 +79,22 @@
         let now = self.s.now;
         let need = &self.s.jobs[j].need;
         // Among places that are free now, the least factor, then taste.
-        let mut least: Option<(Allocation, Taste)> = None;
-        let mut first: Option<(Allocation, Taste)> = None;
-        for &m in &self.roomy {
+        let mut least: Option<(Allocation, Preference)> = None;
+        let mut first: Option<(Allocation, Preference)> = None;
+        for &m in &self.with_room {
             if !self.rows[m].free.fits(need) || !self.allowed(j, m) {
                 continue;
             }
             let Some(a) = self.plain_at(j, m, now) else { continue };
-            let taste = self.taste(j, m);
-            if first.as_ref().is_none_or(|(_, t)| taste < *t) {
-                first = Some((a, taste));
+            let preference = self.preference(j, m);
+            if first.as_ref().is_none_or(|(_, t)| preference < *t) {
+                first = Some((a, preference));
             }
-            let better = least
-                .as_ref()
-                .is_none_or(|(b, t)| a.factor < b.factor || (a.factor == b.factor && taste < *t));
+            let better = least.as_ref().is_none_or(|(b, t)| {
+                a.factor < b.factor || (a.factor == b.factor && preference < *t)
+            });
             if better {
-                least = Some((a, taste));
+                least = Some((a, preference));
             }
         }
         let lowest = self.s.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
@@ -104,8 +104,8 @@
         // For each threshold the earliest place under it, of the least factor at that time; if
         // there is none, the least factor of all. First fit is the earliest place of all.
         let mut search = Search::new(&self.s.thresholds);
-        for (a, taste) in first.into_iter().chain(least) {
-            search.see(a, taste);
+        for (a, preference) in first.into_iter().chain(least) {
+            search.see(a, preference);
         }
         let bound = least.map_or(f64::INFINITY, |(a, _)| a.factor);
         let mut only = None;
@@ -115,7 +115,7 @@
         }
         for m in 0..self.s.machines.len() {
             if only.is_none_or(|x| x == m) {
-                self.plain_later(j, m, bound).for_each(|a| search.see(a, self.taste(j, m)));
+                self.plain_later(j, m, bound).for_each(|a| search.see(a, self.preference(j, m)));
             }
         }
         search.best()
--- a/src/coordination/planner/room.rs
+++ b/src/coordination/planner/room.rs
@@ -1,7 +1,7 @@
 //! Room for higher ranks and for guarantees: which tasks are stopped for it.
 
 use super::pass::Pass;
-use super::search::Taste;
+use super::search::Preference;
 use super::Running;
 use crate::constants as c;
 use crate::protocol::users::Priority;
@@ -52,7 +52,7 @@
                 }
                 // Where the least is lost, by the image that has to be fetched and by what is
                 // stopped; a place where there is room wins over one like it.
-                let mut best: Option<(u64, Taste, usize, Vec<usize>)> = None;
+                let mut best: Option<(u64, Preference, usize, Vec<usize>)> = None;
                 for m in 0..room.len() {
                     let here = room[m].fits(&job.need);
                     if !here {
@@ -85,12 +85,12 @@
                         self.victims(j, m, room[m], &stopped[m], within)
                     };
                     let Some((lost, victims)) = choice else { continue };
-                    let (cost, taste) = (lost + fetch, self.taste(j, m));
+                    let (cost, preference) = (lost + fetch, self.preference(j, m));
                     let better = best
                         .as_ref()
-                        .is_none_or(|(b, t, ..)| cost < *b || (cost == *b && taste < *t));
+                        .is_none_or(|(b, t, ..)| cost < *b || (cost == *b && preference < *t));
                     if better {
-                        best = Some((cost, taste, m, victims));
+                        best = Some((cost, preference, m, victims));
                     }
                 }
                 let Some((_, _, m, victims)) = best else { break };
--- a/src/coordination/planner/search.rs
+++ b/src/coordination/planner/search.rs
@@ -16,14 +16,14 @@
 }
 
 /// How much a place is liked among places that are alike, the least first.
-pub(super) type Taste = (u32, u8, i64, i64, usize);
+pub(super) type Preference = (u32, u8, i64, i64, usize);
 
 /// The places that LessConsume Threshold chooses between, one for each threshold.
 pub(super) struct Search<'a> {
     thresholds: &'a [f64],
-    under: Vec<Option<(Allocation, Taste)>>,
-    least: Option<(Allocation, Taste)>,
-    first: Option<(Allocation, Taste)>,
+    under: Vec<Option<(Allocation, Preference)>>,
+    least: Option<(Allocation, Preference)>,
+    first: Option<(Allocation, Preference)>,
 }
 
 impl<'a> Search<'a> {
@@ -31,13 +31,13 @@
         Search { thresholds, under: vec![None; thresholds.len()], least: None, first: None }
     }
 
-    pub(super) fn see(&mut self, a: Allocation, taste: Taste) {
-        type Key = (u64, f64, Taste);
+    pub(super) fn see(&mut self, a: Allocation, preference: Preference) {
+        type Key = (u64, f64, Preference);
         fn keep(
-            slot: &mut Option<(Allocation, Taste)>,
+            slot: &mut Option<(Allocation, Preference)>,
             a: Allocation,
-            t: Taste,
-            key: fn(&Allocation, Taste) -> Key,
+            t: Preference,
+            key: fn(&Allocation, Preference) -> Key,
         ) {
             let less = |x: Key, y: Key| {
                 x.0.cmp(&y.0).then(x.1.total_cmp(&y.1)).then(x.2.cmp(&y.2)).is_lt()
@@ -48,14 +48,14 @@
         }
         for (slot, _) in self.under.iter_mut().zip(self.thresholds).filter(|(_, t)| a.factor < **t)
         {
-            keep(slot, a, taste, |a, t| (a.start, a.factor, t));
+            keep(slot, a, preference, |a, t| (a.start, a.factor, t));
         }
-        keep(&mut self.first, a, taste, |a, t| (a.start, 0.0, t));
+        keep(&mut self.first, a, preference, |a, t| (a.start, 0.0, t));
         let lower = self.least.as_ref().is_none_or(|(b, t)| {
-            a.factor.total_cmp(&b.factor).then((a.start, taste).cmp(&(b.start, *t))).is_lt()
+            a.factor.total_cmp(&b.factor).then((a.start, preference).cmp(&(b.start, *t))).is_lt()
         });
         if lower {
-            self.least = Some((a, taste));
+            self.least = Some((a, preference));
         }
     }
 
@@ -77,7 +77,10 @@
     pub(super) fn allowed(&self, j: usize, m: usize) -> bool {
         let job = &self.s.jobs[j];
         let machine = &self.s.machines[m];
-        if machine.spot && !job.spot_ok || !job.skus[machine.sku] || self.slots[m] == 0 {
+        if machine.spot && !job.spot_ok
+            || !job.allowed_types[machine.type_index]
+            || self.slots[m] == 0
+        {
             return false;
         }
         if job.zone.is_some_and(|z| z != machine.zone) || job.avoid.contains(&m) {
@@ -166,7 +169,7 @@
     /// with fewer replicas of the job; other work fills the holes beside them, which are paid
     /// for anyway, then the kind of machine that it alone can use, the fullest first, so that
     /// whole machines fall empty.
-    pub(super) fn taste(&self, j: usize, m: usize) -> Taste {
+    pub(super) fn preference(&self, j: usize, m: usize) -> Preference {
         let job = &self.s.jobs[j];
         let machine = &self.s.machines[m];
         let free = self.rows[m].free;
@@ -204,19 +207,19 @@
     /// The choice of [`Pass::allocate`] among the offers of all machines.
     fn choose(&self, j: usize, may_wait: bool, offers: &mut Offers) -> Option<Allocation> {
         // Among places that are free now, the least factor, then taste.
-        let mut least: Option<(Allocation, Taste)> = None;
-        let mut first: Option<(Allocation, Taste)> = None;
-        for &m in &self.roomy {
+        let mut least: Option<(Allocation, Preference)> = None;
+        let mut first: Option<(Allocation, Preference)> = None;
+        for &m in &self.with_room {
             let Some(a) = offers.now(self, j, m) else { continue };
-            let taste = self.taste(j, m);
-            if first.as_ref().is_none_or(|(_, t)| taste < *t) {
-                first = Some((a, taste));
+            let preference = self.preference(j, m);
+            if first.as_ref().is_none_or(|(_, t)| preference < *t) {
+                first = Some((a, preference));
             }
-            let better = least
-                .as_ref()
-                .is_none_or(|(b, t)| a.factor < b.factor || (a.factor == b.factor && taste < *t));
+            let better = least.as_ref().is_none_or(|(b, t)| {
+                a.factor < b.factor || (a.factor == b.factor && preference < *t)
+            });
             if better {
-                least = Some((a, taste));
+                least = Some((a, preference));
             }
         }
         let lowest = self.s.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
@@ -226,8 +229,8 @@
         // For each threshold the earliest place under it, of the least factor at that time; if
         // there is none, the least factor of all. First fit is the earliest place of all.
         let mut search = Search::new(&self.s.thresholds);
-        for (a, taste) in first.into_iter().chain(least) {
-            search.see(a, taste);
+        for (a, preference) in first.into_iter().chain(least) {
+            search.see(a, preference);
         }
         let bound = least.map_or(f64::INFINITY, |(a, _)| a.factor);
         let mut only = None;
@@ -238,7 +241,7 @@
         for m in 0..self.s.machines.len() {
             if only.is_none_or(|x| x == m) {
                 let later = offers.later(self, j, m, bound);
-                later.iter().for_each(|a| search.see(*a, self.taste(j, m)));
+                later.iter().for_each(|a| search.see(*a, self.preference(j, m)));
             }
         }
         search.best()
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -12,7 +12,7 @@
 pub fn machine(n: i64) -> MachineView {
     MachineView {
         zone: 0,
-        sku: 0,
+        type_index: 0,
         spot: false,
         total: gpus(n),
         slots: 100,
@@ -50,7 +50,7 @@
         need: gpus(n),
         bandwidth: 0.0,
         run_ms,
-        skus: vec![true],
+        allowed_types: vec![true],
         zone: None,
         spot_ok: true,
         in_zone: vec![0],
@@ -264,13 +264,13 @@
     higher.waiting = 100;
     let mut s = snapshot(vec![machine(8)], vec![late, higher, job(3, 1, 1_000)]);
     assert!(plan(&s).places.iter().all(|(j, _)| *j != 0), "late, and lower");
-    s.jobs[0].waited_ms = c::AGED_MS;
+    s.jobs[0].waited_ms = c::STARVING_MS;
     let places = plan(&s).places;
     let of = |j: usize| places.iter().filter(|(k, _)| *k == j).count();
     assert_eq!((of(0), of(1)), (2, 6), "a part of the places, not all of them");
     s.jobs[0].begun = true;
     assert!(plan(&s).places.iter().all(|(j, _)| *j != 0), "it has begun");
-    s.jobs[0].waited_ms = c::AGED_LATE_MS;
+    s.jobs[0].waited_ms = c::STARVING_BEGUN_MS;
     assert!(plan(&s).places.iter().any(|(j, _)| *j == 0), "and goes on after a while");
 }
 
@@ -319,7 +319,7 @@
         j.team = rng.random_range(0..2);
         j.within = rng.random_bool(0.2);
         j.service = rng.random_bool(0.3);
-        j.waited_ms = rng.random_range(0..2) * c::AGED_MS;
+        j.waited_ms = rng.random_range(0..2) * c::STARVING_MS;
         j.times = if rng.random_bool(0.5) { vec![rng.random_range(0..90_000)] } else { vec![] };
         j.bandwidth = f64::from(rng.random_range(0..3));
         j.spot_ok = rng.random_bool(0.7);
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -1,8 +1,8 @@
 //! The operators' view.
 
 use super::*;
-use crate::bookkeeping::books::Life;
-use crate::bookkeeping::records::Stage;
+use crate::storage::cluster::Life;
+use crate::storage::records::Stage;
 use serde_json::{json, Value};
 
 /// Waiting jobs listed in full.
@@ -50,7 +50,7 @@
         });
         if let Some(l) = self.leader.as_ref().filter(|l| l.ready) {
             let machines: Vec<Value> = l
-                .books
+                .cluster
                 .machines
                 .values()
                 .map(|m| {
@@ -59,20 +59,20 @@
                         Life::Unheard => "not heard of",
                         Life::Deleting => "deleting",
                         Life::Gone => "gone",
-                        Life::Up if m.lapsed => "silent",
+                        Life::Up if m.lease_expired => "silent",
                         Life::Up if m.reclaim_at.is_some() => "recalled",
                         Life::Up if m.draining => "set aside",
                         Life::Up => "up",
                     };
-                    json!({"name": &*m.name, "build": m.sku, "yard": m.zone, "spot": m.spot,
+                    json!({"name": &*m.name, "build": m.type_name, "yard": m.zone, "spot": m.spot,
                            "state": state, "tasks": m.placements.len()})
                 })
                 .collect();
             let waiting: Vec<Value> = l
-                .books
+                .cluster
                 .queue
                 .values()
-                .filter_map(|u| l.books.jobs.get(u))
+                .filter_map(|u| l.cluster.jobs.get(u))
                 .filter(|j| j.waiting() > 0)
                 .take(WAITING_SHOWN)
                 .map(|j| {
@@ -83,7 +83,7 @@
                         None => "no room that allows it, or its team is at its limit".into(),
                     };
                     json!({"uid": &*j.uid, "waiting": j.waiting(), "done": j.done_count,
-                           "tasks": j.loads, "why": why})
+                           "tasks": j.tasks, "why": why})
                 })
                 .collect();
             v["machines"] = Value::Array(machines);
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -136,11 +136,11 @@
             let path = changes_path(c::KEY_FAMILY, self.replica.rev, c::WATCH_BLOCK_MS);
             self.state_call("GET", path, vec![], c::WATCH_CALL_MS, Purpose::Watch);
         }
-        let pulse = now >= self.sync.fresh_begun + c::PULSE_MS;
+        let periodic = now >= self.sync.fresh_begun + c::READ_PERIOD_MS;
         let wanted =
             !self.sync.fresh_waiting.is_empty() && now >= self.sync.fresh_begun + c::FRESH_GAP_MS;
-        if self.sync.fresh_running.is_none() && (pulse || wanted) {
-            if !self.reads.take(0.0, 1.0, now) && !pulse {
+        if self.sync.fresh_running.is_none() && (periodic || wanted) {
+            if !self.reads.take(0.0, 1.0, now) && !periodic {
                 return;
             }
             self.sync.fresh_running = Some(std::mem::take(&mut self.sync.fresh_waiting));
@@ -242,7 +242,7 @@
     fn jobs_touched(&mut self, touched: &[Name]) {
         if let Some(l) = self.leader.as_mut().filter(|l| l.ready) {
             for uid in touched {
-                l.books.job_changed(&self.replica, uid);
+                l.cluster.job_changed(&self.replica, uid);
             }
             if !touched.is_empty() {
                 l.plan_soon(self.now.mono);
@@ -262,7 +262,7 @@
         match self.apply(&reply) {
             Some(true) => {
                 self.sync.fresh_at = Some(begun);
-                self.forget_told();
+                self.forget_ended_by_peers();
                 for w in waiters {
                     self.fresh_done(w, begun);
                 }
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -5,12 +5,12 @@
 
 use super::sync::Waiter;
 use super::*;
-use crate::bookkeeping::records::*;
-use crate::bookkeeping::replica::Stamped;
 use crate::protocol::peers::{encode, Relayed};
 use crate::protocol::state::{raw, Committed, Conflict, If, Write, COMMIT_PATH};
 use crate::protocol::users::*;
 use crate::protocol::Resources;
+use crate::storage::records::*;
+use crate::storage::replica::Stamped;
 
 /// A submission that gathers for a batch, with everyone who asked for it.
 #[derive(Debug)]
@@ -149,15 +149,15 @@
             return Err((503, "machine types are not known yet".into()));
         };
         let need = spec.need();
-        let fits = catalog.builds.iter().any(|b| {
-            spec.builds.as_ref().is_none_or(|list| list.contains(&b.sku))
+        let fits = catalog.machine_types.iter().any(|b| {
+            spec.machine_types.as_ref().is_none_or(|list| list.contains(&b.type_name))
                 && spec.zone.as_ref().is_none_or(|y| b.zones.contains(y))
                 && Resources::new(b.cores, b.gpus, b.ram_gb).fits(&need)
         });
         if !fits {
             return Err((422, "a task fits no allowed machine type".into()));
         }
-        let n = if spec.kind == JobKind::Service { i64::from(spec.loads) } else { 1 };
+        let n = if spec.kind == JobKind::Service { i64::from(spec.tasks) } else { 1 };
         let all = need * n;
         let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
         if !all.under(&limit) {
@@ -323,7 +323,7 @@
                         "{}: accepted in {} ms, {} tasks of {} for {}, {} of {} GB, due after {:?} s",
                         p.spec.uid,
                         self.now.mono - p.at,
-                        p.spec.loads,
+                        p.spec.tasks,
                         p.spec.class,
                         p.spec.team,
                         p.spec.image,
@@ -382,7 +382,7 @@
         }
         if let Some(l) = self.leader.as_mut().filter(|l| l.ready) {
             for uid in &touched {
-                l.books.job_changed(&self.replica, uid);
+                l.cluster.job_changed(&self.replica, uid);
             }
             if !touched.is_empty() {
                 l.plan_soon(self.now.mono);
@@ -447,7 +447,7 @@
         };
         let status = self.status_of(uid, job);
         let (done, running) = match status {
-            Status::Done => (job.value.loads, 0),
+            Status::Done => (job.value.tasks, 0),
             Status::Cancelled => (job.value.done, 0),
             _ => (self.replica.done_bitmap(uid).count(), self.replica.placed(uid)),
         };
@@ -484,7 +484,7 @@
         let rec = EndRec {
             at: job.value.at,
             stage: Stage::Cancelled,
-            loads: job.value.loads,
+            tasks: job.value.tasks,
             done: self.replica.done_bitmap(uid).count(),
         };
         let key = end_key(uid);
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -1,4 +1,4 @@
-//! Workers' reports and the orders that travel in their answers.
+//! Workers' reports and the commands that travel in their answers.
 //!
 //! What a report settles, and when: only a report that shows our token, the newest by
 //! session and sequence. A start that a newer report doesn't show was not executed, since a
@@ -6,13 +6,13 @@
 
 use super::leader::{is_failure, is_on};
 use super::*;
-use crate::bookkeeping::books::*;
-use crate::bookkeeping::records::*;
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::*;
 use crate::protocol::{parse_task, task_name, Resources};
+use crate::storage::cluster::*;
+use crate::storage::records::*;
 
-/// A report whose answer waits for a commit that may bring orders.
+/// A report whose answer waits for a commit that may bring commands.
 #[derive(Debug)]
 pub(super) struct HeldReport {
     pub conn: ConnId,
@@ -22,7 +22,7 @@
     ours: bool,
     /// Tasks shown as ended, and tasks shown that nothing explains.
     ended: Vec<(String, u64)>,
-    strays: Vec<(String, u64)>,
+    unknown_tasks: Vec<(String, u64)>,
 }
 
 impl Controller {
@@ -59,8 +59,8 @@
         let ready = self.leader.as_ref().is_some_and(|l| l.ready);
         if ready && self.may_answer() {
             self.absorb(conn, report);
-        } else if self.leader.is_none() && self.may_stand_in(report.token) {
-            self.stand_in_for(conn, report);
+        } else if self.leader.is_none() && self.may_extend_lease(report.token) {
+            self.extend_lease(conn, report);
         } else {
             self.redirect(conn);
         }
@@ -79,14 +79,14 @@
         }
         let name: Name = report.machine.as_str().into();
         let ours = report.token == l.term;
-        let m = l.books.machine_entry(&name, now);
+        let m = l.cluster.machine_entry(&name, now);
         let id = (report.session, report.sequence);
         let (before, answered, received) = (m.newest, m.answered_at, m.received_at);
         if id <= m.newest {
             // Late or repeated: the worker has given it up.
             return self.redirect(conn);
         }
-        if m.lapsed && report.session <= m.newest.0 {
+        if m.lease_expired && report.session <= m.newest.0 {
             // Sent before its lease ran out and held on the way: what it shows is over, and
             // the worker has begun another session since. Such reports once brought back
             // machines that were still cut off, with tasks long started elsewhere.
@@ -94,15 +94,22 @@
         }
         m.newest = id;
         m.received_at = Some(now);
-        m.sku = report.build;
+        m.type_name = report.machine_type;
         m.zone = report.zone;
         m.spot = report.spot;
-        if let Some(b) = catalog.iter().flat_map(|c| &c.builds).find(|b| b.sku == m.sku) {
+        if let Some(b) =
+            catalog.iter().flat_map(|c| &c.machine_types).find(|b| b.type_name == m.type_name)
+        {
             m.total = Resources::new(b.cores, b.gpus, b.ram_gb);
         }
         if matches!(m.life, Life::Booting | Life::Unheard) {
             m.life = Life::Up;
-            log::info!("{name}: up, {} in {}{}", m.sku, m.zone, if m.spot { ", spot" } else { "" });
+            log::info!(
+                "{name}: up, {} in {}{}",
+                m.type_name,
+                m.zone,
+                if m.spot { ", spot" } else { "" }
+            );
         }
         m.up_at.get_or_insert(now);
         // A report that does not show our token though we answered one before may be a late copy
@@ -110,7 +117,7 @@
         if ours || answered.is_none() {
             m.reported_at = Some(now);
         }
-        m.lapsed = false;
+        m.lease_expired = false;
         // A worker that our answer has reached stays with us: its next report is the next one it
         // sends, and comes before it would have given the answer up. One that no answer reaches
         // waits, and tries the other controllers first. The first report with our token also
@@ -124,7 +131,7 @@
         let mut signs = u32::from(!ours && answered.is_some());
         if answered_last && report.session > before.0 {
             // A worker that an answer reaches keeps its session.
-            signs += c::DEAF_SESSION_SIGNS;
+            signs += c::UNREACHABLE_SESSION_SIGNS;
         }
         signs += u32::from(answered_last && report.sequence > before.1.saturating_add(1));
         let reclaimed = m.reclaim_at.is_some();
@@ -140,16 +147,16 @@
             since: now,
             ours,
             ended: Vec::new(),
-            strays: Vec::new(),
+            unknown_tasks: Vec::new(),
         };
-        let mut shown: HashMap<(TaskId, u64), &Load> = HashMap::new();
-        for load in &report.loads {
-            let Some((job, task)) = parse_task(&load.load) else {
+        let mut shown: HashMap<(TaskId, u64), &TaskReport> = HashMap::new();
+        for reported in &report.tasks {
+            let Some((job, task)) = parse_task(&reported.task_id) else {
                 continue;
             };
-            shown.insert(((Name::from(job), task), load.attempt), load);
-            if !is_on(load.status) {
-                held.ended.push((load.load.clone(), load.attempt));
+            shown.insert(((Name::from(job), task), reported.attempt), reported);
+            if !is_on(reported.status) {
+                held.ended.push((reported.task_id.clone(), reported.attempt));
             }
         }
         // What we know of, against what is shown.
@@ -162,14 +169,14 @@
                 continue;
             }
             match shown.get(&(task.clone(), p.attempt)) {
-                Some(load) if !is_on(load.status) && ours => {
-                    settled.push((task.clone(), load.cause.unwrap_or(Cause::Lost)));
+                Some(reported) if !is_on(reported.status) && ours => {
+                    settled.push((task.clone(), reported.cause.unwrap_or(Cause::Lost)));
                 }
-                Some(load) if !is_on(load.status) => {}
-                Some(load) => {
+                Some(reported) if !is_on(reported.status) => {}
+                Some(reported) => {
                     heeded_start |= ours && p.seen.is_none() && p.ordered.is_some();
-                    p.seen = Some(load.status);
-                    if load.status != TaskStatus::Pulling && p.running_since.is_none() {
+                    p.seen = Some(reported.status);
+                    if reported.status != TaskStatus::Pulling && p.running_since.is_none() {
                         p.running_since = Some(now);
                         running.push((task.clone(), p.placed_at));
                     }
@@ -186,26 +193,26 @@
         }
         signs += u32::from(unheeded_start);
         let lease = self.cfg.params.workers.lease_s * c::MS_PER_S;
-        let calm = (lease * c::DEAF_CALM_LEASES) as u64;
+        let calm = (lease * c::UNREACHABLE_CALM_LEASES) as u64;
         if m.note_heed(signs, heeded || heeded_start, now, calm) {
             log::info!("{name}: reports, but no answer seems to reach it");
         }
-        if m.deaf_since.is_some() {
+        if m.unreachable_since.is_some() {
             // What was never shown there is settled by its next report and starts elsewhere.
             for p in m.placements.values_mut().filter(|p| p.seen.is_none()) {
                 p.halt.get_or_insert(Halt::MakeRoom);
             }
         }
         for ((job, task), placed_at) in running {
-            let Some(j) = l.books.jobs.get_mut(&job) else { continue };
+            let Some(j) = l.cluster.jobs.get_mut(&job) else { continue };
             j.begun = true;
             let Some(spec) = j.spec.clone() else { continue };
             let room = catalog
                 .iter()
-                .flat_map(|c| &c.builds)
-                .find(|b| b.sku == l.books.machines[&name].sku)
-                .map_or(0.0, |b| b.local_gb);
-            if let Some(m) = l.books.machines.get_mut(&name) {
+                .flat_map(|c| &c.machine_types)
+                .find(|b| b.type_name == l.cluster.machines[&name].type_name)
+                .map_or(0.0, |b| b.cache_gb);
+            if let Some(m) = l.cluster.machines.get_mut(&name) {
                 m.note_image(&spec.image, spec.size_gb, room);
             }
             let _ = self.metrics.start_ms.record(now - placed_at);
@@ -213,28 +220,28 @@
         }
         for (task, cause) in settled {
             l.note_end(&name, &task, cause, now);
-            l.books.settle(&name, &task, cause);
+            l.cluster.settle(&name, &task, cause);
             l.plan_soon(now);
         }
         // What is shown and nothing explains.
-        for load in report.loads.iter().filter(|x| is_on(x.status)) {
-            let Some((job, task)) = parse_task(&load.load) else {
+        for reported in report.tasks.iter().filter(|x| is_on(x.status)) {
+            let Some((job, task)) = parse_task(&reported.task_id) else {
                 continue;
             };
             let id: TaskId = (job.into(), task);
-            let known = l.books.machines[&name]
+            let known = l.cluster.machines[&name]
                 .placements
                 .get(&id)
-                .is_some_and(|p| p.attempt == load.attempt);
+                .is_some_and(|p| p.attempt == reported.attempt);
             if known {
                 continue;
             }
-            log::info!("{}: attempt {} on {name} is not in the books", load.load, load.attempt);
-            held.strays.push((load.load.clone(), load.attempt));
-            l.books.count_stray(&name, &id, load.attempt, now);
+            log::info!("{}: attempt {} on {name} is not known", reported.task_id, reported.attempt);
+            held.unknown_tasks.push((reported.task_id.clone(), reported.attempt));
+            l.cluster.add_unknown(&name, &id, reported.attempt, now);
         }
-        if l.books.machines[&name].placements.is_empty() {
-            l.books.machines.get_mut(&name).map(|m| m.idle_since.get_or_insert(now));
+        if l.cluster.machines[&name].placements.is_empty() {
+            l.cluster.machines.get_mut(&name).map(|m| m.idle_since.get_or_insert(now));
         }
         l.reclaim(&name, now, &self.cfg);
         l.held.push(held);
@@ -250,7 +257,7 @@
         let mut go = Vec::new();
         let mut keep = Vec::new();
         for h in l.held.drain(..) {
-            let wants = l.books.machines.get(&h.machine).is_some_and(|m| {
+            let wants = l.cluster.machines.get(&h.machine).is_some_and(|m| {
                 m.proposed > 0 || (m.life == Life::Up && !m.draining && m.reclaim_at.is_none())
             });
             if deciding && wants && now < h.since + c::REPORT_HOLD_MS {
@@ -275,42 +282,42 @@
             return self.redirect(h.conn);
         };
         let term = l.term;
-        let jobs = &l.books.jobs;
-        let Some(m) = l.books.machines.get_mut(&h.machine) else {
+        let jobs = &l.cluster.jobs;
+        let Some(m) = l.cluster.machines.get_mut(&h.machine) else {
             return self.redirect(h.conn);
         };
         if m.newest != h.newest || m.life == Life::Gone {
             return self.redirect(h.conn);
         }
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         let mut starts = Vec::new();
         let mut never_ordered = Vec::new();
         // What does not fit into an answer goes out with the next one.
-        for (load, attempt) in h.strays.into_iter().take(c::ORDERS_MAX) {
-            orders.push(WorkerCommand::Halt { load, attempt, grace_s: 0.0 });
+        for (task_id, attempt) in h.unknown_tasks.into_iter().take(c::COMMANDS_MAX) {
+            commands.push(WorkerCommand::Halt { task_id, attempt, grace_s: 0.0 });
         }
-        for (load, attempt) in h.ended {
+        for (task_id, attempt) in h.ended {
             // Only once what it said is committed, which takes the placement out.
-            let open = parse_task(&load).is_some_and(|(job, task)| {
+            let open = parse_task(&task_id).is_some_and(|(job, task)| {
                 m.placements.get(&(job.into(), task)).is_some_and(|p| p.attempt == attempt)
             });
-            if !open && orders.len() < c::ORDERS_MAX {
-                orders.push(WorkerCommand::Clear { load, attempt });
+            if !open && commands.len() < c::COMMANDS_MAX {
+                commands.push(WorkerCommand::Clear { task_id, attempt });
             }
         }
         for (id, p) in &mut m.placements {
             if p.ended.is_some() || p.phase != Phase::Committed {
                 continue;
             }
-            if orders.len() + starts.len() >= c::ORDERS_MAX {
+            if commands.len() + starts.len() >= c::COMMANDS_MAX {
                 break;
             }
             let job = jobs.get(&id.0);
             let live = job.is_some_and(|j| j.stage == Stage::Live && !j.done.get(id.1));
             // Peers' word stops a task, but settles nothing: see `blind`.
-            let told = self.told_over.contains(&id.0);
+            let told = self.ended_by_peers.contains(&id.0);
             let halt = if live && !told { p.halt } else { Some(Halt::Unwanted) };
-            let load = task_name(&id.0, id.1);
+            let task_id = task_name(&id.0, id.1);
             let inherited = p.attempt >> c::ATTEMPT_BITS != term;
             if let Some(halt) = halt {
                 if p.seen.is_none() && p.ordered.is_none() && !inherited {
@@ -324,24 +331,25 @@
                     (Halt::MakeRoom, Some(s)) => s.checkpoint_cost_s + c::GRACE_EXTRA_S,
                     _ => 0.0,
                 };
-                orders.push(WorkerCommand::Halt { load, attempt: p.attempt, grace_s });
+                commands.push(WorkerCommand::Halt { task_id, attempt: p.attempt, grace_s });
             } else if may_start
                 && p.seen.is_none()
                 && m.life == Life::Up
-                && !m.lapsed
+                && !m.lease_expired
                 && (!inherited || h.ours)
             {
                 p.ordered = Some(h.newest);
-                starts.push(WorkerCommand::Start { load, attempt: p.attempt });
+                starts.push(WorkerCommand::Start { task_id, attempt: p.attempt });
             }
         }
-        orders.extend(starts);
+        commands.extend(starts);
         m.answered_at = Some(now);
         for id in never_ordered {
-            l.books.settle(&h.machine, &id, Cause::Lost);
+            l.cluster.settle(&h.machine, &id, Cause::Lost);
         }
         let _ = self.metrics.report_ms.record(now - h.since);
-        let body = serde_json::to_vec(&WorkerCommands { token: term, orders }).unwrap_or_default();
+        let body =
+            serde_json::to_vec(&WorkerCommands { token: term, commands }).unwrap_or_default();
         self.respond(h.conn, 200, None, body);
     }
 }
@@ -349,12 +357,12 @@
 impl Leader {
     /// Draws conclusions from how a task ended: run times, sick machines, bad jobs.
     fn note_end(&mut self, machine: &Name, id: &TaskId, cause: Cause, now: u64) {
-        let books = &mut self.books;
-        let Some(job) = books.jobs.get_mut(&id.0) else {
+        let cluster = &mut self.cluster;
+        let Some(job) = cluster.jobs.get_mut(&id.0) else {
             return;
         };
         let spec = job.spec.clone();
-        let Some(m) = books.machines.get_mut(machine) else {
+        let Some(m) = cluster.machines.get_mut(machine) else {
             return;
         };
         let ran = m.placements.get(id).and_then(|p| p.running_since).map(|t| now - t);
@@ -363,8 +371,8 @@
             let blamed: Vec<Name> = job.failed_on.drain().collect();
             m.failures.clear();
             for other in blamed {
-                if let Some(o) = books.machines.get_mut(&other) {
-                    if o.failures.iter().any(|(t, _)| now - t < c::SICK_WINDOW_MS) {
+                if let Some(o) = cluster.machines.get_mut(&other) {
+                    if o.failures.iter().any(|(t, _)| now - t < c::FAULTY_WINDOW_MS) {
                         log::info!(
                             "{other}: set aside, {} failed there and not on {machine}",
                             id.0
@@ -391,13 +399,13 @@
             log::debug!("{}: failed on several machines, paused {} ms", id.0, job.fail_pause_ms);
             return;
         }
-        m.failures.retain(|(t, _)| now - t < c::SICK_WINDOW_MS);
+        m.failures.retain(|(t, _)| now - t < c::FAULTY_WINDOW_MS);
         m.failures.push((now, id.0.clone()));
         let mut jobs: Vec<&Name> = m.failures.iter().map(|(_, j)| j).collect();
         jobs.sort_unstable();
         jobs.dedup();
-        let works_elsewhere = job.successes > 0 && m.failures.len() as u32 >= c::SICK_FAILURES;
-        if (jobs.len() as u32 >= c::SICK_FAILURES || works_elsewhere) && !m.draining {
+        let works_elsewhere = job.successes > 0 && m.failures.len() as u32 >= c::FAULTY_FAILURES;
+        if (jobs.len() as u32 >= c::FAULTY_FAILURES || works_elsewhere) && !m.draining {
             log::info!("{machine}: set aside, tasks of {} jobs failed there", jobs.len());
             m.draining = true;
         }
@@ -406,8 +414,8 @@
     /// A machine that the cloud will take: tasks that can't end in time are stopped while
     /// they can still save, and those that can't save at once, so that they start elsewhere.
     fn reclaim(&mut self, name: &Name, now: u64, cfg: &Platform) {
-        let jobs = &self.books.jobs;
-        let Some(m) = self.books.machines.get_mut(name) else {
+        let jobs = &self.cluster.jobs;
+        let Some(m) = self.cluster.machines.get_mut(name) else {
             return;
         };
         let Some(at) = m.reclaim_at else { return };
@@ -437,10 +445,10 @@
     }
 }
 
-impl Books {
+impl ClusterState {
     /// A task that runs with no placement: counted where it is, so that it is not started
     /// elsewhere, and halted.
-    fn count_stray(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) {
+    fn add_unknown(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) {
         let Some(job) = self.jobs.get_mut(&id.0) else {
             return;
         };
@@ -448,7 +456,7 @@
             && !job.done.get(id.1)
             && !job.placed.contains_key(&id.1)
             && !job.settling.contains(&id.1)
-            && id.1 < job.loads;
+            && id.1 < job.tasks;
         if !free {
             return;
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,16 +5,16 @@
 //!
 //! * [`transport`]: sockets, HTTP, connections and deadlines;
 //! * [`protocol`]: the messages of every interface, nothing else knows wire names;
-//! * [`coordination`]: leadership, planning, machines, workers' orders, users' requests;
-//! * [`bookkeeping`]: what is stored and what is counted.
+//! * [`coordination`]: leadership, planning, machines, workers' commands, users' requests;
+//! * [`storage`]: what is stored and what is counted.
 //!
 //! The core ([`coordination::Controller`]) does no I/O: commands go in, effects come
 //! out, and time and randomness are passed in.
 
-pub mod bookkeeping;
 pub mod constants;
 pub mod coordination;
 pub mod daemon;
 pub mod protocol;
 pub mod settings;
+pub mod storage;
 pub mod transport;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -5,24 +5,30 @@
 /// `GET /catalog`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Catalog {
-    pub builds: Vec<Build>,
+    #[serde(rename = "builds")]
+    pub machine_types: Vec<MachineType>,
 }
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Build {
-    pub sku: String,
+pub struct MachineType {
+    #[serde(rename = "sku")]
+    pub type_name: String,
     pub cores: f64,
     pub gpus: f64,
     pub ram_gb: f64,
     #[serde(default)]
-    pub local_gb: f64,
+    #[serde(rename = "local_gb")]
+    pub cache_gb: f64,
     #[serde(default)]
-    pub pull_gb_per_s: f64,
+    #[serde(rename = "pull_gb_per_s")]
+    pub fetch_gb_per_s: f64,
     pub rate: f64,
     #[serde(default)]
-    pub low_price: f64,
-    pub ready_s: f64,
+    #[serde(rename = "low_price")]
+    pub spot_price: f64,
+    #[serde(rename = "ready_s")]
+    pub boot_s: f64,
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
@@ -32,7 +38,8 @@
 pub struct Rent {
     #[serde(rename = "hire")]
     pub request_id: String,
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     #[serde(rename = "yard")]
     pub zone: String,
     #[serde(rename = "lendables")]
@@ -64,7 +71,8 @@
     pub uid: String,
     #[serde(default)]
     pub address: String,
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     #[serde(rename = "yard")]
     pub zone: String,
     #[serde(rename = "lendables")]
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -22,7 +22,8 @@
     pub workers_seen: u32,
     /// Milliseconds since the sender last answered a worker in the leader's place, or since it
     /// began if it never did: an earlier life of it may have.
-    pub stood_in_ago_ms: u64,
+    #[serde(rename = "stood_in_ago_ms")]
+    pub extended_lease_ago_ms: u64,
     /// The sender can't read the store and asks which jobs have ended after this revision.
     #[serde(default)]
     pub since: Option<u64>,
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -6,9 +6,9 @@
 /// Longest name of a class, team, image, type or zone, in bytes.
 const NAME_MAX: usize = 100;
 /// Most machine types a submission may list.
-const BUILDS_MAX: usize = 64;
+const MACHINE_TYPES_MAX: usize = 64;
 /// Most tasks of a job (protocol).
-pub const LOADS_MAX: u32 = 100_000;
+pub const TASKS_MAX: u32 = 100_000;
 /// Largest amount or duration accepted; keeps arithmetic exact.
 const AMOUNT_MAX: f64 = 1e9;
 
@@ -43,7 +43,8 @@
     pub kind: JobKind,
     #[serde(rename = "rank")]
     pub priority: Priority,
-    pub loads: u32,
+    #[serde(rename = "loads")]
+    pub tasks: u32,
     pub cores: f64,
     pub gpus: f64,
     pub ram_gb: f64,
@@ -51,7 +52,8 @@
     pub image: String,
     pub size_gb: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub builds: Option<Vec<String>>,
+    #[serde(rename = "builds")]
+    pub machine_types: Option<Vec<String>>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "yard")]
     pub zone: Option<String>,
@@ -86,9 +88,9 @@
     /// Most tasks that may be in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.spread {
-            self.loads.div_ceil(2)
+            self.tasks.div_ceil(2)
         } else {
-            self.loads
+            self.tasks
         }
     }
 }
@@ -130,16 +132,16 @@
     if let Some(zone) = &s.zone {
         name("yard", zone)?;
     }
-    if let Some(builds) = &s.builds {
-        if builds.len() > BUILDS_MAX {
+    if let Some(machine_types) = &s.machine_types {
+        if machine_types.len() > MACHINE_TYPES_MAX {
             return Err("builds: too many".into());
         }
-        for b in builds {
+        for b in machine_types {
             name("builds", b)?;
         }
     }
-    if !(1..=LOADS_MAX).contains(&s.loads) {
-        return Err(format!("loads: must lie between 1 and {LOADS_MAX}"));
+    if !(1..=TASKS_MAX).contains(&s.tasks) {
+        return Err(format!("loads: must lie between 1 and {TASKS_MAX}"));
     }
     let amounts = [
         ("cores", s.cores),
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -32,8 +32,9 @@
 
 /// A task in a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Load {
-    pub load: String,
+pub struct TaskReport {
+    #[serde(rename = "load")]
+    pub task_id: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     pub status: TaskStatus,
@@ -49,7 +50,8 @@
     #[serde(rename = "stead")]
     pub machine: String,
     pub address: String,
-    pub build: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
     #[serde(rename = "yard")]
     pub zone: String,
     #[serde(rename = "lendables")]
@@ -65,7 +67,8 @@
     #[serde(rename = "recall_s")]
     pub reclaim_s: Option<f64>,
     #[serde(default)]
-    pub loads: Vec<Load>,
+    #[serde(rename = "loads")]
+    pub tasks: Vec<TaskReport>,
 }
 
 /// An order to a worker.
@@ -73,19 +76,22 @@
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum WorkerCommand {
     Start {
-        load: String,
+        #[serde(rename = "load")]
+        task_id: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
     Halt {
-        load: String,
+        #[serde(rename = "load")]
+        task_id: String,
         #[serde(rename = "try")]
         attempt: u64,
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
     Clear {
-        load: String,
+        #[serde(rename = "load")]
+        task_id: String,
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -96,7 +102,8 @@
 pub struct WorkerCommands {
     #[serde(rename = "baton")]
     pub token: u64,
-    pub orders: Vec<WorkerCommand>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<WorkerCommand>,
 }
 
 /// Answer of a controller that doesn't lead.
--- a/src/bookkeeping/books.rs
+++ b/src/storage/cluster.rs
@@ -1,4 +1,4 @@
-//! The leader's books: jobs, machines, placements and what teams use.
+//! The leader's state of the cluster: jobs, machines, placements and what teams use.
 //!
 //! Built from the store when a term begins. A task has at most one placement that is not
 //! settled; a placement counts for place and quota until evidence settles it, and what
@@ -67,7 +67,7 @@
     }
 }
 
-/// A task's place in the books.
+/// Names a task: its job and its number.
 pub type TaskId = (Name, u32);
 
 /// Life of a machine.
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone)]
 pub struct Machine {
     pub name: Name,
-    pub sku: String,
+    pub type_name: String,
     pub zone: String,
     pub spot: bool,
     pub total: Resources,
@@ -98,7 +98,7 @@
     /// When it was rented, as well as we know.
     pub rented_at: u64,
     /// When this term first knew of it.
-    pub known_at: u64,
+    pub confirmed_read_at: u64,
     /// When it was first seen up.
     pub up_at: Option<u64>,
     /// When a list first named it.
@@ -115,13 +115,13 @@
     /// When the cloud takes it.
     pub reclaim_at: Option<u64>,
     /// Its lease has run out and its tasks are settled, until it reports again.
-    pub lapsed: bool,
+    pub lease_expired: bool,
     /// Signs in a row that our answers do not reach it.
     pub unheeded: u32,
     /// When the last such sign was seen.
     pub unheeded_at: u64,
     /// Since when it is held for deaf: it reports, but what we answer has no effect.
-    pub deaf_since: Option<u64>,
+    pub unreachable_since: Option<u64>,
     pub placements: BTreeMap<TaskId, Placement>,
     /// Images it holds, newest last, with their size.
     pub images: Vec<(String, f64)>,
@@ -146,13 +146,13 @@
     pub fn new(name: Name, now: u64) -> Machine {
         Machine {
             name,
-            sku: String::new(),
+            type_name: String::new(),
             zone: String::new(),
             spot: false,
             total: Resources::default(),
             life: Life::Booting,
             rented_at: now,
-            known_at: now,
+            confirmed_read_at: now,
             up_at: None,
             listed_at: None,
             newest: (0, 0),
@@ -161,10 +161,10 @@
             received_at: None,
             answered_at: None,
             reclaim_at: None,
-            lapsed: false,
+            lease_expired: false,
             unheeded: 0,
             unheeded_at: 0,
-            deaf_since: None,
+            unreachable_since: None,
             placements: BTreeMap::new(),
             images: Vec::new(),
             proposed: 0,
@@ -184,12 +184,12 @@
         let calm = self.unheeded > 0 && now > self.unheeded_at + calm_ms;
         if heeded || (signs == 0 && calm) {
             self.unheeded = 0;
-            self.deaf_since = None;
+            self.unreachable_since = None;
         } else if signs > 0 {
             self.unheeded += signs;
             self.unheeded_at = now;
-            if self.unheeded >= c::DEAF_SIGNS && self.deaf_since.is_none() {
-                self.deaf_since = Some(now);
+            if self.unheeded >= c::UNREACHABLE_SIGNS && self.unreachable_since.is_none() {
+                self.unreachable_since = Some(now);
                 return true;
             }
         }
@@ -224,7 +224,7 @@
     pub arrival: u64,
     /// Time of day of its acceptance.
     pub at_wall: u64,
-    pub loads: u32,
+    pub tasks: u32,
     pub done: Bitmap,
     pub done_count: u32,
     /// Chunks of the bitmap that the store does not have as they are.
@@ -254,7 +254,7 @@
         if self.stage != Stage::Live {
             return 0;
         }
-        self.returned.len() as u32 + (self.loads - self.next_fresh)
+        self.returned.len() as u32 + (self.tasks - self.next_fresh)
     }
 
     /// The next waiting task.
@@ -262,13 +262,13 @@
         if self.stage != Stage::Live {
             return None;
         }
-        self.returned.first().copied().or((self.next_fresh < self.loads).then_some(self.next_fresh))
+        self.returned.first().copied().or((self.next_fresh < self.tasks).then_some(self.next_fresh))
     }
 
     fn take_waiting(&mut self, task: u32) {
         if !self.returned.remove(&task) && task == self.next_fresh {
             self.next_fresh += 1;
-            while self.next_fresh < self.loads && self.done.get(self.next_fresh) {
+            while self.next_fresh < self.tasks && self.done.get(self.next_fresh) {
                 self.next_fresh += 1;
             }
         }
@@ -276,13 +276,13 @@
 
     /// Bytes that a chunk of its bitmap takes in the store, at the most.
     pub fn chunk_bytes(&self, chunk: u32) -> usize {
-        let tasks = self.loads.saturating_sub(chunk * c::DONE_CHUNK_TASKS).min(c::DONE_CHUNK_TASKS);
+        let tasks = self.tasks.saturating_sub(chunk * c::DONE_CHUNK_TASKS).min(c::DONE_CHUNK_TASKS);
         chunk_name(&self.uid, chunk).len() + 16 * tasks.div_ceil(64) as usize + 6
     }
 
     /// Whether every task is done.
     pub fn complete(&self) -> bool {
-        self.stage == Stage::Live && self.done_count >= self.loads
+        self.stage == Stage::Live && self.done_count >= self.tasks
     }
 
     /// Whether the job failed on several machines and nowhere succeeded since.
@@ -318,9 +318,9 @@
     pub dirty: bool,
 }
 
-/// The books.
+/// The state of the cluster, as the leader of a term sees it.
 #[derive(Debug, Default)]
-pub struct Books {
+pub struct ClusterState {
     pub jobs: HashMap<Name, Job>,
     /// Live jobs by arrival.
     pub queue: BTreeMap<u64, Name>,
@@ -340,10 +340,10 @@
     pub garbage: Vec<(String, u64)>,
 }
 
-impl Books {
-    /// Builds the books at the start of a term. Every placement counts as possibly running.
-    pub fn from_replica(r: &Replica, now: u64) -> Books {
-        let mut b = Books::default();
+impl ClusterState {
+    /// Builds the state at the start of a term. Every placement counts as possibly running.
+    pub fn from_replica(r: &Replica, now: u64) -> ClusterState {
+        let mut b = ClusterState::default();
         for part in r.images.values() {
             for (machine, held) in &part.value.held {
                 let images =
@@ -411,7 +411,7 @@
         self.machines.get_mut(name).expect("just made")
     }
 
-    /// Takes a job of the replica into the books; `on` are its tasks on machines.
+    /// Adds a job of the replica; `on` are its tasks on machines.
     pub fn add_job(&mut self, r: &Replica, uid: &Name, on: &[(u32, Name)]) {
         let Some(rec) = r.jobs.get(uid) else { return };
         let spec = rec.value.spec.clone();
@@ -423,7 +423,7 @@
             stage: rec.value.stage,
             arrival: rec.stamp,
             at_wall: rec.value.at,
-            loads: rec.value.loads,
+            tasks: rec.value.tasks,
             done_count: done.count(),
             done,
             dirty_chunks: BTreeSet::new(),
@@ -447,7 +447,7 @@
                 }
             }
         }
-        let last = (0..job.loads).rev().find(|t| job.done.get(*t) || job.placed.contains_key(t));
+        let last = (0..job.tasks).rev().find(|t| job.done.get(*t) || job.placed.contains_key(t));
         job.next_fresh = last.map_or(0, |t| t + 1);
         for t in 0..job.next_fresh {
             if !job.done.get(t) && !job.placed.contains_key(&t) {
@@ -493,7 +493,7 @@
         self.complete.remove(uid);
         job.stage = stage;
         job.returned.clear();
-        job.next_fresh = job.loads;
+        job.next_fresh = job.tasks;
         job.dirty_chunks.clear();
         for (chunk, n) in job.chunk_groups.drain() {
             if let Some(g) = self.done_groups.get_mut(&n) {
@@ -717,9 +717,12 @@
         assert!(!m.note_heed(1, true, 2_000, 20_000), "heard after all");
         assert!(!m.note_heed(1, false, 3_000, 20_000));
         assert!(m.note_heed(2, false, 5_000, 20_000), "three in a row");
-        assert!(!m.note_heed(0, false, 6_000, 20_000) && m.deaf_since.is_some(), "no sign yet");
+        assert!(
+            !m.note_heed(0, false, 6_000, 20_000) && m.unreachable_since.is_some(),
+            "no sign yet"
+        );
         m.note_heed(0, false, 30_000, 20_000);
-        assert!(m.deaf_since.is_none(), "calm for long");
+        assert!(m.unreachable_since.is_none(), "calm for long");
     }
 
     #[test]
@@ -728,7 +731,7 @@
         // while it was placed anew, and ran twice.
         let mut r = Replica::default();
         r.write(&batch_key("a"), &raw(&batch_of("job-1", 1)), 3);
-        let mut b = Books::from_replica(&r, 0);
+        let mut b = ClusterState::from_replica(&r, 0);
         let (uid, a, z): (Name, Name, Name) = ("job-1".into(), "n-a".into(), "n-z".into());
         b.machine_entry(&a, 0);
         b.machine_entry(&z, 0);
--- a/src/bookkeeping/mod.rs
+++ b/src/storage/mod.rs
@@ -1,11 +1,11 @@
 //! What is stored and what is counted.
 //!
 //! [`records`] are the stored forms, [`replica`] is a controller's copy of the store,
-//! [`books`] are the leader's counts on top of it, [`reservation`] is the table of
+//! [`cluster`] is the leader's state on top of it, [`reservation`] is the table of
 //! running tasks and estimated ends, [`budget`] keeps request rates.
 
-pub mod books;
 pub mod budget;
+pub mod cluster;
 pub mod records;
 pub mod replica;
 pub mod reservation;
--- a/src/bookkeeping/records.rs
+++ b/src/storage/records.rs
@@ -141,7 +141,8 @@
 pub struct EndRec {
     pub at: u64,
     pub stage: Stage,
-    pub loads: u32,
+    #[serde(rename = "loads")]
+    pub tasks: u32,
     /// Tasks that were done.
     pub done: u32,
 }
@@ -152,7 +153,7 @@
     /// Time of day of the acceptance, in milliseconds.
     pub at: u64,
     pub stage: Stage,
-    pub loads: u32,
+    pub tasks: u32,
     /// Known as long as its batch is kept.
     pub spec: Option<Rc<JobSpec>>,
     /// Tasks that were done when it ended.
@@ -293,7 +294,7 @@
     pub fn add_chunk(&mut self, chunk: u32, text: &str) {
         let per = (c::DONE_CHUNK_TASKS / 64) as usize;
         let from = chunk as usize * per;
-        if !text.is_ascii() || chunk > crate::protocol::users::LOADS_MAX / c::DONE_CHUNK_TASKS {
+        if !text.is_ascii() || chunk > crate::protocol::users::TASKS_MAX / c::DONE_CHUNK_TASKS {
             return;
         }
         for (i, at) in (0..text.len()).step_by(16).take(per).enumerate() {
@@ -311,9 +312,9 @@
 
 /// A batch of one job, for tests.
 #[cfg(test)]
-pub(super) fn batch_of(uid: &str, loads: u32) -> BatchRec {
+pub(super) fn batch_of(uid: &str, tasks: u32) -> BatchRec {
     let v = serde_json::json!({"uid": uid, "duty": "d", "crew": "c", "shape": "batch",
-        "rank": "high", "loads": loads, "cores": 1.0, "gpus": 0.0, "ram_gb": 1.0,
+        "rank": "high", "loads": tasks, "cores": 1.0, "gpus": 0.0, "ram_gb": 1.0,
         "kit": "k", "size_gb": 1.0, "together": false, "apart": false,
         "lendables": true, "run_guess_s": 1.0, "mark_every_s": 0.0, "mark_cost_s": 0.0});
     BatchRec { at: 5, first: 0, jobs: vec![serde_json::from_value(v).expect("a submission")] }
--- a/src/bookkeeping/replica.rs
+++ b/src/storage/replica.rs
@@ -188,7 +188,7 @@
             let new = JobRec {
                 at: rec.at,
                 stage: Stage::Live,
-                loads: spec.loads,
+                tasks: spec.tasks,
                 spec: Some(spec),
                 done: 0,
                 end_stamp: 0,
@@ -201,7 +201,7 @@
                 Some(j) if j.value.spec.is_none() => {
                     j.stamp = arrival;
                     j.value.at = new.at;
-                    j.value.loads = new.loads;
+                    j.value.tasks = new.tasks;
                     j.value.spec = new.spec;
                 }
                 Some(j) if j.stamp > arrival && j.value.stage == Stage::Live => {
@@ -225,7 +225,7 @@
             value: JobRec {
                 at: rec.at,
                 stage: rec.stage,
-                loads: rec.loads,
+                tasks: rec.tasks,
                 spec: None,
                 done: rec.done,
                 end_stamp: stamp,
@@ -296,8 +296,8 @@
     /// Done tasks of a live job.
     pub fn done_bitmap(&self, uid: &str) -> Bitmap {
         let mut bits = Bitmap::default();
-        let loads = self.jobs.get(uid).map_or(0, |j| j.value.loads);
-        for chunk in 0..loads.div_ceil(c::DONE_CHUNK_TASKS) {
+        let tasks = self.jobs.get(uid).map_or(0, |j| j.value.tasks);
+        for chunk in 0..tasks.div_ceil(c::DONE_CHUNK_TASKS) {
             let name = chunk_name(uid, chunk);
             for text in self.done.values().filter_map(|g| g.value.bits.get(&name)) {
                 bits.add_chunk(chunk, text);
@@ -363,7 +363,7 @@
 
     #[test]
     fn of_a_job_in_two_batches_the_first_counts_in_whatever_order_they_are_read() {
-        let end = EndRec { at: 5, stage: Stage::Done, loads: 3, done: 3 };
+        let end = EndRec { at: 5, stage: Stage::Done, tasks: 3, done: 3 };
         let all = [
             (batch_key("a"), raw(&batch_of("job-1", 3)), 4),
             (batch_key("b"), raw(&batch_of("job-1", 7)), 6),
@@ -377,7 +377,7 @@
             let j = &r.jobs["job-1"].value;
             assert_eq!((j.stage, j.end_stamp, r.stamp(&end_key("job-1"))), (Stage::Done, 9, 9));
             if order[2] == 2 {
-                assert_eq!(j.loads, 3, "read in order {order:?}");
+                assert_eq!(j.tasks, 3, "read in order {order:?}");
             }
             r.remove(&batch_key("a"), 12);
             assert!(r.jobs["job-1"].value.spec.is_none(), "how it ended is kept");
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -2,8 +2,8 @@
 //! between controllers, and the protocol's messages. A program of another version reads and
 //! writes the same bytes, so these literals don't change when the code's names do.
 
-use mountgap::bookkeeping::records;
 use mountgap::protocol::{cloud, peers, state, users, workers};
+use mountgap::storage::records;
 use serde::{de::DeserializeOwned, Serialize};
 
 /// The text is read, and written again to the letter.
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -680,9 +680,9 @@
     assert!(starts > 4, "started elsewhere after the lease");
     w.run(1_000);
     let l = w.leader().unwrap();
-    let books = &w.nodes[l].core.as_ref().unwrap().leader().unwrap().books;
-    let m = books.machines.get(name.as_str());
-    assert!(m.is_none_or(|m| m.lapsed && m.placements.is_empty()), "it is still cut off");
+    let cluster = &w.nodes[l].core.as_ref().unwrap().leader().unwrap().cluster;
+    let m = cluster.machines.get(name.as_str());
+    assert!(m.is_none_or(|m| m.lease_expired && m.placements.is_empty()), "it is still cut off");
     w.run(10_000);
     assert_eq!(w.jobs["job-000001"].starts, starts);
 }
@@ -751,7 +751,7 @@
     w.submit(s, 500, 0);
     w.run(15_000);
     let l = w.leader().unwrap();
-    let job = &w.nodes[l].core.as_ref().unwrap().leader().unwrap().books.jobs["job-000001"];
+    let job = &w.nodes[l].core.as_ref().unwrap().leader().unwrap().cluster.jobs["job-000001"];
     assert!(job.done_count > 20, "it moves on: {}", job.done_count);
     assert!(job.returned.len() < 100, "no object per waiting task");
     w.withdraw("job-000001", 0);
@@ -780,9 +780,12 @@
     w.until_done("job-000006", 60_000);
     w.run(10_000);
     let l = w.leader().unwrap();
-    let books = &w.nodes[l].core.as_ref().unwrap().leader().unwrap().books;
-    assert!(books.machines.values().filter(|m| !m.draining).count() >= 1, "a good machine is left");
-    assert!(books.jobs["job-000005"].paused_until > 0, "the bad job is held back");
+    let cluster = &w.nodes[l].core.as_ref().unwrap().leader().unwrap().cluster;
+    assert!(
+        cluster.machines.values().filter(|m| !m.draining).count() >= 1,
+        "a good machine is left"
+    );
+    assert!(cluster.jobs["job-000005"].paused_until > 0, "the bad job is held back");
 }
 
 #[test]
