--- /dev/null
+++ b/src/storage/records/tests.rs
@@ -0,0 +1,50 @@
+//! Tests of [`super`], the module `records`.
+
+use super::*;
+
+/// A batch of one job, for tests.
+pub(in crate::storage) fn batch_of(uid: &str, tasks: u32) -> BatchRec {
+    let v = serde_json::json!({"uid": uid, "duty": "d", "crew": "c", "shape": "batch",
+        "rank": "high", "loads": tasks, "cores": 1.0, "gpus": 0.0, "ram_gb": 1.0,
+        "kit": "k", "size_gb": 1.0, "together": false, "apart": false,
+        "lendables": true, "run_guess_s": 1.0, "mark_every_s": 0.0, "mark_cost_s": 0.0});
+    BatchRec { at: 5, first: 0, jobs: vec![serde_json::from_value(v).expect("a submission")] }
+}
+
+#[test]
+fn bitmaps_survive_their_text_form() {
+    let mut a = Bitmap::default();
+    for i in [0, 63, 64, 8_191, 8_192, 99_999] {
+        assert!(a.set(i) && !a.set(i));
+    }
+    let mut b = Bitmap::default();
+    for chunk in 0..=99_999 / c::DONE_CHUNK_TASKS {
+        assert!(a.chunk_text(chunk).len() <= 1_024);
+        b.add_chunk(chunk, &a.chunk_text(chunk));
+    }
+    assert_eq!(b.count(), 6);
+    assert!(b.get(99_999) && b.get(8_191) && !b.get(1));
+    b.add_chunk(0, "zz");
+    assert_eq!(b.count(), 6);
+}
+
+#[test]
+fn keys_are_taken_apart_as_they_are_made() {
+    assert_eq!(parse_key(&batch_key("1-2")), Some(Key::Batch("1-2")));
+    assert_eq!(parse_key(&end_key("job-1")), Some(Key::End("job-1")));
+    assert_eq!(parse_key(&done_key(3)), Some(Key::Done(3)));
+    assert_eq!(parse_key(&place_key(12)), Some(Key::Place(12)));
+    assert_eq!(parse_key("mg/2/new/thing"), None);
+    assert!(foreign_layout("mg/job/job-1") && !foreign_layout(&place_key(0)));
+}
+
+#[test]
+fn placements_survive_their_text_form_and_nonsense_is_left_out() {
+    let text = Placed::text("job-000412", 99_999, "n-1#odd", 7 << 26).expect("can be written");
+    let rec = PlaceRec { tasks: format!("nonsense {text} 1/2@x") };
+    let all: Vec<Placed> = rec.placed().collect();
+    let one = Placed { digits: "000412", task: 99_999, machine: "n-1#odd", attempt: 7 << 26 };
+    assert_eq!(all, vec![one]);
+    assert_eq!(&*one.uid(), "job-000412");
+    assert_eq!(Placed::text("job-1", 0, "two words", 1), None);
+}
--- /dev/null
+++ b/src/storage/replica/tests.rs
@@ -0,0 +1,72 @@
+//! Tests of [`super`], the module `replica`.
+
+use super::*;
+use crate::protocol::state::raw;
+use crate::storage::records::tests::batch_of;
+
+fn put(key: String, rec: &PlaceRec, stamp: u64) -> Event {
+    Event { write: Some(key), remove: None, data: Some(raw(rec)), stamp }
+}
+
+fn one() -> PlaceRec {
+    PlaceRec { tasks: Placed::text("job-1", 0, "n-1", 7).expect("can be written") }
+}
+
+#[test]
+fn an_older_answer_that_comes_late_changes_nothing() {
+    let mut r = Replica::default();
+    let none = PlaceRec::default();
+    let new = Changes { ledger_rev: 9, events: vec![put(place_key(0), &none, 8)] };
+    let old = Changes { ledger_rev: 5, events: vec![put(place_key(0), &one(), 4)] };
+    r.apply(&new);
+    r.apply(&old);
+    assert_eq!(r.places[&0].value, none);
+    assert_eq!((r.rev, r.placed("job-1")), (9, 0));
+}
+
+#[test]
+fn a_key_removed_ahead_of_the_watch_does_not_come_back() {
+    let mut r = Replica::default();
+    r.write(&place_key(0), &raw(&one()), 4);
+    r.remove(&place_key(0), 6);
+    r.apply(&Changes { ledger_rev: 5, events: vec![put(place_key(0), &one(), 4)] });
+    assert!(r.places.is_empty(), "the write at 4 is older than the removal at 6");
+    assert_eq!(r.placed("job-1"), 0);
+    r.apply(&Changes { ledger_rev: 8, events: vec![put(place_key(0), &one(), 8)] });
+    assert_eq!((r.places.len(), r.placed("job-1")), (1, 1), "a later write counts");
+}
+
+#[test]
+fn jobs_of_one_commit_have_arrival_numbers_of_their_own() {
+    // Two batches of one commit once gave their jobs the same numbers, and of two jobs with
+    // one number only one was ever planned.
+    let mut r = Replica::default();
+    let mut two = batch_of("job-2", 1);
+    two.first = 1;
+    r.write(&batch_key("a"), &raw(&batch_of("job-1", 1)), 4);
+    r.write(&batch_key("b"), &raw(&two), 4);
+    assert!(r.jobs["job-1"].stamp < r.jobs["job-2"].stamp);
+}
+
+#[test]
+fn of_a_job_in_two_batches_the_first_counts_in_whatever_order_they_are_read() {
+    let end = EndRec { at: 5, stage: Stage::Done, tasks: 3, done: 3 };
+    let all = [
+        (batch_key("a"), raw(&batch_of("job-1", 3)), 4),
+        (batch_key("b"), raw(&batch_of("job-1", 7)), 6),
+        (end_key("job-1"), raw(&end), 9),
+    ];
+    for order in [[0, 1, 2], [1, 0, 2], [2, 1, 0], [2, 0, 1]] {
+        let mut r = Replica::default();
+        for i in order {
+            r.write(&all[i].0, &all[i].1, all[i].2);
+        }
+        let j = &r.jobs["job-1"].value;
+        assert_eq!((j.stage, j.end_stamp, r.stamp(&end_key("job-1"))), (Stage::Done, 9, 9));
+        if order[2] == 2 {
+            assert_eq!(j.tasks, 3, "read in order {order:?}");
+        }
+        r.remove(&batch_key("a"), 12);
+        assert!(r.jobs["job-1"].value.spec.is_none(), "how it ended is kept");
+    }
+}
--- /dev/null
+++ b/src/storage/reservation/tests.rs
@@ -0,0 +1,19 @@
+//! Tests of [`super`], the module `reservation`.
+
+use super::*;
+
+#[test]
+fn penalized_time_sums_the_saturated_windows() {
+    let need = Resources::new(1.0, 0.0, 0.0);
+    let b = |end, bandwidth| Bucket { end, need, bandwidth };
+    let mut row = Row { free: Resources::new(8.0, 0.0, 0.0), capacity: 4.0, ..Row::default() };
+    row.add(b(1_000, 3.0));
+    row.add(b(3_000, 2.0));
+    // Until 1 s: 3 + 2 + 1 over 4; until 3 s: 2 + 1 fits.
+    assert_eq!(row.penalized_ms(0, 5_000, 1.0), 500.0);
+    assert_eq!(row.penalized_ms(1_000, 1_000, 1.0), 0.0);
+    assert_eq!(row.free_at(1_000).cpu, 7_000);
+    row.claim(3_000, 500, need);
+    row.end_at(1, 2_000);
+    assert_eq!(row.times, vec![1_000, 2_000, 3_000, 3_500]);
+}
--- /dev/null
+++ b/src/transport/http/tests.rs
@@ -0,0 +1,88 @@
+//! Tests of [`super`], the module `http`.
+
+use super::*;
+
+fn request(text: &str) -> Result<Option<Request>, HttpError> {
+    take_request(&mut text.as_bytes().to_vec(), c::HTTP_BODY_MAX)
+}
+
+#[test]
+fn a_request_split_at_every_byte_is_whole_only_at_the_end() {
+    let text = b"POST /v1/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhelloGET ";
+    let whole = text.len() - 4;
+    for n in 0..whole {
+        assert_eq!(take_request(&mut text[..n].to_vec(), 100), Ok(None), "{n} bytes");
+    }
+    let mut buf = text.to_vec();
+    let r = take_request(&mut buf, 100).unwrap().unwrap();
+    assert_eq!((r.method.as_str(), r.body.as_slice(), r.keep_alive), ("POST", &b"hello"[..], true));
+    assert_eq!(buf, b"GET ", "pipelined bytes stay");
+}
+
+#[test]
+fn chunked_bodies_are_joined() {
+    let r = request(
+        "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x\r\nde\r\n0\r\n\r\n",
+    );
+    assert_eq!(r.unwrap().unwrap().body, b"abcde");
+}
+
+#[test]
+fn limits_have_their_own_answers() {
+    let status = |text: &str| request(text).unwrap_err().status;
+    assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), 413);
+    assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n"), 413);
+    assert_eq!(status("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n"), 413);
+    assert_eq!(status(&format!("GET /{} HTTP/1.1\r\n", "a".repeat(c::HTTP_HEAD_MAX))), 431);
+    assert_eq!(status("GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"), 400);
+    assert_eq!(status("GET / HTTP/2.0\r\n\r\n"), 505);
+    assert_eq!(status("nonsense\r\n\r\n"), 400);
+    assert_eq!(
+        status("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"),
+        400
+    );
+}
+
+#[test]
+fn random_bytes_never_panic() {
+    use rand::{rngs::SmallRng, Rng, SeedableRng};
+    let mut rng = SmallRng::seed_from_u64(7);
+    let parts: [&[u8]; 12] = [
+        b"GET ",
+        b"POST ",
+        b"/",
+        b" HTTP/1.1",
+        b"\r\n",
+        b"\n",
+        b"Content-Length: ",
+        b"5",
+        b"Transfer-Encoding: chunked",
+        b"\xff\x00",
+        b":",
+        b"0\r\n",
+    ];
+    let (mut refused, mut whole) = (0, 0);
+    for _ in 0..20_000 {
+        let mut buf = Vec::new();
+        if rng.random_bool(0.5) {
+            buf.extend_from_slice(b"POST / HTTP/1.1\r\n");
+        }
+        for _ in 0..rng.random_range(1..14) {
+            buf.extend_from_slice(parts[rng.random_range(0..parts.len())]);
+        }
+        match take_request(&mut buf.clone(), 100) {
+            Err(e) => refused += u32::from(e.status >= 400),
+            Ok(r) => whole += u32::from(r.is_some()),
+        }
+        let _ = take_response(&mut buf, true);
+    }
+    assert!(refused > 1_000 && whole > 10, "both ends were reached: {refused}, {whole}");
+}
+
+#[test]
+fn a_response_without_length_ends_with_the_connection() {
+    let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nbody".to_vec();
+    assert_eq!(take_response(&mut text.clone(), false), Ok(None));
+    let r = take_response(&mut text.clone(), true).unwrap().unwrap();
+    assert_eq!((r.status, r.body.as_slice(), r.keep_alive), (200, &b"body"[..], false));
+}
