--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -46,6 +46,7 @@
 
 /// A leader's state.
 pub struct Leader {
+    /// The term in which it leads, which is also the token shown to workers.
     pub term: u64,
     /// Stamp of the leader key: condition of every commit.
     pub stamp: u64,
@@ -54,6 +55,7 @@
     pub(super) renewing: bool,
     /// The state of the cluster is built.
     pub ready: bool,
+    /// Jobs, machines and placements as this term knows them.
     pub cluster: ClusterState,
     pub(super) fleet: Fleet,
     pub(super) held: Vec<HeldReport>,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -37,7 +37,9 @@
 /// Two clocks in milliseconds: steady, and time of day.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Clock {
+    /// Steady clock: only differences mean anything.
     pub mono: u64,
+    /// Time of day, which may be off and step.
     pub wall: u64,
 }
 
@@ -49,8 +51,11 @@
 /// Where a call goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Service {
+    /// The state service.
     State,
+    /// The cloud.
     Cloud,
+    /// Another controller, by its place in the settings.
     Peer(usize),
 }
 
@@ -58,28 +63,63 @@
 #[derive(Debug)]
 pub enum Command {
     /// A request from users, workers or health checks.
-    Public { conn: ConnId, method: String, path: String, body: Vec<u8> },
+    Public {
+        /// The connection to answer on.
+        conn: ConnId,
+        /// HTTP method.
+        method: String,
+        /// Path with its query.
+        path: String,
+        /// Body; may be empty.
+        body: Vec<u8>,
+    },
     /// A request from another controller.
-    Peer { conn: ConnId, method: String, path: String, body: Vec<u8> },
+    Peer {
+        /// The connection to answer on.
+        conn: ConnId,
+        /// HTTP method.
+        method: String,
+        /// Path with its query.
+        path: String,
+        /// Body; may be empty.
+        body: Vec<u8>,
+    },
     /// The answer to a call; `None`: no answer, it may have been carried out or may be later.
-    Reply { call: CallId, reply: Option<(u16, Vec<u8>)> },
+    Reply {
+        /// The call that it answers.
+        call: CallId,
+        /// Status and body, or none.
+        reply: Option<(u16, Vec<u8>)>,
+    },
 }
 
 /// What goes out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
+    /// Answers a request.
     Respond {
+        /// The connection it came on.
         conn: ConnId,
+        /// HTTP status.
         status: u16,
+        /// Seconds after which the client may come back.
         retry_after_s: Option<u64>,
+        /// Body.
         body: Vec<u8>,
     },
+    /// Sends a request; its reply comes back as [`Command::Reply`].
     Call {
+        /// Name of the call.
         id: CallId,
+        /// Where it goes.
         service: Service,
+        /// HTTP method.
         method: &'static str,
+        /// Path with its query.
         path: String,
+        /// Body; may be empty.
         body: Vec<u8>,
+        /// Milliseconds after which it counts as unanswered.
         timeout_ms: u64,
     },
 }
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -31,16 +31,23 @@
 /// A task that runs, as far as planning goes.
 #[derive(Debug, Clone)]
 pub struct Running {
+    /// Priority of its job.
     pub priority: Priority,
     /// The team, by index; `None` if unknown.
     pub team: Option<usize>,
+    /// What it takes of its machine.
     pub need: Resources,
+    /// Shared bandwidth it takes, in cores' worth.
     pub bandwidth: f64,
+    /// Estimated end, on the planner's clock.
     pub end: u64,
+    /// It runs until its job is cancelled.
     pub service: bool,
     /// Milliseconds since it was seen running; `None` if it was not yet.
     pub ran_ms: Option<u64>,
+    /// It keeps its progress when it is stopped.
     pub saves: bool,
+    /// It has been told to stop.
     pub halting: bool,
     /// Milliseconds that stopping it takes.
     pub halt_ms: u64,
@@ -51,12 +58,17 @@
 /// A machine that planning may use.
 #[derive(Debug, Clone)]
 pub struct MachineView {
+    /// Zone, by index.
     pub zone: usize,
+    /// Machine type, by index.
     pub type_index: usize,
+    /// It may be taken back by the cloud.
     pub spot: bool,
+    /// What it has in all.
     pub total: Resources,
     /// How many more tasks its key can hold.
     pub slots: usize,
+    /// Tasks on it.
     pub running: Vec<Running>,
     /// Images it holds or fetches: image, milliseconds until it is there.
     pub images: Vec<(usize, u64)>,
@@ -67,31 +79,46 @@
 /// A job with waiting tasks.
 #[derive(Debug, Clone)]
 pub struct JobView {
+    /// Priority.
     pub priority: Priority,
+    /// Team, by index.
     pub team: usize,
+    /// Its tasks run until it is cancelled.
     pub service: bool,
+    /// Number that grows from job to job.
     pub arrival: u64,
+    /// Milliseconds since it was accepted.
     pub waited_ms: u64,
     /// Milliseconds until each of the times by which it should be complete, the soonest first.
     /// Jobs that can be in time go before those that can't.
     pub times: Vec<u64>,
     /// It fits into its team's guarantee together with the team's earlier unfinished jobs.
     pub within: bool,
+    /// What each task takes.
     pub need: Resources,
+    /// Shared bandwidth that each task takes, in cores' worth.
     pub bandwidth: f64,
     /// Expected run time of a task in milliseconds, without its image.
     pub run_ms: u64,
+    /// Whether it may run on a machine type, by index.
     pub allowed_types: Vec<bool>,
+    /// The only allowed zone, by index.
     pub zone: Option<usize>,
+    /// It may use spot machines.
     pub spot_ok: bool,
     /// Unsettled tasks per zone.
     pub in_zone: Vec<u32>,
+    /// Most tasks that may be in one zone.
     pub zone_cap: u32,
+    /// All its tasks must be in the same zone.
     pub one_zone: bool,
+    /// Tasks that wait for a machine.
     pub waiting: u32,
     /// A task of it has started before, or is placed.
     pub begun: bool,
+    /// Its image, by index.
     pub image: usize,
+    /// Size of its image.
     pub size_gb: f64,
     /// Machines it must not use for now (it failed there), by index.
     pub avoid: Vec<usize>,
@@ -107,9 +134,11 @@
 /// A team.
 #[derive(Debug, Clone, Default)]
 pub struct TeamView {
+    /// What its unsettled tasks take.
     pub used: Resources,
     /// 0 in a dimension: none.
     pub guarantee: Resources,
+    /// What its tasks may take at the most; 0 in a dimension: no limit.
     pub limit: Resources,
     /// The share of the machines that it may fill while others wait, in thousandths.
     pub share: i64,
@@ -118,10 +147,15 @@
 /// All that a pass looks at.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
+    /// The present, on the planner's clock.
     pub now: u64,
+    /// Penalty factors to try, in rising order.
     pub thresholds: Vec<f64>,
+    /// Machines that may get tasks.
     pub machines: Vec<MachineView>,
+    /// Jobs with waiting tasks.
     pub jobs: Vec<JobView>,
+    /// All teams.
     pub teams: Vec<TeamView>,
     /// Milliseconds until machines are up of which many are on their way, in the mean: ordinary
     /// ones, spot ones.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,6 +11,8 @@
 //! The core ([`coordination::Controller`]) does no I/O: commands go in, effects come
 //! out, and time and randomness are passed in.
 
+#![warn(missing_docs)]
+
 pub mod constants;
 pub mod coordination;
 pub mod daemon;
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -12,8 +12,11 @@
 /// What a task takes or a machine has, in thousandths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Resources {
+    /// Thousandths of a core.
     pub cpu: i64,
+    /// Thousandths of a GPU.
     pub gpu: i64,
+    /// Thousandths of a gigabyte of memory.
     pub ram: i64,
 }
 
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -5,8 +5,11 @@
 /// What controllers tell each other about themselves.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Gossip {
+    /// Version of the messages between controllers.
     pub version: u32,
+    /// Name of the sender.
     pub label: String,
+    /// Random number of the sender's process.
     pub incarnation: u64,
     /// Highest term known.
     pub term: u64,
@@ -31,6 +34,7 @@
     /// could ever have told a user of.
     #[serde(default)]
     pub ended: Vec<String>,
+    /// In the answer: the jobs named are all.
     #[serde(default)]
     pub ended_all: bool,
 }
@@ -38,9 +42,13 @@
 /// A user's request that the receiver is asked to answer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Relay {
+    /// Version of the messages between controllers.
     pub version: u32,
+    /// Method of the user's request.
     pub method: String,
+    /// Path of the user's request.
     pub path: String,
+    /// Body of the user's request.
     #[serde(with = "serde_bytes_vec")]
     pub body: Vec<u8>,
 }
@@ -48,9 +56,13 @@
 /// The answer to pass on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Relayed {
+    /// Version of the messages between controllers.
     pub version: u32,
+    /// Status for the user.
     pub status: u16,
+    /// Seconds after which the user may come back.
     pub retry_after_s: Option<u64>,
+    /// Body for the user.
     #[serde(with = "serde_bytes_vec")]
     pub body: Vec<u8>,
 }
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -6,24 +6,32 @@
 /// A key with its value.
 #[derive(Debug, Deserialize)]
 pub struct Item {
+    /// Its name.
     pub key: String,
+    /// Its value.
     pub data: Box<RawValue>,
+    /// Revision of its last change.
     pub stamp: u64,
 }
 
 /// `GET /store?prefix=`.
 #[derive(Debug, Deserialize)]
 pub struct Page {
+    /// Keys with their values, in order.
     pub items: Vec<Item>,
+    /// Whether the list goes on after the last of them.
     #[serde(default)]
     pub has_next: bool,
+    /// Revision of the store.
     pub ledger_rev: u64,
 }
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct If {
+    /// The key.
     pub key: String,
+    /// The revision of its last change that is asked for; 0: it must not exist.
     pub stamp: u64,
 }
 
@@ -31,14 +39,20 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
+    /// Sets a key.
     Put {
+        /// The key.
         write: String,
+        /// Its new value.
         data: Box<RawValue>,
+        /// The lease with which it ends.
         #[serde(skip_serializing_if = "Option::is_none")]
         #[serde(rename = "tenancy")]
         lease_id: Option<u64>,
     },
+    /// Removes a key.
     Remove {
+        /// The key.
         remove: String,
     },
 }
@@ -66,22 +80,27 @@
 /// `POST /commit`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Commit {
+    /// What must hold for the transaction to be applied.
     #[serde(rename = "if")]
     pub conditions: Vec<If>,
+    /// The changes, all with one revision.
     pub writes: Vec<Write>,
 }
 
 /// Answer of a commit that was applied.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Committed {
+    /// Revision of the change.
     pub ledger_rev: u64,
 }
 
 /// Answer of a commit whose conditions failed.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Conflict {
+    /// Keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
+    /// Revision of the store.
     #[serde(default)]
     pub ledger_rev: u64,
 }
@@ -89,19 +108,25 @@
 /// One change seen by a watch.
 #[derive(Debug, Deserialize)]
 pub struct Event {
+    /// The key that was set.
     #[serde(default)]
     pub write: Option<String>,
+    /// The key that was removed.
     #[serde(default)]
     pub remove: Option<String>,
+    /// The new value.
     #[serde(default)]
     pub data: Option<Box<RawValue>>,
+    /// Revision of the change.
     pub stamp: u64,
 }
 
 /// `GET /changes`.
 #[derive(Debug, Deserialize)]
 pub struct Changes {
+    /// Revision up to which the answer holds all changes.
     pub ledger_rev: u64,
+    /// Changes in the order of their revisions.
     #[serde(default)]
     pub events: Vec<Event>,
 }
@@ -109,12 +134,14 @@
 /// `POST /holds`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct NewLease {
+    /// Milliseconds that the lease lasts without renewal.
     pub life_ms: u64,
 }
 
 /// Answer to a new hold.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Lease {
+    /// Number of the lease.
     #[serde(rename = "tenancy")]
     pub lease_id: u64,
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -16,7 +16,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
+    /// Independent tasks that run to completion.
     Batch,
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "standing")]
     Service,
 }
@@ -25,50 +27,74 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
+    /// Services that must not stop.
     Production,
+    /// Before ordinary work.
     High,
+    /// Ordinary work.
     Standard,
+    /// Whatever is left.
     BestEffort,
 }
 
 /// A submission, as users send it and as it is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// The job's id, chosen by its user.
     pub uid: String,
+    /// Class, for which the settings may name aims.
     #[serde(rename = "duty")]
     pub class: String,
+    /// Team whose guarantee and limit apply.
     #[serde(rename = "crew")]
     pub team: String,
+    /// Whether tasks end by themselves.
     #[serde(rename = "shape")]
     pub kind: JobKind,
+    /// Priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
+    /// Number of tasks.
     #[serde(rename = "loads")]
     pub tasks: u32,
+    /// Cores of a task.
     pub cores: f64,
+    /// GPUs of a task.
     pub gpus: f64,
+    /// Gigabytes of memory of a task.
     pub ram_gb: f64,
+    /// Image that a task needs.
     #[serde(rename = "kit")]
     pub image: String,
+    /// Gigabytes of the image.
     pub size_gb: f64,
+    /// Allowed machine types; none: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "builds")]
     pub machine_types: Option<Vec<String>>,
+    /// The only allowed zone; none: any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "yard")]
     pub zone: Option<String>,
+    /// All tasks must be in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
+    /// At most half of the tasks may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
+    /// Spot machines may be used.
     #[serde(rename = "lendables")]
     pub spot_allowed: bool,
+    /// The owner's estimate of a task's run time, often wrong by half.
     #[serde(rename = "run_guess_s")]
     pub run_estimate_s: f64,
+    /// Seconds of progress between checkpoints; 0: a task never saves.
     #[serde(rename = "mark_every_s")]
     pub checkpoint_interval_s: f64,
+    /// Seconds that a task needs to save when it is stopped.
     #[serde(rename = "mark_cost_s")]
     pub checkpoint_cost_s: f64,
+    /// Seconds after its submission by which the job should be complete.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "due_s")]
     pub deadline_s: Option<f64>,
@@ -168,9 +194,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
+    /// No task runs.
     Queued,
+    /// A task runs.
     Running,
+    /// All tasks are done.
     Done,
+    /// Its user has cancelled it.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -178,28 +208,37 @@
 /// Answer to a submission or a withdrawal.
 #[derive(Serialize)]
 pub struct Accepted<'a> {
+    /// The job's id.
     pub uid: &'a str,
+    /// Its state.
     pub status: Status,
 }
 
 /// Answer to a poll.
 #[derive(Serialize)]
 pub struct View<'a> {
+    /// The job's id.
     pub uid: &'a str,
+    /// Its state.
     pub status: Status,
+    /// Tasks that are done.
     pub done: u32,
+    /// Tasks on machines.
     pub running: u32,
 }
 
 /// What an answer to a user says of a job, as a controller that passes it on reads it.
 #[derive(Deserialize)]
 pub struct Told<'a> {
+    /// The job's id.
     pub uid: &'a str,
+    /// Its state.
     pub status: Status,
 }
 
 /// Body of every refusal.
 #[derive(Serialize)]
 pub struct Refusal<'a> {
+    /// The reason, for a person.
     pub error: &'a str,
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -6,9 +6,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskStatus {
+    /// Waits for its image.
     Pulling,
+    /// Runs.
     Running,
+    /// Saves before it stops.
     Flushing,
+    /// Ended, for the cause that goes with it.
     Ended,
     /// A state of a later protocol: on the machine as far as we know.
     #[serde(other)]
@@ -19,11 +23,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
+    /// Completed.
     Done,
+    /// Stopped by command.
     Halted,
+    /// Failed.
     Error,
+    /// Refused: too little room on the machine.
     NoRoom,
+    /// Refused: the task is there with another attempt.
     Busy,
+    /// Refused: the worker knows no such task.
     NoSuch,
     /// Killed with its session, taken with its machine, or a cause of a later protocol.
     #[serde(other)]
@@ -33,13 +43,18 @@
 /// A task in a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct TaskReport {
+    /// The task's name on the wire, see [`super::task_name`].
     #[serde(rename = "load")]
     pub task_id: String,
+    /// Attempt that the start named.
     #[serde(rename = "try")]
     pub attempt: u64,
+    /// Its state.
     pub status: TaskStatus,
+    /// Why it ended.
     #[serde(default)]
     pub cause: Option<Cause>,
+    /// Whether its progress was saved.
     #[serde(default)]
     pub saved: Option<bool>,
 }
@@ -47,25 +62,35 @@
 /// A worker's report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Report {
+    /// Name of the machine.
     #[serde(rename = "stead")]
     pub machine: String,
+    /// Where the worker takes direct commands.
     pub address: String,
+    /// Type of the machine.
     #[serde(rename = "build")]
     pub machine_type: String,
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "lendables")]
     pub spot: bool,
+    /// Session: grows each time the worker's lease expires.
     #[serde(rename = "tenure")]
     pub session: u64,
+    /// Number of the report within the session.
     #[serde(rename = "tally")]
     pub sequence: u64,
+    /// Highest token that the worker has seen.
     #[serde(default)]
     #[serde(rename = "baton")]
     pub token: u64,
+    /// Seconds until the cloud takes the machine back.
     #[serde(default)]
     #[serde(rename = "recall_s")]
     pub reclaim_s: Option<f64>,
+    /// All tasks on the machine, ended ones included until they are cleared.
     #[serde(default)]
     #[serde(rename = "loads")]
     pub tasks: Vec<TaskReport>,
@@ -75,23 +100,33 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum WorkerCommand {
+    /// Starts a task.
     Start {
+        /// The task.
         #[serde(rename = "load")]
         task_id: String,
+        /// Its attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
+    /// Stops a task.
     Halt {
+        /// The task.
         #[serde(rename = "load")]
         task_id: String,
+        /// Its attempt.
         #[serde(rename = "try")]
         attempt: u64,
+        /// Seconds that it may take to save.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
+    /// Removes an ended task from the reports.
     Clear {
+        /// The task.
         #[serde(rename = "load")]
         task_id: String,
+        /// Its attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -100,8 +135,10 @@
 /// Answer to a report.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WorkerCommands {
+    /// The sender's token: a worker drops answers with a lower one than it has seen.
     #[serde(rename = "baton")]
     pub token: u64,
+    /// What to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
 }
@@ -109,6 +146,7 @@
 /// Answer of a controller that doesn't lead.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Redirect {
+    /// The controller to report to, if it is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "steward")]
     pub leader: Option<String>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -23,44 +23,64 @@
 /// What the platform hands over.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
+    /// Name of this controller.
     pub label: String,
+    /// Its zone.
     pub zone: String,
+    /// Where users, workers and health checks connect.
     pub listen: SocketAddrV4,
+    /// Where other controllers connect.
     pub peer_bind: SocketAddrV4,
+    /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
+    /// What it depends on.
     pub services: Services,
+    /// Facts of the deployment.
     pub params: Params,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
+    /// Name of the controller.
     pub label: String,
+    /// Its zone.
     #[serde(default)]
     pub zone: String,
+    /// Where it takes other controllers' messages.
     pub address: SocketAddrV4,
 }
 
 /// Where cloud and state service answer.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
+    /// The cloud's address.
     pub cloud: SocketAddrV4,
+    /// The state service's address.
     pub state: SocketAddrV4,
 }
 
 /// Facts of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Params {
+    /// All zones.
     #[serde(default)]
     pub zones: Vec<String>,
+    /// All teams.
     pub teams: Vec<Team>,
+    /// The users' aims.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// The workers' timing.
     pub workers: Workers,
+    /// Limits of the state service.
     pub state: StateLimits,
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
+    /// What this process may use.
     pub machine_limits: MachineLimits,
+    /// Milliseconds by which the time of day may be off.
     #[serde(default)]
     pub time_bound_ms: f64,
 }
@@ -68,13 +88,18 @@
 /// A team with its guarantee and its limit; 0 means none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
+    /// Its name.
     pub name: String,
+    /// Cores that it is guaranteed.
     #[serde(default)]
     pub cpus: f64,
+    /// Cores that it may use at the most.
     #[serde(default)]
     pub cpus_max: f64,
+    /// GPUs that it is guaranteed.
     #[serde(default)]
     pub gpus: f64,
+    /// GPUs that it may use at the most.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -82,11 +107,15 @@
 /// One of the users' aims, as far as planning can use it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
+    /// What is counted.
     pub kind: String,
+    /// The class whose jobs are counted; none: all.
     #[serde(default)]
     pub class: Option<String>,
+    /// Seconds within which a job counts as served.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// The share of jobs to be served so.
     #[serde(default)]
     pub share: Option<f64>,
     /// Of a job's own deadline, for aims that are counted in it.
@@ -111,32 +140,44 @@
 /// The workers' timing.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Seconds between two reports.
     pub report_s: f64,
+    /// Seconds after which a worker that is not answered kills its tasks.
     pub lease_s: f64,
+    /// Seconds after a cancellation within which its tasks must be gone.
     pub cancel_s: f64,
 }
 
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Puts and deletes a second.
     pub write_rps: f64,
+    /// Kilobytes of one value.
     pub value_kb: f64,
+    /// Puts and deletes of one transaction.
     pub txn_ops: usize,
 }
 
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
+    /// Requests a second.
     pub rps: f64,
+    /// Seconds by which the list of machines may lag.
     pub list_lag_s: f64,
 }
 
 /// What this process may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
+    /// Share of a core.
     pub core_share: f64,
+    /// Megabytes of memory.
     pub mem_mb: f64,
+    /// Open sockets.
     pub sockets: usize,
 }
 
@@ -190,12 +231,17 @@
 /// The operators' settings with every default filled in.
 #[derive(Debug, Clone)]
 pub struct Operator {
+    /// Penalty factors that a pass tries, in rising order.
     pub thresholds: Vec<f64>,
+    /// Milliseconds between two planning passes.
     pub pass_period_ms: u64,
+    /// Shared bandwidth that a core of a task takes, by class.
     pub class_bandwidth: Vec<(String, Bandwidth)>,
+    /// Share of the machines in use that is kept free.
     pub headroom_share: f64,
     /// None: as long as a boot takes, by type.
     pub idle_return_s: Option<f64>,
+    /// Whether spot machines are rented at all.
     pub rent_spot: bool,
 }
 
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -34,7 +34,9 @@
 /// A task on a machine.
 #[derive(Debug, Clone)]
 pub struct Placement {
+    /// Number of this attempt, never used for another one.
     pub attempt: u64,
+    /// Whether it is in the store.
     pub phase: Phase,
     /// The report in whose answer the start went out last.
     pub ordered: Option<(u64, u64)>,
@@ -42,7 +44,9 @@
     pub seen: Option<TaskStatus>,
     /// When it was first shown running.
     pub running_since: Option<u64>,
+    /// When it was decided.
     pub placed_at: u64,
+    /// Why it is to be stopped, if it is.
     pub halt: Option<Halt>,
     /// Settled by evidence; taken out once that is committed.
     pub ended: Option<Cause>,
@@ -89,11 +93,17 @@
 /// A machine.
 #[derive(Debug, Clone)]
 pub struct Machine {
+    /// Its name.
     pub name: Name,
+    /// Name of its type.
     pub type_name: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// What it has in all.
     pub total: Resources,
+    /// Where it stands between rental and deletion.
     pub life: Life,
     /// When it was rented, as well as we know.
     pub rented_at: u64,
@@ -107,6 +117,7 @@
     pub newest: (u64, u64),
     /// The worker has shown our token.
     pub shows_token: bool,
+    /// When it last gave a sign of life, see [`Machine::received_at`] for the difference.
     pub reported_at: Option<u64>,
     /// When the newest report came, whoever's token it shows.
     pub received_at: Option<u64>,
@@ -122,6 +133,7 @@
     pub unheeded_at: u64,
     /// Since when it is held for deaf: it reports, but what we answer has no effect.
     pub unreachable_since: Option<u64>,
+    /// Tasks on it that are not taken out yet.
     pub placements: BTreeMap<TaskId, Placement>,
     /// Images it holds, newest last, with their size.
     pub images: Vec<(String, f64)>,
@@ -136,6 +148,7 @@
     pub closing: bool,
     /// Recent failures: when, job.
     pub failures: Vec<(u64, Name)>,
+    /// Since when nothing is on it.
     pub idle_since: Option<u64>,
     /// Tasks that ended well on it.
     pub successes: u32,
@@ -215,17 +228,23 @@
 /// A job that is not over, or still has tasks on machines.
 #[derive(Debug)]
 pub struct Job {
+    /// Its id.
     pub uid: Name,
     /// None only for a job whose record was reduced at its end.
     pub spec: Option<Rc<JobSpec>>,
+    /// What each task takes.
     pub need: Resources,
+    /// Whether it is live, done or cancelled.
     pub stage: Stage,
     /// Grows from job to job.
     pub arrival: u64,
     /// Time of day of its acceptance.
     pub at_wall: u64,
+    /// Number of its tasks.
     pub tasks: u32,
+    /// Tasks that are done.
     pub done: Bitmap,
+    /// How many that are.
     pub done_count: u32,
     /// Chunks of the bitmap that the store does not have as they are.
     pub dirty_chunks: BTreeSet<u32>,
@@ -241,8 +260,11 @@
     pub settling: HashSet<u32>,
     /// Machines on which a task failed since the last success.
     pub failed_on: HashSet<Name>,
+    /// How long the next pause after a failure lasts.
     pub fail_pause_ms: u64,
+    /// Until when none of its tasks is started.
     pub paused_until: u64,
+    /// Tasks that ended well.
     pub successes: u32,
     /// A task of it was seen running.
     pub begun: bool,
@@ -297,6 +319,7 @@
 /// A stored group of placements: one key of the store.
 #[derive(Debug, Default)]
 pub struct Group {
+    /// Revision of its key.
     pub stamp: u64,
     /// What the store has, with the machine and the length of the text.
     pub tasks: BTreeMap<(TaskId, u64), (Name, usize)>,
@@ -311,22 +334,30 @@
 /// A stored group of bitmaps.
 #[derive(Debug, Default)]
 pub struct DoneGroup {
+    /// Revision of its key.
     pub stamp: u64,
     /// Job and chunk, with the bytes that it takes at the most.
     pub chunks: BTreeMap<(Name, u32), usize>,
+    /// Bytes of the value at the most.
     pub bytes: usize,
+    /// It has changed since it was stored.
     pub dirty: bool,
 }
 
 /// The state of the cluster, as the leader of a term sees it.
 #[derive(Debug, Default)]
 pub struct ClusterState {
+    /// Jobs that are live, or still have tasks on machines.
     pub jobs: HashMap<Name, Job>,
     /// Live jobs by arrival.
     pub queue: BTreeMap<u64, Name>,
+    /// Machines that are known.
     pub machines: BTreeMap<Name, Machine>,
+    /// What each team uses.
     pub usage: Usage,
+    /// Stored groups of placements, by number.
     pub groups: BTreeMap<u32, Group>,
+    /// Stored groups of bitmaps, by number.
     pub done_groups: BTreeMap<u32, DoneGroup>,
     /// Placements that wait to be stored, in the order decided.
     pub proposals: VecDeque<(Name, TaskId)>,
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -57,14 +57,23 @@
 /// A key, taken apart.
 #[derive(Debug, PartialEq)]
 pub enum Key<'a> {
+    /// The leader's name.
     Leader,
+    /// The highest term.
     Term,
+    /// The last known machine types.
     Catalog,
+    /// The teams' shares.
     Shares,
+    /// Jobs that were accepted together.
     Batch(&'a str),
+    /// How a job ended.
     End(&'a str),
+    /// A group of bitmaps of done tasks.
     Done(u32),
+    /// A group of placements.
     Place(u32),
+    /// A part of the images on machines.
     Images(u32),
 }
 
@@ -99,14 +108,18 @@
 /// Who leads.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRec {
+    /// Name of the controller.
     pub label: String,
+    /// Random number of its process.
     pub incarnation: u64,
+    /// Its term.
     pub term: u64,
 }
 
 /// The highest term ever taken.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct TermRec {
+    /// The term.
     pub term: u64,
 }
 
@@ -114,8 +127,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
+    /// Accepted, neither done nor cancelled.
     Live,
+    /// All tasks are done.
     Done,
+    /// Its user has cancelled it.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -133,14 +149,18 @@
     /// the same revision, and no two jobs may have the same arrival number.
     #[serde(default)]
     pub first: u64,
+    /// The jobs, as they were submitted.
     pub jobs: Vec<Rc<JobSpec>>,
 }
 
 /// How a job ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndRec {
+    /// Time of day of the acceptance, in milliseconds.
     pub at: u64,
+    /// How it ended.
     pub stage: Stage,
+    /// Number of its tasks.
     #[serde(rename = "loads")]
     pub tasks: u32,
     /// Tasks that were done.
@@ -152,7 +172,9 @@
 pub struct JobRec {
     /// Time of day of the acceptance, in milliseconds.
     pub at: u64,
+    /// Whether it is live, done or cancelled.
     pub stage: Stage,
+    /// Number of its tasks.
     pub tasks: u32,
     /// Known as long as its batch is kept.
     pub spec: Option<Rc<JobSpec>>,
@@ -165,6 +187,7 @@
 /// Bitmaps of done tasks as text, by job and chunk ([`chunk_name`]).
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DoneRec {
+    /// Bitmaps in hexadecimal.
     pub bits: BTreeMap<String, String>,
 }
 
@@ -183,6 +206,7 @@
 /// holds hundreds, so that one write starts and settles many tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlaceRec {
+    /// The texts, separated by spaces.
     pub tasks: String,
 }
 
@@ -204,8 +228,11 @@
 pub struct Placed<'a> {
     /// The job's id without its [`UID_PREFIX`].
     pub digits: &'a str,
+    /// The task's number.
     pub task: u32,
+    /// The machine's name.
     pub machine: &'a str,
+    /// The attempt.
     pub attempt: u64,
 }
 
@@ -246,7 +273,9 @@
 /// The teams' shares of the machines, in thousandths of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ShareRec {
+    /// The term in which they were stored.
     pub term: u64,
+    /// Team and thousandths.
     pub teams: Vec<(String, i64)>,
 }
 
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -16,7 +16,9 @@
 /// A stored value with the stamp of its key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Stamped<T> {
+    /// Revision of the key's last change.
     pub stamp: u64,
+    /// The value.
     pub value: T,
 }
 
@@ -25,16 +27,23 @@
 pub struct Replica {
     /// All changes up to this revision are in.
     pub rev: u64,
+    /// Who leads, while the lease lasts.
     pub leader: Option<Stamped<LeaderRec>>,
+    /// The highest term.
     pub term: Option<Stamped<TermRec>>,
+    /// The last known machine types.
     pub catalog: Option<Stamped<Catalog>>,
+    /// The teams' shares.
     pub shares: Option<Stamped<ShareRec>>,
     /// Every job that was ever accepted. Its stamp is its arrival number.
     pub jobs: HashMap<Name, Stamped<JobRec>>,
     /// Batches that are still kept, with their jobs.
     pub batches: HashMap<Name, Stamped<Vec<Name>>>,
+    /// Groups of bitmaps of done tasks.
     pub done: BTreeMap<u32, Stamped<DoneRec>>,
+    /// Groups of placements.
     pub places: BTreeMap<u32, Stamped<PlaceRec>>,
+    /// Images on machines, in parts.
     pub images: BTreeMap<u32, Stamped<ImagesRec>>,
     /// Tasks placed per job, for users' polls.
     placed: HashMap<Name, u32>,
--- a/src/storage/reservation.rs
+++ b/src/storage/reservation.rs
@@ -11,6 +11,7 @@
 pub struct Bucket {
     /// Milliseconds on the planner's clock.
     pub end: u64,
+    /// What it takes.
     pub need: Resources,
     /// Shared bandwidth taken, in cores' worth.
     pub bandwidth: f64,
@@ -19,11 +20,13 @@
 /// One machine's row of the table.
 #[derive(Debug, Clone, Default)]
 pub struct Row {
+    /// What is free now.
     pub free: Resources,
     /// Shared bandwidth there is, in cores' worth.
     pub capacity: f64,
     /// Shared bandwidth that all tasks together take, in cores' worth.
     pub demand: f64,
+    /// Tasks that run.
     pub buckets: Vec<Bucket>,
     /// Places that waiting tasks count on: start, end, what they take. They hold nothing;
     /// they only tell others that they would not be alone.
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -8,8 +8,11 @@
 /// A whole request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
+    /// Method, in capital letters.
     pub method: String,
+    /// Path with its query.
     pub path: String,
+    /// Body, decoded.
     pub body: Vec<u8>,
     /// The client keeps the connection open.
     pub keep_alive: bool,
@@ -18,8 +21,11 @@
 /// A whole response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
+    /// Status.
     pub status: u16,
+    /// Body, decoded.
     pub body: Vec<u8>,
+    /// The connection can carry another request.
     pub keep_alive: bool,
 }
 
@@ -27,7 +33,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct HttpError {
+    /// Status to answer with.
     pub status: u16,
+    /// The reason, for a person.
     pub reason: &'static str,
 }
 
