--- a/src/constants.rs
+++ b/src/constants.rs
@@ -157,6 +157,8 @@
 /// Longest random wait in milliseconds before standing for election, so that
 /// controllers seldom collide.
 pub const ELECTION_JITTER_MS: u64 = 120;
+/// Least milliseconds that an election takes: a lease and a commit, two answers of the state service.
+pub const ELECTION_LEAST_MS: u64 = 10;
 /// Milliseconds for which a controller that handed over doesn't stand again.
 pub const HANDOVER_REST_MS: u64 = 20_000;
 /// Bits of an attempt number below the term: attempts of one term.
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -26,16 +26,37 @@
 }
 
 impl Controller {
+    /// Answers a report with the leader to turn to, if it is known.
     pub(super) fn redirect(&mut self, conn: ConnId) {
+        self.redirect_past(conn, self.term_heard);
+    }
+
+    /// Takes note of a token above every term that we know. Whoever leads has stored its term before it
+    /// showed it to anyone, so where the store can be read it decides. A worker that showed an absurd
+    /// token once made every leader step down, and the terms after it run out of numbers.
+    ///
+    /// Without the store the token is believed if there was time for so many elections: a leader
+    /// that is cut off should make way for its successor.
+    fn hear_token(&mut self, token: u64) {
+        if self.served() {
+            return self.leader_wants_fresh();
+        }
+        let read_at = self.sync.fresh_at.unwrap_or(self.begun);
+        let elections = (self.now.mono - read_at) / c::ELECTION_LEAST_MS + 1;
+        if token - self.term_heard <= elections {
+            self.term_heard = token;
+            self.check_term();
+        }
+    }
+
+    /// The same, where only a leader of this term or a later one will do.
+    fn redirect_past(&mut self, conn: ConnId, term: u64) {
         self.metrics.work.reports_redirected += 1;
         let leader = match &self.replica.leader {
-            Some(l) if l.value.label != self.cfg.label && l.value.term >= self.term_heard => {
+            Some(l) if l.value.label != self.cfg.label && l.value.term >= term => {
                 Some(l.value.label.clone())
             }
-            _ => self
-                .fresh_gossip()
-                .find(|g| g.leads && g.term >= self.term_heard)
-                .map(|g| g.label.clone()),
+            _ => self.fresh_gossip().find(|g| g.leads && g.term >= term).map(|g| g.label.clone()),
         };
         let body = serde_json::to_vec(&Redirect { leader }).unwrap_or_default();
         self.respond(conn, 421, None, body);
@@ -53,8 +74,11 @@
         self.metrics.work.reports += 1;
         self.workers_seen.insert(report.machine.clone(), now);
         if report.token > self.term_heard {
-            self.term_heard = report.token;
-            self.check_term();
+            self.hear_token(report.token);
+        }
+        if report.token > self.term_heard {
+            // It would drop our answer. Whoever gave it that token, it is not the leader that we know.
+            return self.redirect_past(conn, report.token);
         }
         let ready = self.leader.as_ref().is_some_and(|l| l.ready);
         if ready && self.may_answer() {
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -780,3 +780,32 @@
         w.ends_well();
     }
 }
+
+#[test]
+fn a_token_that_no_leader_ever_had_deposes_nobody() {
+    // Every leader stores its term before it shows it. A report with a token above all terms once
+    // made the leader step down, and with the largest number of all there was no next term.
+    for token in [1_000, u64::MAX] {
+        let mut w = World::new(1);
+        w.until(10_000, "a leader", |w| w.leader().is_some());
+        w.run(3_000);
+        let leader = w.leader().expect("one leads");
+        let term = w.nodes[leader].core.as_ref().expect("it runs").leads().expect("it leads");
+        let name = w.workers.keys().next().expect("there are workers").clone();
+        w.workers.get_mut(&name).expect("there").claim_token(token);
+        let s = w.spec(1, "batch", 6);
+        w.submit(s, 2_000, leader);
+        w.until_done("job-000001", 60_000);
+        assert_eq!(w.leader(), Some(leader), "token {token}");
+        let leads = w.nodes[leader].core.as_ref().expect("it runs").leads();
+        assert_eq!(leads, Some(term), "in the same term");
+        // The same where nobody can read the store: the token is out of all proportion.
+        w.state.outage = true;
+        w.run(6_000);
+        assert_eq!(w.leader(), Some(leader), "token {token}, without the store");
+        w.end_outage();
+        w.ends_well();
+        let leads = w.leader().and_then(|l| w.nodes[l].core.as_ref().expect("it runs").leads());
+        assert!(leads.expect("one leads") <= term + 1, "and terms go on from where they were");
+    }
+}
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -308,6 +308,11 @@
         self.in_flight = None;
     }
 
+    /// It takes a token for seen that no controller has ever shown to it.
+    pub fn claim_token(&mut self, token: u64) {
+        self.baton = token;
+    }
+
     /// It gives up what it waits for and reports to this controller.
     pub fn turn_to(&mut self, node: usize) {
         self.node = node;
