--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -15,7 +15,7 @@
 mod peers;
 pub mod planner;
 mod snapshot;
-mod status;
+pub mod status;
 mod sync;
 mod users;
 mod workers;
@@ -275,7 +275,7 @@
     }
 
     fn public(&mut self, conn: ConnId, method: &str, path: &str, body: Vec<u8>) {
-        let path = path.split('?').next().unwrap_or("");
+        let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let asker = Asker { conn, relayed: false, since: self.now.mono };
         match (method, path) {
             ("POST", "/checkin") => self.worker_report(conn, &body),
@@ -283,7 +283,7 @@
                 self.metrics.work.health_checks += 1;
                 self.up(conn)
             }
-            ("GET", "/v1/status") => self.status(conn),
+            ("GET", "/v1/status") => self.status(conn, query),
             (_, "/checkin" | "/up" | "/v1/status") => self.refuse(asker, 405, "wrong method", None),
             _ => self.user_request(asker, method, path, &body),
         }
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -1,94 +1,253 @@
-//! The operators' view.
+//! The operators' view: sums first, single machines and waiting jobs on request.
 
-use super::*;
-use crate::storage::cluster::Life;
+use super::metrics::{Latencies, WorkCounts};
+use super::{Controller, Leader};
+use crate::storage::cluster::{Life, Machine};
 use crate::storage::records::Stage;
-use serde_json::{json, Value};
+use crate::transport::counts::TransportCounts;
+use serde::Serialize;
+use std::collections::BTreeMap;
+
+/// Query of a status request that asks for single machines and jobs too.
+pub const DETAILS_QUERY: &str = "details";
 
 /// Waiting jobs listed in full.
 const WAITING_SHOWN: usize = 50;
 
-fn spread(h: &hdrhistogram::Histogram<u64>) -> Value {
-    json!({
-        "count": h.len(),
-        "p50": h.value_at_quantile(0.5),
-        "p95": h.value_at_quantile(0.95),
-        "p99": h.value_at_quantile(0.99),
-        "max": h.max(),
-    })
+/// What a controller tells its operators.
+#[derive(Debug, Serialize)]
+pub struct StatusView {
+    controller: String,
+    version: &'static str,
+    up_s: u64,
+    served_by_state_service: bool,
+    /// The leader as the store has it.
+    leader: Option<String>,
+    term: u64,
+    revision: u64,
+    jobs: JobSums,
+    /// On the leader only.
+    fleet: Option<FleetSums>,
+    /// What is kept in memory, in numbers.
+    held: HeldSums,
+    latency_ms: LatencyView,
+    work: WorkCounts,
+    transport: TransportCounts,
+    /// On the leader, on request.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    machines: Option<Vec<MachineLine>>,
+    /// On the leader, on request.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    waiting: Option<Vec<WaitingLine>>,
+}
+
+#[derive(Debug, Serialize)]
+struct JobSums {
+    live: usize,
+    done: usize,
+    cancelled: usize,
+}
+
+/// The leader's fleet in sums.
+#[derive(Debug, Default, Serialize)]
+struct FleetSums {
+    /// Machines by state.
+    machines: BTreeMap<&'static str, usize>,
+    /// Of these, spot machines.
+    spot: usize,
+    /// Tasks on machines.
+    tasks: usize,
+    /// Tasks that wait for a machine, and the jobs that they belong to.
+    waiting_tasks: u64,
+    waiting_jobs: usize,
+}
+
+/// Numbers of entries in the large tables.
+#[derive(Debug, Default, Serialize)]
+struct HeldSums {
+    /// In the copy of the store.
+    jobs: usize,
+    batches: usize,
+    placement_groups: usize,
+    /// On the leader.
+    live_jobs: usize,
+    machines: usize,
+    placements: usize,
+    /// Reports whose answer waits for a commit.
+    reports: usize,
+}
+
+#[derive(Debug, Serialize)]
+struct LatencyView {
+    submit: Spread,
+    poll: Spread,
+    report: Spread,
+    placed_to_running: Spread,
+}
+
+#[derive(Debug, Serialize)]
+struct Spread {
+    count: u64,
+    p50: u64,
+    p95: u64,
+    p99: u64,
+    max: u64,
+}
+
+#[derive(Debug, Serialize)]
+struct MachineLine {
+    name: String,
+    machine_type: String,
+    zone: String,
+    spot: bool,
+    state: &'static str,
+    tasks: usize,
+}
+
+#[derive(Debug, Serialize)]
+struct WaitingLine {
+    uid: String,
+    waiting: u32,
+    done: u32,
+    tasks: u32,
+    why: String,
+}
+
+fn spread(latencies: &Latencies) -> Spread {
+    Spread {
+        count: latencies.len(),
+        p50: latencies.value_at_quantile(0.5),
+        p95: latencies.value_at_quantile(0.95),
+        p99: latencies.value_at_quantile(0.99),
+        max: latencies.max(),
+    }
+}
+
+fn state_of(machine: &Machine) -> &'static str {
+    match machine.life {
+        Life::Booting => "booting",
+        Life::Unheard => "not heard of",
+        Life::Deleting => "deleting",
+        Life::Gone => "gone",
+        Life::Up if machine.lease_expired => "silent",
+        Life::Up if machine.reclaim_at.is_some() => "reclaimed",
+        Life::Up if machine.draining => "set aside",
+        Life::Up => "up",
+    }
 }
 
 impl Controller {
-    pub(super) fn status(&mut self, conn: ConnId) {
+    /// Answers a status request.
+    pub(super) fn status(&mut self, conn: super::ConnId, query: &str) {
+        let view = self.status_view(query == DETAILS_QUERY);
         // On many lines: with hundreds of machines one would be longer than a response may have.
-        let body = serde_json::to_vec_pretty(&self.status_json()).unwrap_or_default();
+        let body = serde_json::to_vec_pretty(&view).unwrap_or_default();
         self.respond(conn, 200, None, body);
     }
 
-    /// Leader, term, machines, waiting jobs with reasons, latencies in milliseconds.
-    pub fn status_json(&self) -> Value {
-        let now = self.now.mono;
+    /// Leader, term, sums, counters and latencies; with `details` machines and waiting jobs too.
+    pub fn status_view(&self, details: bool) -> StatusView {
+        let leader = self.leader.as_ref().filter(|leader| leader.ready);
+        let listed = leader.filter(|_| details);
+        StatusView {
+            controller: self.cfg.label.clone(),
+            version: env!("CARGO_PKG_VERSION"),
+            up_s: (self.now.mono - self.begun) / 1000,
+            served_by_state_service: self.served(),
+            leader: self.replica.leader.as_ref().map(|l| l.value.label.clone()),
+            term: self.replica.term(),
+            revision: self.replica.rev,
+            jobs: self.job_sums(),
+            fleet: leader.map(Leader::fleet_sums),
+            held: self.held_sums(),
+            latency_ms: LatencyView {
+                submit: spread(&self.metrics.submit_ms),
+                poll: spread(&self.metrics.poll_ms),
+                report: spread(&self.metrics.report_ms),
+                placed_to_running: spread(&self.metrics.start_ms),
+            },
+            work: self.metrics.work,
+            transport: self.metrics.transport,
+            machines: listed.map(Leader::machine_lines),
+            waiting: listed.map(|leader| leader.waiting_lines(self.now.mono)),
+        }
+    }
+
+    fn job_sums(&self) -> JobSums {
         let count = |s| self.replica.jobs.values().filter(|j| j.value.stage == s).count();
-        let mut v = json!({
-            "controller": self.cfg.label,
-            "version": env!("CARGO_PKG_VERSION"),
-            "up_s": (now - self.begun) / 1000,
-            "served_by_state_service": self.served(),
-            "leader": self.replica.leader.as_ref().map(|l| l.value.label.clone()),
-            "term": self.replica.term(),
-            "revision": self.replica.rev,
-            "jobs": {"live": count(Stage::Live), "done": count(Stage::Done),
-                     "withdrawn": count(Stage::Cancelled)},
-            "latency_ms": {
-                "submit": spread(&self.metrics.submit_ms),
-                "poll": spread(&self.metrics.poll_ms),
-                "report": spread(&self.metrics.report_ms),
-                "placed_to_running": spread(&self.metrics.start_ms),
+        JobSums {
+            live: count(Stage::Live),
+            done: count(Stage::Done),
+            cancelled: count(Stage::Cancelled),
+        }
+    }
+
+    fn held_sums(&self) -> HeldSums {
+        let copy = HeldSums {
+            jobs: self.replica.jobs.len(),
+            batches: self.replica.batches.len(),
+            placement_groups: self.replica.places.len(),
+            ..HeldSums::default()
+        };
+        match &self.leader {
+            None => copy,
+            Some(leader) => HeldSums {
+                live_jobs: leader.cluster.jobs.len(),
+                machines: leader.cluster.machines.len(),
+                placements: leader.cluster.machines.values().map(|m| m.placements.len()).sum(),
+                reports: leader.held.len(),
+                ..copy
             },
-            "work": self.metrics.work,
-            "transport": self.metrics.transport,
-        });
-        if let Some(l) = self.leader.as_ref().filter(|l| l.ready) {
-            let machines: Vec<Value> = l
-                .cluster
-                .machines
-                .values()
-                .map(|m| {
-                    let state = match m.life {
-                        Life::Booting => "booting",
-                        Life::Unheard => "not heard of",
-                        Life::Deleting => "deleting",
-                        Life::Gone => "gone",
-                        Life::Up if m.lease_expired => "silent",
-                        Life::Up if m.reclaim_at.is_some() => "recalled",
-                        Life::Up if m.draining => "set aside",
-                        Life::Up => "up",
-                    };
-                    json!({"name": &*m.name, "build": m.type_name, "yard": m.zone, "spot": m.spot,
-                           "state": state, "tasks": m.placements.len()})
-                })
-                .collect();
-            let waiting: Vec<Value> = l
-                .cluster
-                .queue
-                .values()
-                .filter_map(|u| l.cluster.jobs.get(u))
-                .filter(|j| j.waiting() > 0)
-                .take(WAITING_SHOWN)
-                .map(|j| {
-                    let reserved = l.reservation.as_ref().filter(|(u, _)| *u == j.uid);
-                    let why = match reserved {
-                        Some((_, m)) => format!("reserved on {m}"),
-                        None if j.paused_until > now => "failed on several machines, paused".into(),
-                        None => "no room that allows it, or its team is at its limit".into(),
-                    };
-                    json!({"uid": &*j.uid, "waiting": j.waiting(), "done": j.done_count,
-                           "tasks": j.tasks, "why": why})
-                })
-                .collect();
-            v["machines"] = Value::Array(machines);
-            v["waiting"] = Value::Array(waiting);
         }
-        v
+    }
+}
+
+impl Leader {
+    fn fleet_sums(&self) -> FleetSums {
+        let mut sums = FleetSums::default();
+        for machine in self.cluster.machines.values() {
+            *sums.machines.entry(state_of(machine)).or_default() += 1;
+            sums.spot += usize::from(machine.spot);
+            sums.tasks += machine.placements.len();
+        }
+        for job in self.cluster.jobs.values().filter(|job| job.waiting() > 0) {
+            sums.waiting_jobs += 1;
+            sums.waiting_tasks += u64::from(job.waiting());
+        }
+        sums
+    }
+
+    fn machine_lines(&self) -> Vec<MachineLine> {
+        let line = |machine: &Machine| MachineLine {
+            name: machine.name.to_string(),
+            machine_type: machine.type_name.clone(),
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+            state: state_of(machine),
+            tasks: machine.placements.len(),
+        };
+        self.cluster.machines.values().map(line).collect()
+    }
+
+    /// The oldest waiting jobs, with what they wait for.
+    fn waiting_lines(&self, now: u64) -> Vec<WaitingLine> {
+        let jobs = self.cluster.queue.values().filter_map(|uid| self.cluster.jobs.get(uid));
+        let waiting = jobs.filter(|job| job.waiting() > 0).take(WAITING_SHOWN);
+        let line = |job: &crate::storage::cluster::Job| {
+            let reserved = self.reservation.as_ref().filter(|(uid, _)| *uid == job.uid);
+            let why = match reserved {
+                Some((_, machine)) => format!("reserved on {machine}"),
+                None if job.paused_until > now => "failed on several machines, paused".into(),
+                None => "no room that allows it, or its team is at its limit".into(),
+            };
+            WaitingLine {
+                uid: job.uid.to_string(),
+                waiting: job.waiting(),
+                done: job.done_count,
+                tasks: job.tasks,
+                why,
+            }
+        };
+        waiting.map(line).collect()
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -31,6 +31,9 @@
     Status {
         /// Where the controller listens for users, as 127.0.0.1:8080
         address: std::net::SocketAddrV4,
+        /// List single machines and waiting jobs too
+        #[arg(long)]
+        details: bool,
     },
 }
 
@@ -50,7 +53,7 @@
             }
             Err(e) => return bad_settings(&e),
         },
-        Verb::Status { address } => status(address),
+        Verb::Status { address, details } => status(address, details),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -66,13 +69,15 @@
     ExitCode::from(2)
 }
 
-fn status(address: std::net::SocketAddrV4) -> anyhow::Result<()> {
+fn status(address: std::net::SocketAddrV4, details: bool) -> anyhow::Result<()> {
+    use mountgap::coordination::status::DETAILS_QUERY;
     use mountgap::transport::http;
     use std::io::{Read, Write};
     let mut s = std::net::TcpStream::connect(address)?;
     s.set_read_timeout(Some(std::time::Duration::from_secs(5)))?;
     let mut out = Vec::new();
-    http::write_request(&mut out, "GET", "/v1/status", &address.to_string(), &[]);
+    let path = if details { format!("/v1/status?{DETAILS_QUERY}") } else { "/v1/status".into() };
+    http::write_request(&mut out, "GET", &path, &address.to_string(), &[]);
     s.write_all(&out)?;
     let mut buf = Vec::new();
     let mut chunk = [0; 4096];
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -281,13 +281,14 @@
             }
             o.pass_period_ms = ms;
         }
-        for d in &planner.duty_bandwidth {
-            let class = match d.bandwidth() {
-                proto::BandwidthClass::LOW => c::BANDWIDTH_LOW,
-                proto::BandwidthClass::MEDIUM => c::BANDWIDTH_MEDIUM,
-                proto::BandwidthClass::HIGH => c::BANDWIDTH_HIGH,
-            };
-            o.class_bandwidth.push((d.duty().to_string(), class));
+        for entry in &planner.class_bandwidth {
+            o.class_bandwidth.push((entry.class().to_string(), bandwidth_of(entry.bandwidth())));
+        }
+        if !planner.duty_bandwidth.is_empty() {
+            log::warn!("planner.duty_bandwidth is now called class_bandwidth");
+        }
+        for entry in &planner.duty_bandwidth {
+            o.class_bandwidth.push((entry.duty().to_string(), bandwidth_of(entry.bandwidth())));
         }
         let fleet = msg.fleet.get_or_default();
         if let Some(v) = fleet.headroom_share {
@@ -312,6 +313,14 @@
     }
 }
 
+fn bandwidth_of(class: proto::BandwidthClass) -> Bandwidth {
+    match class {
+        proto::BandwidthClass::LOW => c::BANDWIDTH_LOW,
+        proto::BandwidthClass::MEDIUM => c::BANDWIDTH_MEDIUM,
+        proto::BandwidthClass::HIGH => c::BANDWIDTH_HIGH,
+    }
+}
+
 /// Reads both files.
 pub fn load(config: &str, operator: Option<&str>) -> Result<(Platform, Operator), SettingsError> {
     fn parse<T>(file: &str, f: fn(&str) -> Result<T, String>) -> Result<T, SettingsError> {
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -87,3 +87,20 @@
     assert!(leader.planner_passes > 10 && leader.state_commits > 10, "{leader:?}");
     assert!(leader.batches_empty <= SECONDS * 9, "{leader:?}");
 }
+
+#[test]
+fn the_operators_view_of_a_large_fleet_is_short_unless_details_are_asked_for() {
+    let mut world = World::fleet(9, 1_000);
+    world.until(10_000, "a leader", |w| w.leader().is_some());
+    world.run(4_000);
+    let leader = world.leader().expect("one leads");
+    let controller = world.nodes[leader].core.as_ref().expect("it runs");
+    let view = |details| serde_json::to_value(controller.status_view(details)).expect("JSON");
+    let sums = view(false);
+    assert_eq!(sums["fleet"]["machines"]["up"], 1_000);
+    assert_eq!(sums["held"]["machines"], 1_000);
+    assert!(sums.get("machines").is_none() && sums.get("waiting").is_none());
+    let lines = serde_json::to_string_pretty(&sums).expect("JSON").lines().count();
+    assert!(lines < 150, "{lines} lines");
+    assert_eq!(view(true)["machines"].as_array().map(Vec::len), Some(1_000));
+}
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1607,7 +1607,7 @@
                 self.nodes[l]
                     .core
                     .as_ref()
-                    .map(|c| c.status_json().to_string())
+                    .map(|c| json!(c.status_view(true)).to_string())
                     .unwrap_or_default()
             ),
             None => format!("up {up:?}, no leader, term key {:?}", self.state.get("mg/leader")),
