--- /dev/null
+++ b/tests/world/user.rs
@@ -0,0 +1,178 @@
+//! The fake users: what they submit, ask and are told.
+
+use super::*;
+
+/// What users know of a job, and the truth.
+pub struct Job {
+    pub spec: Value,
+    pub loads: u32,
+    pub run_ms: u64,
+    pub accepted_at: Option<u64>,
+    pub done_tasks: BTreeSet<u32>,
+    /// When its user was first told that it is done.
+    pub done_told: Option<u64>,
+    pub withdrawn_told: Option<u64>,
+    pub asked_withdraw: bool,
+    pub last_status: String,
+    /// Fails wherever it starts.
+    pub bad: bool,
+    pub starts: u32,
+    /// Start orders that a worker took as new.
+    pub ordered: u32,
+    /// Can't run or lacks a field: must not be accepted.
+    pub odd: bool,
+    /// Milliseconds by which each task runs longer than the one before.
+    pub step_ms: u64,
+    /// When it was last seen not to wait beside room for it.
+    pub at_ease: u64,
+}
+
+impl Job {
+    pub fn new(spec: Value, loads: u32, run_ms: u64) -> Job {
+        Job {
+            spec,
+            loads,
+            run_ms,
+            accepted_at: None,
+            done_tasks: BTreeSet::new(),
+            done_told: None,
+            withdrawn_told: None,
+            asked_withdraw: false,
+            last_status: String::new(),
+            bad: false,
+            starts: 0,
+            ordered: 0,
+            odd: false,
+            step_ms: 0,
+            at_ease: 0,
+        }
+    }
+}
+
+/// A user's request.
+pub struct Asked {
+    pub(super) uid: String,
+    pub(super) kind: &'static str,
+    pub answer: Option<(u16, Value)>,
+    pub at: u64,
+}
+
+impl World {
+    pub fn spec(&self, n: u64, shape: &str, loads: u32) -> Value {
+        json!({"uid": format!("job-{n:06}"), "duty": shape, "crew": "red", "shape": shape,
+            "rank": if shape == "standing" { "production" } else { "standard" }, "loads": loads,
+            "cores": 2.0, "gpus": 1.0, "ram_gb": 4.0, "kit": "img", "size_gb": 1.0,
+            "builds": null, "yard": null, "together": false, "apart": false, "lendables": shape == "batch",
+            "run_guess_s": if shape == "standing" { 0.0 } else { 5.0 },
+            "mark_every_s": 0.0, "mark_cost_s": 0.0})
+    }
+
+    /// A user submits; gives the request's number.
+    pub fn submit(&mut self, spec: Value, run_ms: u64, node: usize) -> u64 {
+        let uid = spec["uid"].as_str().unwrap().to_string();
+        let loads = spec["loads"].as_u64().unwrap_or(0) as u32;
+        self.jobs.entry(uid.clone()).or_insert(Job::new(spec.clone(), loads, run_ms));
+        self.ask(node, &uid, "submit", "POST", "/v1/jobs".into(), spec.to_string().into_bytes())
+    }
+
+    pub fn poll(&mut self, uid: &str, node: usize) -> u64 {
+        self.ask(node, uid, "poll", "GET", format!("/v1/jobs/{uid}"), vec![])
+    }
+
+    pub fn withdraw(&mut self, uid: &str, node: usize) -> u64 {
+        if let Some(j) = self.jobs.get_mut(uid) {
+            j.asked_withdraw = true;
+        }
+        self.ask(node, uid, "withdraw", "POST", format!("/v1/jobs/{uid}/withdraw"), vec![])
+    }
+
+    pub fn ask(
+        &mut self,
+        node: usize,
+        uid: &str,
+        kind: &'static str,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+    ) -> u64 {
+        let request = self.next_request;
+        self.next_request += 1;
+        self.asked.insert(request, Asked { uid: uid.into(), kind, answer: None, at: self.now });
+        let d = self.hop();
+        self.send(d, Msg::User { request, node, method, path, body });
+        request
+    }
+
+    pub fn status(&self, request: u64) -> u16 {
+        self.asked[&request].answer.as_ref().map_or(0, |a| a.0)
+    }
+
+    pub fn answer(&self, request: u64) -> &Value {
+        &self.asked[&request].answer.as_ref().expect("answered").1
+    }
+
+    pub(super) fn user_answer(&mut self, request: u64, status: u16, body: &[u8]) {
+        let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+        let now = self.now;
+        let Some(a) = self.asked.get_mut(&request) else {
+            return;
+        };
+        a.answer = Some((status, v.clone()));
+        let (uid, kind, at) = (a.uid.clone(), a.kind, a.at);
+        let broken = &mut self.broken;
+        let Some(j) = self.jobs.get_mut(&uid) else {
+            if status == 200 && kind != "other" {
+                broken.push(format!("invented {uid}"));
+            }
+            return;
+        };
+        let accepted_before = j.accepted_at.is_some_and(|t| t < at);
+        match (kind, status) {
+            ("submit", 200 | 201) if j.odd => broken.push(format!("accepted {uid}: {}", j.spec)),
+            ("submit", 200 | 201) => {
+                j.accepted_at.get_or_insert(now);
+            }
+            ("submit", 400 | 422) if accepted_before => {
+                broken.push(format!("forgotten {uid}: {status}"))
+            }
+            ("poll" | "withdraw", 404) if accepted_before => {
+                broken.push(format!("forgotten {uid}: 404"))
+            }
+            _ => {}
+        }
+        if status != 200 && status != 201 {
+            return;
+        }
+        let told = v["status"].as_str().unwrap_or("").to_string();
+        match told.as_str() {
+            "done" => {
+                if j.done_tasks.len() < j.loads as usize {
+                    broken.push(format!("not_done {uid}: {} of {}", j.done_tasks.len(), j.loads));
+                }
+                if j.withdrawn_told.is_some_and(|t| t < at) {
+                    broken.push(format!("went_back {uid}: withdrawn, then done"));
+                }
+                j.done_told.get_or_insert(now);
+            }
+            "withdrawn" => {
+                if !j.asked_withdraw {
+                    broken.push(format!("went_back {uid}: withdrawn unasked"));
+                }
+                if j.done_told.is_some() {
+                    broken.push(format!("went_back {uid}: done, then withdrawn"));
+                }
+                j.withdrawn_told.get_or_insert(now);
+            }
+            _ => {
+                // A late answer to an old question is no step back.
+                if j.done_told.is_some_and(|t| t < at) {
+                    broken.push(format!("went_back {uid}: done, then {told}"));
+                }
+                if j.withdrawn_told.is_some_and(|t| t < at) {
+                    broken.push(format!("went_back {uid}: withdrawn, then {told}"));
+                }
+            }
+        }
+        j.last_status = told;
+    }
+}
--- /dev/null
+++ b/tests/world/worker.rs
@@ -0,0 +1,346 @@
+//! The fake workers: their tasks, sessions, tokens and reports.
+
+use super::*;
+
+#[derive(Clone, PartialEq, Debug)]
+pub(super) enum Run {
+    Pulling(u64),
+    Running { left: u64, begun: u64 },
+    Flushing(u64),
+    Ended(&'static str),
+}
+
+#[derive(Clone)]
+pub(super) struct Task {
+    pub(super) attempt: u64,
+    pub(super) run: Run,
+}
+
+/// A worker with its machine.
+pub struct Worker {
+    pub yard: String,
+    pub(super) spot: bool,
+    pub(super) tenure: u64,
+    pub(super) tally: u64,
+    pub(super) baton: u64,
+    pub(super) lease_from: u64,
+    pub(super) node: usize,
+    pub(super) in_flight: Option<(u64, u64)>,
+    pub(super) next_at: u64,
+    pub(super) last_at: u64,
+    pub(super) changed: bool,
+    pub(super) tasks: BTreeMap<(String, u32), Vec<Task>>,
+    pub(super) kits: BTreeSet<String>,
+    pub recall_at: Option<u64>,
+    /// Nothing gets in or out.
+    pub cut: bool,
+    /// Reports are held on the way instead of lost, until then.
+    pub held_until: Option<u64>,
+    /// Its reports arrive, but no answer reaches it.
+    pub deaf: bool,
+    /// No controller hears it.
+    pub mute: bool,
+    /// The machine hangs until then: it executes nothing, reads nothing and sends nothing.
+    pub hung_until: u64,
+    /// Fails every task that it starts.
+    pub sick: bool,
+    pub dead: bool,
+}
+
+impl Worker {
+    /// Its process ends and is back at once, knowing nothing.
+    pub fn forget(&mut self) {
+        self.tasks.clear();
+        self.tenure = 1;
+        self.tally = 0;
+        self.baton = 0;
+        self.in_flight = None;
+    }
+
+    /// It takes a token for seen that no controller has ever shown to it.
+    pub fn claim_token(&mut self, token: u64) {
+        self.baton = token;
+    }
+
+    /// It gives up what it waits for and reports to this controller.
+    pub fn turn_to(&mut self, node: usize) {
+        self.node = node;
+        self.in_flight = None;
+    }
+
+    /// Tasks that take room.
+    pub fn on(&self) -> impl Iterator<Item = (&str, u32)> {
+        self.tasks
+            .iter()
+            .filter(|(_, v)| v.iter().any(|t| !matches!(t.run, Run::Ended(_))))
+            .map(|((j, n), _)| (j.as_str(), *n))
+    }
+
+    pub fn is_on(&self, job: &str) -> bool {
+        self.on().any(|(j, _)| j == job)
+    }
+
+    pub fn running(&self) -> Vec<(String, u32)> {
+        self.tasks
+            .iter()
+            .filter(|(_, v)| {
+                v.iter().any(|t| matches!(t.run, Run::Running { .. } | Run::Flushing(_)))
+            })
+            .map(|(k, _)| k.clone())
+            .collect()
+    }
+}
+
+impl World {
+    pub(super) fn worker_step(&mut self, name: &str) {
+        let now = self.now;
+        let Some(w) = self.workers.get_mut(name) else {
+            return;
+        };
+        if w.dead {
+            return;
+        }
+        if let Some(t) = w.recall_at {
+            if now >= t && now >= w.hung_until {
+                self.kill_machine(name);
+                return;
+            }
+        }
+        // One that hangs does so when it goes on, before all else; its tasks are over by then.
+        if now > w.lease_from + LEASE_MS {
+            w.tasks.clear();
+            w.tenure += 1;
+            w.lease_from = now;
+            w.in_flight = None;
+            w.changed = true;
+        }
+        if now < w.hung_until {
+            return;
+        }
+        let mut starts = Vec::new();
+        let mut dones = Vec::new();
+        for ((job, task), attempts) in &mut w.tasks {
+            for t in attempts.iter_mut() {
+                match &mut t.run {
+                    Run::Pulling(left) if *left > STEP_MS => *left -= STEP_MS,
+                    Run::Pulling(_) => {
+                        let j = &self.jobs[job];
+                        w.kits.insert(j.spec["kit"].as_str().unwrap().into());
+                        if w.sick || j.bad {
+                            t.run = Run::Ended("error");
+                        } else if j.done_tasks.contains(task) {
+                            t.run = Run::Ended("done");
+                        } else {
+                            let left = j.run_ms.saturating_add(u64::from(*task) * j.step_ms);
+                            t.run = Run::Running { left, begun: now };
+                            starts.push((job.clone(), *task));
+                        }
+                        w.changed = true;
+                    }
+                    Run::Running { left, .. } if *left == u64::MAX => {}
+                    Run::Running { left, .. } if *left > STEP_MS => *left -= STEP_MS,
+                    Run::Running { .. } => {
+                        t.run = Run::Ended("done");
+                        dones.push((job.clone(), *task));
+                        w.changed = true;
+                    }
+                    Run::Flushing(left) if *left > STEP_MS => *left -= STEP_MS,
+                    Run::Flushing(_) => {
+                        t.run = Run::Ended("halted");
+                        w.changed = true;
+                    }
+                    Run::Ended(_) => {}
+                }
+            }
+        }
+        for (job, task) in dones {
+            self.jobs.get_mut(&job).unwrap().done_tasks.insert(task);
+        }
+        for (job, task) in starts {
+            self.check_start(name, &job, task);
+        }
+        let w = self.workers.get_mut(name).expect("still there");
+        if let Some((_, sent)) = w.in_flight {
+            if now > sent + WORKER_TIMEOUT_MS {
+                w.in_flight = None;
+                w.node = (w.node + 1) % 3;
+                w.next_at = now + 1_000;
+            }
+        }
+        let due = now >= w.next_at
+            || (w.changed && now >= w.last_at + 500 && now + REPORT_MS > w.next_at);
+        if w.in_flight.is_none() && due && now >= w.last_at + 500 {
+            w.tally += 1;
+            w.changed = false;
+            w.last_at = now;
+            let jitter = self.rng.random_range(0..REPORT_MS / 2);
+            let body = self.report(name);
+            let request = self.next_request;
+            self.next_request += 1;
+            let late = self.rng.random_bool(self.late_reports);
+            let d = if late { self.rng.random_range(4_000..9_000) } else { self.hop() };
+            let w = self.workers.get_mut(name).expect("still there");
+            w.next_at = now + REPORT_MS * 3 / 4 + jitter;
+            w.in_flight = Some((request, now));
+            let node = w.node;
+            let d = w.held_until.map_or(d, |t| t.saturating_sub(now).max(d));
+            if !w.cut && !w.mute {
+                if self.copies > 0.0 && self.rng.random_bool(self.copies) {
+                    // A copy from the network: its answer reaches nobody.
+                    let (late, to) =
+                        (self.rng.random_range(2_000..self.copies_ms), self.rng.random_range(0..3));
+                    let copy = Msg::Report {
+                        worker: name.into(),
+                        request: u64::MAX,
+                        node: to,
+                        body: body.clone(),
+                    };
+                    self.send(late, copy);
+                }
+                self.send(d, Msg::Report { worker: name.into(), request, node, body });
+            }
+        }
+    }
+
+    pub(super) fn report(&self, name: &str) -> Vec<u8> {
+        let w = &self.workers[name];
+        let mut loads = Vec::new();
+        for ((job, task), attempts) in &w.tasks {
+            for t in attempts {
+                let load = format!("{job}/{task}");
+                let (status, cause) = match t.run {
+                    Run::Pulling(_) => ("pulling", None),
+                    Run::Running { .. } => ("running", None),
+                    Run::Flushing(_) => ("flushing", None),
+                    Run::Ended(c) => ("ended", Some(c)),
+                };
+                loads.push(
+                    json!({"load": load, "try": t.attempt, "status": status, "cause": cause}),
+                );
+            }
+        }
+        let recall = w.recall_at.map(|t| t.saturating_sub(self.now) as f64 / 1000.0);
+        json!({"stead": name, "address": "x", "build": "g4", "yard": w.yard, "lendables": w.spot,
+            "tenure": w.tenure, "tally": w.tally, "baton": w.baton, "recall_s": recall, "loads": loads})
+        .to_string()
+        .into_bytes()
+    }
+
+    pub(super) fn worker_answer(&mut self, name: &str, request: u64, status: u16, body: &[u8]) {
+        let now = self.now;
+        let Some(w) = self.workers.get_mut(name) else {
+            return;
+        };
+        let Some((r, sent)) = w.in_flight else { return };
+        if now < w.hung_until {
+            // Read when the machine goes on, unless it was given up by then.
+            let d = w.hung_until - now;
+            if w.hung_until <= sent + WORKER_TIMEOUT_MS {
+                let (worker, body) = (name.to_string(), body.to_vec());
+                self.send(d, Msg::Answer { worker, request, status, body });
+            }
+            return;
+        }
+        if r != request || w.cut || w.deaf || w.dead || w.held_until.is_some_and(|t| now < t) {
+            return;
+        }
+        w.in_flight = None;
+        let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+        if status == 421 {
+            if let Some(s) = v["steward"].as_str() {
+                let to: usize = s.trim_start_matches("c-").parse().unwrap();
+                if to != w.node {
+                    w.node = to;
+                    w.next_at = now + 100;
+                    w.last_at = now.saturating_sub(400);
+                    return;
+                }
+            }
+        }
+        if status != 200 {
+            w.node = (w.node + 1) % 3;
+            w.next_at = now + 1_000;
+            return;
+        }
+        let baton = v["baton"].as_u64().unwrap();
+        if baton < w.baton {
+            return;
+        }
+        if baton > w.baton {
+            w.baton = baton;
+            w.changed = true;
+        }
+        w.lease_from = sent;
+        for o in v["orders"].as_array().cloned().unwrap_or_default() {
+            self.order(name, &o);
+        }
+    }
+
+    pub(super) fn order(&mut self, name: &str, o: &Value) {
+        let load = o["load"].as_str().unwrap();
+        let attempt = o["try"].as_u64().unwrap();
+        let (job, task) = load.rsplit_once('/').unwrap();
+        let key = (job.to_string(), task.parse::<u32>().unwrap());
+        let w = self.workers.get_mut(name).expect("still there");
+        let list = w.tasks.entry(key).or_default();
+        match o["verb"].as_str().unwrap() {
+            "start" => {
+                if list.iter().any(|t| t.attempt == attempt) {
+                    return;
+                }
+                // A turn that takes long decides at its begin and speaks at its end.
+                let turn = self.nodes.iter().map(|n| n.turn_ms).max().unwrap_or(0);
+                let j = self.jobs.get_mut(job).expect("a job");
+                j.ordered += 1;
+                if j.withdrawn_told.is_some_and(|t| self.now > t + START_MS + turn) {
+                    self.broken.push(format!("started {load} after its cancellation"));
+                }
+                w.changed = true;
+                if list.iter().any(|t| !matches!(t.run, Run::Ended(_))) {
+                    list.push(Task { attempt, run: Run::Ended("busy") });
+                    return;
+                }
+                let spec = &self.jobs[job].spec;
+                let pull = if w.kits.contains(spec["kit"].as_str().unwrap()) { 10 } else { 1_500 };
+                list.push(Task { attempt, run: Run::Pulling(pull) });
+                let gpus: f64 = w
+                    .tasks
+                    .iter()
+                    .flat_map(|((j, _), v)| v.iter().map(move |t| (j, t)))
+                    .filter(|(_, t)| !matches!(t.run, Run::Ended(_)))
+                    .map(|(j, _)| self.jobs[j].spec["gpus"].as_f64().unwrap())
+                    .sum();
+                if gpus > 4.0 {
+                    let list = w.tasks.get_mut(&(job.to_string(), task.parse().unwrap())).unwrap();
+                    list.last_mut().unwrap().run = Run::Ended("no_room");
+                }
+            }
+            "halt" => {
+                for t in list.iter_mut().filter(|t| t.attempt == attempt) {
+                    if !matches!(t.run, Run::Ended(_)) {
+                        t.run = Run::Ended("halted");
+                        w.changed = true;
+                    }
+                }
+            }
+            "clear" => list.retain(|t| t.attempt != attempt || !matches!(t.run, Run::Ended(_))),
+            v => panic!("unknown order {v}"),
+        }
+    }
+
+    /// Takes a copy of what a machine would report now, which reaches a controller later.
+    pub fn copy_report(&mut self, machine: &str, node: usize, delay: u64) {
+        let w = self.workers.get_mut(machine).expect("a machine");
+        w.tally += 1;
+        let (worker, body) = (machine.to_string(), self.report(machine));
+        self.send(delay, Msg::Report { worker, request: u64::MAX, node, body });
+    }
+
+    /// Puts a running task on a machine behind the controllers' backs.
+    pub fn plant(&mut self, machine: &str, job: &str, task: u32, attempt: u64) {
+        let w = self.workers.get_mut(machine).expect("a machine");
+        let run = Run::Running { left: u64::MAX, begun: self.now };
+        w.tasks.entry((job.into(), task)).or_default().push(Task { attempt, run });
+        w.changed = true;
+    }
+}
