--- a/tests/random.rs
+++ b/tests/random.rs
@@ -295,6 +295,7 @@
         }
     }
     w.run(CANCEL_MS + 1_000);
+    w.assert_all_kinds_are_served(&format!("seed {seed}"));
     (
         w.jobs.values().map(|j| j.starts).sum(),
         w.jobs.values().filter(|j| j.done_told.is_some()).count(),
--- a/tests/world/rules.rs
+++ b/tests/world/rules.rs
@@ -2,6 +2,11 @@
 
 use super::*;
 
+/// The largest jobs of a class are one in so many of it.
+const LARGEST_PART: usize = 4;
+/// Milliseconds from its acceptance within which a class's largest job has to begin.
+const LARGEST_BEGIN_MS: u64 = 240_000;
+
 impl World {
     pub(super) fn check_start(&mut self, name: &str, job: &str, task: u32) {
         let now = self.now;
@@ -35,7 +40,9 @@
         if j.spec["together"].as_bool().unwrap() && zones.len() > 1 {
             broken.push(format!("wrong_place {job}: together"));
         }
-        self.jobs.get_mut(job).unwrap().starts += 1;
+        let begun = self.jobs.get_mut(job).unwrap();
+        begun.starts += 1;
+        begun.begun_at.get_or_insert(now);
         self.broken.extend(broken);
     }
 
@@ -96,6 +103,35 @@
         }
     }
 
+    /// Asserts what users ask of a day as a whole, for jobs that were accepted and not cancelled: of each
+    /// class, of each team and of the largest jobs of each class half at least has begun, and the
+    /// largest ones within four minutes of their acceptance.
+    pub fn assert_all_kinds_are_served(&self, when: &str) {
+        let kept = |j: &&Job| j.accepted_at.is_some() && !j.asked_withdraw && !j.bad;
+        let mut groups: BTreeMap<String, Vec<&Job>> = BTreeMap::new();
+        for job in self.jobs.values().filter(kept) {
+            let name = |field: &str| job.spec[field].as_str().expect("a name").to_string();
+            groups.entry(format!("class {}", name("duty"))).or_default().push(job);
+            groups.entry(format!("team {}", name("crew"))).or_default().push(job);
+        }
+        for (group, jobs) in &mut groups {
+            let begun = jobs.iter().filter(|j| j.begun_at.is_some()).count();
+            assert!(begun * 2 >= jobs.len(), "{when}: {begun} of {} of {group}", jobs.len());
+            if !group.starts_with("class") {
+                continue;
+            }
+            jobs.sort_by_key(|j| std::cmp::Reverse(j.loads));
+            let largest = &jobs[..jobs.len().div_ceil(LARGEST_PART)];
+            let in_time = |j: &&&Job| {
+                let (accepted, begun) = (j.accepted_at.expect("kept"), j.begun_at);
+                begun.unwrap_or(self.now) <= accepted + LARGEST_BEGIN_MS
+            };
+            let begun = largest.iter().filter(in_time).count();
+            assert!(begun * 2 >= largest.len(), "{when}: {begun} of the largest of {group}");
+            assert!(largest.first().iter().all(in_time), "{when}: the largest of {group}");
+        }
+    }
+
     pub(super) fn check(&mut self) {
         let mut red = 0.0;
         let mut broken = Vec::new();
--- a/tests/world/user.rs
+++ b/tests/world/user.rs
@@ -17,6 +17,8 @@
     /// Fails wherever it starts.
     pub bad: bool,
     pub starts: u32,
+    /// When a task of it first ran.
+    pub begun_at: Option<u64>,
     /// Start orders that a worker took as new.
     pub ordered: u32,
     /// Can't run or lacks a field: must not be accepted.
@@ -41,6 +43,7 @@
             last_status: String::new(),
             bad: false,
             starts: 0,
+            begun_at: None,
             ordered: 0,
             odd: false,
             step_ms: 0,
