--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -7,7 +7,13 @@
 //! key that it writes, and on every job that it starts not having ended.
 
 use super::leader::PendingCommit;
-use super::*;
+use super::{Controller, Purpose};
+use crate::constants::{
+    CLEAN_GROUPS, COMMIT_BYTES, COMMIT_FRAME_BYTES, DONE_BATCH_MS, DONE_CHUNK_TASKS,
+    GARBAGE_PERIOD_MS, GROUP_FRAME_BYTES, IMAGES_PERIOD_MS, STATE_CALL_MS, STATE_RETRY_MS,
+    WRITES_SHORT_SHARE, WRITE_RESERVE,
+};
+use crate::protocol::state::Commit;
 use crate::protocol::state::{raw, Committed, Conflict, If, Write, COMMIT_PATH};
 use crate::protocol::workers::Cause;
 use crate::storage::cluster::*;
@@ -44,7 +50,7 @@
     fn put(&mut self, key: String, data: Box<serde_json::value::RawValue>, stamp: u64) -> bool {
         let bytes = data.get().len();
         let fits = bytes <= self.cap
-            && self.bytes + bytes <= c::COMMIT_BYTES - c::COMMIT_FRAME_BYTES
+            && self.bytes + bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES
             && self.room(1, 1);
         if fits {
             self.bytes += bytes;
@@ -74,7 +80,7 @@
             || !l.cluster.complete.is_empty()
             || l.cluster.groups.values().any(|g| g.urgent);
         if (urgent || batch) && self.served() {
-            let left = (self.writes.left(now) - c::WRITE_RESERVE).max(0.0) as usize;
+            let left = (self.writes.left(now) - WRITE_RESERVE).max(0.0) as usize;
             if left > 0 {
                 self.build_commit(batch, left.min(self.cfg.params.state.txn_ops));
                 self.send_commit();
@@ -113,13 +119,13 @@
             f.finishes.push(uid.clone());
         }
         if batch {
-            l.done_at = now + c::DONE_BATCH_MS;
+            l.done_at = now + DONE_BATCH_MS;
             l.cluster.pack_done(&mut p, &mut f, usize::from(starting));
         }
         l.cluster.pack_places(&mut p, &mut f, batch);
         if batch {
             // Hints and tidying up only with writes to spare.
-            let plenty = self.writes.left(now) >= self.writes.burst() * c::WRITES_SHORT_SHARE;
+            let plenty = self.writes.left(now) >= self.writes.burst() * WRITES_SHORT_SHARE;
             if plenty {
                 self.pack_rest(&mut p, &mut f);
             }
@@ -167,11 +173,11 @@
                 }
             }
             if all {
-                l.images_at = now + c::IMAGES_PERIOD_MS;
+                l.images_at = now + IMAGES_PERIOD_MS;
             }
         }
         if now >= l.garbage_at && l.cluster.garbage.is_empty() {
-            l.garbage_at = now + c::GARBAGE_PERIOD_MS;
+            l.garbage_at = now + GARBAGE_PERIOD_MS;
             // Batches whose jobs are all over, with nothing left on machines.
             let over = |uid: &Name| {
                 self.replica.jobs.get(uid).is_some_and(|j| j.value.stage != Stage::Live)
@@ -203,7 +209,7 @@
         let body = f.body.clone();
         self.metrics.work.state_writes += n as u64;
         let purpose = Purpose::LeaderCommit { term: l.term };
-        self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
     pub(super) fn leader_committed(&mut self, term: u64, reply: Option<(u16, Vec<u8>)>) {
@@ -229,14 +235,14 @@
             }
             // Not executed: if no earlier copy can have been, it is built anew.
             Some((429 | 503, _)) => {
-                f.not_before = now + c::STATE_RETRY_MS;
+                f.not_before = now + STATE_RETRY_MS;
                 if !f.unclear {
                     self.commit_dropped();
                 }
             }
             Some((status, body)) => {
                 log::error!("commit answered {status}: {}", String::from_utf8_lossy(&body));
-                f.not_before = now + c::STATE_RETRY_MS;
+                f.not_before = now + STATE_RETRY_MS;
                 if !f.unclear {
                     self.commit_dropped();
                 }
@@ -361,7 +367,7 @@
 impl ClusterState {
     /// Bitmaps that changed, as far as they fit beside `keep` other writes.
     fn pack_done(&mut self, p: &mut Packer, f: &mut PendingCommit, keep: usize) {
-        let cap = p.cap - c::GROUP_FRAME_BYTES;
+        let cap = p.cap - GROUP_FRAME_BYTES;
         let dirty: Vec<(Name, u32)> = self
             .queue
             .values()
@@ -417,7 +423,7 @@
         if cause != Some(Cause::Done) || f.finishes.contains(&id.0) {
             return true;
         }
-        let chunk = id.1 / c::DONE_CHUNK_TASKS;
+        let chunk = id.1 / DONE_CHUNK_TASKS;
         self.jobs
             .get(&id.0)
             .is_none_or(|j| j.stage != Stage::Live || !j.dirty_chunks.contains(&chunk))
@@ -426,7 +432,7 @@
     /// Starts and settlements. What starts goes to the groups where most room is or has
     /// fallen free, those first whose settlements are urgent.
     fn pack_places(&mut self, p: &mut Packer, f: &mut PendingCommit, batch: bool) {
-        let cap = p.cap - c::GROUP_FRAME_BYTES;
+        let cap = p.cap - GROUP_FRAME_BYTES;
         let mut leaving: BTreeMap<u32, Vec<Entry>> = BTreeMap::new();
         let mut fill: BTreeMap<u32, usize> = BTreeMap::new();
         for (n, g) in &self.groups {
@@ -450,7 +456,7 @@
         let most = p
             .max_ops
             .saturating_sub(p.writes.len())
-            .min((c::COMMIT_BYTES - c::COMMIT_FRAME_BYTES).saturating_sub(p.bytes) / p.cap.max(1));
+            .min((COMMIT_BYTES - COMMIT_FRAME_BYTES).saturating_sub(p.bytes) / p.cap.max(1));
         let ifs_left = p.max_ifs.saturating_sub(p.ifs.len() + most);
         for (n, g) in &self.groups {
             if g.urgent && chosen.len() < most {
@@ -509,7 +515,7 @@
                 .map(|(n, v)| (v.len(), *n))
                 .collect();
             rest.sort_unstable_by(|a, b| b.cmp(a));
-            for (_, n) in rest.into_iter().take(c::CLEAN_GROUPS) {
+            for (_, n) in rest.into_iter().take(CLEAN_GROUPS) {
                 if chosen.len() < most {
                     chosen.insert(n);
                 }
@@ -552,7 +558,7 @@
             // Each image is named once a part; index and comma take a few bytes each.
             let names: usize = m.images.iter().map(|(k, _)| k.len() + 24).sum();
             let most = m.name.len() + 8 + m.images.len() * 5;
-            if bytes + names + most + c::GROUP_FRAME_BYTES > cap {
+            if bytes + names + most + GROUP_FRAME_BYTES > cap {
                 parts.push(ImagesRec::default());
                 bytes = 0;
             }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,8 +1,14 @@
 //! Leadership: a leased key, and a term that only grows, taken in one commit.
 
-use super::*;
+use super::{Controller, Leader, Purpose};
+use crate::constants::{
+    ELECTION_JITTER_MS, HANDOVER_REST_MS, LEADER_LIFE_MS, LEADER_RENEW_CALL_MS, LEADER_RENEW_MS,
+    STATE_CALL_MS, STATE_RETRY_MS, STATE_RPS_SHARE, WRITE_SHARE_LEADER,
+};
+use crate::protocol::state::Commit;
 use crate::protocol::state::{raw, Committed, If, Lease, NewLease, Write, COMMIT_PATH};
 use crate::storage::records::*;
+use rand::Rng;
 
 /// How far this controller is with becoming leader.
 #[derive(Debug, Default)]
@@ -37,7 +43,7 @@
         let at = match self.election.stand_at {
             Some(at) => at,
             None => {
-                let at = now + self.rng.random_range(0..=c::ELECTION_JITTER_MS);
+                let at = now + self.rng.random_range(0..=ELECTION_JITTER_MS);
                 self.election.stand_at = Some(at);
                 at
             }
@@ -46,8 +52,8 @@
             return;
         }
         self.election.busy = true;
-        let body = serde_json::to_vec(&NewLease { life_ms: c::LEADER_LIFE_MS }).unwrap_or_default();
-        self.state_call("POST", "/holds".into(), body, c::STATE_CALL_MS, Purpose::Lease);
+        let body = serde_json::to_vec(&NewLease { life_ms: LEADER_LIFE_MS }).unwrap_or_default();
+        self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, Purpose::Lease);
     }
 
     pub(super) fn lease_granted(&mut self, reply: Option<(u16, Vec<u8>)>) {
@@ -80,7 +86,7 @@
         self.writes.take(2.0, f64::MIN, self.now.mono);
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let purpose = Purpose::Elect { lease_id: hold.lease_id, term };
-        self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
     pub(super) fn elected(&mut self, lease_id: u64, term: u64, reply: Option<(u16, Vec<u8>)>) {
@@ -102,9 +108,9 @@
         self.sync.max_rev = self.sync.max_rev.max(won.ledger_rev);
         let n = self.cfg.controllers() as f64;
         let rate = self.cfg.params.state.write_rps;
-        let share = c::WRITE_SHARE_LEADER + (1.0 - c::WRITE_SHARE_LEADER) / n;
+        let share = WRITE_SHARE_LEADER + (1.0 - WRITE_SHARE_LEADER) / n;
         self.writes.set_rate(rate * share, self.now.mono);
-        let all = self.cfg.params.cloud.rps * c::STATE_RPS_SHARE;
+        let all = self.cfg.params.cloud.rps * STATE_RPS_SHARE;
         self.cloud.set_rate(all, self.now.mono);
         self.leader =
             Some(Leader::new(term, won.ledger_rev, lease_id, self.peers.len(), self.now.mono));
@@ -120,11 +126,11 @@
             return;
         }
         l.renewing = true;
-        l.renew_at = now + c::LEADER_RENEW_MS;
+        l.renew_at = now + LEADER_RENEW_MS;
         let lease_id = l.lease_id;
         let path = format!("/holds/{lease_id}/renew");
         let purpose = Purpose::Renew { lease_id };
-        self.state_call("POST", path, b"{}".to_vec(), c::LEADER_RENEW_CALL_MS, purpose);
+        self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEW_CALL_MS, purpose);
     }
 
     pub(super) fn renewed(&mut self, lease_id: u64, reply: Option<(u16, Vec<u8>)>) {
@@ -136,7 +142,7 @@
         match reply {
             Some((200..=299, _)) => {}
             Some((404, _)) => self.step_down("the lease has ended"),
-            _ => l.renew_at = now + c::STATE_RETRY_MS,
+            _ => l.renew_at = now + STATE_RETRY_MS,
         }
     }
 
@@ -156,9 +162,9 @@
         let Some(l) = self.leader.take() else { return };
         log::info!("no longer leads in term {}: {why}", l.term);
         let n = self.cfg.controllers() as f64;
-        let share = (1.0 - c::WRITE_SHARE_LEADER) / n;
+        let share = (1.0 - WRITE_SHARE_LEADER) / n;
         self.writes.set_rate(self.cfg.params.state.write_rps * share, self.now.mono);
-        let rps = self.cfg.params.cloud.rps * c::STATE_RPS_SHARE / n;
+        let rps = self.cfg.params.cloud.rps * STATE_RPS_SHARE / n;
         self.cloud.set_rate(rps, self.now.mono);
         for held in l.held {
             self.redirect(held.conn);
@@ -169,8 +175,8 @@
     pub(super) fn hand_over(&mut self, why: &str) {
         let Some(l) = &self.leader else { return };
         let path = format!("/holds/{}", l.lease_id);
-        self.state_call("DELETE", path, vec![], c::STATE_CALL_MS, Purpose::StepDown);
-        self.election.rest_until = self.now.mono + c::HANDOVER_REST_MS;
+        self.state_call("DELETE", path, vec![], STATE_CALL_MS, Purpose::StepDown);
+        self.election.rest_until = self.now.mono + HANDOVER_REST_MS;
         self.step_down(why);
     }
 }
--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/fleet/consolidation.rs
@@ -1,6 +1,10 @@
 //! Emptying machines that are not needed: which are closed, and whose services move.
 
 use super::*;
+use crate::constants::{
+    ARRIVAL_WINDOW_MS, CLOSE_SHARE, EXCESS_ROOM_MS, HEADROOM_MACHINES, LOW_LOAD_SHARE, MOVE_GAP_MS,
+    MOVE_SHARE, UNPLACED_SHARE,
+};
 
 impl Controller {
     /// Empties the dearest thinly used machines when the others have room for their work and
@@ -26,16 +30,16 @@
             open.iter().map(|(m, share)| share * (1.0 - service_share(cluster, m))).sum();
         // What comes at the usual rate may be more than what runs at this moment.
         let lull = (l.batch_machines(now) - batch_now).max(0.0);
-        let headroom = (busy + lull) * op.headroom_share + lull + c::HEADROOM_MACHINES;
-        let early = now < l.began + c::ARRIVAL_WINDOW_MS / 2;
+        let headroom = (busy + lull) * op.headroom_share + lull + HEADROOM_MACHINES;
+        let early = now < l.began + ARRIVAL_WINDOW_MS / 2;
         // A few tasks that find no place for reasons of their own (a zone, a kind of machine) must
         // not keep hundreds of machines open.
         let whole = open.first().map_or(Resources::default(), |(m, _)| m.total);
         let unplaced: f64 =
             l.fleet.unplaced.iter().map(|u| u.slots * u.need.share_of(&whole)).sum();
-        let unplaced = unplaced > open.len() as f64 * c::UNPLACED_SHARE;
+        let unplaced = unplaced > open.len() as f64 * UNPLACED_SHARE;
         let short = unplaced || free < headroom || early;
-        let most = ((open.len() as f64 * c::CLOSE_SHARE) as usize).max(1);
+        let most = ((open.len() as f64 * CLOSE_SHARE) as usize).max(1);
         if short {
             l.fleet.excess_since = None;
             // The fullest first: they have the most work that need not move.
@@ -65,7 +69,7 @@
             .iter()
             .map(|(m, share)| (*m, *share, services(cluster, m)))
             .filter(|(m, share, services)| {
-                let thin = *services == 0.0 || *share <= c::LOW_LOAD_SHARE;
+                let thin = *services == 0.0 || *share <= LOW_LOAD_SHARE;
                 thin && m.up_at.is_some_and(|t| now > t + boot_ms(&catalog, &m.type_name))
             })
             .collect();
@@ -91,7 +95,7 @@
             return;
         }
         let since = *l.fleet.excess_since.get_or_insert(now);
-        if now < since + c::EXCESS_ROOM_MS {
+        if now < since + EXCESS_ROOM_MS {
             return;
         }
         l.fleet.excess_since = None;
@@ -123,7 +127,7 @@
             return;
         }
         from.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let most = ((cluster.machines.len() as f64 * c::MOVE_SHARE) as usize).max(1);
+        let most = ((cluster.machines.len() as f64 * MOVE_SHARE) as usize).max(1);
         let mut targets: Vec<(&Machine, Resources)> =
             cluster.machines.values().filter(|t| usable(t)).map(|t| (t, cluster.free(t))).collect();
         let mut chosen = Vec::new();
@@ -154,7 +158,7 @@
         if chosen.is_empty() {
             return;
         }
-        l.fleet.move_at = now + c::MOVE_GAP_MS;
+        l.fleet.move_at = now + MOVE_GAP_MS;
         for (name, id) in chosen {
             if let Some(p) =
                 l.cluster.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/fleet/listing.rs
@@ -1,13 +1,15 @@
 //! What the cloud lists: machine types, machines that are there, failed or gone.
 
 use super::*;
+use crate::constants::{
+    CATALOG_PERIOD_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, MS_PER_S,
+};
 
 impl Controller {
     pub(in crate::coordination) fn catalog_due(&mut self) {
         let now = self.now.mono;
-        let period =
-            if self.leader.is_some() { c::CATALOG_PERIOD_MS } else { c::CATALOG_PERIOD_MS * 10 };
-        let wait = if self.catalog.is_some() { period } else { c::CLOUD_RETRY_MS };
+        let period = if self.leader.is_some() { CATALOG_PERIOD_MS } else { CATALOG_PERIOD_MS * 10 };
+        let wait = if self.catalog.is_some() { period } else { CLOUD_RETRY_MS };
         if self.catalog_asked || self.catalog_at.is_some_and(|t| now < t + wait) {
             return;
         }
@@ -19,7 +21,7 @@
                 "GET",
                 "/catalog".into(),
                 vec![],
-                c::CLOUD_CALL_MS,
+                CLOUD_CALL_MS,
                 Purpose::Catalog,
             );
         }
@@ -52,16 +54,16 @@
         };
         let Some(hosts) = hosts else {
             l.fleet.listing = false;
-            l.fleet.list_at = now + c::CLOUD_RETRY_MS;
+            l.fleet.list_at = now + CLOUD_RETRY_MS;
             return;
         };
         let last = hosts.machines.last().map(|h| h.uid.clone());
         l.fleet.pages.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
             self.cloud.take(1.0, f64::MIN, now);
-            let path = hosts_path(Some(&last), c::LIST_LIMIT);
+            let path = hosts_path(Some(&last), LIST_LIMIT);
             let purpose = Purpose::Hosts { begun };
-            return self.call(Service::Cloud, "GET", path, vec![], c::CLOUD_CALL_MS, purpose);
+            return self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
         l.fleet.listing = false;
         self.list_complete(begun);
@@ -71,7 +73,7 @@
     /// no more than twice the lag earlier.
     pub(super) fn list_complete(&mut self, begun: u64) {
         let now = self.now.mono;
-        let lag = (self.cfg.params.cloud.list_lag_s * 2.0 * c::MS_PER_S) as u64 + c::LIST_MARGIN_MS;
+        let lag = (self.cfg.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
         let Some(l) = self.leader.as_mut() else {
             return;
         };
@@ -92,7 +94,7 @@
                 m.spot = h.spot;
             }
             if new || m.listed_at.is_none() {
-                m.rented_at = begun.saturating_sub((h.age_s.max(0.0) * c::MS_PER_S) as u64);
+                m.rented_at = begun.saturating_sub((h.age_s.max(0.0) * MS_PER_S) as u64);
                 if m.rented_at == 0 {
                     m.rented_at = 1;
                 }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -8,6 +8,9 @@
 use super::planner::Plan;
 use super::snapshot::View;
 use super::*;
+use crate::constants::{
+    CLOUD_CALL_MS, DRAIN_TARGET_S, LIST_LIMIT, LIST_PERIOD_MS, MS_PER_S, RENT_PATIENCE_BOOTS,
+};
 use crate::protocol::cloud::{hosts_path, Host, HostStatus, Hosts, MachineType, Names, Rent};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::Cause;
@@ -86,11 +89,10 @@
 
     /// Remembers what a pass found no room for.
     pub(super) fn note_unplaced(&mut self, view: &View, plan: &Plan, catalog: &Catalog) {
-        let boot_ms =
-            catalog.machine_types.iter().map(|b| b.boot_s).fold(0.0, f64::max) * c::MS_PER_S;
+        let boot_ms = catalog.machine_types.iter().map(|b| b.boot_s).fold(0.0, f64::max) * MS_PER_S;
         let s = &view.snapshot;
         self.unplaced.clear();
-        let patience = boot_ms * c::RENT_PATIENCE_BOOTS;
+        let patience = boot_ms * RENT_PATIENCE_BOOTS;
         let dearer = catalog
             .machine_types
             .iter()
@@ -122,8 +124,8 @@
                 continue;
             }
             // A slot serves short tasks one after the other.
-            let run_s = job.run_ms as f64 / c::MS_PER_S;
-            let per_task = if job.service { 1.0 } else { (run_s / c::DRAIN_TARGET_S).min(1.0) };
+            let run_s = job.run_ms as f64 / MS_PER_S;
+            let per_task = if job.service { 1.0 } else { (run_s / DRAIN_TARGET_S).min(1.0) };
             self.unplaced.push(UnplacedTasks {
                 need: job.need,
                 spot_ok: job.spot_ok,
@@ -149,10 +151,10 @@
             l.fleet.listing = true;
             l.fleet.list_begun = now;
             l.fleet.pages.clear();
-            l.fleet.list_at = now + c::LIST_PERIOD_MS;
+            l.fleet.list_at = now + LIST_PERIOD_MS;
             let purpose = Purpose::Hosts { begun: now };
-            let path = hosts_path(None, c::LIST_LIMIT);
-            self.call(Service::Cloud, "GET", path, vec![], c::CLOUD_CALL_MS, purpose);
+            let path = hosts_path(None, LIST_LIMIT);
+            self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
         let Some(l) = self.leader.as_mut() else {
             return;
@@ -217,5 +219,5 @@
 fn boot_ms(catalog: &Catalog, type_name: &str) -> u64 {
     let s =
         catalog.machine_types.iter().find(|b| b.type_name == type_name).map_or(60.0, |b| b.boot_s);
-    (s * c::MS_PER_S) as u64
+    (s * MS_PER_S) as u64
 }
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/fleet/renting.rs
@@ -1,6 +1,10 @@
 //! Renting machines: for tasks without a place, for services to come and for batch work.
 
 use super::*;
+use crate::constants::{
+    ARRIVAL_WINDOW_MS, BOOT_LATE, CAPACITY_REST_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, MS_PER_S,
+    RENT_MAX, SLOT_EPSILON, SPARE_SERVICE_SLOTS, WORK_WINDOW_MS,
+};
 
 impl Controller {
     pub(super) fn rent_machines(&mut self) {
@@ -29,8 +33,8 @@
                 continue;
             };
             let machine_type = &catalog.machine_types[b];
-            let start_starving = now.saturating_sub(m.rented_at) as f64 / c::MS_PER_S;
-            if start_starving <= machine_type.boot_s * c::BOOT_LATE {
+            let start_starving = now.saturating_sub(m.rented_at) as f64 / MS_PER_S;
+            if start_starving <= machine_type.boot_s * BOOT_LATE {
                 coming.push(Coming {
                     total: total(machine_type),
                     machine_type: b,
@@ -86,7 +90,7 @@
             // Those before this one have no room for such a task any more.
             let mut from = 0;
             let mut in_zone: HashMap<String, u32> = u.in_zone.iter().cloned().collect();
-            while slots > c::SLOT_EPSILON {
+            while slots > SLOT_EPSILON {
                 let open = |zone: &str| {
                     u.zone.as_ref().is_none_or(|y| y == zone)
                         && in_zone.get(zone).copied().unwrap_or(0) < u.zone_cap
@@ -152,7 +156,7 @@
         // As many requests as it takes, a kind each in turn, as long as the cloud's rate allows.
         while let Some(n) = kinds.iter().position(|(_, number)| *number > 0) {
             for ((machine_type, zone, spot), left) in &mut kinds[n..] {
-                let number = (*left).min(c::RENT_MAX);
+                let number = (*left).min(RENT_MAX);
                 if number == 0 {
                     continue;
                 }
@@ -190,7 +194,7 @@
                 "POST",
                 "/hosts".into(),
                 body,
-                c::CLOUD_CALL_MS,
+                CLOUD_CALL_MS,
                 Purpose::Rent(r),
             );
         }
@@ -219,7 +223,7 @@
                     return;
                 };
                 if names.machines.len() < rental.number {
-                    l.fleet.no_capacity.insert(kind, now + c::CAPACITY_REST_MS);
+                    l.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
                 }
                 for n in names.machines {
                     let name: Name = n.as_str().into();
@@ -237,10 +241,10 @@
             }
             Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 log::info!("no capacity for {} in {}, spot {}", kind.0, kind.1, kind.2);
-                l.fleet.no_capacity.insert(kind, now + c::CAPACITY_REST_MS);
+                l.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
             }
             // Perhaps carried out, perhaps later: what comes of it shows up in the list.
-            _ => l.fleet.cloud_at = now + c::CLOUD_RETRY_MS,
+            _ => l.fleet.cloud_at = now + CLOUD_RETRY_MS,
         }
     }
 }
@@ -263,7 +267,7 @@
             let Some(spec) = &job.spec else { continue };
             let ago = if from == 0 { now.wall.saturating_sub(job.at_wall) } else { 0 };
             let at = now.mono.saturating_sub(ago);
-            if ago > c::ARRIVAL_WINDOW_MS {
+            if ago > ARRIVAL_WINDOW_MS {
                 continue;
             }
             if spec.kind == JobKind::Service {
@@ -277,19 +281,19 @@
         f.seen_arrival = last;
         f.arrivals.extend(services);
         f.work.extend(work);
-        f.arrivals.retain(|(t, _)| now.mono <= t + c::ARRIVAL_WINDOW_MS);
-        f.work.retain(|(t, _)| now.mono <= t + c::WORK_WINDOW_MS);
+        f.arrivals.retain(|(t, _)| now.mono <= t + ARRIVAL_WINDOW_MS);
+        f.work.retain(|(t, _)| now.mono <= t + WORK_WINDOW_MS);
     }
 
     /// Over how long arrivals have been watched, in milliseconds.
     pub(super) fn watched_ms(&self, now: u64, window: u64) -> f64 {
-        (now - self.began).clamp(c::ARRIVAL_WINDOW_MS / 2, c::ARRIVAL_WINDOW_MS).min(window) as f64
+        (now - self.began).clamp(ARRIVAL_WINDOW_MS / 2, ARRIVAL_WINDOW_MS).min(window) as f64
     }
 
     /// Machines that batch work keeps busy at the rate at which it has been coming.
     pub(super) fn batch_machines(&self, now: u64) -> f64 {
         let work: f64 = self.fleet.work.iter().map(|(_, w)| w).sum();
-        work / self.watched_ms(now, c::WORK_WINDOW_MS)
+        work / self.watched_ms(now, WORK_WINDOW_MS)
     }
 
     /// Room to keep for services: what one of their tasks takes, and how many are expected
@@ -299,10 +303,8 @@
         let newest = cluster.queue.values().rev().find(|uid| cluster.is_service(uid))?;
         let need = cluster.jobs.get(newest)?.need;
         let tasks: u32 = self.fleet.arrivals.iter().map(|(_, n)| n).sum();
-        let ready =
-            catalog.machine_types.iter().map(|b| b.boot_s).fold(0.0, f64::max) * c::MS_PER_S;
-        let expected =
-            (f64::from(tasks) / self.watched_ms(now, c::ARRIVAL_WINDOW_MS) * ready).ceil();
-        Some((need, expected + c::SPARE_SERVICE_SLOTS))
+        let ready = catalog.machine_types.iter().map(|b| b.boot_s).fold(0.0, f64::max) * MS_PER_S;
+        let expected = (f64::from(tasks) / self.watched_ms(now, ARRIVAL_WINDOW_MS) * ready).ceil();
+        Some((need, expected + SPARE_SERVICE_SLOTS))
     }
 }
--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/returning.rs
@@ -1,6 +1,11 @@
 //! Returning machines: idle, failed, silent or unreachable ones.
 
 use super::*;
+use crate::constants::{
+    BOOT_LOST, CHARGE_MIN_S, CLOUD_CALL_MS, DELETE_MAX, IDLE_RETURN_BOOTS, LEADER_UNHEARD_MS,
+    MS_PER_S, RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_FEW, SILENT_PERIODS, WORKER_RETRY_S,
+    WORKER_WAIT_S,
+};
 
 impl Controller {
     pub(super) fn return_machines(&mut self) {
@@ -16,8 +21,8 @@
         };
         let spare = l.spare_slots(now, &catalog);
         let silent = l.silent_services(now, &self.cfg);
-        let lease = (self.cfg.params.workers.lease_s * c::MS_PER_S) as u64;
-        let silent_ms = (self.cfg.params.workers.report_s * c::SILENT_PERIODS * c::MS_PER_S) as u64;
+        let lease = (self.cfg.params.workers.lease_s * MS_PER_S) as u64;
+        let silent_ms = (self.cfg.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let mut free_slots: f64 = 0.0;
         for m in l.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
             free_slots +=
@@ -32,31 +37,29 @@
             // use: it is kept for that long. A zone that was cut off was once returned whole.
             let give_up = lease + ready;
             let idle_ms = match op.idle_return_s {
-                Some(s) => (s * c::MS_PER_S) as u64,
-                None => (ready as f64 * c::IDLE_RETURN_BOOTS) as u64,
+                Some(s) => (s * MS_PER_S) as u64,
+                None => (ready as f64 * IDLE_RETURN_BOOTS) as u64,
             };
             let back = match m.life {
                 Life::Booting | Life::Unheard | Life::Up if m.failed => true,
                 Life::Gone | Life::Deleting | Life::Unheard => false,
-                Life::Booting => start_starving as f64 > ready as f64 * c::BOOT_LOST,
+                Life::Booting => start_starving as f64 > ready as f64 * BOOT_LOST,
                 Life::Up if m.lease_expired => {
                     m.answered_at.is_none_or(|t| now > t + give_up) || m.draining
                 }
                 // Empty, or past its time and silent: to wait for the list would hold its
                 // tasks for twice its lag.
                 Life::Up if m.reclaim_at.is_some() => {
-                    let past = m.reclaim_at.is_some_and(|t| now > t + c::RECLAIM_PAST_MS);
+                    let past = m.reclaim_at.is_some_and(|t| now > t + RECLAIM_PAST_MS);
                     let quiet = m.reported_at.is_none_or(|t| now > t + silent_ms);
                     empty || (past && quiet)
                 }
                 Life::Up if m.draining => empty,
-                Life::Up if m.closing => {
-                    empty && start_starving as f64 >= c::CHARGE_MIN_S * c::MS_PER_S
-                }
+                Life::Up if m.closing => empty && start_starving as f64 >= CHARGE_MIN_S * MS_PER_S,
                 Life::Up if !empty => false,
                 Life::Up => {
                     let idle = m.idle_since.is_some_and(|t| now >= t + idle_ms);
-                    let paid = start_starving as f64 >= c::CHARGE_MIN_S * c::MS_PER_S;
+                    let paid = start_starving as f64 >= CHARGE_MIN_S * MS_PER_S;
                     let needed = match &spare {
                         Some((need, want)) if !m.spot => {
                             let here = m.total.times(need) as f64;
@@ -76,12 +79,12 @@
                 && !m.lease_expired
                 && m.reported_at.is_some_and(|t| now > t + give_up.max(isolation));
             let unheard =
-                m.life == Life::Unheard && now > m.confirmed_read_at + lease + c::SILENT_DELETE_MS;
+                m.life == Life::Unheard && now > m.confirmed_read_at + lease + SILENT_DELETE_MS;
             let doubtful = silent.contains(&m.name);
             // What nobody can order about any more is replaced: with tasks on it once its lease
             // must be over, so that they start elsewhere.
             let patience = match empty {
-                true => c::SILENT_DELETE_MS,
+                true => SILENT_DELETE_MS,
                 false => lease,
             };
             let deaf =
@@ -91,10 +94,10 @@
             }
         }
         // A leader that hears nobody must not take that for the death of all.
-        if names.is_empty() || now > l.heard_at + c::LEADER_UNHEARD_MS {
+        if names.is_empty() || now > l.heard_at + LEADER_UNHEARD_MS {
             return;
         }
-        names.truncate(c::DELETE_MAX);
+        names.truncate(DELETE_MAX);
         if !self.cloud.take(1.0, 0.0, now) {
             return;
         }
@@ -107,7 +110,7 @@
         let body = Names { machines: names.iter().map(|n| n.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = Purpose::Delete(names);
-        self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, c::CLOUD_CALL_MS, purpose);
+        self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_CALL_MS, purpose);
     }
 
     pub(in crate::coordination) fn delete_answered(
@@ -142,9 +145,9 @@
     pub(super) fn silent_services(&self, now: u64, cfg: &Platform) -> Vec<Name> {
         let w = &cfg.params.workers;
         // A report that fails, the worker's wait for it, one at a wrong controller, and back.
-        let round = w.report_s * 2.5 + c::WORKER_WAIT_S + c::WORKER_RETRY_S * 2.0;
-        let round_ms = (round * c::MS_PER_S) as u64;
-        let recent_ms = (w.report_s * c::SILENT_PERIODS * c::MS_PER_S) as u64;
+        let round = w.report_s * 2.5 + WORKER_WAIT_S + WORKER_RETRY_S * 2.0;
+        let round_ms = (round * MS_PER_S) as u64;
+        let recent_ms = (w.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let cluster = &self.cluster;
         let last = |m: &Machine| m.reported_at.unwrap_or(0).max(self.began);
         let known: Vec<&Machine> = cluster
@@ -158,7 +161,7 @@
             .collect();
         let heard =
             known.iter().filter(|m| m.reported_at.is_some_and(|t| now <= t + recent_ms)).count();
-        let few = quiet.len() * c::SILENT_FEW <= known.len();
+        let few = quiet.len() * SILENT_FEW <= known.len();
         if !few || heard + quiet.len() < known.len() {
             return Vec::new();
         }
--- a/src/coordination/isolation.rs
+++ b/src/coordination/isolation.rs
@@ -10,7 +10,10 @@
 //! revision that we have, has told nobody of any other end before it was asked: neither has an
 //! earlier life of it, whose commits were all there when this life read the store.
 
-use super::*;
+use super::Controller;
+use crate::constants::{
+    CANCEL_MARGIN_MS, CLOCK_DRIFT, ENDS_NAMED_MAX, ISOLATED_ASK_MS, MS_PER_S, START_READ_AGE_MAX_MS,
+};
 use crate::protocol::peers::Gossip;
 use crate::protocol::users::{Status, Told};
 use crate::storage::records::Stage;
@@ -35,21 +38,21 @@
     /// cancellation is confirmed, so an order rests on no older word than one read takes at the
     /// most; one that is given in that time is as late as any that is on its way.
     pub(super) fn may_start(&self) -> bool {
-        self.confirmed_read_at().is_some_and(|t| self.now.mono - t <= c::START_READ_AGE_MAX_MS)
+        self.confirmed_read_at().is_some_and(|t| self.now.mono - t <= START_READ_AGE_MAX_MS)
     }
 
     /// Milliseconds after the time of our knowledge for which workers may still be answered:
     /// every lease renewed by then is over when tasks cancelled since must be gone.
     pub(super) fn isolated_ms(&self) -> u64 {
         let w = &self.cfg.params.workers;
-        let lease = (w.lease_s * (1.0 + c::CLOCK_DRIFT) * c::MS_PER_S) as u64;
-        let cancel = (w.cancel_s * (1.0 - c::CLOCK_DRIFT) * c::MS_PER_S) as u64;
-        cancel.saturating_sub(lease + c::CANCEL_MARGIN_MS)
+        let lease = (w.lease_s * (1.0 + CLOCK_DRIFT) * MS_PER_S) as u64;
+        let cancel = (w.cancel_s * (1.0 - CLOCK_DRIFT) * MS_PER_S) as u64;
+        cancel.saturating_sub(lease + CANCEL_MARGIN_MS)
     }
 
     /// The revision after which peers are asked for ends: none while we read the store ourselves.
     pub(super) fn asks_since(&self) -> Option<u64> {
-        let late = |t| self.now.mono > t + c::ISOLATED_ASK_MS;
+        let late = |t| self.now.mono > t + ISOLATED_ASK_MS;
         let isolation = self.sync.refused || self.sync.fresh_at.is_none_or(late);
         (isolation && self.leader.is_some()).then_some(self.replica.rev)
     }
@@ -58,9 +61,9 @@
     pub(super) fn name_ends(&self, since: u64, answer: &mut Gossip) {
         let jobs = self.replica.jobs.iter().filter(|(_, j)| j.value.end_stamp > since);
         let mut names: Vec<String> =
-            jobs.take(c::ENDS_NAMED_MAX + 1).map(|(uid, _)| uid.to_string()).collect();
-        answer.ended_all = self.sync.loaded && names.len() <= c::ENDS_NAMED_MAX;
-        names.truncate(c::ENDS_NAMED_MAX);
+            jobs.take(ENDS_NAMED_MAX + 1).map(|(uid, _)| uid.to_string()).collect();
+        answer.ended_all = self.sync.loaded && names.len() <= ENDS_NAMED_MAX;
+        names.truncate(ENDS_NAMED_MAX);
         answer.ended = names;
     }
 
--- a/src/coordination/lateness.rs
+++ b/src/coordination/lateness.rs
@@ -6,7 +6,7 @@
 //! late). What has little left to place is kept, so that jobs that have begun come to their end.
 
 use super::planner::{JobView, Snapshot};
-use crate::constants as c;
+use crate::constants::{FETCHING_MOST, WORK_UNITS};
 use crate::protocol::Resources;
 use std::collections::BinaryHeap;
 
@@ -34,7 +34,7 @@
             };
             let mine = room.work(job, total);
             work += mine;
-            kept.push(((mine * c::WORK_UNITS) as u64, n));
+            kept.push(((mine * WORK_UNITS) as u64, n));
             if room.time_for(work).saturating_add(job.run_ms) <= *left {
                 continue;
             }
@@ -93,7 +93,7 @@
             steps.push((at, done, f64::max(rate, 0.0)));
         }
         let fetching = if ran > 0.0 { fetched / ran } else { 0.0 };
-        Room { steps, fetching: 1.0 + fetching.min(c::FETCHING_MOST) }
+        Room { steps, fetching: 1.0 + fetching.min(FETCHING_MOST) }
     }
 
     /// What a job's waiting tasks take: milliseconds of all machines.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -5,8 +5,16 @@
 use super::planner;
 use super::snapshot::View;
 use super::workers::HeldReport;
-use super::*;
+use super::{Clock, Controller};
+use crate::constants::{
+    ATTEMPT_BITS, AVERAGE_WEIGHT, CLOCK_DRIFT, ESTIMATE_MIN_S, FLEET_MACHINE_MS, FLEET_PERIOD_MS,
+    GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS, LEADER_RENEW_MS, LEADER_UNHEARD_MS, LEASE_MARGIN_MS,
+    LEASE_SCAN_MS, MS_PER_S, PASS_GAP_MACHINE_MS, PASS_GAP_MS, RATIO_SAMPLES_MIN, REPORT_HOLD_MS,
+    SERVICE_REFERENCE_S, STATUS_LOG_PERIOD_MS, WRITE_RESERVE,
+};
+use crate::protocol::state::Commit;
 use crate::protocol::users::JobKind;
+use crate::protocol::users::JobSpec;
 use crate::protocol::workers::{Cause, TaskStatus};
 use crate::protocol::Resources;
 use crate::storage::budget::Bucket;
@@ -91,7 +99,7 @@
             term,
             stamp,
             lease_id,
-            renew_at: now + c::LEADER_RENEW_MS,
+            renew_at: now + LEADER_RENEW_MS,
             renewing: false,
             ready: false,
             cluster: ClusterState::default(),
@@ -101,14 +109,14 @@
             heard_at: now,
             permitted: vec![None; peers],
             lease_scan_at: now,
-            status_log_at: now + c::STATUS_LOG_PERIOD_MS,
+            status_log_at: now + STATUS_LOG_PERIOD_MS,
             counter: 0,
             pending_commit: None,
             plan_at: now,
             planned_at: 0,
             done_at: now,
-            images_at: now + c::IMAGES_PERIOD_MS,
-            garbage_at: now + c::GARBAGE_PERIOD_MS,
+            images_at: now + IMAGES_PERIOD_MS,
+            garbage_at: now + GARBAGE_PERIOD_MS,
             runs: BTreeMap::new(),
             reservation: None,
             shares: Vec::new(),
@@ -120,7 +128,7 @@
     /// A number never used before or after: the term and a counter.
     pub(super) fn unique(&mut self) -> u64 {
         self.counter += 1;
-        (self.term << c::ATTEMPT_BITS) + self.counter
+        (self.term << ATTEMPT_BITS) + self.counter
     }
 
     /// One line on how things stand.
@@ -162,12 +170,12 @@
 
     /// Least milliseconds between two passes: what a pass costs grows with the fleet.
     fn pass_gap(&self) -> u64 {
-        c::PASS_GAP_MS + (self.cluster.machines.len() as f64 * c::PASS_GAP_MACHINE_MS) as u64
+        PASS_GAP_MS + (self.cluster.machines.len() as f64 * PASS_GAP_MACHINE_MS) as u64
     }
 
     /// Milliseconds between two looks at the size of the fleet, for the same reason.
     pub(super) fn fleet_period(&self) -> u64 {
-        c::FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * c::FLEET_MACHINE_MS) as u64
+        FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * FLEET_MACHINE_MS) as u64
     }
 
     /// When it has to look again if nothing comes in before. Answers to commits come in; what
@@ -177,9 +185,9 @@
             Some(f) if f.sent || f.reading.is_some() => None,
             Some(f) => Some(f.not_before.max(writes.available_at(f.commit.writes.len() as f64))),
             None if self.cluster.proposals.is_empty() => None,
-            None => Some(writes.available_at(c::WRITE_RESERVE + 1.0)),
+            None => Some(writes.available_at(WRITE_RESERVE + 1.0)),
         };
-        let held = self.held.iter().map(|h| h.since + c::REPORT_HOLD_MS).min();
+        let held = self.held.iter().map(|h| h.since + REPORT_HOLD_MS).min();
         // A pass waits until what the last one decided is stored.
         let pass = (held.is_some() && self.cluster.proposals.is_empty()).then_some(self.plan_at);
         let pass = pass.map(|t| t.max(now + 1));
@@ -197,13 +205,13 @@
     /// by what its class was seen to take.
     pub(super) fn run_ms(&self, spec: &JobSpec) -> u64 {
         if spec.kind == JobKind::Service {
-            return (c::SERVICE_REFERENCE_S * c::MS_PER_S) as u64;
+            return (SERVICE_REFERENCE_S * MS_PER_S) as u64;
         }
         let ratio = match self.runs.get(&spec.class) {
-            Some(r) if r.samples >= c::RATIO_SAMPLES_MIN => r.ratio,
+            Some(r) if r.samples >= RATIO_SAMPLES_MIN => r.ratio,
             _ => 1.0,
         };
-        ((spec.run_estimate_s * ratio).max(c::ESTIMATE_MIN_S) * c::MS_PER_S) as u64
+        ((spec.run_estimate_s * ratio).max(ESTIMATE_MIN_S) * MS_PER_S) as u64
     }
 
     /// Learns from a run that ended well.
@@ -211,10 +219,10 @@
         if spec.run_estimate_s <= 0.0 {
             return;
         }
-        let seen = (ran_ms as f64 / c::MS_PER_S / spec.run_estimate_s).clamp(0.05, 20.0);
+        let seen = (ran_ms as f64 / MS_PER_S / spec.run_estimate_s).clamp(0.05, 20.0);
         let r = self.runs.entry(spec.class.clone()).or_default();
         r.samples += 1;
-        let w = c::AVERAGE_WEIGHT.max(1.0 / f64::from(r.samples));
+        let w = AVERAGE_WEIGHT.max(1.0 / f64::from(r.samples));
         r.ratio += (seen - r.ratio) * w;
     }
 }
@@ -238,7 +246,7 @@
         self.fleet_due();
         let now = self.now.mono;
         if let Some(l) = self.leader.as_mut().filter(|l| now >= l.status_log_at) {
-            l.status_log_at = now + c::STATUS_LOG_PERIOD_MS;
+            l.status_log_at = now + STATUS_LOG_PERIOD_MS;
             l.log_status();
         }
         // What the last pass decided is stored first: to decide more would only queue it.
@@ -313,7 +321,7 @@
                 oldest = oldest.min(last);
             }
         }
-        l.lease_scan_at = (oldest + lease + 1).max(now + c::LEASE_SCAN_MS);
+        l.lease_scan_at = (oldest + lease + 1).max(now + LEASE_SCAN_MS);
         for name in lease_expired {
             log::info!("{name}: silent, its lease has run out");
             l.cluster.settle_all(&name);
@@ -323,15 +331,15 @@
 
     /// The longest time after an answer at which a worker may still run tasks.
     pub(super) fn lease_ms(&self) -> u64 {
-        let s = self.cfg.params.workers.lease_s * (1.0 + c::CLOCK_DRIFT);
-        (s * c::MS_PER_S) as u64 + c::LEASE_MARGIN_MS
+        let s = self.cfg.params.workers.lease_s * (1.0 + CLOCK_DRIFT);
+        (s * MS_PER_S) as u64 + LEASE_MARGIN_MS
     }
 
     /// All workers are silent here while peers see them come round: someone else should lead.
     fn hand_over_if_unheard(&mut self) {
         let now = self.now.mono;
         let Some(l) = &self.leader else { return };
-        let quiet = now > l.heard_at + c::LEADER_UNHEARD_MS && now > l.began + c::LEADER_UNHEARD_MS;
+        let quiet = now > l.heard_at + LEADER_UNHEARD_MS && now > l.began + LEADER_UNHEARD_MS;
         let peers_hear =
             self.fresh_gossip().any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
         if quiet && peers_hear {
@@ -392,7 +400,7 @@
             log::debug!("{}/{}: stopped on {machine} to make room", id.0, id.1);
             p.halt = p.halt.max(Some(Halt::MakeRoom));
             // Stored but never ordered by us: it can't be there, so its place is free at once.
-            let ours = p.attempt >> c::ATTEMPT_BITS == l.term;
+            let ours = p.attempt >> ATTEMPT_BITS == l.term;
             if ours && p.phase == Phase::Committed && p.ordered.is_none() && p.seen.is_none() {
                 l.cluster.settle(machine, &id, Cause::Lost);
             }
--- a/src/coordination/lease_extension.rs
+++ b/src/coordination/lease_extension.rs
@@ -8,7 +8,8 @@
 //! lease, that it did not stand in, or can't have been permitted any more when the lease began.
 
 use super::users::served_gossip;
-use super::*;
+use super::{peers, ConnId, Controller};
+use crate::constants::COMMANDS_MAX;
 use crate::protocol::parse_task;
 use crate::protocol::workers::{Report, WorkerCommand, WorkerCommands};
 use crate::storage::records::Stage;
@@ -67,7 +68,7 @@
             .tasks
             .into_iter()
             .filter(|x| super::leader::is_on(x.status) && over(&x.task_id))
-            .take(c::COMMANDS_MAX)
+            .take(COMMANDS_MAX)
             .map(|x| WorkerCommand::Halt { task_id: x.task_id, attempt: x.attempt, grace_s: 0.0 })
             .collect();
         let now = self.now.mono;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -14,6 +14,7 @@
 pub mod metrics;
 mod peers;
 pub mod planner;
+mod report_evidence;
 mod snapshot;
 pub mod status;
 mod sync;
@@ -22,10 +23,12 @@
 
 pub use leader::Leader;
 
-use crate::constants as c;
+use crate::constants::{
+    BATCH_USER_MAX, POLL_MAX_MS, POLL_SOON_MS, RETRY_AFTER_BUSY_S, STATE_RPS_SHARE,
+    WRITE_SHARE_LEADER,
+};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::state::Commit;
-use crate::protocol::users::JobSpec;
 use crate::settings::{Operator, Platform};
 use crate::storage::budget::Bucket;
 use crate::storage::records::Name;
@@ -197,12 +200,12 @@
         let n = cfg.controllers() as f64;
         let st = &cfg.params.state;
         let peers = cfg.peers.iter().map(|_| peers::PeerView::default()).collect();
-        let share = (1.0 - c::WRITE_SHARE_LEADER) / n;
+        let share = (1.0 - WRITE_SHARE_LEADER) / n;
         Controller {
             incarnation: rng.random(),
-            reads: Bucket::new(st.rps * c::STATE_RPS_SHARE / n, clock.mono),
+            reads: Bucket::new(st.rps * STATE_RPS_SHARE / n, clock.mono),
             writes: Bucket::new(st.write_rps * share, clock.mono),
-            cloud: Bucket::new(cfg.params.cloud.rps * c::STATE_RPS_SHARE / n, clock.mono),
+            cloud: Bucket::new(cfg.params.cloud.rps * STATE_RPS_SHARE / n, clock.mono),
             rng,
             now: clock,
             begun: clock.mono,
@@ -243,7 +246,7 @@
             if user {
                 users += 1;
             }
-            if user && users > c::BATCH_USER_MAX {
+            if user && users > BATCH_USER_MAX {
                 self.shed(command);
             } else {
                 self.command(command);
@@ -260,8 +263,8 @@
         let leader = leader.and_then(|l| l.next_wake(now, &self.writes));
         let times = [leader, self.batches_wake()].into_iter().flatten();
         // What is due already waits for something that no time tells, and is looked at now and then.
-        let times = times.map(|t| if t > now { t } else { now + c::POLL_SOON_MS });
-        times.fold(now + c::POLL_MAX_MS, u64::min)
+        let times = times.map(|t| if t > now { t } else { now + POLL_SOON_MS });
+        times.fold(now + POLL_MAX_MS, u64::min)
     }
 
     fn command(&mut self, command: Command) {
@@ -292,7 +295,7 @@
     fn shed(&mut self, command: Command) {
         if let Command::Public { conn, .. } = command {
             let asker = Asker { conn, relayed: false, since: self.now.mono };
-            self.refuse(asker, 503, "too much to do", Some(c::RETRY_AFTER_BUSY_S));
+            self.refuse(asker, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
         }
     }
 
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -1,7 +1,10 @@
 //! What controllers tell each other, and requests answered for one another.
 
 use super::users::served_gossip;
-use super::*;
+use super::{Asker, ConnId, Controller, Purpose, Service};
+use crate::constants::{
+    GOSSIP_CALL_MS, GOSSIP_FRESH_MS, GOSSIP_MS, MS_PER_S, PEER_VERSION, RELAY_CALL_MS,
+};
 use crate::protocol::peers::{decode, encode, Gossip, Relay, Relayed};
 
 /// What is known of a peer.
@@ -23,10 +26,10 @@
 
 impl Controller {
     fn gossip(&self) -> Gossip {
-        let seen_ms = (self.cfg.params.workers.report_s * c::MS_PER_S * SEEN_PERIODS) as u64;
+        let seen_ms = (self.cfg.params.workers.report_s * MS_PER_S * SEEN_PERIODS) as u64;
         let now = self.now.mono;
         Gossip {
-            version: c::PEER_VERSION,
+            version: PEER_VERSION,
             label: self.cfg.label.clone(),
             incarnation: self.incarnation,
             term: self.term_heard,
@@ -54,10 +57,10 @@
                 continue;
             }
             self.peers[i].calling = true;
-            self.peers[i].next_at = now + c::GOSSIP_MS;
+            self.peers[i].next_at = now + GOSSIP_MS;
             let body = encode(&self.gossip());
             let purpose = Purpose::Gossip { peer: i, begun: now };
-            self.call(Service::Peer(i), "POST", "/gossip".into(), body, c::GOSSIP_CALL_MS, purpose);
+            self.call(Service::Peer(i), "POST", "/gossip".into(), body, GOSSIP_CALL_MS, purpose);
         }
     }
 
@@ -91,7 +94,7 @@
                 return None;
             }
         };
-        if g.version != c::PEER_VERSION {
+        if g.version != PEER_VERSION {
             log::info!("message of {} has version {}", g.label, g.version);
             return None;
         }
@@ -127,7 +130,7 @@
                 }
             }
             ("POST", "/relay") => match decode::<Relay>(body) {
-                Ok(r) if r.version == c::PEER_VERSION => {
+                Ok(r) if r.version == PEER_VERSION => {
                     let asker = Asker { conn, relayed: true, since: self.now.mono };
                     self.user_request(asker, &r.method, &r.path, &r.body);
                 }
@@ -142,7 +145,7 @@
         let now = self.now.mono;
         self.peers
             .iter()
-            .filter(move |p| now - p.heard_at <= c::GOSSIP_FRESH_MS)
+            .filter(move |p| now - p.heard_at <= GOSSIP_FRESH_MS)
             .filter_map(|p| p.gossip.as_ref())
     }
 
@@ -152,8 +155,7 @@
         (0..self.peers.len())
             .filter(|i| {
                 let p = &self.peers[*i];
-                now - p.heard_at <= c::GOSSIP_FRESH_MS
-                    && p.gossip.as_ref().is_some_and(served_gossip)
+                now - p.heard_at <= GOSSIP_FRESH_MS && p.gossip.as_ref().is_some_and(served_gossip)
             })
             .min_by_key(|i| self.peers[*i].gossip.as_ref().and_then(|g| g.served_ago_ms))
     }
@@ -170,21 +172,14 @@
         let Some(peer) = peer else {
             return self.unavailable(asker);
         };
-        let m = Relay { version: c::PEER_VERSION, method: method.into(), path, body };
+        let m = Relay { version: PEER_VERSION, method: method.into(), path, body };
         let purpose = Purpose::Relay { asker };
-        self.call(
-            Service::Peer(peer),
-            "POST",
-            "/relay".into(),
-            encode(&m),
-            c::RELAY_CALL_MS,
-            purpose,
-        );
+        self.call(Service::Peer(peer), "POST", "/relay".into(), encode(&m), RELAY_CALL_MS, purpose);
     }
 
     pub(super) fn relay_answered(&mut self, asker: Asker, reply: Option<(u16, Vec<u8>)>) {
         match reply.and_then(|(s, b)| (s == 200).then(|| decode::<Relayed>(&b).ok()).flatten()) {
-            Some(m) if m.version == c::PEER_VERSION => {
+            Some(m) if m.version == PEER_VERSION => {
                 self.hear_answer(&m.body);
                 self.pass_on(asker, m)
             }
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -24,7 +24,7 @@
 pub use pass::plan;
 pub use shares::{move_shares, within};
 
-use crate::constants as c;
+use crate::constants::{STARVING_BEGUN_MS, STARVING_MS};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 
@@ -127,7 +127,7 @@
 impl JobView {
     /// Whether it has waited for longer than anyone should.
     fn starving(&self) -> bool {
-        self.waited_ms >= if self.begun { c::STARVING_BEGUN_MS } else { c::STARVING_MS }
+        self.waited_ms >= if self.begun { STARVING_BEGUN_MS } else { STARVING_MS }
     }
 }
 
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -5,7 +5,10 @@
 use super::search::Allocation;
 use super::shares::thousandths;
 use super::{Plan, Snapshot};
-use crate::constants as c;
+use crate::constants::{
+    CLAIMS_PER_PASS, CLAIM_HORIZON_MS, JOBS_PER_PASS, JOB_TASKS_PER_PASS, PLACES_PER_MACHINE,
+    PLACES_PER_PASS, STARVING_PLACES_PART,
+};
 use crate::protocol::Resources;
 use crate::storage::reservation::{Bucket, Row};
 use std::cell::Cell;
@@ -117,11 +120,11 @@
         let mut starving: Vec<usize> =
             order.iter().copied().filter(|j| self.s.jobs[*j].starving()).collect();
         starving.sort_by_key(|j| (self.s.jobs[*j].begun, self.s.jobs[*j].arrival));
-        order.truncate(c::JOBS_PER_PASS);
-        starving.truncate(c::JOBS_PER_PASS);
+        order.truncate(JOBS_PER_PASS);
+        starving.truncate(JOBS_PER_PASS);
         self.starving_left = match starving.is_empty() {
             true => 0,
-            false => (self.places_now() / c::STARVING_PLACES_PART).max(1),
+            false => (self.places_now() / STARVING_PLACES_PART).max(1),
         };
         for &j in &starving {
             self.start_starving(j);
@@ -135,7 +138,7 @@
                 break;
             }
             let mut started = 0;
-            while self.waiting[j] > 0 && started < c::JOB_TASKS_PER_PASS && !self.full() {
+            while self.waiting[j] > 0 && started < JOB_TASKS_PER_PASS && !self.full() {
                 match self.allocate(j, true) {
                     Some(a) if a.start <= self.s.now => {
                         self.place(j, a);
@@ -178,7 +181,7 @@
     }
 
     fn full(&self) -> bool {
-        let most = c::PLACES_PER_PASS as f64 + self.rows.len() as f64 * c::PLACES_PER_MACHINE;
+        let most = PLACES_PER_PASS as f64 + self.rows.len() as f64 * PLACES_PER_MACHINE;
         self.plan.places.len() >= most as usize
     }
 
@@ -259,12 +262,12 @@
         let now = self.s.now;
         while (self.plan.expected[j].len() as u32) < self.waiting[j] + self.promised[j] {
             // With enough claims worked out, only what can start now is of interest.
-            let may_wait = self.claims < c::CLAIMS_PER_PASS;
+            let may_wait = self.claims < CLAIMS_PER_PASS;
             let a = self.allocate(j, may_wait)?;
             if a.start <= now {
                 return Some(a);
             }
-            if a.start > now + c::CLAIM_HORIZON_MS {
+            if a.start > now + CLAIM_HORIZON_MS {
                 return None;
             }
             self.claims += 1;
--- a/src/coordination/planner/room.rs
+++ b/src/coordination/planner/room.rs
@@ -3,7 +3,7 @@
 use super::pass::Pass;
 use super::search::Preference;
 use super::Running;
-use crate::constants as c;
+use crate::constants::{JOB_TASKS_PER_PASS, PREEMPT_SHIELD_MS, ROOM_COMING_MS};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 use std::collections::HashMap;
@@ -44,7 +44,7 @@
             let stoppable = stoppable
                 .entry((job.priority, within, job.team))
                 .or_insert_with(|| vec![None; room.len()]);
-            for _ in 0..self.waiting[j].min(c::JOB_TASKS_PER_PASS as u32) {
+            for _ in 0..self.waiting[j].min(JOB_TASKS_PER_PASS as u32) {
                 let mut with = used[job.team];
                 with += job.need;
                 if !with.under(&self.s.teams[job.team].limit) {
@@ -99,7 +99,7 @@
                     used[job.team] = with;
                     continue;
                 }
-                let mut wait = c::ROOM_COMING_MS;
+                let mut wait = ROOM_COMING_MS;
                 for v in victims {
                     let r = &self.s.machines[m].running[v];
                     stopped[m][v] = true;
@@ -152,9 +152,9 @@
             .map(|(v, r)| {
                 let ran = r.ran_ms.unwrap_or(0);
                 // A young start would not count for its users; old work without saves is lost.
-                let shield = if ran < c::PREEMPT_SHIELD_MS { c::PREEMPT_SHIELD_MS } else { 0 };
+                let shield = if ran < PREEMPT_SHIELD_MS { PREEMPT_SHIELD_MS } else { 0 };
                 let lost = if r.saves { 0 } else { ran };
-                let service = if r.service { c::PREEMPT_SHIELD_MS * 4 } else { 0 };
+                let service = if r.service { PREEMPT_SHIELD_MS * 4 } else { 0 };
                 (1_000 + shield + lost + service, v)
             })
             .collect();
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of the planner on small snapshots made by hand.
 
 use super::*;
+use crate::constants::{STARVING_BEGUN_MS, STARVING_MS, THRESHOLDS};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
 const GPU: Resources = Resources { cpu: 1_000, gpu: 1_000, ram: 0 };
@@ -67,7 +68,7 @@
 pub fn snapshot(machines: Vec<MachineView>, jobs: Vec<JobView>) -> Snapshot {
     Snapshot {
         now: 0,
-        thresholds: c::THRESHOLDS.to_vec(),
+        thresholds: THRESHOLDS.to_vec(),
         machines,
         jobs,
         teams: vec![TeamView { share: 1_000, ..TeamView::default() }],
@@ -264,13 +265,13 @@
     higher.waiting = 100;
     let mut s = snapshot(vec![machine(8)], vec![late, higher, job(3, 1, 1_000)]);
     assert!(plan(&s).places.iter().all(|(j, _)| *j != 0), "late, and lower");
-    s.jobs[0].waited_ms = c::STARVING_MS;
+    s.jobs[0].waited_ms = STARVING_MS;
     let places = plan(&s).places;
     let of = |j: usize| places.iter().filter(|(k, _)| *k == j).count();
     assert_eq!((of(0), of(1)), (2, 6), "a part of the places, not all of them");
     s.jobs[0].begun = true;
     assert!(plan(&s).places.iter().all(|(j, _)| *j != 0), "it has begun");
-    s.jobs[0].waited_ms = c::STARVING_BEGUN_MS;
+    s.jobs[0].waited_ms = STARVING_BEGUN_MS;
     assert!(plan(&s).places.iter().any(|(j, _)| *j == 0), "and goes on after a while");
 }
 
@@ -319,7 +320,7 @@
         j.team = rng.random_range(0..2);
         j.within = rng.random_bool(0.2);
         j.service = rng.random_bool(0.3);
-        j.waited_ms = rng.random_range(0..2) * c::STARVING_MS;
+        j.waited_ms = rng.random_range(0..2) * STARVING_MS;
         j.times = if rng.random_bool(0.5) { vec![rng.random_range(0..90_000)] } else { vec![] };
         j.bandwidth = f64::from(rng.random_range(0..3));
         j.spot_ok = rng.random_bool(0.7);
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -1,10 +1,18 @@
 //! The planner's snapshot of the cluster, with the names behind its indices.
 
 use super::planner::{self, JobView, MachineView, Running, Snapshot, TeamView};
-use super::*;
+use super::{Clock, Leader};
+use crate::constants::{
+    BOOT_LATE, BOOT_SOON_PART, COMING_MANY, HTTP_BODY_MAX, MS_PER_S, OVERDUE_SHARE,
+    REPORT_TASK_BYTES, SERVICE_RUN_S, SILENT_PERIODS,
+};
+use crate::protocol::cloud::Catalog;
 use crate::protocol::users::{JobKind, Priority};
 use crate::protocol::Resources;
+use crate::settings::{Operator, Platform};
 use crate::storage::cluster::*;
+use crate::storage::records::Name;
+use std::collections::HashMap;
 
 /// What a pass needs to know of a job for each of its placements.
 struct Facts {
@@ -56,8 +64,8 @@
         };
         // What all placements of a job share is worked out once a job, not once a placement.
         let mut facts: HashMap<&Name, Option<Facts>> = HashMap::new();
-        let silent = (cfg.params.workers.report_s * c::SILENT_PERIODS * c::MS_PER_S) as u64;
-        let slots = c::HTTP_BODY_MAX / c::REPORT_TASK_BYTES;
+        let silent = (cfg.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
+        let slots = HTTP_BODY_MAX / REPORT_TASK_BYTES;
 
         let mut v = View {
             snapshot: Snapshot::default(),
@@ -73,18 +81,18 @@
             let coming: Vec<(u64, Resources)> = coming
                 .filter_map(|m| {
                     let machine_type = &catalog.machine_types[type_index_of(&m.type_name)?];
-                    let ready = (machine_type.boot_s * c::MS_PER_S) as u64;
+                    let ready = (machine_type.boot_s * MS_PER_S) as u64;
                     let left = (m.rented_at + ready).saturating_sub(now);
-                    let late = now > m.rented_at + (ready as f64 * c::BOOT_LATE) as u64;
+                    let late = now > m.rented_at + (ready as f64 * BOOT_LATE) as u64;
                     let has =
                         Resources::new(machine_type.cores, machine_type.gpus, machine_type.ram_gb);
                     // One that is late may come at any time.
-                    (!late).then_some((left.max(ready / c::BOOT_SOON_PART), has))
+                    (!late).then_some((left.max(ready / BOOT_SOON_PART), has))
                 })
                 .collect();
             let waits = coming.iter().map(|(ms, _)| *ms);
             let n = coming.len() as u64;
-            let many = n >= c::COMING_MANY;
+            let many = n >= COMING_MANY;
             v.snapshot.coming[i] = many.then(|| waits.sum::<u64>() / n);
             v.snapshot.arriving.extend(coming);
         }
@@ -111,7 +119,7 @@
             }
             let machine_type = &catalog.machine_types[type_index];
             let per_gb = if machine_type.fetch_gb_per_s > 0.0 {
-                c::MS_PER_S / machine_type.fetch_gb_per_s
+                MS_PER_S / machine_type.fetch_gb_per_s
             } else {
                 0.0
             };
@@ -136,7 +144,7 @@
                         saves: spec.saves(),
                         image: image_of(&spec.image),
                         size_gb: spec.size_gb,
-                        halt_ms: (spec.checkpoint_cost_s * c::MS_PER_S) as u64 + silent / 2,
+                        halt_ms: (spec.checkpoint_cost_s * MS_PER_S) as u64 + silent / 2,
                     })
                 });
                 let Some(fact) = fact else { continue };
@@ -152,14 +160,14 @@
                 let end = if p.halt.is_some() {
                     now + halt_ms
                 } else if service {
-                    now + (c::SERVICE_RUN_S * c::MS_PER_S) as u64
+                    now + (SERVICE_RUN_S * MS_PER_S) as u64
                 } else {
                     let begun = p.running_since.unwrap_or_else(|| (p.placed_at + fetch).max(now));
                     let end = begun + run;
                     if end > now {
                         end
                     } else {
-                        now + ((now - begun) as f64 * c::OVERDUE_SHARE) as u64
+                        now + ((now - begun) as f64 * OVERDUE_SHARE) as u64
                     }
                 };
                 handles.push(id.clone());
@@ -246,9 +254,9 @@
                 .objectives
                 .iter()
                 .filter(|o| o.class.as_deref().is_none_or(|class| class == spec.class))
-                .filter_map(|o| o.complete_within(spec.deadline_s, run_ms as f64 / c::MS_PER_S))
+                .filter_map(|o| o.complete_within(spec.deadline_s, run_ms as f64 / MS_PER_S))
                 .chain(spec.deadline_s)
-                .map(|s| ((s * c::MS_PER_S) as u64).saturating_sub(waited_ms))
+                .map(|s| ((s * MS_PER_S) as u64).saturating_sub(waited_ms))
                 .collect();
             times.sort_unstable();
             times.dedup();
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -1,7 +1,15 @@
 //! Following the state service: the first load, the watch, and zero-wait reads.
 
-use super::*;
+use super::{Asker, Controller, Purpose, Service};
+use crate::constants::{
+    FRESH_GAP_MS, KEY_FAMILY, KEY_ROOT, READ_PERIOD_MS, STATE_CALL_MS, STATE_FOREIGN_MS,
+    STATE_LIST_LIMIT, STATE_LIST_MS, STATE_LOST_MS, STATE_RETRY_MS, WATCH_BLOCK_MS, WATCH_CALL_MS,
+};
 use crate::protocol::state::{changes_path, list_path, Changes, Page, COMMIT_PATH};
+use crate::protocol::users::JobSpec;
+use crate::storage::records::Name;
+use crate::storage::replica::Replica;
+use std::rc::Rc;
 
 /// What waits for a read begun after it came.
 #[derive(Debug)]
@@ -95,7 +103,7 @@
     pub(super) fn served(&self) -> bool {
         self.sync.loaded
             && !self.sync.refused
-            && self.sync.served_at.is_some_and(|t| self.now.mono - t < c::STATE_LOST_MS)
+            && self.sync.served_at.is_some_and(|t| self.now.mono - t < STATE_LOST_MS)
     }
 
     pub(super) fn state_call(
@@ -125,28 +133,27 @@
         if !self.sync.loaded {
             if !self.sync.listing {
                 self.sync.listing = true;
-                let path =
-                    list_path(c::KEY_FAMILY, self.sync.list_since.as_deref(), c::STATE_LIST_LIMIT);
-                self.state_call("GET", path, vec![], c::STATE_LIST_MS, Purpose::List);
+                let path = list_path(KEY_FAMILY, self.sync.list_since.as_deref(), STATE_LIST_LIMIT);
+                self.state_call("GET", path, vec![], STATE_LIST_MS, Purpose::List);
             }
             return;
         }
         if !self.sync.watching && !self.sync.refused {
             self.sync.watching = true;
-            let path = changes_path(c::KEY_FAMILY, self.replica.rev, c::WATCH_BLOCK_MS);
-            self.state_call("GET", path, vec![], c::WATCH_CALL_MS, Purpose::Watch);
+            let path = changes_path(KEY_FAMILY, self.replica.rev, WATCH_BLOCK_MS);
+            self.state_call("GET", path, vec![], WATCH_CALL_MS, Purpose::Watch);
         }
-        let periodic = now >= self.sync.fresh_begun + c::READ_PERIOD_MS;
+        let periodic = now >= self.sync.fresh_begun + READ_PERIOD_MS;
         let wanted =
-            !self.sync.fresh_waiting.is_empty() && now >= self.sync.fresh_begun + c::FRESH_GAP_MS;
+            !self.sync.fresh_waiting.is_empty() && now >= self.sync.fresh_begun + FRESH_GAP_MS;
         if self.sync.fresh_running.is_none() && (periodic || wanted) {
             if !self.reads.take(0.0, 1.0, now) && !periodic {
                 return;
             }
             self.sync.fresh_running = Some(std::mem::take(&mut self.sync.fresh_waiting));
             self.sync.fresh_begun = now;
-            let path = changes_path(c::KEY_FAMILY, self.replica.rev, 0);
-            self.state_call("GET", path, vec![], c::STATE_CALL_MS, Purpose::Fresh { begun: now });
+            let path = changes_path(KEY_FAMILY, self.replica.rev, 0);
+            self.state_call("GET", path, vec![], STATE_CALL_MS, Purpose::Fresh { begun: now });
         }
     }
 
@@ -160,7 +167,7 @@
     }
 
     fn retry_later(&mut self) {
-        self.sync.not_before = self.now.mono + c::STATE_RETRY_MS;
+        self.sync.not_before = self.now.mono + STATE_RETRY_MS;
     }
 
     pub(super) fn listed(&mut self, reply: Option<(u16, Vec<u8>)>) {
@@ -184,12 +191,12 @@
             // Perhaps another version still runs: neither may touch what the other keeps.
             log::error!(
                 "the store has keys of another layout than {}, like {key}: serving nobody",
-                c::KEY_ROOT
+                KEY_ROOT
             );
             self.replica = Replica::default();
             self.sync.list_rev = None;
             self.sync.list_since = None;
-            self.sync.not_before = self.now.mono + c::STATE_FOREIGN_MS;
+            self.sync.not_before = self.now.mono + STATE_FOREIGN_MS;
             return;
         }
         if page.has_next {
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -4,13 +4,22 @@
 //! that began after the request came; only final states come from memory.
 
 use super::sync::Waiter;
-use super::*;
+use super::{Asker, ConnId, Controller, Purpose};
+use crate::constants::{
+    ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
+    BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, PEER_VERSION, RETRY_AFTER_BUSY_S,
+    RETRY_AFTER_S, STATE_CALL_MS, STATE_LOST_MS, USER_WAIT_MAX, WRITES_SHORT_SHARE,
+    WRITE_KEEP_USERS,
+};
 use crate::protocol::peers::{encode, Relayed};
+use crate::protocol::state::Commit;
 use crate::protocol::state::{raw, Committed, Conflict, If, Write, COMMIT_PATH};
+use crate::protocol::users::JobSpec;
 use crate::protocol::users::*;
 use crate::protocol::Resources;
 use crate::storage::records::*;
 use crate::storage::replica::Stamped;
+use std::rc::Rc;
 
 /// A submission that gathers for a batch, with everyone who asked for it.
 #[derive(Debug)]
@@ -36,7 +45,7 @@
 impl Controller {
     fn answer(&mut self, asker: Asker, status: u16, retry_after_s: Option<u64>, body: Vec<u8>) {
         if asker.relayed {
-            let m = Relayed { version: c::PEER_VERSION, status, retry_after_s, body };
+            let m = Relayed { version: PEER_VERSION, status, retry_after_s, body };
             self.respond(asker.conn, 200, None, encode(&m));
         } else {
             self.respond(asker.conn, status, retry_after_s, body);
@@ -61,7 +70,7 @@
     }
 
     pub(super) fn unavailable(&mut self, asker: Asker) {
-        self.refuse(asker, 503, "the state service can't be reached", Some(c::RETRY_AFTER_S));
+        self.refuse(asker, 503, "the state service can't be reached", Some(RETRY_AFTER_S));
     }
 
     pub(super) fn user_request(&mut self, asker: Asker, method: &str, path: &str, body: &[u8]) {
@@ -102,8 +111,8 @@
 
     /// Whether a request that needs the store can be taken; answers it otherwise.
     fn admit(&mut self, asker: Asker, method: &'static str, path: &str, body: &[u8]) -> bool {
-        if self.waiters() >= c::USER_WAIT_MAX {
-            self.refuse(asker, 503, "too much to do", Some(c::RETRY_AFTER_BUSY_S));
+        if self.waiters() >= USER_WAIT_MAX {
+            self.refuse(asker, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
             return false;
         }
         if !self.sync.loaded || self.sync.refused {
@@ -168,12 +177,12 @@
 
     /// Takes a job that is to be accepted into the next batch. A repeat joins the first.
     fn commit_job(&mut self, asker: Asker, spec: Rc<JobSpec>) {
-        let bytes = raw(&spec).get().len() + c::BATCH_FRAME_BYTES;
-        if (bytes + c::BATCH_FRAME_BYTES) as f64 > self.cfg.params.state.value_kb * 1024.0 {
+        let bytes = raw(&spec).get().len() + BATCH_FRAME_BYTES;
+        if (bytes + BATCH_FRAME_BYTES) as f64 > self.cfg.params.state.value_kb * 1024.0 {
             return self.refuse(asker, 422, "the submission is too large to be kept", None);
         }
-        if self.gathering.len() >= c::USER_WAIT_MAX {
-            return self.refuse(asker, 503, "too much to do", Some(c::RETRY_AFTER_BUSY_S));
+        if self.gathering.len() >= USER_WAIT_MAX {
+            return self.refuse(asker, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
         }
         match self.gathering.iter_mut().find(|p| p.spec.uid == spec.uid) {
             Some(p) => p.askers.push(asker),
@@ -188,7 +197,7 @@
     /// quick, it is passed on or refused then.
     pub(super) fn batches_due(&mut self) {
         let now = self.now.mono;
-        let late = |p: &Pending| now > p.at + c::BATCH_WAIT_MS;
+        let late = |p: &Pending| now > p.at + BATCH_WAIT_MS;
         for p in self.gathering.extract_if(.., |p| late(p)).collect::<Vec<_>>() {
             self.pass_submission(p);
         }
@@ -198,23 +207,23 @@
         let slow: Vec<u64> = self
             .batches
             .iter()
-            .filter(|(_, b)| b.copies == 1 && now > b.sent_at + c::BATCH_HEDGE_MS)
+            .filter(|(_, b)| b.copies == 1 && now > b.sent_at + BATCH_HEDGE_MS)
             .map(|(id, _)| *id)
             .collect();
         for id in slow {
             self.send_batch(id, 0.0);
         }
         let Some(first) = self.gathering.first() else { return };
-        let short = self.writes.left(now) < self.writes.burst() * c::WRITES_SHORT_SHARE;
-        if short && now < first.at + c::BATCH_GATHER_MS {
+        let short = self.writes.left(now) < self.writes.burst() * WRITES_SHORT_SHARE;
+        if short && now < first.at + BATCH_GATHER_MS {
             return;
         }
-        if self.batches.len() >= c::BATCHES_IN_FLIGHT {
+        if self.batches.len() >= BATCHES_IN_FLIGHT {
             return;
         }
-        let cap = (self.cfg.params.state.value_kb * 1024.0) as usize - c::BATCH_FRAME_BYTES;
+        let cap = (self.cfg.params.state.value_kb * 1024.0) as usize - BATCH_FRAME_BYTES;
         let txn = self.cfg.params.state.txn_ops;
-        let left = self.writes.left(now) - c::WRITE_KEEP_USERS;
+        let left = self.writes.left(now) - WRITE_KEEP_USERS;
         let max_ops = (left.max(0.0) as usize).min(txn);
         // As many values as there are writes for, each filled with jobs.
         let mut values: Vec<(usize, Vec<Rc<JobSpec>>)> = Vec::new();
@@ -223,8 +232,8 @@
         let mut bytes = 0;
         for p in std::mem::take(&mut self.gathering) {
             // A condition a job and one a value.
-            let fits = jobs.len() + max_ops < (txn * 4).min(1 << c::ARRIVAL_BITS)
-                && bytes + p.bytes <= c::COMMIT_BYTES - c::COMMIT_FRAME_BYTES;
+            let fits = jobs.len() + max_ops < (txn * 4).min(1 << ARRIVAL_BITS)
+                && bytes + p.bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES;
             let value = values.iter().position(|(n, _)| n + p.bytes <= cap);
             match value {
                 Some(i) if fits => {
@@ -256,13 +265,13 @@
     /// When batches have to be looked at again if nothing comes in before.
     pub(super) fn batches_wake(&self) -> Option<u64> {
         let gathered = self.gathering.first().map(|first| {
-            let plenty = self.writes.available_at(self.writes.burst() * c::WRITES_SHORT_SHARE);
-            let one = self.writes.available_at(c::WRITE_KEEP_USERS + 1.0);
-            let sent = (first.at + c::BATCH_GATHER_MS).min(plenty).max(one);
-            sent.min(first.at + c::BATCH_WAIT_MS + 1)
+            let plenty = self.writes.available_at(self.writes.burst() * WRITES_SHORT_SHARE);
+            let one = self.writes.available_at(WRITE_KEEP_USERS + 1.0);
+            let sent = (first.at + BATCH_GATHER_MS).min(plenty).max(one);
+            sent.min(first.at + BATCH_WAIT_MS + 1)
         });
         let hedges = self.batches.values().filter(|b| b.copies == 1);
-        let hedge = hedges.map(|b| b.sent_at + c::BATCH_HEDGE_MS + 1).min();
+        let hedge = hedges.map(|b| b.sent_at + BATCH_HEDGE_MS + 1).min();
         [gathered, hedge].into_iter().flatten().min()
     }
 
@@ -289,7 +298,7 @@
         b.out += 1;
         self.metrics.work.state_writes += b.values.len() as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, Purpose::Submit(id));
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, Purpose::Submit(id));
     }
 
     /// A peer may be able to take a submission that we can't.
@@ -356,7 +365,7 @@
             Some((429, _)) => {
                 for p in batch.jobs {
                     for asker in p.askers {
-                        self.refuse(asker, 503, "too many submissions", Some(c::RETRY_AFTER_S));
+                        self.refuse(asker, 503, "too many submissions", Some(RETRY_AFTER_S));
                     }
                 }
             }
@@ -403,7 +412,7 @@
         }
         match (verdict, spec) {
             (Some((status, reason)), _) => {
-                let retry = (status == 503).then_some(c::RETRY_AFTER_S);
+                let retry = (status == 503).then_some(RETRY_AFTER_S);
                 self.refuse(asker, status, &reason, retry)
             }
             (None, Some(spec)) => self.commit_job(asker, spec),
@@ -492,13 +501,13 @@
             conditions: vec![If { key: key.clone(), stamp: 0 }],
             writes: vec![Write::put(key, &rec)],
         };
-        if !self.writes.take(1.0, c::WRITE_KEEP_USERS, self.now.mono) {
-            return self.refuse(asker, 503, "too many requests", Some(c::RETRY_AFTER_S));
+        if !self.writes.take(1.0, WRITE_KEEP_USERS, self.now.mono) {
+            return self.refuse(asker, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let purpose = Purpose::Cancel { asker, uid: uid.to_string(), commit };
         self.metrics.work.state_writes += 1;
-        self.state_call("POST", COMMIT_PATH.into(), body, c::STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
     pub(super) fn cancel_committed(
@@ -519,7 +528,7 @@
             }
             // Done in the meantime, or withdrawn already.
             Some((409, _)) => self.want_fresh(Waiter::Cancel { asker, uid }),
-            Some((429, _)) => self.refuse(asker, 503, "too many requests", Some(c::RETRY_AFTER_S)),
+            Some((429, _)) => self.refuse(asker, 503, "too many requests", Some(RETRY_AFTER_S)),
             _ => self.relay_or_refuse(asker, "POST", format!("/v1/jobs/{uid}/withdraw"), vec![]),
         }
     }
@@ -535,11 +544,11 @@
             self.sync.loaded && (self.best_peer().is_some() || all_refused)
         };
         let (status, body) = if ok { (200, "{\"up\":true}") } else { (503, "{\"up\":false}") };
-        self.respond(conn, status, (!ok).then_some(c::RETRY_AFTER_S), body.into());
+        self.respond(conn, status, (!ok).then_some(RETRY_AFTER_S), body.into());
     }
 }
 
 /// Whether a peer says that the state service serves it.
 pub(super) fn served_gossip(g: &crate::protocol::peers::Gossip) -> bool {
-    g.served_ago_ms.is_some_and(|ms| ms < c::STATE_LOST_MS)
+    g.served_ago_ms.is_some_and(|ms| ms < STATE_LOST_MS)
 }
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -5,10 +5,17 @@
 //! worker has one report in flight and drops late answers, so it is sent again.
 
 use super::leader::{is_failure, is_on};
-use super::*;
+use super::report_evidence::{note_machine, shown, Evidence, Hearing};
+use super::{Asker, ConnId, Controller, Leader};
+use crate::constants::{
+    ATTEMPT_BITS, COMMANDS_MAX, ELECTION_LEAST_MS, FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS,
+    FAULTY_FAILURES, FAULTY_WINDOW_MS, GRACE_EXTRA_S, MS_PER_S, RECLAIM_MARGIN_S, REPORT_HOLD_MS,
+    UNREACHABLE_CALM_LEASES,
+};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::*;
-use crate::protocol::{parse_task, task_name, Resources};
+use crate::protocol::{parse_task, task_name};
+use crate::settings::Platform;
 use crate::storage::cluster::*;
 use crate::storage::records::*;
 
@@ -42,7 +49,7 @@
             return self.leader_wants_fresh();
         }
         let read_at = self.sync.fresh_at.unwrap_or(self.begun);
-        let elections = (self.now.mono - read_at) / c::ELECTION_LEAST_MS + 1;
+        let elections = (self.now.mono - read_at) / ELECTION_LEAST_MS + 1;
         if token - self.term_heard <= elections {
             self.term_heard = token;
             self.check_term();
@@ -105,7 +112,6 @@
         let ours = report.token == l.term;
         let m = l.cluster.machine_entry(&name, now);
         let id = (report.session, report.sequence);
-        let (before, answered, received) = (m.newest, m.answered_at, m.received_at);
         if id <= m.newest {
             // Late or repeated: the worker has given it up.
             return self.redirect(conn);
@@ -116,118 +122,35 @@
             // machines that were still cut off, with tasks long started elsewhere.
             return self.redirect(conn);
         }
-        m.newest = id;
-        m.received_at = Some(now);
-        m.type_name = report.machine_type;
-        m.zone = report.zone;
-        m.spot = report.spot;
-        if let Some(b) =
-            catalog.iter().flat_map(|c| &c.machine_types).find(|b| b.type_name == m.type_name)
-        {
-            m.total = Resources::new(b.cores, b.gpus, b.ram_gb);
-        }
-        if matches!(m.life, Life::Booting | Life::Unheard) {
-            m.life = Life::Up;
-            log::info!(
-                "{name}: up, {} in {}{}",
-                m.type_name,
-                m.zone,
-                if m.spot { ", spot" } else { "" }
-            );
-        }
-        m.up_at.get_or_insert(now);
-        // A report that does not show our token though we answered one before may be a late copy
-        // of one from before our term: such must not hide that a machine is silent.
-        if ours || answered.is_none() {
-            m.reported_at = Some(now);
-        }
-        m.lease_expired = false;
-        // A worker that our answer has reached stays with us: its next report is the next one it
-        // sends, and comes before it would have given the answer up. One that no answer reaches
-        // waits, and tries the other controllers first. The first report with our token also
-        // shows that an answer has arrived.
-        let answered_last = received.is_some_and(|r| answered.is_some_and(|a| a >= r));
-        let wait = (c::WORKER_WAIT_S * c::MS_PER_S) as u64;
-        let follows = id == (before.0, before.1.saturating_add(1));
-        let heard = answered_last && follows && received.is_some_and(|r| now < r + wait);
-        let heeded = heard || ours && !m.shows_token;
-        m.shows_token |= ours;
-        let mut signs = u32::from(!ours && answered.is_some());
-        if answered_last && report.session > before.0 {
-            // A worker that an answer reaches keeps its session.
-            signs += c::UNREACHABLE_SESSION_SIGNS;
+        let hearing = Hearing::of(m, id, ours, now);
+        note_machine(m, &report, catalog.as_deref(), ours, now);
+        let shown = shown(&report);
+        let evidence = Evidence::of(m, &shown, id, ours, now);
+        let signs = hearing.signs + u32::from(evidence.start_missed);
+        let heard = hearing.heard || evidence.start_arrived;
+        let lease = self.cfg.params.workers.lease_s * MS_PER_S;
+        let calm = (lease * UNREACHABLE_CALM_LEASES) as u64;
+        if m.note_heed(signs, heard, now, calm) {
+            log::info!("{name}: reports, but no answer seems to reach it");
         }
-        signs += u32::from(answered_last && report.sequence > before.1.saturating_add(1));
-        let reclaimed = m.reclaim_at.is_some();
-        let notice = |s: f64| (s.clamp(0.0, c::RECLAIM_MOST_S) * c::MS_PER_S) as u64;
-        m.reclaim_at = report.reclaim_s.map(|s| now + notice(s));
-        if m.reclaim_at.is_some() && !reclaimed {
-            log::info!("{name}: to be taken in {:.0} s", report.reclaim_s.unwrap_or(0.0));
+        if m.unreachable_since.is_some() {
+            // What was never shown there is settled by its next report and starts elsewhere.
+            for p in m.placements.values_mut().filter(|p| p.seen.is_none()) {
+                p.halt.get_or_insert(Halt::MakeRoom);
+            }
         }
+        let ended = report.tasks.iter().filter(|task| !is_on(task.status));
+        let ended = ended.filter(|task| parse_task(&task.task_id).is_some());
         let mut held = HeldReport {
             conn,
             machine: name.clone(),
             newest: id,
             since: now,
             ours,
-            ended: Vec::new(),
+            ended: ended.map(|task| (task.task_id.clone(), task.attempt)).collect(),
             unknown_tasks: Vec::new(),
         };
-        let mut shown: HashMap<(TaskId, u64), &TaskReport> = HashMap::new();
-        for reported in &report.tasks {
-            let Some((job, task)) = parse_task(&reported.task_id) else {
-                continue;
-            };
-            shown.insert(((Name::from(job), task), reported.attempt), reported);
-            if !is_on(reported.status) {
-                held.ended.push((reported.task_id.clone(), reported.attempt));
-            }
-        }
-        // What we know of, against what is shown.
-        let mut settled: Vec<(TaskId, Cause)> = Vec::new();
-        let mut running: Vec<(TaskId, u64)> = Vec::new();
-        let mut unheeded_start = false;
-        let mut heeded_start = false;
-        for (task, p) in &mut m.placements {
-            if p.ended.is_some() {
-                continue;
-            }
-            match shown.get(&(task.clone(), p.attempt)) {
-                Some(reported) if !is_on(reported.status) && ours => {
-                    settled.push((task.clone(), reported.cause.unwrap_or(Cause::Lost)));
-                }
-                Some(reported) if !is_on(reported.status) => {}
-                Some(reported) => {
-                    heeded_start |= ours && p.seen.is_none() && p.ordered.is_some();
-                    p.seen = Some(reported.status);
-                    if reported.status != TaskStatus::Pulling && p.running_since.is_none() {
-                        p.running_since = Some(now);
-                        running.push((task.clone(), p.placed_at));
-                    }
-                }
-                None if !ours => {}
-                // It was there and is not any more: killed with its session.
-                None if p.seen.is_some() => settled.push((task.clone(), Cause::Lost)),
-                // Never arrived, and not wanted any more.
-                None if p.halt.is_some() && p.ordered.is_none_or(|o| id > o) => {
-                    settled.push((task.clone(), Cause::Lost))
-                }
-                None => unheeded_start |= p.ordered.is_some_and(|o| id > o),
-            }
-        }
-        signs += u32::from(unheeded_start);
-        let lease = self.cfg.params.workers.lease_s * c::MS_PER_S;
-        let calm = (lease * c::UNREACHABLE_CALM_LEASES) as u64;
-        if m.note_heed(signs, heeded || heeded_start, now, calm) {
-            log::info!("{name}: reports, but no answer seems to reach it");
-        }
-        if m.unreachable_since.is_some() {
-            // What was never shown there is settled by its next report and starts elsewhere.
-            for p in m.placements.values_mut().filter(|p| p.seen.is_none()) {
-                p.halt.get_or_insert(Halt::MakeRoom);
-            }
-        }
-        for ((job, task), placed_at) in running {
+        for ((job, task), placed_at) in evidence.running {
             let Some(j) = l.cluster.jobs.get_mut(&job) else { continue };
             j.begun = true;
             let Some(spec) = j.spec.clone() else { continue };
@@ -242,7 +165,7 @@
             let _ = self.metrics.start_ms.record(now - placed_at);
             log::debug!("{job}/{task}: runs on {name}, {} ms after it was placed", now - placed_at);
         }
-        for (task, cause) in settled {
+        for (task, cause) in evidence.settled {
             l.note_end(&name, &task, cause, now);
             l.cluster.settle(&name, &task, cause);
             l.plan_soon(now);
@@ -284,7 +207,7 @@
             let wants = l.cluster.machines.get(&h.machine).is_some_and(|m| {
                 m.proposed > 0 || (m.life == Life::Up && !m.draining && m.reclaim_at.is_none())
             });
-            if deciding && wants && now < h.since + c::REPORT_HOLD_MS {
+            if deciding && wants && now < h.since + REPORT_HOLD_MS {
                 keep.push(h);
             } else {
                 go.push(h);
@@ -317,7 +240,7 @@
         let mut starts = Vec::new();
         let mut never_ordered = Vec::new();
         // What does not fit into an answer goes out with the next one.
-        for (task_id, attempt) in h.unknown_tasks.into_iter().take(c::COMMANDS_MAX) {
+        for (task_id, attempt) in h.unknown_tasks.into_iter().take(COMMANDS_MAX) {
             commands.push(WorkerCommand::Halt { task_id, attempt, grace_s: 0.0 });
         }
         for (task_id, attempt) in h.ended {
@@ -325,7 +248,7 @@
             let open = parse_task(&task_id).is_some_and(|(job, task)| {
                 m.placements.get(&(job.into(), task)).is_some_and(|p| p.attempt == attempt)
             });
-            if !open && commands.len() < c::COMMANDS_MAX {
+            if !open && commands.len() < COMMANDS_MAX {
                 commands.push(WorkerCommand::Clear { task_id, attempt });
             }
         }
@@ -333,7 +256,7 @@
             if p.ended.is_some() || p.phase != Phase::Committed {
                 continue;
             }
-            if commands.len() + starts.len() >= c::COMMANDS_MAX {
+            if commands.len() + starts.len() >= COMMANDS_MAX {
                 break;
             }
             let job = jobs.get(&id.0);
@@ -342,7 +265,7 @@
             let told = self.ended_by_peers.contains(&id.0);
             let halt = if live && !told { p.halt } else { Some(Halt::Unwanted) };
             let task_id = task_name(&id.0, id.1);
-            let inherited = p.attempt >> c::ATTEMPT_BITS != term;
+            let inherited = p.attempt >> ATTEMPT_BITS != term;
             if let Some(halt) = halt {
                 if p.seen.is_none() && p.ordered.is_none() && !inherited {
                     if !live || p.halt.is_some() {
@@ -352,7 +275,7 @@
                 }
                 let saves = job.and_then(|j| j.spec.as_ref()).filter(|s| s.saves());
                 let grace_s = match (halt, saves) {
-                    (Halt::MakeRoom, Some(s)) => s.checkpoint_cost_s + c::GRACE_EXTRA_S,
+                    (Halt::MakeRoom, Some(s)) => s.checkpoint_cost_s + GRACE_EXTRA_S,
                     _ => 0.0,
                 };
                 commands.push(WorkerCommand::Halt { task_id, attempt: p.attempt, grace_s });
@@ -396,7 +319,7 @@
             m.failures.clear();
             for other in blamed {
                 if let Some(o) = cluster.machines.get_mut(&other) {
-                    if o.failures.iter().any(|(t, _)| now - t < c::FAULTY_WINDOW_MS) {
+                    if o.failures.iter().any(|(t, _)| now - t < FAULTY_WINDOW_MS) {
                         log::info!(
                             "{other}: set aside, {} failed there and not on {machine}",
                             id.0
@@ -417,19 +340,18 @@
         }
         job.failed_on.insert(machine.clone());
         if job.suspect() {
-            job.fail_pause_ms =
-                (job.fail_pause_ms * 2).clamp(c::FAIL_PAUSE_MS, c::FAIL_PAUSE_MAX_MS);
+            job.fail_pause_ms = (job.fail_pause_ms * 2).clamp(FAIL_PAUSE_MS, FAIL_PAUSE_MAX_MS);
             job.paused_until = now + job.fail_pause_ms;
             log::debug!("{}: failed on several machines, paused {} ms", id.0, job.fail_pause_ms);
             return;
         }
-        m.failures.retain(|(t, _)| now - t < c::FAULTY_WINDOW_MS);
+        m.failures.retain(|(t, _)| now - t < FAULTY_WINDOW_MS);
         m.failures.push((now, id.0.clone()));
         let mut jobs: Vec<&Name> = m.failures.iter().map(|(_, j)| j).collect();
         jobs.sort_unstable();
         jobs.dedup();
-        let works_elsewhere = job.successes > 0 && m.failures.len() as u32 >= c::FAULTY_FAILURES;
-        if (jobs.len() as u32 >= c::FAULTY_FAILURES || works_elsewhere) && !m.draining {
+        let works_elsewhere = job.successes > 0 && m.failures.len() as u32 >= FAULTY_FAILURES;
+        if (jobs.len() as u32 >= FAULTY_FAILURES || works_elsewhere) && !m.draining {
             log::info!("{machine}: set aside, tasks of {} jobs failed there", jobs.len());
             m.draining = true;
         }
@@ -444,7 +366,7 @@
         };
         let Some(at) = m.reclaim_at else { return };
         let left = at.saturating_sub(now);
-        let report = (cfg.params.workers.report_s * c::MS_PER_S) as u64;
+        let report = (cfg.params.workers.report_s * MS_PER_S) as u64;
         for ((uid, _), p) in &mut m.placements {
             let Some(spec) = jobs.get(uid).and_then(|j| j.spec.as_ref()) else {
                 continue;
@@ -455,11 +377,11 @@
             let stop = if spec.kind == JobKind::Service || p.running_since.is_none() {
                 true
             } else if spec.saves() {
-                let needs = ((spec.checkpoint_cost_s + c::RECLAIM_MARGIN_S) * c::MS_PER_S) as u64;
+                let needs = ((spec.checkpoint_cost_s + RECLAIM_MARGIN_S) * MS_PER_S) as u64;
                 left <= needs + report * 2
             } else {
                 let ran = p.running_since.map_or(0, |t| now - t);
-                let run = (spec.run_estimate_s * c::MS_PER_S) as u64;
+                let run = (spec.run_estimate_s * MS_PER_S) as u64;
                 run.saturating_sub(ran) > left
             };
             if stop {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,6 +1,6 @@
 //! The daemon: the poll loop around the core.
 
-use crate::constants as c;
+use crate::constants::POLL_MAX_MS;
 use crate::coordination::{Clock, Command, Controller, Effect, Service};
 use crate::settings::{Operator, Platform};
 use crate::transport::net::{Call, Incoming, Net, Origin};
@@ -28,7 +28,7 @@
     loop {
         let now = clock(start).mono;
         let wait = if net.has_incoming() { 0 } else { core.next_wake().saturating_sub(now) };
-        let incoming = net.poll(Duration::from_millis(wait.min(c::POLL_MAX_MS)))?;
+        let incoming = net.poll(Duration::from_millis(wait.min(POLL_MAX_MS)))?;
         core.note_transport(net.counts());
         let commands = incoming.into_iter().map(command).collect();
         for effect in core.batch(clock(start), commands) {
--- a/src/main.rs
+++ b/src/main.rs
@@ -90,7 +90,6 @@
         anyhow::ensure!(n > 0, "the connection ended early");
     };
     anyhow::ensure!(reply.status == 200, "answered {}", reply.status);
-    let view: serde_json::Value = serde_json::from_slice(&reply.body)?;
-    println!("{}", serde_json::to_string_pretty(&view)?);
+    println!("{}", String::from_utf8(reply.body)?);
     Ok(())
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,9 @@
 //! The two settings files: the platform's JSON and the operators' protobuf text.
 
-use crate::constants as c;
+use crate::constants::{
+    BANDWIDTH_HIGH, BANDWIDTH_LOW, BANDWIDTH_MEDIUM, HEADROOM_SHARE, PASS_GAP_MS, PASS_PERIOD_MS,
+    THRESHOLDS,
+};
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
@@ -248,10 +251,10 @@
 impl Default for Operator {
     fn default() -> Self {
         Operator {
-            thresholds: c::THRESHOLDS.to_vec(),
-            pass_period_ms: c::PASS_PERIOD_MS,
+            thresholds: THRESHOLDS.to_vec(),
+            pass_period_ms: PASS_PERIOD_MS,
             class_bandwidth: Vec::new(),
-            headroom_share: c::HEADROOM_SHARE,
+            headroom_share: HEADROOM_SHARE,
             idle_return_s: None,
             rent_spot: true,
         }
@@ -273,10 +276,10 @@
             o.thresholds.sort_by(f64::total_cmp);
         }
         if let Some(ms) = planner.pass_period_ms {
-            if !(c::PASS_GAP_MS..=60_000).contains(&ms) {
+            if !(PASS_GAP_MS..=60_000).contains(&ms) {
                 return Err(format!(
                     "planner.pass_period_ms: must lie between {} and 60000",
-                    c::PASS_GAP_MS
+                    PASS_GAP_MS
                 ));
             }
             o.pass_period_ms = ms;
@@ -309,15 +312,15 @@
 
     /// What a core of a task of this class takes of a core's bandwidth.
     pub fn bandwidth(&self, class: &str) -> Bandwidth {
-        self.class_bandwidth.iter().find(|(d, _)| d == class).map_or(c::BANDWIDTH_LOW, |(_, b)| *b)
+        self.class_bandwidth.iter().find(|(d, _)| d == class).map_or(BANDWIDTH_LOW, |(_, b)| *b)
     }
 }
 
 fn bandwidth_of(class: proto::BandwidthClass) -> Bandwidth {
     match class {
-        proto::BandwidthClass::LOW => c::BANDWIDTH_LOW,
-        proto::BandwidthClass::MEDIUM => c::BANDWIDTH_MEDIUM,
-        proto::BandwidthClass::HIGH => c::BANDWIDTH_HIGH,
+        proto::BandwidthClass::LOW => BANDWIDTH_LOW,
+        proto::BandwidthClass::MEDIUM => BANDWIDTH_MEDIUM,
+        proto::BandwidthClass::HIGH => BANDWIDTH_HIGH,
     }
 }
 
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -6,7 +6,7 @@
 
 use super::records::*;
 use super::replica::Replica;
-use crate::constants as c;
+use crate::constants::{BAD_JOB_MACHINES, DONE_CHUNK_TASKS, IMAGES_KEPT, UNREACHABLE_SIGNS};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::workers::{Cause, TaskStatus};
 use crate::protocol::Resources;
@@ -201,7 +201,7 @@
         } else if signs > 0 {
             self.unheeded += signs;
             self.unheeded_at = now;
-            if self.unheeded >= c::UNREACHABLE_SIGNS && self.unreachable_since.is_none() {
+            if self.unheeded >= UNREACHABLE_SIGNS && self.unreachable_since.is_none() {
                 self.unreachable_since = Some(now);
                 return true;
             }
@@ -217,7 +217,7 @@
         self.images.retain(|(k, _)| k != image);
         self.images.push((image.to_string(), gb));
         while self.images.len() > 1
-            && (self.images.len() > c::IMAGES_KEPT
+            && (self.images.len() > IMAGES_KEPT
                 || (room_gb > 0.0 && self.images.iter().map(|(_, g)| g).sum::<f64>() > room_gb))
         {
             self.images.remove(0);
@@ -298,7 +298,7 @@
 
     /// Bytes that a chunk of its bitmap takes in the store, at the most.
     pub fn chunk_bytes(&self, chunk: u32) -> usize {
-        let tasks = self.tasks.saturating_sub(chunk * c::DONE_CHUNK_TASKS).min(c::DONE_CHUNK_TASKS);
+        let tasks = self.tasks.saturating_sub(chunk * DONE_CHUNK_TASKS).min(DONE_CHUNK_TASKS);
         chunk_name(&self.uid, chunk).len() + 16 * tasks.div_ceil(64) as usize + 6
     }
 
@@ -309,7 +309,7 @@
 
     /// Whether the job failed on several machines and nowhere succeeded since.
     pub fn suspect(&self) -> bool {
-        self.failed_on.len() >= c::BAD_JOB_MACHINES
+        self.failed_on.len() >= BAD_JOB_MACHINES
     }
 }
 
@@ -641,7 +641,7 @@
         if cause == Cause::Done && job.stage == Stage::Live {
             if job.done.set(id.1) {
                 job.done_count += 1;
-                job.dirty_chunks.insert(id.1 / c::DONE_CHUNK_TASKS);
+                job.dirty_chunks.insert(id.1 / DONE_CHUNK_TASKS);
             }
             job.successes += 1;
             job.failed_on.clear();
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,6 +1,6 @@
 //! The stored forms: keys and values of the state service.
 
-use crate::constants as c;
+use crate::constants::{DONE_CHUNK_TASKS, KEY_FAMILY, KEY_ROOT};
 use crate::protocol::users::{JobSpec, UID_PREFIX};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -11,47 +11,47 @@
 
 /// The leased key that names the leader.
 pub fn leader_key() -> String {
-    format!("{}leader", c::KEY_ROOT)
+    format!("{}leader", KEY_ROOT)
 }
 
 /// The key that holds the term, which only grows.
 pub fn term_key() -> String {
-    format!("{}term", c::KEY_ROOT)
+    format!("{}term", KEY_ROOT)
 }
 
 /// The key of the last known catalogue, so that submissions can be judged without the cloud.
 pub fn catalog_key() -> String {
-    format!("{}catalog", c::KEY_ROOT)
+    format!("{}catalog", KEY_ROOT)
 }
 
 /// The key of the teams' shares.
 pub fn shares_key() -> String {
-    format!("{}shares", c::KEY_ROOT)
+    format!("{}shares", KEY_ROOT)
 }
 
 /// The key of a batch of jobs that were accepted together. Written once, never changed.
 pub fn batch_key(id: &str) -> String {
-    format!("{}jobs/{id}", c::KEY_ROOT)
+    format!("{}jobs/{id}", KEY_ROOT)
 }
 
 /// The key of how a job ended. It exists once the job is done or withdrawn, and only then.
 pub fn end_key(uid: &str) -> String {
-    format!("{}end/{uid}", c::KEY_ROOT)
+    format!("{}end/{uid}", KEY_ROOT)
 }
 
 /// The key of a group of bitmaps of done tasks.
 pub fn done_key(group: u32) -> String {
-    format!("{}done/{group:04}", c::KEY_ROOT)
+    format!("{}done/{group:04}", KEY_ROOT)
 }
 
 /// The key of a group of placements.
 pub fn place_key(group: u32) -> String {
-    format!("{}place/{group:04}", c::KEY_ROOT)
+    format!("{}place/{group:04}", KEY_ROOT)
 }
 
 /// The key of a part of the list of images that machines hold.
 pub fn images_key(part: u32) -> String {
-    format!("{}kits/{part:04}", c::KEY_ROOT)
+    format!("{}kits/{part:04}", KEY_ROOT)
 }
 
 /// A key, taken apart.
@@ -79,7 +79,7 @@
 
 /// Takes a key apart; `None` for keys of others.
 pub fn parse_key(key: &str) -> Option<Key<'_>> {
-    let rest = key.strip_prefix(c::KEY_ROOT)?;
+    let rest = key.strip_prefix(KEY_ROOT)?;
     Some(match rest {
         "leader" => Key::Leader,
         "term" => Key::Term,
@@ -102,7 +102,7 @@
 /// Whether a key belongs to a layout of the store that this program can't read: every layout
 /// has a root of its own below the family's.
 pub fn foreign_layout(key: &str) -> bool {
-    key.starts_with(c::KEY_FAMILY) && !key.starts_with(c::KEY_ROOT)
+    key.starts_with(KEY_FAMILY) && !key.starts_with(KEY_ROOT)
 }
 
 /// Who leads.
@@ -309,7 +309,7 @@
 
     /// Text form of the tasks of one chunk.
     pub fn chunk_text(&self, chunk: u32) -> String {
-        let per = (c::DONE_CHUNK_TASKS / 64) as usize;
+        let per = (DONE_CHUNK_TASKS / 64) as usize;
         let from = (chunk as usize * per).min(self.words.len());
         let to = (from + per).min(self.words.len());
         let mut out = String::new();
@@ -321,9 +321,9 @@
 
     /// Adds the tasks of a chunk's text form; text that isn't one adds nothing.
     pub fn add_chunk(&mut self, chunk: u32, text: &str) {
-        let per = (c::DONE_CHUNK_TASKS / 64) as usize;
+        let per = (DONE_CHUNK_TASKS / 64) as usize;
         let from = chunk as usize * per;
-        if !text.is_ascii() || chunk > crate::protocol::users::TASKS_MAX / c::DONE_CHUNK_TASKS {
+        if !text.is_ascii() || chunk > crate::protocol::users::TASKS_MAX / DONE_CHUNK_TASKS {
             return;
         }
         for (i, at) in (0..text.len()).step_by(16).take(per).enumerate() {
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of [`super`], the module `records`.
 
 use super::*;
+use crate::constants::DONE_CHUNK_TASKS;
 
 /// A batch of one job, for tests.
 pub(in crate::storage) fn batch_of(uid: &str, tasks: u32) -> BatchRec {
@@ -18,7 +19,7 @@
         assert!(a.set(i) && !a.set(i));
     }
     let mut b = Bitmap::default();
-    for chunk in 0..=99_999 / c::DONE_CHUNK_TASKS {
+    for chunk in 0..=99_999 / DONE_CHUNK_TASKS {
         assert!(a.chunk_text(chunk).len() <= 1_024);
         b.add_chunk(chunk, &a.chunk_text(chunk));
     }
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -6,7 +6,7 @@
 //! remembered until the revision has passed.
 
 use super::records::*;
-use crate::constants as c;
+use crate::constants::{ARRIVAL_BITS, DONE_CHUNK_TASKS};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::state::{Changes, Event, Item};
 use serde::de::DeserializeOwned;
@@ -193,7 +193,7 @@
                 None => spec.uid.as_str().into(),
             };
             names.push(uid.clone());
-            let arrival = (stamp << c::ARRIVAL_BITS) + rec.first + i as u64;
+            let arrival = (stamp << ARRIVAL_BITS) + rec.first + i as u64;
             let new = JobRec {
                 at: rec.at,
                 stage: Stage::Live,
@@ -306,7 +306,7 @@
     pub fn done_bitmap(&self, uid: &str) -> Bitmap {
         let mut bits = Bitmap::default();
         let tasks = self.jobs.get(uid).map_or(0, |j| j.value.tasks);
-        for chunk in 0..tasks.div_ceil(c::DONE_CHUNK_TASKS) {
+        for chunk in 0..tasks.div_ceil(DONE_CHUNK_TASKS) {
             let name = chunk_name(uid, chunk);
             for text in self.done.values().filter_map(|g| g.value.bits.get(&name)) {
                 bits.add_chunk(chunk, text);
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -3,7 +3,7 @@
 //! Both parsers work on a growing buffer: they say "not yet" until a message is whole,
 //! take exactly its bytes, and refuse what goes over the limits. No input makes them panic.
 
-use crate::constants as c;
+use crate::constants::{HTTP_HEADERS_MAX, HTTP_HEAD_MAX, HTTP_REPLY_MAX};
 
 /// A whole request.
 #[derive(Debug, Clone, PartialEq)]
@@ -78,9 +78,9 @@
 
 fn parse_head(buf: &[u8]) -> Result<Option<Head<'_>>, HttpError> {
     let too_long = HttpError { status: 431, reason: "head too long" };
-    let window = &buf[..buf.len().min(c::HTTP_HEAD_MAX)];
+    let window = &buf[..buf.len().min(HTTP_HEAD_MAX)];
     let Some(end) = head_end(window) else {
-        return if buf.len() >= c::HTTP_HEAD_MAX { Err(too_long) } else { Ok(None) };
+        return if buf.len() >= HTTP_HEAD_MAX { Err(too_long) } else { Ok(None) };
     };
     let text = std::str::from_utf8(&buf[..end]).map_err(|_| bad("head is not text"))?;
     let mut lines = text.split('\n').map(|l| l.strip_suffix('\r').unwrap_or(l));
@@ -88,7 +88,7 @@
     let mut head =
         Head { first, end, length: None, chunked: false, close: false, keep: false, expect: false };
     for (n, line) in lines.take_while(|l| !l.is_empty()).enumerate() {
-        if n >= c::HTTP_HEADERS_MAX {
+        if n >= HTTP_HEADERS_MAX {
             return Err(too_long);
         }
         let (name, value) = line.split_once(':').ok_or(bad("header without colon"))?;
@@ -161,7 +161,7 @@
             }
             return match head_end(rest) {
                 Some(end) => Ok(Some((body, at + end))),
-                None if rest.len() > c::HTTP_HEAD_MAX => Err(bad("trailers too long")),
+                None if rest.len() > HTTP_HEAD_MAX => Err(bad("trailers too long")),
                 None => Ok(None),
             };
         }
@@ -279,7 +279,7 @@
         };
         let until_close = matches!(framing, Framing::UntilClose);
         let close = head.close || until_close || (version == "HTTP/1.0" && !head.keep);
-        let taken = take_body(buf, head.end, framing, c::HTTP_REPLY_MAX, closed)?;
+        let taken = take_body(buf, head.end, framing, HTTP_REPLY_MAX, closed)?;
         let Some((body, used)) = taken else {
             return Ok(None);
         };
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -1,9 +1,10 @@
 //! Tests of [`super`], the module `http`.
 
 use super::*;
+use crate::constants::{HTTP_BODY_MAX, HTTP_HEAD_MAX};
 
 fn request(text: &str) -> Result<Option<Request>, HttpError> {
-    take_request(&mut text.as_bytes().to_vec(), c::HTTP_BODY_MAX)
+    take_request(&mut text.as_bytes().to_vec(), HTTP_BODY_MAX)
 }
 
 #[test]
@@ -33,7 +34,7 @@
     assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), 413);
     assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n"), 413);
     assert_eq!(status("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n"), 413);
-    assert_eq!(status(&format!("GET /{} HTTP/1.1\r\n", "a".repeat(c::HTTP_HEAD_MAX))), 431);
+    assert_eq!(status(&format!("GET /{} HTTP/1.1\r\n", "a".repeat(HTTP_HEAD_MAX))), 431);
     assert_eq!(status("GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"), 400);
     assert_eq!(status("GET / HTTP/2.0\r\n\r\n"), 505);
     assert_eq!(status("nonsense\r\n\r\n"), 400);
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -3,7 +3,11 @@
 use super::counts::TransportCounts;
 use super::http;
 use super::readiness::{Interest, Readiness};
-use crate::constants as c;
+use crate::constants::{
+    CROWDED_SHARE, HTTP_BODY_MAX, HTTP_HEAD_MAX, HTTP_IDLE_CROWDED_MS, HTTP_IDLE_MS,
+    HTTP_REPLY_MAX, HTTP_REQUEST_MS, INBOUND_SOCKET_SHARE, LISTEN_BACKLOG, OUTBOUND_PER_TARGET,
+    OUTBOUND_QUEUE, READ_CHUNK, SWEEP_MS,
+};
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::collections::{HashMap, VecDeque};
 use std::io::{self, Read, Write};
@@ -110,7 +114,7 @@
     s.set_reuse_address(true)?;
     s.set_nonblocking(true)?;
     s.bind(&SockAddr::from(addr))?;
-    s.listen(c::LISTEN_BACKLOG)?;
+    s.listen(LISTEN_BACKLOG)?;
     Ok(s.into())
 }
 
@@ -139,10 +143,10 @@
             pooled: vec![Vec::new(); n],
             open: vec![0; n],
             queued: (0..n).map(|_| VecDeque::new()).collect(),
-            inbound_max: (sockets as f64 * c::INBOUND_SOCKET_SHARE) as usize,
+            inbound_max: (sockets as f64 * INBOUND_SOCKET_SHARE) as usize,
             sweep_at: Instant::now(),
             incoming: Vec::new(),
-            scratch: vec![0; c::READ_CHUNK],
+            scratch: vec![0; READ_CHUNK],
             counts: TransportCounts::default(),
         })
     }
@@ -171,7 +175,7 @@
         }
         let now = Instant::now();
         if now >= self.sweep_at {
-            self.sweep_at = now + Duration::from_millis(c::SWEEP_MS);
+            self.sweep_at = now + Duration::from_millis(SWEEP_MS);
             self.sweep(now);
         }
         Ok(std::mem::take(&mut self.incoming))
@@ -235,9 +239,7 @@
             || matches!(conn.role, Role::Outbound { connecting: true, .. });
         // A client that sends more while it waits for an answer is read later.
         let read = match &conn.role {
-            Role::Inbound { busy, .. } => {
-                !conn.ended && (!busy || conn.input.len() < c::READ_CHUNK)
-            }
+            Role::Inbound { busy, .. } => !conn.ended && (!busy || conn.input.len() < READ_CHUNK),
             Role::Outbound { .. } => true,
         };
         let want = Interest { read, write };
@@ -321,7 +323,7 @@
                         conn.since = Instant::now();
                     }
                     conn.input.extend_from_slice(&self.scratch[..n]);
-                    if conn.input.len() > c::HTTP_REPLY_MAX + c::HTTP_HEAD_MAX {
+                    if conn.input.len() > HTTP_REPLY_MAX + HTTP_HEAD_MAX {
                         self.close(key);
                         return false;
                     }
@@ -329,7 +331,7 @@
                         break;
                     }
                     if matches!(conn.role, Role::Inbound { .. })
-                        && conn.input.len() > c::HTTP_BODY_MAX + c::HTTP_HEAD_MAX
+                        && conn.input.len() > HTTP_BODY_MAX + HTTP_HEAD_MAX
                     {
                         break;
                     }
@@ -369,8 +371,8 @@
         match http::take_request(
             &mut conn.input,
             match origin {
-                Origin::Public => c::HTTP_BODY_MAX,
-                Origin::Peer => c::HTTP_BODY_MAX + c::HTTP_HEAD_MAX,
+                Origin::Public => HTTP_BODY_MAX,
+                Origin::Peer => HTTP_BODY_MAX + HTTP_HEAD_MAX,
             },
         ) {
             Ok(Some(request)) => {
@@ -447,13 +449,13 @@
                 return;
             }
         }
-        if self.open[target] < c::OUTBOUND_PER_TARGET {
+        if self.open[target] < OUTBOUND_PER_TARGET {
             if let Some(key) = self.connect(target) {
                 self.send(key, call, deadline);
                 return;
             }
             self.incoming.push(Incoming::Reply { call: call.id, reply: None });
-        } else if self.queued[target].len() < c::OUTBOUND_QUEUE {
+        } else if self.queued[target].len() < OUTBOUND_QUEUE {
             self.queued[target].push_back((call, deadline));
         } else {
             self.incoming.push(Incoming::Reply { call: call.id, reply: None });
@@ -570,8 +572,8 @@
 
     fn sweep(&mut self, now: Instant) {
         let over = |since: Instant, ms: u64| now.duration_since(since) > Duration::from_millis(ms);
-        let crowded = self.inbound.len() as f64 >= self.inbound_max as f64 * c::CROWDED_SHARE;
-        let idle_ms = if crowded { c::HTTP_IDLE_CROWDED_MS } else { c::HTTP_IDLE_MS };
+        let crowded = self.inbound.len() as f64 >= self.inbound_max as f64 * CROWDED_SHARE;
+        let idle_ms = if crowded { HTTP_IDLE_CROWDED_MS } else { HTTP_IDLE_MS };
         let mut slow = Vec::new();
         let mut gone = Vec::new();
         self.counts.buffered_bytes = 0;
@@ -581,12 +583,12 @@
             match &conn.role {
                 Role::Inbound { busy: true, .. } => {}
                 Role::Inbound { .. } if !conn.output.is_empty() => {
-                    if over(conn.since, c::HTTP_REQUEST_MS) {
+                    if over(conn.since, HTTP_REQUEST_MS) {
                         gone.push(*key);
                     }
                 }
                 Role::Inbound { .. } if !conn.input.is_empty() => {
-                    if over(conn.since, c::HTTP_REQUEST_MS) {
+                    if over(conn.since, HTTP_REQUEST_MS) {
                         slow.push(*key);
                     }
                 }
@@ -601,7 +603,7 @@
                     }
                 }
                 Role::Outbound { call: None, .. } => {
-                    if over(conn.since, c::HTTP_IDLE_MS) {
+                    if over(conn.since, HTTP_IDLE_MS) {
                         gone.push(*key);
                     }
                 }
