--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -9,8 +9,8 @@
 use crate::constants::{
     ATTEMPT_BITS, AVERAGE_WEIGHT, CLOCK_DRIFT, ESTIMATE_MIN_S, FLEET_MACHINE_MS, FLEET_PERIOD_MS,
     GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS, LEADER_RENEW_MS, LEADER_UNHEARD_MS, LEASE_MARGIN_MS,
-    LEASE_SCAN_MS, MS_PER_S, PASS_GAP_MACHINE_MS, PASS_GAP_MS, RATIO_SAMPLES_MIN, REPORT_HOLD_MS,
-    SERVICE_REFERENCE_S, STATUS_LOG_PERIOD_MS, WRITE_RESERVE,
+    LEASE_SCAN_MS, MS_PER_S, PASS_GAP_MACHINE_MS, PASS_GAP_MS, POLL_SOON_MS, RATIO_SAMPLES_MIN,
+    REPORT_HOLD_MS, SERVICE_REFERENCE_S, STATUS_LOG_PERIOD_MS, WRITE_RESERVE,
 };
 use crate::protocol::state::Commit;
 use crate::protocol::users::JobKind;
@@ -187,7 +187,9 @@
             None if self.cluster.proposals.is_empty() => None,
             None => Some(writes.available_at(WRITE_RESERVE + 1.0)),
         };
-        let held = self.held.iter().map(|h| h.since + REPORT_HOLD_MS).min();
+        // Whatever comes in answers those that have waited long enough too: in a large fleet a report
+        // comes every few milliseconds, and to wake for each of them alone is mostly for nothing.
+        let held = self.held.iter().map(|h| h.since + REPORT_HOLD_MS + POLL_SOON_MS).min();
         // A pass waits until what the last one decided is stored.
         let pass = (held.is_some() && self.cluster.proposals.is_empty()).then_some(self.plan_at);
         let pass = pass.map(|t| t.max(now + 1));
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -104,3 +104,21 @@
     assert!(lines < 150, "{lines} lines");
     assert_eq!(view(true)["machines"].as_array().map(Vec::len), Some(1_000));
 }
+
+#[test]
+fn reports_that_wait_for_a_commit_do_not_wake_the_leader_one_by_one() {
+    // Each report that is held has its own longest time. Woken for each of them, a leader whose
+    // writes were short woke up for nothing seventy times a second.
+    let mut world = World::fleet(5, 60);
+    world.until(10_000, "a leader", |w| w.leader().is_some());
+    world.run(4_000);
+    world.state.slow_commits = 900;
+    for n in 1..=30 {
+        let mut spec = world.spec(n, "batch", 16);
+        spec["crew"] = serde_json::json!("blue");
+        world.submit(spec, 3_000, n as usize % 3);
+    }
+    let (leader, _) = work_of_leader_and_follower(&mut world);
+    assert!(leader.state_commits > 10, "{leader:?}");
+    assert!(leader.batches_empty <= SECONDS * 9, "{leader:?}");
+}
