--- a/tests/random.rs
+++ b/tests/random.rs
@@ -225,7 +225,7 @@
     w.jobs.get_mut(&name).expect("just asked").odd = true;
 }
 
-fn story(seed: u64) -> (u32, usize) {
+fn scenario(seed: u64) -> (u32, usize) {
     let mut w = World::new(seed);
     w.run(3_000);
     let end = w.now + TROUBLED_MS;
@@ -312,7 +312,7 @@
                 (0..seeds)
                     .chain(FOUND)
                     .filter(|s| s % 6 == t)
-                    .map(|s| (s, story(s)))
+                    .map(|s| (s, scenario(s)))
                     .collect::<Vec<_>>()
             })
         })
@@ -325,5 +325,5 @@
             done += d;
         }
     }
-    assert!(starts > 3_500 && done > 550, "the story ran: {starts} starts, {done} jobs done");
+    assert!(starts > 3_500 && done > 550, "the scenarios ran: {starts} starts, {done} jobs done");
 }
--- a/tests/stories.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Short stories: one trouble each, three controllers, a fake world.
+//! Short scenarios: one trouble each, three controllers, a fake world.
 
 mod world;
 
