--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -179,10 +179,8 @@
         if now >= l.garbage_at && l.cluster.garbage.is_empty() {
             l.garbage_at = now + GARBAGE_PERIOD_MS;
             // Batches whose jobs are all over, with nothing left on machines.
-            let over = |uid: &Name| {
-                self.replica.jobs.get(uid).is_some_and(|j| j.value.stage != Stage::Live)
-                    && !l.cluster.jobs.contains_key(uid)
-            };
+            let over =
+                |uid: &Name| self.replica.has_ended(uid) && !l.cluster.jobs.contains_key(uid);
             for (id, batch) in &self.replica.batches {
                 if batch.value.iter().all(over) {
                     l.cluster.garbage.push((batch_key(id), batch.stamp));
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -89,7 +89,7 @@
 
     /// Remembers what a pass found no room for.
     pub(super) fn note_unplaced(&mut self, view: &View, plan: &Plan, catalog: &Catalog) {
-        let boot_ms = catalog.machine_types.iter().map(|b| b.boot_s).fold(0.0, f64::max) * MS_PER_S;
+        let boot_ms = catalog.longest_boot_s() * MS_PER_S;
         let s = &view.snapshot;
         self.unplaced.clear();
         let patience = boot_ms * RENT_PATIENCE_BOOTS;
@@ -217,7 +217,6 @@
 }
 
 fn boot_ms(catalog: &Catalog, type_name: &str) -> u64 {
-    let s =
-        catalog.machine_types.iter().find(|b| b.type_name == type_name).map_or(60.0, |b| b.boot_s);
+    let s = catalog.machine_type(type_name).map_or(60.0, |t| t.boot_s);
     (s * MS_PER_S) as u64
 }
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/fleet/renting.rs
@@ -33,8 +33,8 @@
                 continue;
             };
             let machine_type = &catalog.machine_types[b];
-            let start_starving = now.saturating_sub(m.rented_at) as f64 / MS_PER_S;
-            if start_starving <= machine_type.boot_s * BOOT_LATE {
+            let age = now.saturating_sub(m.rented_at) as f64 / MS_PER_S;
+            if age <= machine_type.boot_s * BOOT_LATE {
                 coming.push(Coming {
                     total: total(machine_type),
                     machine_type: b,
@@ -303,7 +303,7 @@
         let newest = cluster.queue.values().rev().find(|uid| cluster.is_service(uid))?;
         let need = cluster.jobs.get(newest)?.need;
         let tasks: u32 = self.fleet.arrivals.iter().map(|(_, n)| n).sum();
-        let ready = catalog.machine_types.iter().map(|b| b.boot_s).fold(0.0, f64::max) * MS_PER_S;
+        let ready = catalog.longest_boot_s() * MS_PER_S;
         let expected = (f64::from(tasks) / self.watched_ms(now, ARRIVAL_WINDOW_MS) * ready).ceil();
         Some((need, expected + SPARE_SERVICE_SLOTS))
     }
--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/returning.rs
@@ -15,7 +15,7 @@
             return;
         };
         // Leases may be kept in our place for so long after we were last heard.
-        let isolation = self.isolated_ms() + self.lease_ms();
+        let isolated = self.isolated_ms() + self.lease_ms();
         let Some(l) = self.leader.as_mut() else {
             return;
         };
@@ -32,7 +32,7 @@
         for m in l.cluster.machines.values() {
             let ready = boot_ms(&catalog, &m.type_name);
             let empty = m.placements.is_empty();
-            let start_starving = now.saturating_sub(m.rented_at);
+            let age = now.saturating_sub(m.rented_at);
             // Cut off it may come back, and another one in its place takes a boot before it is of
             // use: it is kept for that long. A zone that was cut off was once returned whole.
             let give_up = lease + ready;
@@ -43,7 +43,7 @@
             let back = match m.life {
                 Life::Booting | Life::Unheard | Life::Up if m.failed => true,
                 Life::Gone | Life::Deleting | Life::Unheard => false,
-                Life::Booting => start_starving as f64 > ready as f64 * BOOT_LOST,
+                Life::Booting => age as f64 > ready as f64 * BOOT_LOST,
                 Life::Up if m.lease_expired => {
                     m.answered_at.is_none_or(|t| now > t + give_up) || m.draining
                 }
@@ -55,11 +55,11 @@
                     empty || (past && quiet)
                 }
                 Life::Up if m.draining => empty,
-                Life::Up if m.closing => empty && start_starving as f64 >= CHARGE_MIN_S * MS_PER_S,
+                Life::Up if m.closing => empty && age as f64 >= CHARGE_MIN_S * MS_PER_S,
                 Life::Up if !empty => false,
                 Life::Up => {
                     let idle = m.idle_since.is_some_and(|t| now >= t + idle_ms);
-                    let paid = start_starving as f64 >= CHARGE_MIN_S * MS_PER_S;
+                    let paid = age as f64 >= CHARGE_MIN_S * MS_PER_S;
                     let needed = match &spare {
                         Some((need, want)) if !m.spot => {
                             let here = m.total.times(need) as f64;
@@ -77,7 +77,7 @@
             // Silent since before this term: nobody may tell any more what runs there.
             let mute = m.life == Life::Up
                 && !m.lease_expired
-                && m.reported_at.is_some_and(|t| now > t + give_up.max(isolation));
+                && m.reported_at.is_some_and(|t| now > t + give_up.max(isolated));
             let unheard =
                 m.life == Life::Unheard && now > m.confirmed_read_at + lease + SILENT_DELETE_MS;
             let doubtful = silent.contains(&m.name);
--- a/src/coordination/isolation.rs
+++ b/src/coordination/isolation.rs
@@ -16,7 +16,6 @@
 };
 use crate::protocol::peers::Gossip;
 use crate::protocol::users::{Status, Told};
-use crate::storage::records::Stage;
 
 impl Controller {
     /// The latest time before which no user can have been told of an end that we don't know of:
@@ -53,8 +52,8 @@
     /// The revision after which peers are asked for ends: none while we read the store ourselves.
     pub(super) fn asks_since(&self) -> Option<u64> {
         let late = |t| self.now.mono > t + ISOLATED_ASK_MS;
-        let isolation = self.sync.refused || self.sync.fresh_at.is_none_or(late);
-        (isolation && self.leader.is_some()).then_some(self.replica.rev)
+        let isolated = self.sync.refused || self.sync.fresh_at.is_none_or(late);
+        (isolated && self.leader.is_some()).then_some(self.replica.rev)
     }
 
     /// Names the ends after a revision in the answer to a peer that asks for them.
@@ -83,7 +82,7 @@
     /// A job is over, by the word of another controller. That is enough to stop its tasks and
     /// to start none; nothing is stored, settled or told to users for it.
     fn hear_end(&mut self, uid: &str) {
-        let open = self.replica.jobs.get(uid).is_some_and(|j| j.value.stage == Stage::Live);
+        let open = self.replica.is_live(uid);
         if open && self.ended_by_peers.insert(uid.into()) {
             log::debug!("{uid}: over, as a peer says");
         }
@@ -100,8 +99,7 @@
 
     /// The copy has come further: word of what it holds by now is not needed any more.
     pub(super) fn forget_ended_by_peers(&mut self) {
-        let jobs = &self.replica.jobs;
-        self.ended_by_peers
-            .retain(|uid| jobs.get(uid).is_some_and(|j| j.value.stage == Stage::Live));
+        let replica = &self.replica;
+        self.ended_by_peers.retain(|uid| replica.is_live(uid));
     }
 }
--- a/src/coordination/lease_extension.rs
+++ b/src/coordination/lease_extension.rs
@@ -12,7 +12,6 @@
 use crate::constants::COMMANDS_MAX;
 use crate::protocol::parse_task;
 use crate::protocol::workers::{Report, WorkerCommand, WorkerCommands};
-use crate::storage::records::Stage;
 
 /// What a controller knows of its own standing in.
 #[derive(Debug)]
@@ -60,8 +59,7 @@
     pub(super) fn extend_lease(&mut self, conn: ConnId, report: Report) {
         let over = |task_id: &str| {
             let Some((uid, _)) = parse_task(task_id) else { return false };
-            let job = self.replica.jobs.get(uid);
-            job.is_some_and(|j| j.value.stage != Stage::Live) || self.ended_by_peers.contains(uid)
+            self.replica.has_ended(uid) || self.ended_by_peers.contains(uid)
         };
         // What was cancelled before we were left alone must not outlive its time for that.
         let commands = report
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -19,7 +19,7 @@
     pub(super) rows: Vec<Row>,
     pub(super) slots: Vec<usize>,
     /// Service tasks on each machine.
-    pub(super) service: Vec<i64>,
+    pub(super) services: Vec<i64>,
     pub(super) images: Vec<Vec<(usize, u64)>>,
     /// Milliseconds until a machine has fetched all images that it waits for.
     pub(super) images_done_in: Vec<u64>,
@@ -82,7 +82,7 @@
         examined: Cell::new(0),
         starving_left: 0,
         slots: s.machines.iter().map(|m| m.slots).collect(),
-        service: s
+        services: s
             .machines
             .iter()
             .map(|m| m.running.iter().filter(|r| r.service).count() as i64)
@@ -203,7 +203,7 @@
             bandwidth: job.bandwidth,
         });
         self.slots[m] -= 1;
-        self.service[m] += i64::from(job.service);
+        self.services[m] += i64::from(job.service);
         if !self.images[m].iter().any(|(k, _)| *k == job.image) {
             self.images[m].push((job.image, fetch));
         }
--- a/src/coordination/planner/plain.rs
+++ b/src/coordination/planner/plain.rs
@@ -78,7 +78,7 @@
         }
         let now = self.s.now;
         let need = &self.s.jobs[j].need;
-        // Among places that are free now, the least factor, then taste.
+        // Among places that are free now, the least factor, then preference.
         let mut least: Option<(Allocation, Preference)> = None;
         let mut first: Option<(Allocation, Preference)> = None;
         for &m in &self.with_room {
--- a/src/coordination/planner/search.rs
+++ b/src/coordination/planner/search.rs
@@ -93,8 +93,8 @@
     pub(super) fn zone_allowed(&self, j: usize, zone: usize) -> bool {
         let job = &self.s.jobs[j];
         let placed = &self.in_zone[j];
-        let redirect = || placed.iter().enumerate().any(|(z, n)| z != zone && *n > 0);
-        placed[zone] < job.zone_cap && !(job.one_zone && redirect())
+        let elsewhere = || placed.iter().enumerate().any(|(z, n)| z != zone && *n > 0);
+        placed[zone] < job.zone_cap && !(job.one_zone && elsewhere())
     }
 
     pub(super) fn within_limit(&self, j: usize) -> bool {
@@ -174,7 +174,7 @@
         let machine = &self.s.machines[m];
         let free = self.rows[m].free;
         let rest = free.gpu * 1_000 + free.cpu;
-        let service = self.service[m];
+        let service = self.services[m];
         if job.service {
             return (self.in_zone[j][machine.zone], u8::from(machine.spot), -service, rest, m);
         }
@@ -206,7 +206,7 @@
 
     /// The choice of [`Pass::allocate`] among the offers of all machines.
     fn choose(&self, j: usize, may_wait: bool, offers: &mut Offers) -> Option<Allocation> {
-        // Among places that are free now, the least factor, then taste.
+        // Among places that are free now, the least factor, then preference.
         let mut least: Option<(Allocation, Preference)> = None;
         let mut first: Option<(Allocation, Preference)> = None;
         for &m in &self.with_room {
--- a/src/coordination/report_evidence.rs
+++ b/src/coordination/report_evidence.rs
@@ -73,8 +73,7 @@
     machine.type_name.clone_from(&report.machine_type);
     machine.zone.clone_from(&report.zone);
     machine.spot = report.spot;
-    let types = catalog.iter().flat_map(|c| &c.machine_types);
-    if let Some(known) = types.into_iter().find(|t| t.type_name == machine.type_name) {
+    if let Some(known) = catalog.and_then(|c| c.machine_type(&machine.type_name)) {
         machine.total = Resources::new(known.cores, known.gpus, known.ram_gb);
     }
     if matches!(machine.life, Life::Booting | Life::Unheard) {
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -316,8 +316,10 @@
         }
     }
 
+    /// The leader needs a read that has not begun yet; one serves all who ask for it.
     pub(super) fn leader_wants_fresh(&mut self) {
-        if self.leader.is_some() {
+        let waits = self.sync.fresh_waiting.iter().any(|w| matches!(w, Waiter::Leader));
+        if self.leader.is_some() && !waits {
             self.sync.fresh_waiting.push(Waiter::Leader);
         }
     }
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -440,7 +440,7 @@
         if !valid_uid(uid) {
             return self.refuse(asker, 404, "no such job", None);
         }
-        if self.replica.jobs.get(uid).is_some_and(|j| j.value.stage != Stage::Live) {
+        if self.replica.has_ended(uid) {
             return self.answer_poll(asker, uid);
         }
         if self.admit(asker, "GET", &format!("/v1/jobs/{uid}"), &[]) {
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -38,6 +38,19 @@
         self.redirect_past(conn, self.term_heard);
     }
 
+    /// The same, where only a leader of this term or a later one will do.
+    fn redirect_past(&mut self, conn: ConnId, term: u64) {
+        self.metrics.work.reports_redirected += 1;
+        let leader = match &self.replica.leader {
+            Some(l) if l.value.label != self.cfg.label && l.value.term >= term => {
+                Some(l.value.label.clone())
+            }
+            _ => self.fresh_gossip().find(|g| g.leads && g.term >= term).map(|g| g.label.clone()),
+        };
+        let body = serde_json::to_vec(&Redirect { leader }).unwrap_or_default();
+        self.respond(conn, 421, None, body);
+    }
+
     /// Takes note of a token above every term that we know. Whoever leads has stored its term before it
     /// showed it to anyone, so where the store can be read it decides. A worker that showed an absurd
     /// token once made every leader step down, and the terms after it run out of numbers.
@@ -56,19 +69,6 @@
         }
     }
 
-    /// The same, where only a leader of this term or a later one will do.
-    fn redirect_past(&mut self, conn: ConnId, term: u64) {
-        self.metrics.work.reports_redirected += 1;
-        let leader = match &self.replica.leader {
-            Some(l) if l.value.label != self.cfg.label && l.value.term >= term => {
-                Some(l.value.label.clone())
-            }
-            _ => self.fresh_gossip().find(|g| g.leads && g.term >= term).map(|g| g.label.clone()),
-        };
-        let body = serde_json::to_vec(&Redirect { leader }).unwrap_or_default();
-        self.respond(conn, 421, None, body);
-    }
-
     pub(super) fn worker_report(&mut self, conn: ConnId, body: &[u8]) {
         let report: Report = match serde_json::from_slice(body) {
             Ok(r) => r,
@@ -154,11 +154,9 @@
             let Some(j) = l.cluster.jobs.get_mut(&job) else { continue };
             j.begun = true;
             let Some(spec) = j.spec.clone() else { continue };
-            let room = catalog
-                .iter()
-                .flat_map(|c| &c.machine_types)
-                .find(|b| b.type_name == l.cluster.machines[&name].type_name)
-                .map_or(0.0, |b| b.cache_gb);
+            let machine_type = &l.cluster.machines[&name].type_name;
+            let known = catalog.as_ref().and_then(|c| c.machine_type(machine_type));
+            let room = known.map_or(0.0, |t| t.cache_gb);
             if let Some(m) = l.cluster.machines.get_mut(&name) {
                 m.note_image(&spec.image, spec.size_gb, room);
             }
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -95,6 +95,16 @@
         Vec::new()
     }
 
+    /// Whether a job is known and neither done nor cancelled.
+    pub fn is_live(&self, uid: &str) -> bool {
+        self.jobs.get(uid).is_some_and(|job| job.value.stage == Stage::Live)
+    }
+
+    /// Whether a job is known to be done or cancelled.
+    pub fn has_ended(&self, uid: &str) -> bool {
+        self.jobs.get(uid).is_some_and(|job| job.value.stage != Stage::Live)
+    }
+
     /// Stamp of a key; 0 if it doesn't exist.
     pub fn stamp(&self, key: &str) -> u64 {
         fn of<T>(s: Option<&Stamped<T>>) -> u64 {
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -24,14 +24,27 @@
     (after.0.since(&before.0), after.1.since(&before.1))
 }
 
-/// A fleet that has reported, with nothing submitted.
-fn idle_fleet() -> World {
-    let mut world = World::fleet(3, MACHINES);
+/// A fleet that has reported for a while, with nothing submitted.
+fn fleet(seed: u64, machines: usize, reported_ms: u64) -> World {
+    let mut world = World::fleet(seed, machines);
     world.until(10_000, "a leader", |w| w.leader().is_some());
-    world.run(10_000);
+    world.run(reported_ms);
     world
 }
 
+fn idle_fleet() -> World {
+    fleet(3, MACHINES, 10_000)
+}
+
+/// Arrays of a team without a limit, at all controllers in turn.
+fn submit_arrays(world: &mut World, jobs: u64, tasks: u32, run_ms: u64) {
+    for n in 1..=jobs {
+        let mut spec = world.spec(n, "batch", tasks);
+        spec["crew"] = serde_json::json!("blue");
+        world.submit(spec, run_ms, n as usize % 3);
+    }
+}
+
 #[test]
 fn an_idle_fleet_costs_its_reports_and_no_planning() {
     let mut world = idle_fleet();
@@ -74,15 +87,9 @@
 fn a_leader_that_waits_for_slow_commits_does_not_wake_up_for_nothing() {
     // A pass that waited for its predecessor's commit once woke the leader in every millisecond
     // in which a report waited for the same commit.
-    let mut world = World::fleet(5, 20);
-    world.until(10_000, "a leader", |w| w.leader().is_some());
-    world.run(4_000);
+    let mut world = fleet(5, 20, 4_000);
     world.state.slow_commits = 300;
-    for n in 1..=20 {
-        let mut spec = world.spec(n, "batch", 10);
-        spec["crew"] = serde_json::json!("blue");
-        world.submit(spec, 2_000, n as usize % 3);
-    }
+    submit_arrays(&mut world, 20, 10, 2_000);
     let (leader, _) = work_of_leader_and_follower(&mut world);
     assert!(leader.planner_passes > 10 && leader.state_commits > 10, "{leader:?}");
     assert!(leader.batches_empty <= SECONDS * 9, "{leader:?}");
@@ -90,9 +97,7 @@
 
 #[test]
 fn the_operators_view_of_a_large_fleet_is_short_unless_details_are_asked_for() {
-    let mut world = World::fleet(9, 1_000);
-    world.until(10_000, "a leader", |w| w.leader().is_some());
-    world.run(4_000);
+    let world = fleet(9, 1_000, 4_000);
     let leader = world.leader().expect("one leads");
     let controller = world.nodes[leader].core.as_ref().expect("it runs");
     let view = |details| serde_json::to_value(controller.status_view(details)).expect("JSON");
@@ -109,15 +114,9 @@
 fn reports_that_wait_for_a_commit_do_not_wake_the_leader_one_by_one() {
     // Each report that is held has its own longest time. Woken for each of them, a leader whose
     // writes were short woke up for nothing seventy times a second.
-    let mut world = World::fleet(5, 60);
-    world.until(10_000, "a leader", |w| w.leader().is_some());
-    world.run(4_000);
+    let mut world = fleet(5, 60, 4_000);
     world.state.slow_commits = 900;
-    for n in 1..=30 {
-        let mut spec = world.spec(n, "batch", 16);
-        spec["crew"] = serde_json::json!("blue");
-        world.submit(spec, 3_000, n as usize % 3);
-    }
+    submit_arrays(&mut world, 30, 16, 3_000);
     let (leader, _) = work_of_leader_and_follower(&mut world);
     assert!(leader.state_commits > 10, "{leader:?}");
     assert!(leader.batches_empty <= SECONDS * 9, "{leader:?}");
