--- a/src/coordination/commit_places/tests.rs
+++ b/src/coordination/commit_places/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::protocol::users::JobKind;
 use crate::storage::cluster::Group;
+use crate::storage::hashing::HashKeys;
 use crate::storage::records::gang_batch_key;
 use crate::storage::replica::Replica;
 use crate::storage::testing::batch_of;
@@ -26,7 +27,7 @@
 fn proposed(tasks: u32) -> ClusterState {
     let mut batch = batch_of("job-1", tasks);
     Rc::make_mut(&mut batch.jobs[0]).kind = JobKind::Gang;
-    let mut replica = Replica::default();
+    let mut replica = Replica::new(HashKeys::from_seed(1));
     replica.write(&gang_batch_key("a"), &raw(&batch), 3);
     let mut cluster = ClusterState::from_replica(&replica, 0);
     let names: Vec<Name> = vec!["n-000001".into(), "n-000002".into()];
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -133,8 +133,14 @@
         self.sync.max_rev = self.sync.max_rev.max(won.ledger_rev);
         let all = self.cfg.params.cloud.rps * STATE_RPS_SHARE;
         self.cloud.set_rate(all, self.now.mono);
-        self.leader =
-            Some(Leader::new(term, won.ledger_rev, lease_id, self.peers.len(), self.now.mono));
+        self.leader = Some(Leader::new(
+            term,
+            won.ledger_rev,
+            lease_id,
+            self.peers.len(),
+            self.now.mono,
+            self.replica.hash_keys(),
+        ));
         self.set_state_rates();
         self.begin_rebuild_if_lost();
         self.leader_wants_fresh();
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/fleet/listing.rs
@@ -81,7 +81,8 @@
         let hosts = std::mem::take(&mut l.fleet.pages);
         l.fleet.listed_once = true;
         l.fleet.listed_begun = Some(begun);
-        let listed: HashSet<&str> = hosts.iter().map(|h| h.uid.as_str()).collect();
+        let mut listed: HashSet<&str> = l.cluster.hash_keys().set();
+        listed.extend(hosts.iter().map(|h| h.uid.as_str()));
         let mut dead: Vec<Name> = Vec::new();
         for h in &hosts {
             if l.fleet.is_gone(&h.uid) {
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -18,7 +18,7 @@
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{Life, Machine, Placement, TaskId};
 use crate::storage::records::Name;
-use std::collections::{HashSet, VecDeque};
+use std::collections::VecDeque;
 
 /// A rental under way. Its name is never used for another one.
 #[derive(Debug, Clone)]
@@ -52,7 +52,7 @@
 }
 
 /// The leader's view of the fleet.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(super) struct Fleet {
     list_at: u64,
     listing: bool,
@@ -79,8 +79,26 @@
 }
 
 impl Fleet {
-    pub(super) fn new(now: u64) -> Fleet {
-        Fleet { list_at: now, look_at: now, cloud_at: now, ..Fleet::default() }
+    pub(super) fn new(now: u64, keys: HashKeys) -> Fleet {
+        Fleet {
+            list_at: now,
+            listing: false,
+            list_begun: 0,
+            pages: Vec::new(),
+            listed_once: false,
+            listed_begun: None,
+            look_at: now,
+            rentals: Vec::new(),
+            no_capacity: keys.map(),
+            gone: keys.set(),
+            unplaced: Vec::new(),
+            arrivals: VecDeque::new(),
+            work: VecDeque::new(),
+            seen_arrival: 0,
+            excess_since: None,
+            move_at: 0,
+            cloud_at: now,
+        }
     }
 
     pub(super) fn is_gone(&self, name: &str) -> bool {
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/fleet/renting.rs
@@ -79,18 +79,20 @@
             }
         }
         // How many machines of each kind there are: zones with fewer come first.
-        let mut counts: HashMap<(&str, bool), usize> = HashMap::new();
+        let keys = l.cluster.hash_keys();
+        let mut counts: HashMap<(&str, bool), usize> = keys.map();
         for m in l.cluster.machines.values().filter(|m| m.life != Life::Gone) {
             *counts.entry((m.zone.as_str(), m.spot)).or_default() += 1;
         }
-        let mut wanted: HashMap<(usize, String, bool), usize> = HashMap::new();
+        let mut wanted: HashMap<(usize, String, bool), usize> = keys.map();
         // Services first: they may not be able to use what the others get.
         unplaced.sort_by_key(|u| (!u.service, u.spot_ok));
         for u in &unplaced {
             let mut slots = u.slots;
             // Those before this one have no room for such a task any more.
             let mut from = 0;
-            let mut in_zone: HashMap<String, u32> = u.in_zone.iter().cloned().collect();
+            let mut in_zone: HashMap<String, u32> = keys.map();
+            in_zone.extend(u.in_zone.iter().cloned());
             // The zone of a gang that must be in one: that of its first place.
             let mut only_zone: Option<String> = None;
             while slots > SLOT_EPSILON {
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -19,6 +19,7 @@
 use crate::protocol::Resources;
 use crate::storage::budget::Bucket;
 use crate::storage::cluster::ClusterState;
+use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Halt, Life, Machine, Phase};
 use crate::storage::records::Name;
 use std::collections::BTreeMap;
@@ -105,7 +106,14 @@
 }
 
 impl Leader {
-    pub(super) fn new(term: u64, stamp: u64, lease_id: u64, peers: usize, now: u64) -> Leader {
+    pub(super) fn new(
+        term: u64,
+        stamp: u64,
+        lease_id: u64,
+        peers: usize,
+        now: u64,
+        keys: HashKeys,
+    ) -> Leader {
         Leader {
             term,
             stamp,
@@ -115,8 +123,8 @@
             ready: false,
             machines_accounted: false,
             ready_at: now,
-            cluster: ClusterState::default(),
-            fleet: Fleet::new(now),
+            cluster: ClusterState::new(keys),
+            fleet: Fleet::new(now, keys),
             held: Vec::new(),
             began: now,
             heard_at: now,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -36,11 +36,11 @@
 use crate::protocol::state::Commit;
 use crate::settings::{Operator, Platform};
 use crate::storage::budget::Bucket;
+use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::limits::StoreLimits;
 use crate::storage::records::Name;
 use crate::storage::replica::Replica;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
 /// Two clocks in milliseconds: steady, and time of day.
@@ -215,6 +215,7 @@
     /// A controller that has just started.
     pub fn new(cfg: Platform, op: Operator, clock: Clock, seed: u64) -> Controller {
         let mut rng = SmallRng::seed_from_u64(seed);
+        let keys = HashKeys::from_seed(seed);
         let n = cfg.controllers() as f64;
         let limits = StoreLimits::new(&cfg.params.state);
         let peers = cfg.peers.iter().map(|_| peers::PeerView::default()).collect();
@@ -230,8 +231,8 @@
             begun: clock.mono,
             out: Vec::new(),
             next_call: 1,
-            calls: HashMap::new(),
-            replica: Replica::default(),
+            calls: keys.map(),
+            replica: Replica::new(keys),
             sync: sync::Sync::default(),
             catalog: None,
             catalog_at: None,
@@ -240,12 +241,12 @@
             leader: None,
             peers,
             term_heard: 0,
-            workers_seen: HashMap::new(),
+            workers_seen: keys.map(),
             lease_extension: lease_extension::LeaseExtension::new(clock.mono),
-            ended_by_peers: HashSet::new(),
+            ended_by_peers: keys.set(),
             metrics: metrics::Metrics::new(clock.mono),
             gathering: Vec::new(),
-            batches: HashMap::new(),
+            batches: keys.map(),
             batches_made: 0,
             recovery: recovery::Recovery::new(&op.recovery),
             cfg: Rc::new(cfg),
--- a/src/coordination/planner/room.rs
+++ b/src/coordination/planner/room.rs
@@ -6,7 +6,7 @@
 use crate::constants::{JOB_TASKS_PER_PASS, PREEMPT_SHIELD_MS, ROOM_COMING_MS};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
-use std::collections::HashMap;
+use std::collections::BTreeMap;
 
 impl Pass<'_> {
     /// Stops tasks of lower ranks, or of teams beyond their guarantee, where a higher claim
@@ -33,8 +33,8 @@
         let may_stop = |r: &Running, priority: Priority, within: bool, team: usize| {
             r.priority > priority || within && r.team.is_some_and(|t| t != team && borrows[t])
         };
-        let mut stoppable: HashMap<(Priority, bool, usize), Vec<Option<Resources>>> =
-            HashMap::new();
+        let mut stoppable: BTreeMap<(Priority, bool, usize), Vec<Option<Resources>>> =
+            BTreeMap::new();
         for &j in order {
             let job = &self.s.jobs[j];
             let within = job.within;
--- a/src/coordination/recovery/detect.rs
+++ b/src/coordination/recovery/detect.rs
@@ -29,7 +29,7 @@
     /// Forgets the copy of the store and reads all of it anew. Answers to what was asked before
     /// count for nothing.
     pub(in crate::coordination) fn read_anew(&mut self) {
-        self.replica = Replica::default();
+        self.replica = Replica::new(self.replica.hash_keys());
         self.recovery.image = StoreImage::new();
         self.sync.begin_anew();
         // What we knew is gone, and with it the ends that peers need not have named.
--- a/src/coordination/report_evidence.rs
+++ b/src/coordination/report_evidence.rs
@@ -5,9 +5,9 @@
 use crate::protocol::cloud::Catalog;
 use crate::protocol::workers::{Cause, Report, TaskReport};
 use crate::protocol::{parse_task, Resources};
+use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::machine::{Life, Machine, TaskId};
 use crate::storage::records::Name;
-use std::collections::HashMap;
 
 /// Session and sequence: of two reports of a machine the larger is the newer one.
 pub(super) type ReportId = (u64, u64);
@@ -16,8 +16,8 @@
 pub(super) type Shown<'a> = HashMap<(TaskId, u64), &'a TaskReport>;
 
 /// The tasks that a report shows; names that can't be read are left out.
-pub(super) fn shown(report: &Report) -> Shown<'_> {
-    let mut shown = Shown::new();
+pub(super) fn shown(report: &Report, keys: HashKeys) -> Shown<'_> {
+    let mut shown = keys.map();
     for reported in &report.tasks {
         if let Some((job, task)) = parse_task(&reported.task_id) {
             shown.insert(((Name::from(job), task), reported.attempt), reported);
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -11,9 +11,9 @@
 use crate::protocol::users::{JobKind, Priority};
 use crate::protocol::Resources;
 use crate::settings::{Operator, Platform};
+use crate::storage::hashing::{HashMap, HashSet};
 use crate::storage::machine::{Life, Machine, TaskId};
 use crate::storage::records::Name;
-use std::collections::{HashMap, HashSet};
 
 /// What a pass needs to know of a job for each of its placements.
 struct Facts {
@@ -49,6 +49,7 @@
     ) -> View {
         let now = clock.mono;
         let cluster = &l.cluster;
+        let keys = cluster.hash_keys();
         let mut zones: Vec<&str> = Vec::new();
         for z in catalog.machine_types.iter().flat_map(|b| b.zones.iter()).chain(&cfg.params.zones)
         {
@@ -59,13 +60,13 @@
         let zone_of = |y: &str| zones.iter().position(|z| *z == y);
         let type_index_of = |s: &str| catalog.machine_types.iter().position(|b| b.type_name == s);
         let team_of = |t: &str| cfg.params.teams.iter().position(|x| x.name == t);
-        let mut images: HashMap<&str, usize> = HashMap::new();
+        let mut images: HashMap<&str, usize> = keys.map();
         let mut image_of = |k: &'a str| {
             let n = images.len();
             *images.entry(k).or_insert(n)
         };
         // What all placements of a job share is worked out once a job, not once a placement.
-        let mut facts: HashMap<&Name, Option<Facts>> = HashMap::new();
+        let mut facts: HashMap<&Name, Option<Facts>> = keys.map();
         let silent = (cfg.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let slots = HTTP_BODY_MAX / REPORT_TASK_BYTES;
 
@@ -99,7 +100,8 @@
             v.snapshot.arriving.extend(coming);
         }
         v.snapshot.gang_wait_ms = (cfg.params.workers.gang_wait_s * MS_PER_S) as u64;
-        let held_reports: HashSet<&Name> = l.held.iter().map(|held| &held.machine).collect();
+        let mut held_reports: HashSet<&Name> = keys.set();
+        held_reports.extend(l.held.iter().map(|held| &held.machine));
         v.snapshot.thresholds = op.thresholds.clone();
         for m in cluster.machines.values() {
             let (Some(zone), Some(type_index)) = (zone_of(&m.zone), type_index_of(&m.type_name))
@@ -210,8 +212,8 @@
             v.machines.push(m.name.clone());
             v.handles.push(handles);
         }
-        let index: HashMap<&Name, usize> =
-            v.machines.iter().enumerate().map(|(i, m)| (m, i)).collect();
+        let mut index: HashMap<&Name, usize> = keys.map();
+        index.extend(v.machines.iter().enumerate().map(|(i, m)| (m, i)));
         // What each team's unfinished jobs take together, up to the one looked at.
         let mut claimed = vec![Resources::default(); cfg.params.teams.len()];
         for uid in cluster.queue.values() {
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -232,7 +232,7 @@
                 "the store has keys of another layout than {}, like {key}: serving nobody",
                 KEY_ROOT
             );
-            self.replica = Replica::default();
+            self.replica = Replica::new(self.replica.hash_keys());
             self.recovery.forget_image();
             self.sync.list_rev = None;
             self.sync.list_since = None;
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -120,6 +120,7 @@
         }
         let name: Name = report.machine.as_str().into();
         let ours = report.token == l.term;
+        let keys = l.cluster.hash_keys();
         let m = l.cluster.machine_entry(&name, now);
         let id = (report.session, report.sequence);
         if id <= m.newest {
@@ -134,7 +135,7 @@
         }
         let hearing = Hearing::of(m, id, ours, now);
         note_machine(m, &report, catalog.as_deref(), ours, now);
-        let shown = shown(&report);
+        let shown = shown(&report, keys);
         let evidence = Evidence::of(m, &shown, id, ours, now);
         let signs = hearing.signs + u32::from(evidence.start_missed);
         let heard = hearing.heard || evidence.start_arrived;
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -5,6 +5,7 @@
 //! settled it is committed before anything else is done with the task.
 
 use super::gangs::GangState;
+use super::hashing::{HashKeys, HashMap};
 use super::job::Job;
 use super::machine::{Halt, Life, Machine, Phase, Placement, TaskId};
 use super::records::{parse_chunk, Name, Placed, Stage};
@@ -13,7 +14,7 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::Cause;
 use crate::protocol::Resources;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a team uses, unsettled work included.
 pub type Usage = HashMap<String, Resources>;
@@ -47,7 +48,7 @@
 }
 
 /// The state of the cluster, as the leader of a term sees it.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub struct ClusterState {
     /// Jobs that are live, or still have tasks on machines.
     pub jobs: HashMap<Name, Job>,
@@ -76,9 +77,32 @@
 }
 
 impl ClusterState {
+    /// A cluster of which nothing is known yet.
+    pub fn new(keys: HashKeys) -> ClusterState {
+        ClusterState {
+            jobs: keys.map(),
+            queue: BTreeMap::new(),
+            machines: BTreeMap::new(),
+            usage: keys.map(),
+            groups: BTreeMap::new(),
+            done_groups: BTreeMap::new(),
+            proposals: VecDeque::new(),
+            gang_waits: false,
+            loose: Vec::new(),
+            complete: BTreeSet::new(),
+            stored_images: keys.map(),
+            garbage: Vec::new(),
+        }
+    }
+
+    /// The keys of its hash maps.
+    pub fn hash_keys(&self) -> HashKeys {
+        *self.jobs.hasher()
+    }
+
     /// Builds the state at the start of a term. Every placement counts as possibly running.
     pub fn from_replica(r: &Replica, now: u64) -> ClusterState {
-        let mut b = ClusterState::default();
+        let mut b = ClusterState::new(r.hash_keys());
         for part in r.images.values() {
             for (machine, held) in &part.value.held {
                 let images =
@@ -86,7 +110,7 @@
                 b.stored_images.insert(machine.as_str().into(), images);
             }
         }
-        let mut placed: HashMap<Name, Vec<(u32, Name)>> = HashMap::new();
+        let mut placed: HashMap<Name, Vec<(u32, Name)>> = r.hash_keys().map();
         for (n, rec) in &r.places {
             let mut group = Group { stamp: rec.stamp, ..Group::default() };
             for p in rec.value.placed() {
@@ -153,6 +177,7 @@
         let spec = rec.value.spec.clone();
         let done = r.done_bitmap(uid);
         let gang = spec.as_ref().filter(|s| s.is_gang()).map(|_| GangState::default());
+        let keys = self.hash_keys();
         let mut job = Job {
             uid: uid.clone(),
             gang,
@@ -165,12 +190,12 @@
             done_count: done.count(),
             done,
             dirty_chunks: BTreeSet::new(),
-            chunk_groups: HashMap::new(),
+            chunk_groups: keys.map(),
             next_fresh: 0,
             returned: BTreeSet::new(),
             placed: BTreeMap::new(),
-            settling: HashSet::new(),
-            failed_on: HashSet::new(),
+            settling: keys.set(),
+            failed_on: keys.set(),
             fail_pause_ms: 0,
             paused_until: 0,
             successes: 0,
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::protocol::state::raw;
+use crate::storage::hashing::HashKeys;
 use crate::storage::records::batch_key;
 use crate::storage::testing::batch_of;
 
@@ -21,7 +22,7 @@
 fn a_placement_settled_while_its_commit_is_under_way_is_settled_once() {
     // Once as never stored and once more when its group gave it up, its task came to wait
     // while it was placed anew, and ran twice.
-    let mut r = Replica::default();
+    let mut r = Replica::new(HashKeys::from_seed(1));
     r.write(&batch_key("a"), &raw(&batch_of("job-1", 1)), 3);
     let mut b = ClusterState::from_replica(&r, 0);
     let (uid, a, z): (Name, Name, Name) = ("job-1".into(), "n-a".into(), "n-z".into());
--- a/src/storage/gangs/tests.rs
+++ b/src/storage/gangs/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::protocol::state::raw;
 use crate::protocol::users::JobKind;
+use crate::storage::hashing::HashKeys;
 use crate::storage::machine::Phase;
 use crate::storage::records::{end_key, gang_batch_key, place_key, EndRec, PlaceRec, Placed};
 use crate::storage::replica::Replica;
@@ -14,7 +15,7 @@
     let mut batch = batch_of("job-1", tasks);
     let spec = Rc::make_mut(&mut batch.jobs[0]);
     spec.kind = JobKind::Gang;
-    let mut replica = Replica::default();
+    let mut replica = Replica::new(HashKeys::from_seed(1));
     replica.write(&gang_batch_key("a"), &raw(&batch), 3);
     let text = |n| Placed::text("job-1", n, ["n-a", "n-b"][n as usize % 2], 7).expect("a text");
     let tasks: Vec<String> = (0..placed).map(text).collect();
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -1,11 +1,12 @@
 //! Jobs as the leader of a term knows them: which tasks wait, are placed, or are done.
 
 use super::gangs::GangState;
+use super::hashing::{HashMap, HashSet};
 use super::records::{chunk_name, Bitmap, Name, Stage};
 use crate::constants::{BAD_JOB_MACHINES, DONE_CHUNK_TASKS};
 use crate::protocol::users::JobSpec;
 use crate::protocol::Resources;
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// A job that is not over, or still has tasks on machines.
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -9,6 +9,7 @@
 pub mod budget;
 pub mod cluster;
 pub mod gangs;
+pub mod hashing;
 pub mod job;
 pub mod limits;
 pub mod machine;
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -5,6 +5,7 @@
 //! skipped. Own commits are put in at once, ahead of the watch; what they removed is
 //! remembered until the revision has passed.
 
+use super::hashing::{HashKeys, HashMap};
 use super::records::{
     chunk_name, foreign_layout, parse_key, BatchRec, Bitmap, DoneRec, EndGroupRec, EndRec,
     FlaggedRec, ImagesRec, JobRec, Key, LeaderRec, Name, PlaceRec, RebuildRec, ShareRec, Stage,
@@ -15,7 +16,7 @@
 use crate::protocol::state::{Changes, Event, Item};
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 
 /// A stored value with the stamp of its key.
 #[derive(Debug, Clone, PartialEq)]
@@ -27,7 +28,7 @@
 }
 
 /// The copy.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub struct Replica {
     /// All changes up to this revision are in.
     pub rev: u64,
@@ -76,6 +77,34 @@
 }
 
 impl Replica {
+    /// An empty copy, from before the first read.
+    pub fn new(keys: HashKeys) -> Replica {
+        Replica {
+            rev: 0,
+            leader: None,
+            term: None,
+            catalog: None,
+            shares: None,
+            jobs: keys.map(),
+            batches: keys.map(),
+            done: BTreeMap::new(),
+            places: BTreeMap::new(),
+            store: None,
+            rebuild: None,
+            end_groups: BTreeMap::new(),
+            flagged: BTreeMap::new(),
+            images: BTreeMap::new(),
+            placed: keys.map(),
+            removed: keys.map(),
+            foreign: None,
+        }
+    }
+
+    /// The keys of its hash maps.
+    pub fn hash_keys(&self) -> HashKeys {
+        *self.jobs.hasher()
+    }
+
     /// Puts in a page of the whole store.
     pub fn apply_item(&mut self, item: &Item) {
         self.write(&item.key, &item.data, item.stamp);
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::protocol::state::raw;
+use crate::storage::hashing::HashKeys;
 use crate::storage::records::{batch_key, end_key, place_key, Placed};
 use crate::storage::testing::batch_of;
 
@@ -15,7 +16,7 @@
 
 #[test]
 fn an_older_answer_that_comes_late_changes_nothing() {
-    let mut r = Replica::default();
+    let mut r = Replica::new(HashKeys::from_seed(1));
     let none = PlaceRec::default();
     let new = Changes { ledger_rev: 9, events: vec![put(place_key(0), &none, 8)] };
     let old = Changes { ledger_rev: 5, events: vec![put(place_key(0), &one(), 4)] };
@@ -27,7 +28,7 @@
 
 #[test]
 fn a_key_removed_ahead_of_the_watch_does_not_come_back() {
-    let mut r = Replica::default();
+    let mut r = Replica::new(HashKeys::from_seed(1));
     r.write(&place_key(0), &raw(&one()), 4);
     r.remove(&place_key(0), 6);
     r.apply(&Changes { ledger_rev: 5, events: vec![put(place_key(0), &one(), 4)] });
@@ -41,7 +42,7 @@
 fn jobs_of_one_commit_have_arrival_numbers_of_their_own() {
     // Two batches of one commit once gave their jobs the same numbers, and of two jobs with
     // one number only one was ever planned.
-    let mut r = Replica::default();
+    let mut r = Replica::new(HashKeys::from_seed(1));
     let mut two = batch_of("job-2", 1);
     two.first = 1;
     r.write(&batch_key("a"), &raw(&batch_of("job-1", 1)), 4);
@@ -58,7 +59,7 @@
         (end_key("job-1"), raw(&end), 9),
     ];
     for order in [[0, 1, 2], [1, 0, 2], [2, 1, 0], [2, 0, 1]] {
-        let mut r = Replica::default();
+        let mut r = Replica::new(HashKeys::from_seed(1));
         for i in order {
             r.write(&all[i].0, &all[i].1, all[i].2);
         }
