--- a/tests/random.rs
+++ b/tests/random.rs
@@ -188,7 +188,7 @@
 }
 
 /// Which jobs users submit.
-#[derive(Clone, Copy, PartialEq)]
+#[derive(Clone, Copy, PartialEq, Debug)]
 enum Mix {
     /// Arrays and services.
     Plain,
@@ -343,7 +343,17 @@
     over
 }
 
-fn scenario(seed: u64, mix: Mix) -> (u32, usize) {
+/// What a scenario came to.
+struct Outcome {
+    /// Tasks that started.
+    starts: u32,
+    /// Jobs that were done.
+    done: usize,
+    /// Hash of everything that was sent, and the number of messages.
+    digest: (u128, u64),
+}
+
+fn scenario(seed: u64, mix: Mix) -> Outcome {
     let mut w = match mix {
         Mix::WithStateLoss => World::with_recovery(seed),
         _ => World::new(seed),
@@ -450,10 +460,11 @@
     w.run(CANCEL_MS + 1_000);
     assert_eq!(w.state.too_large, 0, "seed {seed}: announced limits are kept");
     w.assert_all_kinds_are_served(&format!("seed {seed}"));
-    (
-        w.jobs.values().map(|j| j.starts).sum(),
-        w.jobs.values().filter(|j| j.done_told.is_some()).count(),
-    )
+    Outcome {
+        starts: w.jobs.values().map(|j| j.starts).sum(),
+        done: w.jobs.values().filter(|j| j.done_told.is_some()).count(),
+        digest: w.recorder.digest(),
+    }
 }
 
 #[test]
@@ -474,6 +485,20 @@
     assert!(starts > 3_500 && done > 550, "the scenarios ran: {starts} starts, {done} jobs done");
 }
 
+/// Seeds of each mix that are played twice.
+const REPEATED_SEEDS: std::ops::Range<u64> = 0..6;
+
+#[test]
+fn a_seed_repeats_every_message_of_its_run() {
+    for mix in [Mix::Plain, Mix::WithGangs, Mix::WithStateLoss] {
+        for seed in REPEATED_SEEDS {
+            let (first, second) = (scenario(seed, mix).digest, scenario(seed, mix).digest);
+            assert_eq!(first, second, "{mix:?}, seed {seed}: a run is not determined by its seed");
+            assert!(first.1 > 1_000, "{mix:?}, seed {seed}: {} messages", first.1);
+        }
+    }
+}
+
 /// Plays all seeds; gives the tasks that started and the jobs that were done.
 fn all_seeds(mix: Mix) -> (u32, usize) {
     let seeds = std::env::var(SEEDS_VAR).map_or(SEEDS, |n| n.parse().expect("a number of seeds"));
@@ -484,21 +509,24 @@
     // Seeds are independent: a share each for a few threads.
     let threads: Vec<_> = (0..6u64)
         .map(|t| {
-            std::thread::spawn(move || {
+            let play = move || {
                 (0..seeds)
                     .chain(found.iter().copied())
                     .filter(|s| s % 6 == t)
-                    .map(|s| (s, scenario(s, mix)))
+                    .map(|s| scenario(s, mix))
                     .collect::<Vec<_>>()
-            })
+            };
+            // Records of the runs are named after the thread.
+            let thread = std::thread::Builder::new().name(format!("{mix:?}"));
+            thread.spawn(play).expect("a thread")
         })
         .collect();
     let mut starts = 0;
     let mut done = 0;
     for t in threads {
-        for (_, (s, d)) in t.join().expect("a seed broke a rule, see above") {
-            starts += s;
-            done += d;
+        for outcome in t.join().expect("a seed broke a rule, see above") {
+            starts += outcome.starts;
+            done += outcome.done;
         }
     }
     (starts, done)
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub struct Cloud {
     pub(super) hosts: BTreeMap<String, Host>,
-    pub(super) hires: HashMap<String, Vec<String>>,
+    pub(super) hires: BTreeMap<String, Vec<String>>,
     pub(super) next: u64,
     pub boot_ms: u64,
     pub capacity: usize,
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -5,6 +5,7 @@
 
 #![allow(dead_code)]
 
+mod behaviour;
 mod cloud;
 mod gangs;
 mod rules;
@@ -18,13 +19,14 @@
 pub use user::{Asked, GangRun, Job};
 pub use worker::Worker;
 
+use behaviour::Recorder;
 use cloud::LAG_MS;
 
 use mountgap::coordination::{Clock, Command, Controller, Effect, Service};
 use mountgap::settings::{Operator, Platform};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use serde_json::{json, Value};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 
 pub const STEP_MS: u64 = 10;
 pub const REPORT_MS: u64 = 2_000;
@@ -85,7 +87,7 @@
     life: u64,
     start_at: Option<u64>,
     inbox: Vec<Command>,
-    conns: HashMap<u64, Conn>,
+    conns: BTreeMap<u64, Conn>,
     next_conn: u64,
     deadlines: BTreeMap<u64, u64>,
     wake: u64,
@@ -139,6 +141,8 @@
     gangs: bool,
     /// The operators' settings of controllers that start.
     pub operator: Operator,
+    /// What the run has sent.
+    pub recorder: Recorder,
 }
 
 fn config(i: usize, n: usize, gpu_max: f64, next: &Value) -> Platform {
@@ -188,6 +192,7 @@
             next_limits: Value::Null,
             gangs: false,
             operator: Operator::default(),
+            recorder: Recorder::new(seed),
         };
         for _ in 0..3 {
             w.nodes.push(Node {
@@ -195,7 +200,7 @@
                 life: 0,
                 start_at: Some(w.now),
                 inbox: vec![],
-                conns: HashMap::new(),
+                conns: BTreeMap::new(),
                 next_conn: 1,
                 deadlines: BTreeMap::new(),
                 wake: 0,
@@ -265,7 +270,9 @@
                 break;
             }
             let m = self.net.remove(&(at, seq)).expect("just seen");
+            self.record_arrival(&m);
             self.deliver(m);
+            self.record_stored();
         }
         self.cloud_step();
         let names: Vec<String> = self.workers.keys().cloned().collect();
@@ -311,10 +318,77 @@
         n.frozen_until = now + n.turn_ms;
         let life = n.life;
         for e in effects {
+            self.record_effect(i, &e);
             self.effect(i, life, e);
         }
     }
 
+    fn record_effect(&mut self, node: usize, e: &Effect) {
+        match e {
+            Effect::Respond { conn, status, retry_after_s, body } => {
+                let what = format_args!("c-{node} answers {conn} {status} {retry_after_s:?}");
+                self.recorder.message(self.now, what, body);
+            }
+            Effect::Call { id, service, method, path, body, timeout_ms } => {
+                let what =
+                    format_args!("c-{node} calls {id} {service:?} {method} {path} {timeout_ms}");
+                self.recorder.message(self.now, what, body);
+            }
+        }
+    }
+
+    /// Takes down what arrives; what controllers send was taken down when they sent it.
+    fn record_arrival(&mut self, m: &Msg) {
+        let now = self.now;
+        match m {
+            Msg::Reply { node, life, call, status, body } => {
+                let what = format_args!("reply to c-{node} life {life} call {call} {status}");
+                self.recorder.message(now, what, body);
+            }
+            Msg::Report { worker, request, node, body } => {
+                let what = format_args!("report {request} of {worker} to c-{node}");
+                self.recorder.message(now, what, body);
+            }
+            Msg::Answer { worker, request, status, body } => {
+                let what = format_args!("answer to report {request} of {worker} {status}");
+                self.recorder.message(now, what, body);
+            }
+            Msg::User { request, node, method, path, body } => {
+                let what = format_args!("user's request {request} to c-{node} {method} {path}");
+                self.recorder.message(now, what, body);
+            }
+            Msg::UserAnswer { request, status, body } => {
+                let what = format_args!("answer to user's request {request} {status}");
+                self.recorder.message(now, what, body);
+            }
+            Msg::ToState { node, life, call, method, path, .. }
+            | Msg::ToCloud { node, life, call, method, path, .. } => {
+                let what = format_args!("c-{node} life {life} call {call} {method} {path} arrives");
+                self.recorder.message(now, what, &[]);
+            }
+            Msg::ToPeer { node, life, call, to, path, .. } => {
+                let what =
+                    format_args!("c-{node} life {life} call {call} {path} arrives at c-{to}");
+                self.recorder.message(now, what, &[]);
+            }
+        }
+    }
+
+    /// Takes down what the state service has stored since the last call.
+    fn record_stored(&mut self) {
+        let recorded = self.state.recorded_rev.min(self.state.rev);
+        let from = self.state.log.partition_point(|(rev, _, _)| *rev <= recorded);
+        for (rev, key, value) in &self.state.log[from..] {
+            let (what, value) = match value {
+                Some(value) => ("stored", value.to_string()),
+                None => ("removed", String::new()),
+            };
+            let what = format_args!("{what} {key} {rev}");
+            self.recorder.message(self.now, what, value.as_bytes());
+        }
+        self.state.recorded_rev = self.state.rev;
+    }
+
     fn effect(&mut self, node: usize, life: u64, e: Effect) {
         let turn_ms = self.nodes[node].turn_ms;
         let d = self.hop() + turn_ms;
--- a/tests/world/scenario.rs
+++ b/tests/world/scenario.rs
@@ -25,8 +25,8 @@
         n.start_at = Some(self.now + back_in);
         n.inbox.clear();
         n.deadlines.clear();
-        let conns: Vec<Conn> = n.conns.drain().map(|(_, c)| c).collect();
-        for c in conns {
+        let conns = std::mem::take(&mut n.conns);
+        for c in conns.into_values() {
             match c {
                 // A reset connection: the worker or user notices at once.
                 Conn::Worker { name, request } => {
--- a/tests/world/state_service.rs
+++ b/tests/world/state_service.rs
@@ -30,6 +30,8 @@
 pub struct State {
     pub(super) keys: BTreeMap<String, Entry>,
     pub rev: u64,
+    /// Changes up to this revision are in the record of the run.
+    pub(super) recorded_rev: u64,
     /// Puts and deletes carried out.
     pub changes: usize,
     pub(super) log: Vec<(u64, String, Option<Value>)>,
