--- a/crates/mountgap-records/src/records.rs
+++ b/crates/mountgap-records/src/records.rs
@@ -44,17 +44,17 @@
 }
 
 /// The key of how a job ended. It exists once the job is done or withdrawn, and only then.
-pub fn end_key(uid: &str) -> String {
+pub fn job_end_key(uid: &str) -> String {
     format!("{}end/{uid}", KEY_ROOT)
 }
 
 /// The key of a group of bitmaps of done tasks.
-pub fn done_key(group: u32) -> String {
+pub fn done_tasks_key(group: u32) -> String {
     format!("{}done/{group:04}", KEY_ROOT)
 }
 
 /// The key of a group of placements.
-pub fn place_key(group: u32) -> String {
+pub fn placements_key(group: u32) -> String {
     format!("{}place/{group:04}", KEY_ROOT)
 }
 
@@ -69,12 +69,12 @@
 }
 
 /// The key of a group of ends that a rebuild has written: a write an end would take hours.
-pub fn end_group_key(group: u32) -> String {
+pub fn job_end_group_key(group: u32) -> String {
     format!("{}ends/{group:05}", KEY_ROOT)
 }
 
 /// The key of a group of jobs that a rebuild could not account for.
-pub fn flagged_key(group: u32) -> String {
+pub fn flagged_jobs_key(group: u32) -> String {
     format!("{}flagged/{group:04}", KEY_ROOT)
 }
 
@@ -151,7 +151,7 @@
 
 /// Who leads.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LeaderRec {
+pub struct LeaderRecord {
     /// Name of the controller.
     pub label: String,
     /// Random number of its process.
@@ -162,14 +162,14 @@
 
 /// The highest term ever taken.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct TermRec {
+pub struct TermRecord {
     /// The term.
     pub term: u64,
 }
 
 /// Which store this is. A store that was emptied gets another identity, or none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StoreRec {
+pub struct StoreIdRecord {
     /// A random number.
     pub id: u64,
 }
@@ -188,7 +188,7 @@
 
 /// The last rebuild of the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RebuildRec {
+pub struct RebuildRecord {
     /// How far it has come.
     pub phase: RebuildPhase,
     /// Label of the controller that does it, or did.
@@ -219,22 +219,22 @@
 /// Jobs that a rebuild could not account for. Nothing of them starts, and users are told nothing of
 /// them, until an operator releases them or gives them up.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct FlaggedRec {
+pub struct FlaggedJobsRecord {
     /// Jobs with the reason of each.
     pub jobs: BTreeMap<String, FlagReason>,
 }
 
 /// Ends of jobs that a rebuild has written together.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct EndGroupRec {
+pub struct JobEndGroupRecord {
     /// Ends by job.
-    pub ends: BTreeMap<String, EndRec>,
+    pub ends: BTreeMap<String, JobEndRecord>,
 }
 
 /// Where a job stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum JobStage {
     /// Accepted, neither done nor cancelled.
     Live,
     /// All tasks are done.
@@ -250,7 +250,7 @@
 /// The same job may stand in two batches, when its user asked two controllers. The one written
 /// first counts, and no batch is accepted with a job that has ended.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct BatchRec {
+pub struct BatchRecord {
     /// Time of day of the acceptance, in milliseconds.
     pub at: u64,
     /// Number of its first job among all that one commit accepted: batches of one commit have
@@ -263,11 +263,11 @@
 
 /// How a job ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct EndRec {
+pub struct JobEndRecord {
     /// Time of day of the acceptance, in milliseconds.
     pub at: u64,
     /// How it ended.
-    pub stage: Stage,
+    pub stage: JobStage,
     /// Number of its tasks.
     #[serde(rename = "loads")]
     pub tasks: u32,
@@ -277,11 +277,11 @@
 
 /// A job, put together from its batch and its end.
 #[derive(Debug, Clone)]
-pub struct JobRec {
+pub struct JobRecord {
     /// Time of day of the acceptance, in milliseconds.
     pub at: u64,
     /// Whether it is live, done or cancelled.
-    pub stage: Stage,
+    pub stage: JobStage,
     /// Number of its tasks.
     pub tasks: u32,
     /// Known as long as its batch is kept.
@@ -289,17 +289,17 @@
     /// Tasks that were done when it ended.
     pub done: u32,
     /// Revision at which it ended; 0 while it is live.
-    pub end_stamp: u64,
+    pub end_revision: u64,
 }
 
 /// Bitmaps of done tasks as text, by job and chunk ([`chunk_name`]).
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct DoneRec {
+pub struct DoneTasksRecord {
     /// Bitmaps in hexadecimal.
     pub bits: BTreeMap<String, String>,
 }
 
-/// Name of a job's chunk in a [`DoneRec`].
+/// Name of a job's chunk in a [`DoneTasksRecord`].
 pub fn chunk_name(uid: &str, chunk: u32) -> String {
     format!("{uid}/{chunk}")
 }
@@ -310,19 +310,19 @@
     Some((uid, chunk.parse().ok()?))
 }
 
-/// Placements of any jobs on any machines, one text after the other ([`Placed`]). One value
+/// Placements of any jobs on any machines, one text after the other ([`StoredPlacement`]). One value
 /// holds hundreds, so that one write starts and settles many tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct PlaceRec {
+pub struct PlacementsRecord {
     /// The texts, separated by spaces.
     pub tasks: String,
 }
 
-impl PlaceRec {
+impl PlacementsRecord {
     /// The placements; what can't be read is left out with a log line.
-    pub fn placed(&self) -> impl Iterator<Item = Placed<'_>> {
+    pub fn placed(&self) -> impl Iterator<Item = StoredPlacement<'_>> {
         self.tasks.split_ascii_whitespace().filter_map(|t| {
-            let p = Placed::parse(t);
+            let p = StoredPlacement::parse(t);
             if p.is_none() {
                 log::error!("stored placement {t} can't be read");
             }
@@ -333,7 +333,7 @@
 
 /// A task on a machine, as stored: `000412/3@n-000231#28000001`, the attempt in hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Placed<'a> {
+pub struct StoredPlacement<'a> {
     /// The job's id without its [`UID_PREFIX`].
     pub digits: &'a str,
     /// The task's number.
@@ -344,13 +344,13 @@
     pub attempt: u64,
 }
 
-impl<'a> Placed<'a> {
-    fn parse(text: &'a str) -> Option<Placed<'a>> {
+impl<'a> StoredPlacement<'a> {
+    fn parse(text: &'a str) -> Option<StoredPlacement<'a>> {
         let (digits, rest) = text.split_once('/')?;
         let (task, rest) = rest.split_once('@')?;
         let (machine, attempt) = rest.rsplit_once('#')?;
         let attempt = u64::from_str_radix(attempt, 16).ok()?;
-        Some(Placed { digits, task: task.parse().ok()?, machine, attempt })
+        Some(StoredPlacement { digits, task: task.parse().ok()?, machine, attempt })
     }
 
     /// The text form; `None` for a machine whose name can't stand in one.
@@ -370,7 +370,7 @@
 
 /// Images that machines hold, for a new leader: hints, written seldom.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct ImagesRec {
+pub struct ImagesRecord {
     /// Image and size.
     #[serde(rename = "kits")]
     pub images: Vec<(String, f64)>,
@@ -380,7 +380,7 @@
 
 /// The teams' shares of the machines, in thousandths of the fleet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ShareRec {
+pub struct SharesRecord {
     /// The term in which they were stored.
     pub term: u64,
     /// Team and thousandths.
--- a/crates/mountgap-recovery/src/audit.rs
+++ b/crates/mountgap-recovery/src/audit.rs
@@ -6,7 +6,7 @@
 //! grown past the old ones since.
 
 use crate::image::{StoreId, StoreImage, StoredValue};
-use mountgap_records::records::{parse_key, BatchRec, EndGroupRec, Key};
+use mountgap_records::records::{parse_key, BatchRecord, JobEndGroupRecord, Key};
 use std::collections::BTreeSet;
 
 /// What shows that the store has lost data.
@@ -89,8 +89,8 @@
     }
     for (key, value) in shown.iter() {
         // All that was there at the known revision is known, and with the same stamp.
-        let old = value.stamp <= known.revision();
-        if old && known.stamp(key) != value.stamp {
+        let old = value.mod_revision <= known.revision();
+        if old && known.mod_revision(key) != value.mod_revision {
             return Err(Loss::Contradiction { key: key.to_string() });
         }
     }
@@ -114,15 +114,15 @@
 ) -> Result<(), Loss> {
     let contradiction = || Err(Loss::Contradiction { key: key.to_string() });
     let now = shown.get(key);
-    if now.is_some_and(|now| now.stamp < known.stamp) {
+    if now.is_some_and(|now| now.mod_revision < known.mod_revision) {
         return contradiction();
     }
     match parse_key(key) {
-        Some(Key::End(job)) if now.is_none_or(|now| now.stamp != known.stamp) => {
+        Some(Key::End(job)) if now.is_none_or(|now| now.mod_revision != known.mod_revision) => {
             Err(Loss::EndGone { job: job.to_string() })
         }
         Some(Key::Batch(_) | Key::GangBatch(_)) if now.is_none() => {
-            let jobs = serde_json::from_str::<BatchRec>(&known.data).map(|batch| batch.jobs);
+            let jobs = serde_json::from_str::<BatchRecord>(&known.data).map(|batch| batch.jobs);
             let open = |uid: &&String| !ended.contains(*uid);
             match jobs.unwrap_or_default().iter().map(|job| &job.uid).find(open) {
                 Some(job) => Err(Loss::JobGone { job: job.clone() }),
@@ -145,7 +145,7 @@
                 ended.insert(job.to_string());
             }
             Some(Key::EndGroup(_)) => {
-                let group = serde_json::from_str::<EndGroupRec>(&value.data);
+                let group = serde_json::from_str::<JobEndGroupRecord>(&value.data);
                 ended.extend(group.unwrap_or_default().ends.into_keys());
             }
             _ => {}
--- a/crates/mountgap-recovery/src/image.rs
+++ b/crates/mountgap-recovery/src/image.rs
@@ -6,7 +6,7 @@
 //! so that a snapshot is written beside the event loop.
 
 use imbl::OrdMap;
-use mountgap_records::records::{StoreRec, TermRec};
+use mountgap_records::records::{StoreIdRecord, TermRecord};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredValue {
     /// Revision of the key's last change.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// The value as JSON text.
     pub data: Arc<str>,
 }
@@ -68,14 +68,14 @@
     /// The identity of the store, if it has one.
     pub fn identity(&self) -> Option<StoreId> {
         let value = self.values.get(mountgap_records::records::store_key().as_str())?;
-        let record: StoreRec = serde_json::from_str(&value.data).ok()?;
+        let record: StoreIdRecord = serde_json::from_str(&value.data).ok()?;
         Some(StoreId(record.id))
     }
 
     /// The term that it holds; 0 if there is none.
     pub fn term(&self) -> u64 {
         let value = self.values.get(mountgap_records::records::term_key().as_str());
-        let record = value.and_then(|value| serde_json::from_str::<TermRec>(&value.data).ok());
+        let record = value.and_then(|value| serde_json::from_str::<TermRecord>(&value.data).ok());
         record.map_or(0, |record| record.term)
     }
 
@@ -85,8 +85,8 @@
     }
 
     /// Revision of a key's last change; 0 if it doesn't exist.
-    pub fn stamp(&self, key: &str) -> u64 {
-        self.values.get(key).map_or(0, |value| value.stamp)
+    pub fn mod_revision(&self, key: &str) -> u64 {
+        self.values.get(key).map_or(0, |value| value.mod_revision)
     }
 
     /// All keys with their values, in the order of the keys.
@@ -105,37 +105,37 @@
 
     /// Removals above the revision of the image.
     pub fn removals(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
-        self.removed.iter().map(|(key, stamp)| (key, *stamp))
+        self.removed.iter().map(|(key, mod_revision)| (key, *mod_revision))
     }
 
     /// Puts in a value; an older one than is known, or one removed since, is left out.
-    pub fn put(&mut self, key: &str, stamp: u64, data: &str) {
-        let newer = self.stamp(key) < stamp;
-        let removed = self.removed.get(key).is_some_and(|at| *at >= stamp);
+    pub fn put(&mut self, key: &str, mod_revision: u64, data: &str) {
+        let newer = self.mod_revision(key) < mod_revision;
+        let removed = self.removed.get(key).is_some_and(|at| *at >= mod_revision);
         if newer && !removed {
-            self.values.insert(key.into(), StoredValue { stamp, data: data.into() });
+            self.values.insert(key.into(), StoredValue { mod_revision, data: data.into() });
         }
     }
 
     /// Puts in a value that may be known in another spelling, of which the first in order counts.
     fn put_either(&mut self, key: &str, value: &StoredValue) {
         match self.values.get_mut(key) {
-            Some(known) if known.stamp == value.stamp => {
+            Some(known) if known.mod_revision == value.mod_revision => {
                 if value.data < known.data {
                     known.data = value.data.clone();
                 }
             }
-            _ => self.put(key, value.stamp, &value.data),
+            _ => self.put(key, value.mod_revision, &value.data),
         }
     }
 
     /// Takes out a key that was removed at a revision.
-    pub fn remove(&mut self, key: &str, stamp: u64) {
-        if self.values.get(key).is_some_and(|value| value.stamp < stamp) {
+    pub fn remove(&mut self, key: &str, mod_revision: u64) {
+        if self.values.get(key).is_some_and(|value| value.mod_revision < mod_revision) {
             self.values.remove(key);
         }
-        if stamp > self.revision {
-            let at = self.removed.get(key).copied().unwrap_or(0).max(stamp);
+        if mod_revision > self.revision {
+            let at = self.removed.get(key).copied().unwrap_or(0).max(mod_revision);
             self.removed.insert(key.into(), at);
         }
     }
@@ -170,7 +170,8 @@
         }
         for (one, beside) in [(self, other), (other, self)] {
             for (key, value) in one.iter() {
-                let seen_removed = value.stamp <= beside.revision && beside.get(key).is_none();
+                let seen_removed =
+                    value.mod_revision <= beside.revision && beside.get(key).is_none();
                 if !seen_removed {
                     joined.put_either(key, value);
                 }
--- a/crates/mountgap-recovery/src/picture.rs
+++ b/crates/mountgap-recovery/src/picture.rs
@@ -10,8 +10,9 @@
 use mountgap_records::constants::DONE_CHUNK_TASKS;
 use mountgap_records::job::JobSpec;
 use mountgap_records::records::{
-    chunk_name, parse_chunk, parse_key, BatchRec, Bitmap, DoneRec, EndGroupRec, EndRec, FlagReason,
-    FlaggedRec, Key, PlaceRec, RebuildRec, ShareRec, Stage, TermRec,
+    chunk_name, parse_chunk, parse_key, BatchRecord, Bitmap, DoneTasksRecord, FlagReason,
+    FlaggedJobsRecord, JobEndGroupRecord, JobEndRecord, JobStage, Key, PlacementsRecord,
+    RebuildRecord, SharesRecord, TermRecord,
 };
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,9 +31,9 @@
 #[derive(Debug, Clone)]
 pub struct Batch {
     /// Its records.
-    pub record: BatchRec,
+    pub record: BatchRecord,
     /// Revision of its key in the source, for the order of arrival.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// What the sources say together.
@@ -41,7 +42,7 @@
     /// Batches of jobs by key, gangs' too.
     pub batches: BTreeMap<String, Batch>,
     /// Ends by job.
-    pub ends: BTreeMap<String, EndRec>,
+    pub ends: BTreeMap<String, JobEndRecord>,
     /// Done tasks by job, as stored texts by chunk.
     pub done: BTreeMap<String, BTreeMap<u32, String>>,
     /// Placements by task.
@@ -51,7 +52,7 @@
     /// Controllers whose memory an earlier rebuild lacked, where no operator has closed that gap yet.
     pub open_gap: BTreeSet<String>,
     /// The teams' shares.
-    pub shares: Option<ShareRec>,
+    pub shares: Option<SharesRecord>,
     /// The catalogue as stored.
     pub catalog: Option<String>,
     /// Highest term.
@@ -80,7 +81,7 @@
     pub fn of_image(image: &StoreImage) -> Picture {
         let mut picture = Picture::default();
         for (key, value) in image.iter() {
-            if picture.take(key, value.stamp, &value.data).is_none() {
+            if picture.take(key, value.mod_revision, &value.data).is_none() {
                 picture.unreadable.insert(key.to_string());
             }
         }
@@ -88,29 +89,29 @@
     }
 
     /// Takes in one value; none if it can't be read.
-    fn take(&mut self, key: &str, stamp: u64, data: &str) -> Option<()> {
+    fn take(&mut self, key: &str, mod_revision: u64, data: &str) -> Option<()> {
         fn read<T: DeserializeOwned>(data: &str) -> Option<T> {
             serde_json::from_str(data).ok()
         }
         match parse_key(key) {
             Some(Key::Batch(_) | Key::GangBatch(_)) => {
                 let record = read(data)?;
-                self.add_batch(key, Batch { record, stamp });
+                self.add_batch(key, Batch { record, mod_revision });
             }
             Some(Key::End(job)) => self.add_end(job, read(data)?),
             Some(Key::EndGroup(_)) => {
-                let group: EndGroupRec = read(data)?;
+                let group: JobEndGroupRecord = read(data)?;
                 group.ends.into_iter().for_each(|(job, end)| self.add_end(&job, end));
             }
             Some(Key::Done(_)) => {
-                let group: DoneRec = read(data)?;
+                let group: DoneTasksRecord = read(data)?;
                 for (name, text) in &group.bits {
                     let (job, chunk) = parse_chunk(name)?;
                     self.add_done(job, chunk, text);
                 }
             }
             Some(Key::Place(_)) => {
-                let group: PlaceRec = read(data)?;
+                let group: PlacementsRecord = read(data)?;
                 for placed in group.placed() {
                     let task = (placed.uid().to_string(), placed.task);
                     let machine = placed.machine.to_string();
@@ -118,13 +119,13 @@
                 }
             }
             Some(Key::Flagged(_)) => {
-                let group: FlaggedRec = read(data)?;
+                let group: FlaggedJobsRecord = read(data)?;
                 group.jobs.into_iter().for_each(|(job, reason)| self.add_flag(&job, reason));
             }
-            Some(Key::Term) => self.term = self.term.max(read::<TermRec>(data)?.term),
+            Some(Key::Term) => self.term = self.term.max(read::<TermRecord>(data)?.term),
             Some(Key::Shares) => self.add_shares(read(data)?),
             Some(Key::Catalog) => self.add_catalog(data),
-            Some(Key::Rebuild) => self.open_gap.extend(read::<RebuildRec>(data)?.gap),
+            Some(Key::Rebuild) => self.open_gap.extend(read::<RebuildRecord>(data)?.gap),
             Some(Key::Leader | Key::Images(_) | Key::Store) | None => {}
         }
         Some(())
@@ -157,26 +158,26 @@
     /// A batch is never changed once it is written; should two differ, the larger text counts
     /// everywhere.
     fn add_batch(&mut self, key: &str, batch: Batch) {
-        let text = |record: &BatchRec| serde_json::to_string(&record.jobs).unwrap_or_default();
+        let text = |record: &BatchRecord| serde_json::to_string(&record.jobs).unwrap_or_default();
         match self.batches.get_mut(key) {
             None => {
                 self.batches.insert(key.to_string(), batch);
             }
             Some(known) => {
                 let rank = |batch: &Batch| (text(&batch.record), batch.record.at);
-                let stamp = known.stamp.max(batch.stamp);
+                let mod_revision = known.mod_revision.max(batch.mod_revision);
                 if rank(known) < rank(&batch) {
                     *known = batch;
                 }
-                known.stamp = stamp;
+                known.mod_revision = mod_revision;
             }
         }
     }
 
     /// Of two ends of a job, which only sources of different histories can have, completion counts:
     /// there is a result.
-    fn add_end(&mut self, job: &str, end: EndRec) {
-        let rank = |end: &EndRec| (end.stage == Stage::Done, end.done, end.at, end.tasks);
+    fn add_end(&mut self, job: &str, end: JobEndRecord) {
+        let rank = |end: &JobEndRecord| (end.stage == JobStage::Done, end.done, end.at, end.tasks);
         match self.ends.get_mut(job) {
             Some(known) if rank(known) >= rank(&end) => {}
             Some(known) => *known = end,
@@ -209,8 +210,8 @@
         *known = (*known).max(reason);
     }
 
-    fn add_shares(&mut self, shares: ShareRec) {
-        let rank = |shares: &ShareRec| (shares.term, shares.teams.clone());
+    fn add_shares(&mut self, shares: SharesRecord) {
+        let rank = |shares: &SharesRecord| (shares.term, shares.teams.clone());
         if self.shares.as_ref().is_none_or(|known| rank(known) < rank(&shares)) {
             self.shares = Some(shares);
         }
--- a/crates/mountgap-recovery/src/snapshot.rs
+++ b/crates/mountgap-recovery/src/snapshot.rs
@@ -74,7 +74,7 @@
     let mut stream = DeflateEncoder::new(bytes, Compression::fast());
     for (key, value) in image.iter() {
         write_text(&mut stream, key)?;
-        stream.write_all(&value.stamp.to_le_bytes())?;
+        stream.write_all(&value.mod_revision.to_le_bytes())?;
         write_text(&mut stream, &value.data)?;
     }
     let mut bytes = stream.finish()?;
@@ -106,12 +106,12 @@
     let mut image = StoreImage::new();
     for _ in 0..header.keys {
         let key = values.text()?;
-        let stamp = values.number()?;
+        let mod_revision = values.number()?;
         let data = values.text()?;
-        if stamp > header.revision {
+        if mod_revision > header.revision {
             return Err(SnapshotError::Malformed("a value is newer than the snapshot"));
         }
-        image.put(&key, stamp, &data);
+        image.put(&key, mod_revision, &data);
     }
     if values.left()? {
         return Err(SnapshotError::Malformed("more values than it names"));
--- a/crates/mountgap-recovery/src/write_back.rs
+++ b/crates/mountgap-recovery/src/write_back.rs
@@ -8,8 +8,9 @@
 use crate::image::{StoreId, StoreImage};
 use crate::picture::{Batch, Picture};
 use mountgap_records::records::{
-    catalog_key, done_key, end_group_key, end_key, flagged_key, parse_key, place_key, shares_key,
-    store_key, BatchRec, DoneRec, EndGroupRec, EndRec, FlaggedRec, Key, PlaceRec, Placed, StoreRec,
+    catalog_key, done_tasks_key, flagged_jobs_key, job_end_group_key, job_end_key, parse_key,
+    placements_key, shares_key, store_key, BatchRecord, DoneTasksRecord, FlaggedJobsRecord,
+    JobEndGroupRecord, JobEndRecord, Key, PlacementsRecord, StoreIdRecord, StoredPlacement,
 };
 use serde::Serialize;
 use serde_json::Value;
@@ -108,7 +109,7 @@
     ) -> Self {
         let mut layout = Layout::default();
         let room = limits.value_bytes.saturating_sub(VALUE_FRAME_BYTES);
-        layout.add(store_key(), text(&StoreRec { id: identity.0 }));
+        layout.add(store_key(), text(&StoreIdRecord { id: identity.0 }));
         layout.add_flagged(picture, room);
         layout.add_batches(picture, limits.value_bytes);
         layout.add_done(picture, room);
@@ -128,8 +129,8 @@
             ((job.clone(), *reason), bytes)
         });
         for (n, group) in grouped(entries, room).into_iter().enumerate() {
-            let record = FlaggedRec { jobs: group.into_iter().collect() };
-            self.add(flagged_key(n as u32), text(&record));
+            let record = FlaggedJobsRecord { jobs: group.into_iter().collect() };
+            self.add(flagged_jobs_key(n as u32), text(&record));
         }
     }
 
@@ -137,7 +138,7 @@
     /// divided.
     fn add_batches(&mut self, picture: &Picture, value_bytes: usize) {
         let mut batches: Vec<(&String, &Batch)> = picture.batches.iter().collect();
-        batches.sort_by_key(|(key, batch)| (batch.record.at, batch.stamp, *key));
+        batches.sort_by_key(|(key, batch)| (batch.record.at, batch.mod_revision, *key));
         let (mut window, mut first) = (0, 0);
         for (key, batch) in batches {
             for (key, jobs) in divided(key, &batch.record, value_bytes) {
@@ -145,7 +146,7 @@
                     window += 1;
                     first = 0;
                 }
-                let record = BatchRec { at: batch.record.at, first: first as u64, jobs };
+                let record = BatchRecord { at: batch.record.at, first: first as u64, jobs };
                 first += record.jobs.len();
                 let (data, batch) = (text(&record), Some((record.at, text(&record.jobs))));
                 self.wanted.push(Wanted { key, data, window, batch });
@@ -159,27 +160,28 @@
             ((name, bits.clone()), bytes)
         });
         for (n, group) in grouped(entries, room).into_iter().enumerate() {
-            let record = DoneRec { bits: group.into_iter().collect() };
-            self.add(done_key(n as u32), text(&record));
+            let record = DoneTasksRecord { bits: group.into_iter().collect() };
+            self.add(done_tasks_key(n as u32), text(&record));
         }
     }
 
     fn add_places(&mut self, picture: &Picture, room: usize) {
         let entries = picture.placements.iter().filter_map(|((job, task), placed)| {
-            let entry = Placed::text(job, *task, &placed.machine, placed.attempt)?;
+            let entry = StoredPlacement::text(job, *task, &placed.machine, placed.attempt)?;
             let bytes = entry.len() + 1;
             Some((entry, bytes))
         });
         for (n, group) in grouped(entries, room).into_iter().enumerate() {
-            self.add(place_key(n as u32), text(&PlaceRec { tasks: group.join(" ") }));
+            self.add(placements_key(n as u32), text(&PlacementsRecord { tasks: group.join(" ") }));
         }
     }
 
     fn add_ends(&mut self, picture: &Picture, present: &StoreImage, room: usize) {
-        let stands_alone = |job: &str, end: &EndRec| {
-            let value = present.get(&end_key(job));
-            value
-                .is_some_and(|v| serde_json::from_str::<EndRec>(&v.data).ok().as_ref() == Some(end))
+        let stands_alone = |job: &str, end: &JobEndRecord| {
+            let value = present.get(&job_end_key(job));
+            value.is_some_and(|v| {
+                serde_json::from_str::<JobEndRecord>(&v.data).ok().as_ref() == Some(end)
+            })
         };
         let entries =
             picture.ends.iter().filter(|(job, end)| !stands_alone(job, end)).map(|(job, end)| {
@@ -187,8 +189,8 @@
                 ((job.clone(), end.clone()), bytes)
             });
         for (n, group) in grouped(entries, room).into_iter().enumerate() {
-            let record = EndGroupRec { ends: group.into_iter().collect() };
-            self.add(end_group_key(n as u32), text(&record));
+            let record = JobEndGroupRecord { ends: group.into_iter().collect() };
+            self.add(job_end_group_key(n as u32), text(&record));
         }
     }
 
@@ -215,7 +217,7 @@
             bytes += size;
             window = window.or(wanted.batch.as_ref().map(|_| wanted.window));
             let change = Change::Put { key: wanted.key.clone(), data: wanted.data.clone() };
-            piece.changes.push((change, present.stamp(&wanted.key)));
+            piece.changes.push((change, present.mod_revision(&wanted.key)));
         }
         let kept: BTreeSet<&str> = self.wanted.iter().map(|w| w.key.as_str()).collect();
         for (key, value) in present.iter() {
@@ -223,7 +225,7 @@
                 break;
             }
             if is_rebuilt(key) && !kept.contains(&**key) {
-                piece.changes.push((Change::Remove { key: key.to_string() }, value.stamp));
+                piece.changes.push((Change::Remove { key: key.to_string() }, value.mod_revision));
             }
         }
         (!piece.changes.is_empty()).then_some(piece)
@@ -240,7 +242,7 @@
         let Some(value) = present.get(&self.key) else { return false };
         match &self.batch {
             None => same_value(&value.data, &self.data),
-            Some((at, jobs)) => serde_json::from_str::<BatchRec>(&value.data)
+            Some((at, jobs)) => serde_json::from_str::<BatchRecord>(&value.data)
                 .is_ok_and(|batch| batch.at == *at && text(&batch.jobs) == *jobs),
         }
     }
@@ -288,7 +290,7 @@
 /// A batch, or its parts under keys of their own if it is larger than a value may be.
 fn divided(
     key: &str,
-    record: &BatchRec,
+    record: &BatchRecord,
     value_bytes: usize,
 ) -> Vec<(String, Vec<std::rc::Rc<mountgap_records::job::JobSpec>>)> {
     let room = value_bytes.saturating_sub(VALUE_FRAME_BYTES);
--- a/crates/mountgap-recovery/tests/laws.rs
+++ b/crates/mountgap-recovery/tests/laws.rs
@@ -5,8 +5,9 @@
 
 use bolero::check;
 use mountgap_records::records::{
-    batch_key, done_key, end_key, place_key, store_key, term_key, BatchRec, Bitmap, DoneRec,
-    EndRec, FlagReason, PlaceRec, Placed, Stage, StoreRec, TermRec,
+    batch_key, done_tasks_key, job_end_key, placements_key, store_key, term_key, BatchRecord,
+    Bitmap, DoneTasksRecord, FlagReason, JobEndRecord, JobStage, PlacementsRecord, StoreIdRecord,
+    StoredPlacement, TermRecord,
 };
 use mountgap_recovery::audit::{audit, Loss};
 use mountgap_recovery::image::{StoreId, StoreImage};
@@ -27,7 +28,7 @@
         "together": false, "apart": false, "lendables": true, "run_guess_s": 1.0, "mark_every_s": 0.0,
         "mark_cost_s": 0.0});
     let jobs = vec![serde_json::from_value(spec).expect("a job")];
-    text(&BatchRec { at, first: 0, jobs })
+    text(&BatchRecord { at, first: 0, jobs })
 }
 
 /// A store that is changed, with its revisions.
@@ -40,8 +41,8 @@
 impl Store {
     fn new(id: u64) -> Store {
         let mut store = Store { image: StoreImage::new(), revision: 0 };
-        store.put(store_key(), text(&StoreRec { id }));
-        store.put(term_key(), text(&TermRec { term: 1 }));
+        store.put(store_key(), text(&StoreIdRecord { id }));
+        store.put(term_key(), text(&TermRecord { term: 1 }));
         store
     }
 
@@ -62,36 +63,43 @@
         let job = u64::from(what % 6);
         let name = format!("job-{job}");
         let accepted = self.image.get(&batch_key(&name)).is_some();
-        let ended = self.image.get(&end_key(&name)).is_some();
+        let ended = self.image.get(&job_end_key(&name)).is_some();
         match what / 32 {
             0 | 1 if !accepted && !ended => self.put(batch_key(&name), batch(job, self.revision)),
             2 if accepted && !ended => {
-                let stage = if what & 16 == 0 { Stage::Done } else { Stage::Cancelled };
-                let end = EndRec { at: 0, stage, tasks: 70, done: 0 };
-                self.put(end_key(&name), text(&end));
+                let stage = if what & 16 == 0 { JobStage::Done } else { JobStage::Cancelled };
+                let end = JobEndRecord { at: 0, stage, tasks: 70, done: 0 };
+                self.put(job_end_key(&name), text(&end));
             }
             3 if accepted && ended => self.remove(&batch_key(&name)),
             4 => {
                 let group = u32::from(what % 2);
                 let attempt = self.revision + 1;
-                let tasks = Placed::text(&name, u32::from(what % 3), "n-1", attempt);
-                self.put(place_key(group), text(&PlaceRec { tasks: tasks.expect("a text") }));
+                let tasks = StoredPlacement::text(&name, u32::from(what % 3), "n-1", attempt);
+                self.put(
+                    placements_key(group),
+                    text(&PlacementsRecord { tasks: tasks.expect("a text") }),
+                );
             }
             5 => {
                 let mut bits = Bitmap::default();
                 bits.set(u32::from(what));
                 let bits = [(format!("{name}/0"), bits.chunk_text(0))].into_iter().collect();
-                self.put(done_key(0), text(&DoneRec { bits }));
+                self.put(done_tasks_key(0), text(&DoneTasksRecord { bits }));
             }
-            6 => self.put(term_key(), text(&TermRec { term: self.image.term() + 1 })),
+            6 => self.put(term_key(), text(&TermRecord { term: self.image.term() + 1 })),
             _ => {}
         }
     }
 
     fn apply(&mut self, piece: &Piece) {
         self.revision += 1;
-        for (change, stamp) in &piece.changes {
-            assert_eq!(self.image.stamp(change.key()), *stamp, "it depends on what is there");
+        for (change, mod_revision) in &piece.changes {
+            assert_eq!(
+                self.image.mod_revision(change.key()),
+                *mod_revision,
+                "it depends on what is there"
+            );
             match change {
                 Change::Put { key, data } => self.image.put(key, self.revision, data),
                 Change::Remove { key } => self.image.remove(key, self.revision),
@@ -150,8 +158,8 @@
             known.put(batch_key("job-91"), batch(91, 1));
             lost.iter().for_each(|what| known.change(*what));
             known.put(
-                end_key("job-92"),
-                text(&EndRec { at: 0, stage: Stage::Done, tasks: 1, done: 1 }),
+                job_end_key("job-92"),
+                text(&JobEndRecord { at: 0, stage: JobStage::Done, tasks: 1, done: 1 }),
             );
             let mut shown = backup;
             shown.revision += 1_000;
@@ -167,12 +175,15 @@
     // A task was once started a second time: only its placement had been lost.
     let backup = history(7, &[]);
     let mut known = backup.clone();
-    let tasks = Placed::text("job-1", 0, "n-1", 9).expect("a text");
-    known.put(place_key(0), text(&PlaceRec { tasks }));
+    let tasks = StoredPlacement::text("job-1", 0, "n-1", 9).expect("a text");
+    known.put(placements_key(0), text(&PlacementsRecord { tasks }));
     let mut shown = backup;
     shown.revision += 1_000;
     shown.image.advance(shown.revision);
-    assert_eq!(audit(&known.image, &shown.image), Err(Loss::Contradiction { key: place_key(0) }));
+    assert_eq!(
+        audit(&known.image, &shown.image),
+        Err(Loss::Contradiction { key: placements_key(0) })
+    );
 }
 
 #[test]
@@ -254,12 +265,12 @@
 fn values_keep_to_the_limit_and_large_batches_are_divided() {
     let mut store = Store::new(7);
     let jobs: Vec<_> = (0..40)
-        .flat_map(|n| serde_json::from_str::<BatchRec>(&batch(n, 3)).expect("a batch").jobs)
+        .flat_map(|n| serde_json::from_str::<BatchRecord>(&batch(n, 3)).expect("a batch").jobs)
         .collect();
-    store.put(batch_key("large"), text(&BatchRec { at: 3, first: 0, jobs }));
+    store.put(batch_key("large"), text(&BatchRecord { at: 3, first: 0, jobs }));
     for n in 0..400_u64 {
-        let end = EndRec { at: n, stage: Stage::Done, tasks: 1, done: 1 };
-        store.put(end_key(&format!("job-{}", 1_000 + n)), text(&end));
+        let end = JobEndRecord { at: n, stage: JobStage::Done, tasks: 1, done: 1 };
+        store.put(job_end_key(&format!("job-{}", 1_000 + n)), text(&end));
     }
     let picture = Picture::of_image(&store.image);
     let mut empty = Store { image: StoreImage::new(), revision: 0 };
--- a/src/coordination/commit_places.rs
+++ b/src/coordination/commit_places.rs
@@ -5,16 +5,18 @@
 //! one commit together or wait together. A group that is larger than a value may be by now, because
 //! it was written under higher limits, is divided by one commit.
 
-use super::commits::{Entry, Focus, Move, Packer};
-use super::leader::PendingCommit;
+use super::commits::{PlacementEntry, PlacementMove, TransactionBuilder, TransactionScope};
+use super::leader::PendingTransaction;
 use crate::constants::{
     CLEAN_GROUPS, COMMIT_BYTES, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS, GROUP_FRAME_BYTES,
 };
 use crate::protocol::state::raw;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::EndCause;
 use crate::storage::cluster::ClusterState;
-use crate::storage::machine::{Life, Phase, TaskId};
-use crate::storage::records::{end_key, place_key, Name, PlaceRec, Placed, Stage};
+use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
+use crate::storage::records::{
+    job_end_key, placements_key, JobStage, Name, PlacementsRecord, StoredPlacement,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// The groups that a commit writes, and how full each group will be.
@@ -84,20 +86,20 @@
     /// It must not be stored any more.
     Retract,
     /// It can be stored.
-    Store(Entry),
+    Store(PlacementEntry),
 }
 
 impl ClusterState {
     /// Whether a settled placement may be taken out of the store: what it did must be there.
-    fn may_leave(&self, machine: &Name, id: &TaskId, f: &PendingCommit) -> bool {
-        let cause = self.machines.get(machine).and_then(|m| m.placements.get(id)?.ended);
-        if cause != Some(Cause::Done) || f.finishes.contains(&id.0) {
+    fn may_leave(&self, machine: &Name, id: &TaskId, f: &PendingTransaction) -> bool {
+        let cause = self.machines.get(machine).and_then(|m| m.placements.get(id)?.settled);
+        if cause != Some(EndCause::Done) || f.finished_jobs.contains(&id.0) {
             return true;
         }
         let chunk = id.1 / DONE_CHUNK_TASKS;
         self.jobs
             .get(&id.0)
-            .is_none_or(|j| j.stage != Stage::Live || !j.dirty_chunks.contains(&chunk))
+            .is_none_or(|j| j.stage != JobStage::Live || !j.dirty_chunks.contains(&chunk))
     }
 
     /// Whether any group holds more than a value may by now.
@@ -108,23 +110,23 @@
     /// Starts and settlements.
     pub(super) fn pack_places(
         &mut self,
-        p: &mut Packer,
-        f: &mut PendingCommit,
+        p: &mut TransactionBuilder,
+        f: &mut PendingTransaction,
         batch: bool,
-        focus: Focus,
+        focus: TransactionScope,
     ) {
         let mut leaving = self.leaving_by_group(f);
         let mut fill = self.group_fill(p, &leaving);
-        if focus == Focus::DivideGroup {
+        if focus == TransactionScope::DivideGroup {
             self.divide_one_group(&mut fill, &leaving, f);
         }
         for (n, g) in &self.groups {
-            let first = g.urgent && focus != Focus::StoreGang;
+            let first = g.urgent && focus != TransactionScope::StoreGang;
             if first && !fill.oversized(*n) && fill.chosen.len() < fill.most {
                 fill.chosen.insert(*n);
             }
         }
-        let conditions_left = p.max_ifs.saturating_sub(p.ifs.len() + fill.most);
+        let conditions_left = p.max_ifs.saturating_sub(p.conditions.len() + fill.most);
         let mut adds = self.choose_starts(&mut fill, conditions_left, focus);
         if batch {
             choose_groups_to_clean(&mut fill, &leaving);
@@ -139,24 +141,24 @@
                 continue;
             }
             f.groups.push(n);
-            f.leaves.extend(out);
+            f.removals.extend(out);
         }
         for entry in &adds {
-            if self.jobs.get(&entry.id.0).is_some_and(|job| job.stage == Stage::Live) {
-                p.ifs.insert(end_key(&entry.id.0), 0);
+            if self.jobs.get(&entry.id.0).is_some_and(|job| job.stage == JobStage::Live) {
+                p.conditions.insert(job_end_key(&entry.id.0), 0);
             }
         }
-        f.adds = adds;
+        f.additions = adds;
     }
 
     /// Settled placements that may be taken out, by group.
-    fn leaving_by_group(&self, f: &PendingCommit) -> BTreeMap<u32, Vec<Entry>> {
-        let mut leaving: BTreeMap<u32, Vec<Entry>> = BTreeMap::new();
+    fn leaving_by_group(&self, f: &PendingTransaction) -> BTreeMap<u32, Vec<PlacementEntry>> {
+        let mut leaving: BTreeMap<u32, Vec<PlacementEntry>> = BTreeMap::new();
         for (n, g) in &self.groups {
-            for key in &g.leaving {
-                let Some((machine, bytes)) = g.tasks.get(key) else { continue };
+            for key in &g.settled {
+                let Some((machine, bytes)) = g.placements.get(key) else { continue };
                 if self.may_leave(machine, &key.0, f) {
-                    let entry = Entry {
+                    let entry = PlacementEntry {
                         group: *n,
                         machine: machine.clone(),
                         id: key.0.clone(),
@@ -170,14 +172,19 @@
         leaving
     }
 
-    fn group_fill(&self, p: &Packer, leaving: &BTreeMap<u32, Vec<Entry>>) -> GroupFill {
+    fn group_fill(
+        &self,
+        p: &TransactionBuilder,
+        leaving: &BTreeMap<u32, Vec<PlacementEntry>>,
+    ) -> GroupFill {
         let out = |n: &u32| leaving.get(n).into_iter().flatten().map(|e| e.bytes).sum::<usize>();
-        let by_bytes = (COMMIT_BYTES - COMMIT_FRAME_BYTES).saturating_sub(p.bytes) / p.cap.max(1);
+        let by_bytes =
+            (COMMIT_BYTES - COMMIT_FRAME_BYTES).saturating_sub(p.bytes) / p.value_bytes_max.max(1);
         GroupFill {
             bytes: self.groups.iter().map(|(n, g)| (*n, g.bytes - out(n))).collect(),
             chosen: BTreeSet::new(),
             most: p.max_ops.saturating_sub(p.writes.len()).min(by_bytes),
-            cap: p.cap - GROUP_FRAME_BYTES,
+            cap: p.value_bytes_max - GROUP_FRAME_BYTES,
         }
     }
 
@@ -186,14 +193,15 @@
     fn divide_one_group(
         &self,
         fill: &mut GroupFill,
-        leaving: &BTreeMap<u32, Vec<Entry>>,
-        f: &mut PendingCommit,
+        leaving: &BTreeMap<u32, Vec<PlacementEntry>>,
+        f: &mut PendingTransaction,
     ) {
         let oversized = self.groups.iter().filter(|(n, _)| fill.oversized(**n));
         let Some((n, group)) = oversized.min_by_key(|(n, g)| (!g.urgent, **n)) else { return };
         let gone: BTreeSet<(&TaskId, u64)> =
             leaving.get(n).into_iter().flatten().map(|e| (&e.id, e.attempt)).collect();
-        let stay = group.tasks.iter().filter(|((id, attempt), _)| !gone.contains(&(id, *attempt)));
+        let stay =
+            group.placements.iter().filter(|((id, attempt), _)| !gone.contains(&(id, *attempt)));
         let mut divided = fill.clone();
         divided.chosen.insert(*n);
         // Nothing is added to the group itself.
@@ -206,14 +214,14 @@
                 continue;
             }
             let Some(to) = divided.add(*bytes) else { return };
-            let entry = Entry {
+            let entry = PlacementEntry {
                 group: to,
                 machine: machine.clone(),
                 id: id.clone(),
                 attempt: *attempt,
                 bytes: *bytes,
             };
-            moves.push(Move { from: *n, entry });
+            moves.push(PlacementMove { from: *n, entry });
         }
         log::info!("group {n}: divided, {} placements move", moves.len());
         *fill = divided;
@@ -226,10 +234,10 @@
         &mut self,
         fill: &mut GroupFill,
         conditions_left: usize,
-        focus: Focus,
-    ) -> Vec<Entry> {
-        self.gang_waits = false;
-        let mut adds: Vec<Entry> = Vec::new();
+        focus: TransactionScope,
+    ) -> Vec<PlacementEntry> {
+        self.gang_is_deferred = false;
+        let mut adds: Vec<PlacementEntry> = Vec::new();
         let mut jobs: BTreeSet<Name> = BTreeSet::new();
         let mut wait: VecDeque<(Name, TaskId)> = VecDeque::new();
         for unit in self.take_units() {
@@ -245,7 +253,7 @@
                 }
                 continue;
             }
-            let entries: Vec<Entry> = verdicts
+            let entries: Vec<PlacementEntry> = verdicts
                 .into_iter()
                 .filter_map(|verdict| match verdict {
                     Verdict::Store(entry) => Some(entry),
@@ -254,20 +262,20 @@
                 .collect();
             let Some(first) = entries.first() else { continue };
             let uid = first.id.0.clone();
-            let live = self.jobs.get(&uid).is_some_and(|job| job.stage == Stage::Live);
+            let live = self.jobs.get(&uid).is_some_and(|job| job.stage == JobStage::Live);
             let new_job = live && !jobs.contains(&uid);
             let mut with = fill.clone();
-            let placed: Option<Vec<Entry>> = entries
+            let placed: Option<Vec<PlacementEntry>> = entries
                 .into_iter()
-                .map(|entry| with.add(entry.bytes).map(|group| Entry { group, ..entry }))
+                .map(|entry| with.add(entry.bytes).map(|group| PlacementEntry { group, ..entry }))
                 .collect();
             let Some(placed) = placed.filter(|_| !new_job || jobs.len() < conditions_left) else {
-                if unit.uid.is_some() && focus == Focus::StoreGang && adds.is_empty() {
+                if unit.uid.is_some() && focus == TransactionScope::StoreGang && adds.is_empty() {
                     log::error!("{uid}: one commit can't hold all tasks of the gang");
                     unit.placements.iter().for_each(|(machine, id)| self.retract(machine, id));
                     continue;
                 }
-                self.gang_waits |= unit.uid.is_some();
+                self.gang_is_deferred |= unit.uid.is_some();
                 wait.extend(unit.placements);
                 continue;
             };
@@ -287,7 +295,7 @@
         for (machine, id) in std::mem::take(&mut self.proposals) {
             let gang = self.jobs.get(&id.0).is_some_and(|job| job.is_gang());
             let proposed = self.machines.get(&machine).and_then(|m| m.placements.get(&id));
-            let gang = gang && proposed.is_some_and(|p| p.phase == Phase::Proposed);
+            let gang = gang && proposed.is_some_and(|p| p.phase == PlacementPhase::Proposed);
             let uid = gang.then(|| id.0.clone());
             match units.last_mut() {
                 Some(last) if uid.is_some() && last.uid == uid => {
@@ -301,17 +309,18 @@
 
     fn verdict(&self, machine: &Name, id: &TaskId) -> Verdict {
         let Some(m) = self.machines.get(machine) else { return Verdict::Over };
-        let held = m.placements.get(id).filter(|p| p.ended.is_none());
+        let held = m.placements.get(id).filter(|p| p.settled.is_none());
         let Some(held) = held else { return Verdict::Over };
-        let live = self.jobs.get(&id.0).is_some_and(|j| j.stage == Stage::Live);
-        let there = m.life == Life::Up && !m.lease_expired && m.reclaim_at.is_none();
-        if held.phase == Phase::Proposed && (!live || !there || held.halt.is_some()) {
+        let live = self.jobs.get(&id.0).is_some_and(|j| j.stage == JobStage::Live);
+        let there = m.state == MachineState::Up && !m.lease_expired && m.reclaim_at.is_none();
+        if held.phase == PlacementPhase::Proposed && (!live || !there || held.stop_reason.is_some())
+        {
             return Verdict::Retract;
         }
-        let Some(text) = Placed::text(&id.0, id.1, machine, held.attempt) else {
+        let Some(text) = StoredPlacement::text(&id.0, id.1, machine, held.attempt) else {
             return Verdict::Retract;
         };
-        Verdict::Store(Entry {
+        Verdict::Store(PlacementEntry {
             group: 0,
             machine: machine.clone(),
             id: id.clone(),
@@ -324,23 +333,26 @@
     fn pack_group(
         &mut self,
         n: u32,
-        out: &[Entry],
-        adds: &[Entry],
-        p: &mut Packer,
-        f: &PendingCommit,
+        out: &[PlacementEntry],
+        adds: &[PlacementEntry],
+        p: &mut TransactionBuilder,
+        f: &PendingTransaction,
     ) -> bool {
         let group = self.groups.entry(n).or_default();
         let moved = f.moves.iter().filter(|m| m.from == n).map(|m| &m.entry);
         let gone: BTreeSet<(&TaskId, u64)> =
             out.iter().chain(moved).map(|e| (&e.id, e.attempt)).collect();
-        let stay = group.tasks.iter().filter(|((id, a), _)| !gone.contains(&(id, *a)));
-        let mut texts: Vec<String> =
-            stay.filter_map(|((id, a), (m, _))| Placed::text(&id.0, id.1, m, *a)).collect();
+        let stay = group.placements.iter().filter(|((id, a), _)| !gone.contains(&(id, *a)));
+        let mut texts: Vec<String> = stay
+            .filter_map(|((id, a), (m, _))| StoredPlacement::text(&id.0, id.1, m, *a))
+            .collect();
         let moved_here = f.moves.iter().map(|m| &m.entry);
         let new = adds.iter().chain(moved_here).filter(|e| e.group == n);
-        texts.extend(new.filter_map(|e| Placed::text(&e.id.0, e.id.1, &e.machine, e.attempt)));
-        let rec = PlaceRec { tasks: texts.join(" ") };
-        if !p.put(place_key(n), raw(&rec), group.stamp) {
+        texts.extend(
+            new.filter_map(|e| StoredPlacement::text(&e.id.0, e.id.1, &e.machine, e.attempt)),
+        );
+        let rec = PlacementsRecord { tasks: texts.join(" ") };
+        if !p.put(placements_key(n), raw(&rec), group.mod_revision) {
             return false;
         }
         group.urgent = false;
@@ -348,21 +360,21 @@
     }
 
     /// Notes that placements were moved to other groups, with what was settled of them meanwhile.
-    pub(super) fn moved(&mut self, moves: Vec<Move>) {
-        for Move { from, entry } in moves {
+    pub(super) fn moved(&mut self, moves: Vec<PlacementMove>) {
+        for PlacementMove { from, entry } in moves {
             let key = (entry.id.clone(), entry.attempt);
             let Some(group) = self.groups.get_mut(&from) else { continue };
-            let leaves = group.leaving.remove(&key);
+            let leaves = group.settled.remove(&key);
             let urgent = leaves && group.urgent;
-            if let Some((_, bytes)) = group.tasks.remove(&key) {
+            if let Some((_, bytes)) = group.placements.remove(&key) {
                 group.bytes -= bytes;
             }
             let to = self.groups.entry(entry.group).or_default();
             to.bytes += entry.bytes;
-            to.tasks.insert(key.clone(), (entry.machine.clone(), entry.bytes));
+            to.placements.insert(key.clone(), (entry.machine.clone(), entry.bytes));
             to.urgent |= urgent;
             if leaves {
-                to.leaving.insert(key);
+                to.settled.insert(key);
             }
             let machine = self.machines.get_mut(&entry.machine);
             let held = machine.and_then(|m| m.placements.get_mut(&entry.id));
@@ -374,7 +386,7 @@
 }
 
 /// Adds the groups with most to take out.
-fn choose_groups_to_clean(fill: &mut GroupFill, leaving: &BTreeMap<u32, Vec<Entry>>) {
+fn choose_groups_to_clean(fill: &mut GroupFill, leaving: &BTreeMap<u32, Vec<PlacementEntry>>) {
     let mut rest: Vec<(usize, u32)> = leaving
         .iter()
         .filter(|(n, _)| !fill.chosen.contains(n) && !fill.oversized(**n))
--- a/src/coordination/commit_places/tests.rs
+++ b/src/coordination/commit_places/tests.rs
@@ -12,14 +12,14 @@
 /// Bytes of a value that holds some twenty placements.
 const VALUE_BYTES: usize = 512;
 
-fn packer(max_ops: usize) -> Packer {
-    Packer {
-        ifs: BTreeMap::new(),
+fn packer(max_ops: usize) -> TransactionBuilder {
+    TransactionBuilder {
+        conditions: BTreeMap::new(),
         writes: Vec::new(),
         bytes: 0,
         max_ops,
         max_ifs: 64,
-        cap: VALUE_BYTES,
+        value_bytes_max: VALUE_BYTES,
     }
 }
 
@@ -32,7 +32,7 @@
     let mut cluster = ClusterState::from_replica(&replica, 0);
     let names: Vec<Name> = vec!["n-000001".into(), "n-000002".into()];
     for name in &names {
-        cluster.machine_entry(name, 0).life = Life::Up;
+        cluster.machine_entry(name, 0).state = MachineState::Up;
     }
     let machines: Vec<Name> = (0..tasks).map(|n| names[n as usize % 2].clone()).collect();
     assert!(cluster.propose_gang(&"job-1".into(), &machines, 7, 0));
@@ -42,30 +42,34 @@
 #[test]
 fn a_gang_is_stored_by_one_commit_that_may_write_several_groups() {
     let mut cluster = proposed(50);
-    let (mut p, mut f) = (packer(8), PendingCommit::default());
-    cluster.pack_places(&mut p, &mut f, false, Focus::Everything);
-    assert_eq!(f.adds.len(), 50);
+    let (mut p, mut f) = (packer(8), PendingTransaction::default());
+    cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
+    assert_eq!(f.additions.len(), 50);
     assert!(p.writes.len() > 1);
-    assert_eq!(p.ifs.get("mg/2/end/job-1"), Some(&0), "it depends on the job not having ended");
+    assert_eq!(
+        p.conditions.get("mg/2/end/job-1"),
+        Some(&0),
+        "it depends on the job not having ended"
+    );
     assert!(cluster.proposals.is_empty());
 }
 
 #[test]
 fn a_gang_that_does_not_fit_waits_whole() {
     let mut cluster = proposed(50);
-    let (mut p, mut f) = (packer(1), PendingCommit::default());
-    cluster.pack_places(&mut p, &mut f, false, Focus::Everything);
-    assert!(f.adds.is_empty() && p.writes.is_empty(), "{} are stored", f.adds.len());
+    let (mut p, mut f) = (packer(1), PendingTransaction::default());
+    cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
+    assert!(f.additions.is_empty() && p.writes.is_empty(), "{} are stored", f.additions.len());
     assert_eq!(cluster.proposals.len(), 50);
-    assert!(cluster.gang_waits, "the next commit is for it");
+    assert!(cluster.gang_is_deferred, "the next commit is for it");
 }
 
 #[test]
 fn a_gang_that_no_commit_can_hold_is_taken_back_and_blocks_nothing() {
     let mut cluster = proposed(50);
-    let (mut p, mut f) = (packer(1), PendingCommit::default());
-    cluster.pack_places(&mut p, &mut f, false, Focus::StoreGang);
-    assert!(cluster.proposals.is_empty() && !cluster.gang_waits);
+    let (mut p, mut f) = (packer(1), PendingTransaction::default());
+    cluster.pack_places(&mut p, &mut f, false, TransactionScope::StoreGang);
+    assert!(cluster.proposals.is_empty() && !cluster.gang_is_deferred);
     assert_eq!(cluster.jobs["job-1"].waiting(), 50);
 }
 
@@ -74,21 +78,21 @@
     let mut cluster = proposed(20);
     let bytes = VALUE_BYTES - GROUP_FRAME_BYTES;
     cluster.groups.insert(0, Group { bytes, urgent: true, ..Group::default() });
-    let (mut p, mut f) = (packer(1), PendingCommit::default());
-    cluster.pack_places(&mut p, &mut f, false, Focus::Everything);
-    assert!(f.adds.is_empty() && cluster.gang_waits);
-    let (mut p, mut f) = (packer(1), PendingCommit::default());
-    cluster.pack_places(&mut p, &mut f, false, Focus::StoreGang);
-    assert_eq!(f.adds.len(), 20);
+    let (mut p, mut f) = (packer(1), PendingTransaction::default());
+    cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
+    assert!(f.additions.is_empty() && cluster.gang_is_deferred);
+    let (mut p, mut f) = (packer(1), PendingTransaction::default());
+    cluster.pack_places(&mut p, &mut f, false, TransactionScope::StoreGang);
+    assert_eq!(f.additions.len(), 20);
 }
 
 #[test]
 fn a_gang_of_which_a_machine_is_gone_is_taken_back_whole() {
     let mut cluster = proposed(6);
-    cluster.machines.get_mut("n-000002").expect("a machine").life = Life::Gone;
-    let (mut p, mut f) = (packer(8), PendingCommit::default());
-    cluster.pack_places(&mut p, &mut f, false, Focus::Everything);
-    assert!(f.adds.is_empty() && p.writes.is_empty());
+    cluster.machines.get_mut("n-000002").expect("a machine").state = MachineState::Terminated;
+    let (mut p, mut f) = (packer(8), PendingTransaction::default());
+    cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
+    assert!(f.additions.is_empty() && p.writes.is_empty());
     assert_eq!(cluster.jobs["job-1"].waiting(), 6);
     assert!(cluster.machines.values().all(|m| m.placements.is_empty()));
 }
@@ -99,26 +103,26 @@
     cluster.proposals.clear();
     for task in 0..60 {
         let (machine, id): (Name, TaskId) = ("n-000001".into(), ("job-9".into(), task));
-        let bytes = Placed::text("job-9", task, &machine, 9).expect("a text").len() + 1;
+        let bytes = StoredPlacement::text("job-9", task, &machine, 9).expect("a text").len() + 1;
         let group = cluster.groups.entry(0).or_default();
         group.bytes += bytes;
-        group.tasks.insert((id, 9), (machine, bytes));
+        group.placements.insert((id, 9), (machine, bytes));
     }
     assert!(cluster.has_oversized_group(VALUE_BYTES));
-    let (mut p, mut f) = (packer(2), PendingCommit::default());
-    cluster.pack_places(&mut p, &mut f, true, Focus::DivideGroup);
+    let (mut p, mut f) = (packer(2), PendingTransaction::default());
+    cluster.pack_places(&mut p, &mut f, true, TransactionScope::DivideGroup);
     assert!(p.writes.is_empty(), "not unless all parts find room");
-    let (mut p, mut f) = (packer(8), PendingCommit::default());
-    cluster.pack_places(&mut p, &mut f, true, Focus::DivideGroup);
+    let (mut p, mut f) = (packer(8), PendingTransaction::default());
+    cluster.pack_places(&mut p, &mut f, true, TransactionScope::DivideGroup);
     let stored: usize = p.writes.iter().map(stored_placements).sum();
     assert_eq!(stored, 60, "every placement stands in one of the values");
     cluster.moved(std::mem::take(&mut f.moves));
     assert!(!cluster.has_oversized_group(VALUE_BYTES));
-    assert_eq!(cluster.groups.values().map(|g| g.tasks.len()).sum::<usize>(), 60);
+    assert_eq!(cluster.groups.values().map(|g| g.placements.len()).sum::<usize>(), 60);
 }
 
-fn stored_placements(write: &crate::protocol::state::Write) -> usize {
-    let crate::protocol::state::Write::Put { data, .. } = write else { return 0 };
-    let rec: PlaceRec = serde_json::from_str(data.get()).expect("a record");
+fn stored_placements(write: &crate::protocol::state::Mutation) -> usize {
+    let crate::protocol::state::Mutation::Put { value: data, .. } = write else { return 0 };
+    let rec: PlacementsRecord = serde_json::from_str(data.get()).expect("a record");
     rec.placed().count()
 }
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -6,27 +6,29 @@
 //! One commit is under way at a time. Each depends on the stamp of the leader key, of every
 //! key that it writes, and on every job that it starts not having ended.
 
-use super::leader::PendingCommit;
-use super::{Controller, Purpose};
+use super::leader::PendingTransaction;
+use super::{CallPurpose, Controller};
 use crate::constants::{
     COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, DONE_BATCH_MS, GARBAGE_PERIOD_MS,
     GROUP_FRAME_BYTES, IMAGES_PERIOD_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITES_SHORT_SHARE,
     WRITE_RESERVE,
 };
-use crate::protocol::state::Commit;
-use crate::protocol::state::{raw, Committed, Conflict, If, Write, COMMIT_PATH};
+use crate::protocol::state::Transaction;
+use crate::protocol::state::{
+    raw, Condition, Mutation, TransactionApplied, TransactionConflict, COMMIT_PATH,
+};
 use crate::storage::cluster::ClusterState;
-use crate::storage::machine::{Life, Phase, TaskId};
+use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
 use crate::storage::records::{
-    catalog_key, chunk_name, done_key, end_key, images_key, leader_key, place_key, shares_key,
-    DoneRec, EndRec, ImagesRec, Name, ShareRec, Stage,
+    catalog_key, chunk_name, done_tasks_key, images_key, job_end_key, leader_key, placements_key,
+    shares_key, DoneTasksRecord, ImagesRecord, JobEndRecord, JobStage, Name, SharesRecord,
 };
 use mountgap_recovery::audit::Loss;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A placement that a commit stores or takes out.
 #[derive(Debug, Clone)]
-pub(super) struct Entry {
+pub(super) struct PlacementEntry {
     /// The group of placements that it is stored in.
     pub group: u32,
     /// The machine it is on.
@@ -41,16 +43,16 @@
 
 /// A placement that a commit moves from one group to another.
 #[derive(Debug, Clone)]
-pub(super) struct Move {
+pub(super) struct PlacementMove {
     /// The group that it has stood in.
     pub from: u32,
     /// The placement, with the group that it goes to.
-    pub entry: Entry,
+    pub entry: PlacementEntry,
 }
 
 /// What a commit is for, ahead of everything else.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Focus {
+pub(super) enum TransactionScope {
     /// Nothing in particular.
     Everything,
     /// Dividing a group that is too large.
@@ -60,11 +62,11 @@
 }
 
 /// A commit being packed.
-pub(super) struct Packer {
+pub(super) struct TransactionBuilder {
     /// Conditions: key and stamp.
-    pub ifs: BTreeMap<String, u64>,
+    pub conditions: BTreeMap<String, u64>,
     /// Changes so far.
-    pub writes: Vec<Write>,
+    pub writes: Vec<Mutation>,
     /// Bytes of their values.
     pub bytes: usize,
     /// Changes at the most.
@@ -72,12 +74,12 @@
     /// Conditions at the most.
     pub max_ifs: usize,
     /// Bytes of one value.
-    pub cap: usize,
+    pub value_bytes_max: usize,
 }
 
-impl Packer {
+impl TransactionBuilder {
     fn room(&self, ops: usize, ifs: usize) -> bool {
-        self.writes.len() + ops <= self.max_ops && self.ifs.len() + ifs <= self.max_ifs
+        self.writes.len() + ops <= self.max_ops && self.conditions.len() + ifs <= self.max_ifs
     }
 
     /// Adds a write that depends on the key's stamp; false if it does not fit.
@@ -85,16 +87,16 @@
         &mut self,
         key: String,
         data: Box<serde_json::value::RawValue>,
-        stamp: u64,
+        mod_revision: u64,
     ) -> bool {
         let bytes = data.get().len();
-        let fits = bytes <= self.cap
+        let fits = bytes <= self.value_bytes_max
             && self.bytes + bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES
             && self.room(1, 1);
         if fits {
             self.bytes += bytes;
-            self.ifs.insert(key.clone(), stamp);
-            self.writes.push(Write::Put { write: key, data, lease_id: None });
+            self.conditions.insert(key.clone(), mod_revision);
+            self.writes.push(Mutation::Put { key, value: data, lease_id: None });
         }
         fits
     }
@@ -102,36 +104,36 @@
 
 impl Controller {
     pub(super) fn commit_due(&mut self) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else { return };
-        if let Some(f) = &l.pending_commit {
-            if !f.sent && f.reading.is_none() && now >= f.not_before {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else { return };
+        if let Some(f) = &leader.pending_transaction {
+            if !f.in_flight && f.awaiting_read_since.is_none() && now >= f.not_before {
                 self.send_commit();
             }
             return;
         }
         // What was never stored needs no commit to be over.
-        if l.cluster.settle_loose() {
-            l.plan_soon(now);
-        }
-        let batch = now >= l.done_at;
-        let urgent = !l.cluster.proposals.is_empty()
-            || !l.cluster.complete.is_empty()
-            || l.cluster.groups.values().any(|g| g.urgent);
-        let oversized = l.cluster.has_oversized_group(self.limits.value_bytes);
+        if leader.cluster.drop_unstored_settlements() {
+            leader.plan_soon(now);
+        }
+        let batch = now >= leader.done_at;
+        let urgent = !leader.cluster.proposals.is_empty()
+            || !leader.cluster.completed_jobs.is_empty()
+            || leader.cluster.groups.values().any(|g| g.urgent);
+        let oversized = leader.cluster.has_oversized_group(self.limits.value_bytes);
         // Every second commit divides until no group is too large. Such a commit, and one for a gang that
         // did not fit beside other changes, holds nothing else that can wait, and waits itself for
         // as many writes as a transaction may have.
-        let focus = match (oversized && !l.divided_last, l.cluster.gang_waits) {
-            (true, _) => Focus::DivideGroup,
-            (false, true) => Focus::StoreGang,
-            (false, false) => Focus::Everything,
+        let focus = match (oversized && !leader.divided_last, leader.cluster.gang_is_deferred) {
+            (true, _) => TransactionScope::DivideGroup,
+            (false, true) => TransactionScope::StoreGang,
+            (false, false) => TransactionScope::Everything,
         };
-        if (urgent || batch) && self.served() {
-            let left = (self.writes.left(now) - WRITE_RESERVE).max(0.0) as usize;
+        if (urgent || batch) && self.store_is_usable() {
+            let left = (self.write_budget.left(now) - WRITE_RESERVE).max(0.0) as usize;
             let most = self.limits.transaction_ops;
-            let burst = (self.writes.burst() - WRITE_RESERVE).max(1.0) as usize;
-            let least = if focus == Focus::Everything { 1 } else { most.min(burst) };
+            let burst = (self.write_budget.burst() - WRITE_RESERVE).max(1.0) as usize;
+            let least = if focus == TransactionScope::Everything { 1 } else { most.min(burst) };
             if left >= least {
                 self.build_commit(batch, focus, left.min(most));
                 self.send_commit();
@@ -140,48 +142,49 @@
     }
 
     /// Packs what is to be written into one commit, the most urgent first.
-    fn build_commit(&mut self, batch: bool, focus: Focus, max_ops: usize) {
-        let now = self.now.mono;
+    fn build_commit(&mut self, batch: bool, focus: TransactionScope, max_ops: usize) {
+        let now = self.now.monotonic_ms;
         let cap = self.limits.value_bytes;
-        let Some(l) = self.leader.as_mut() else { return };
-        l.divided_last = focus == Focus::DivideGroup;
-        let mut p = Packer {
-            ifs: BTreeMap::from([(leader_key(), l.stamp)]),
+        let Some(leader) = self.leader.as_mut() else { return };
+        leader.divided_last = focus == TransactionScope::DivideGroup;
+        let mut p = TransactionBuilder {
+            conditions: BTreeMap::from([(leader_key(), leader.mod_revision)]),
             writes: Vec::new(),
             bytes: 0,
             max_ops,
             max_ifs: self.limits.transaction_ops * CONDITIONS_PER_CHANGE,
-            cap,
+            value_bytes_max: cap,
         };
-        let mut f = PendingCommit::default();
-        let starting = !l.cluster.proposals.is_empty();
+        let mut f = PendingTransaction::default();
+        let starting = !leader.cluster.proposals.is_empty();
         // Ends of jobs: users wait for them, but starts go along.
         let ends = match (focus, starting) {
-            (Focus::Everything, true) => max_ops.div_ceil(2),
-            (Focus::Everything, false) => max_ops,
+            (TransactionScope::Everything, true) => max_ops.div_ceil(2),
+            (TransactionScope::Everything, false) => max_ops,
             _ => 0,
         };
-        for uid in &l.cluster.complete {
-            let Some(job) = l.cluster.jobs.get(uid) else { continue };
-            let rec = EndRec {
-                at: job.at_wall,
-                stage: Stage::Done,
+        for uid in &leader.cluster.completed_jobs {
+            let Some(job) = leader.cluster.jobs.get(uid) else { continue };
+            let rec = JobEndRecord {
+                at: job.accepted_at_wall_ms,
+                stage: JobStage::Done,
                 tasks: job.tasks,
                 done: job.done_count,
             };
-            if p.writes.len() >= ends || !p.put(end_key(uid), raw(&rec), 0) {
+            if p.writes.len() >= ends || !p.put(job_end_key(uid), raw(&rec), 0) {
                 break;
             }
-            f.finishes.push(uid.clone());
+            f.finished_jobs.push(uid.clone());
         }
-        if batch && focus == Focus::Everything {
-            l.done_at = now + DONE_BATCH_MS;
-            l.cluster.pack_done(&mut p, &mut f, usize::from(starting));
+        if batch && focus == TransactionScope::Everything {
+            leader.done_at = now + DONE_BATCH_MS;
+            leader.cluster.pack_done(&mut p, &mut f, usize::from(starting));
         }
-        l.cluster.pack_places(&mut p, &mut f, batch, focus);
-        if batch && focus == Focus::Everything {
+        leader.cluster.pack_places(&mut p, &mut f, batch, focus);
+        if batch && focus == TransactionScope::Everything {
             // Hints and tidying up only with writes to spare.
-            let plenty = self.writes.left(now) >= self.writes.burst() * WRITES_SHORT_SHARE;
+            let plenty =
+                self.write_budget.left(now) >= self.write_budget.burst() * WRITES_SHORT_SHARE;
             if plenty {
                 self.pack_rest(&mut p, &mut f);
             }
@@ -189,19 +192,23 @@
         if p.writes.is_empty() {
             return;
         }
-        let conditions = p.ifs.into_iter().map(|(key, stamp)| If { key, stamp }).collect();
-        f.commit = Commit { conditions, writes: p.writes };
+        let conditions = p
+            .conditions
+            .into_iter()
+            .map(|(key, mod_revision)| Condition { key, mod_revision })
+            .collect();
+        f.commit = Transaction { conditions, writes: p.writes };
         f.body = serde_json::to_vec(&f.commit).unwrap_or_default();
-        if let Some(l) = self.leader.as_mut() {
-            l.pending_commit = Some(f);
+        if let Some(leader) = self.leader.as_mut() {
+            leader.pending_transaction = Some(f);
         }
     }
 
     /// Catalogue, shares, images on machines, and keys that nobody needs any more.
-    fn pack_rest(&mut self, p: &mut Packer, f: &mut PendingCommit) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else { return };
-        if let Some(catalog) = self.catalog.as_ref().filter(|_| !l.catalog_written) {
+    fn pack_rest(&mut self, p: &mut TransactionBuilder, f: &mut PendingTransaction) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else { return };
+        if let Some(catalog) = self.catalog.as_ref().filter(|_| !leader.catalog_written) {
             let known = self.replica.catalog.as_ref();
             let alike = known.is_some_and(|k| {
                 k.value
@@ -210,101 +217,108 @@
                     .map(|b| &b.type_name)
                     .eq(catalog.machine_types.iter().map(|b| &b.type_name))
             });
-            let stamp = known.map_or(0, |k| k.stamp);
-            l.catalog_written = alike || p.put(catalog_key(), raw(&**catalog), stamp);
-        }
-        if !l.shares_written {
-            let names = self.cfg.params.teams.iter().map(|t| t.name.clone());
-            let rec = ShareRec { term: l.term, teams: names.zip(l.shares.clone()).collect() };
-            let stamp = self.replica.shares.as_ref().map_or(0, |s| s.stamp);
-            l.shares_written = p.put(shares_key(), raw(&rec), stamp);
+            let mod_revision = known.map_or(0, |k| k.mod_revision);
+            leader.catalog_written = alike || p.put(catalog_key(), raw(&**catalog), mod_revision);
+        }
+        if !leader.shares_written {
+            let names = self.settings.params.teams.iter().map(|t| t.name.clone());
+            let rec = SharesRecord {
+                term: leader.term,
+                teams: names.zip(leader.shares.clone()).collect(),
+            };
+            let mod_revision = self.replica.shares.as_ref().map_or(0, |s| s.mod_revision);
+            leader.shares_written = p.put(shares_key(), raw(&rec), mod_revision);
         }
-        if now >= l.images_at {
+        if now >= leader.images_at {
             let mut all = true;
-            for (n, rec) in l.cluster.image_records(p.cap).into_iter().enumerate() {
+            for (n, rec) in leader.cluster.image_records(p.value_bytes_max).into_iter().enumerate()
+            {
                 let known = self.replica.images.get(&(n as u32));
                 if known.is_none_or(|k| k.value != rec) {
-                    let stamp = known.map_or(0, |k| k.stamp);
-                    all &= p.put(images_key(n as u32), raw(&rec), stamp);
+                    let mod_revision = known.map_or(0, |k| k.mod_revision);
+                    all &= p.put(images_key(n as u32), raw(&rec), mod_revision);
                 }
             }
             if all {
-                l.images_at = now + IMAGES_PERIOD_MS;
+                leader.images_at = now + IMAGES_PERIOD_MS;
             }
         }
-        if now >= l.garbage_at && l.cluster.garbage.is_empty() {
-            l.garbage_at = now + GARBAGE_PERIOD_MS;
+        if now >= leader.garbage_at && leader.cluster.stale_keys.is_empty() {
+            leader.garbage_at = now + GARBAGE_PERIOD_MS;
             // Batches whose jobs are all over, with nothing left on machines.
             let over =
-                |uid: &Name| self.replica.has_ended(uid) && !l.cluster.jobs.contains_key(uid);
+                |uid: &Name| self.replica.has_ended(uid) && !leader.cluster.jobs.contains_key(uid);
             for (key, batch) in &self.replica.batches {
                 if batch.value.iter().all(over) {
-                    l.cluster.garbage.push((key.to_string(), batch.stamp));
+                    leader.cluster.stale_keys.push((key.to_string(), batch.mod_revision));
                 }
             }
         }
         while p.room(1, 1) {
-            let Some((key, stamp)) = l.cluster.garbage.pop() else { break };
-            p.ifs.insert(key.clone(), stamp);
-            p.writes.push(Write::Remove { remove: key.clone() });
-            f.garbage.push((key, stamp));
+            let Some((key, mod_revision)) = leader.cluster.stale_keys.pop() else { break };
+            p.conditions.insert(key.clone(), mod_revision);
+            p.writes.push(Mutation::Remove { key: key.clone() });
+            f.stale_keys.push((key, mod_revision));
         }
     }
 
     fn send_commit(&mut self) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else { return };
-        let Some(f) = l.pending_commit.as_mut() else { return };
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(f) = leader.pending_transaction.as_mut() else { return };
         let n = f.commit.writes.len() as f64;
-        if !self.writes.take(n, 0.0, now) {
+        if !self.write_budget.take(n, 0.0, now) {
             return;
         }
-        f.sent = true;
+        f.in_flight = true;
         let body = f.body.clone();
         self.metrics.work.state_writes += n as u64;
-        let purpose = Purpose::LeaderCommit { term: l.term };
+        let purpose = CallPurpose::LeaderCommit { term: leader.term };
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
-    pub(super) fn leader_committed(&mut self, term: u64, reply: Option<(u16, Vec<u8>)>) {
-        let now = self.now.mono;
+    pub(super) fn on_leader_commit_response(&mut self, term: u64, reply: Option<(u16, Vec<u8>)>) {
+        let now = self.now.monotonic_ms;
         // An answer to a commit of an earlier term of ours says nothing about this one's.
-        let Some(l) = self.leader.as_mut().filter(|l| l.term == term) else { return };
-        let Some(f) = l.pending_commit.as_mut() else { return };
-        f.sent = false;
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else {
+            return;
+        };
+        let Some(f) = leader.pending_transaction.as_mut() else { return };
+        f.in_flight = false;
         match reply {
-            Some((200, body)) => match serde_json::from_slice::<Committed>(&body) {
+            Some((200, body)) => match serde_json::from_slice::<TransactionApplied>(&body) {
                 Ok(done) => {
-                    let (known, shown) = (l.stamp, done.ledger_rev);
+                    let (known, shown) = (leader.mod_revision, done.revision);
                     if shown <= known && self.recovery.notices_losses() {
-                        return self.suspect(Some(Loss::RevisionFell { known, shown }));
+                        return self.suspect_store_loss(Some(Loss::RevisionFell { known, shown }));
                     }
-                    self.commit_applied(shown)
+                    self.apply_pending_transaction(shown)
                 }
-                Err(_) => f.unclear = true,
+                Err(_) => f.outcome_unknown = true,
             },
             Some((409, body)) => {
-                let failed =
-                    serde_json::from_slice::<Conflict>(&body).map(|c| c.failed).unwrap_or_default();
+                let failed = serde_json::from_slice::<TransactionConflict>(&body)
+                    .map(|c| c.failed)
+                    .unwrap_or_default();
                 log::debug!("commit refused: {failed:?}");
-                if !f.unclear && failed.contains(&leader_key()) {
+                if !f.outcome_unknown && failed.contains(&leader_key()) {
                     self.step_down("the leader key has changed");
                     return self.doubt_leader_key();
                 }
-                f.reading = Some(now);
-                self.leader_wants_fresh();
+                f.awaiting_read_since = Some(now);
+                self.request_leader_read();
             }
             // Not executed: if no earlier copy can have been, it is built anew.
             Some((429 | 503, _)) => {
                 f.not_before = now + STATE_RETRY_MS;
-                if !f.unclear {
-                    self.commit_dropped();
+                if !f.outcome_unknown {
+                    self.discard_pending_transaction();
                 }
             }
             Some((status, body)) => {
                 log::error!("commit answered {status}: {}", String::from_utf8_lossy(&body));
                 f.not_before = now + STATE_RETRY_MS;
-                let unclear = f.unclear;
+                let unclear = f.outcome_unknown;
                 if status == 400 {
                     self.limits.halve_sizes();
                 }
@@ -315,75 +329,80 @@
                         self.step_down("a commit that may be stored is too large by now")
                     }
                     true => {}
-                    false => self.commit_dropped(),
+                    false => self.discard_pending_transaction(),
                 }
             }
-            None => f.unclear = true,
+            None => f.outcome_unknown = true,
         }
     }
 
     /// A refused commit, after a fresh read: applied by an earlier copy, or not at all.
-    pub(super) fn resolve_commit(&mut self, begun: u64) {
-        let Some(l) = self.leader.as_mut() else { return };
-        let Some(f) = l.pending_commit.as_mut() else { return };
-        let Some(since) = f.reading else { return };
+    pub(super) fn resolve_unknown_outcome(&mut self, begun: u64) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(f) = leader.pending_transaction.as_mut() else { return };
+        let Some(since) = f.awaiting_read_since else { return };
         if begun < since {
             // A read from before the refusal can't tell.
-            return self.leader_wants_fresh();
+            return self.request_leader_read();
         }
-        f.reading = None;
-        if !f.unclear {
-            let agrees = |condition: &If| self.replica.stamp(&condition.key) == condition.stamp;
+        f.awaiting_read_since = None;
+        if !f.outcome_unknown {
+            let agrees = |condition: &Condition| {
+                self.replica.mod_revision(&condition.key) == condition.mod_revision
+            };
             let refused_for_nothing = f.commit.conditions.iter().all(agrees);
-            self.commit_dropped();
+            self.discard_pending_transaction();
             if refused_for_nothing {
                 // The copy holds what the store denies: one of them is wrong.
-                self.suspect(None);
+                self.suspect_store_loss(None);
             }
             return;
         }
         // All or nothing: one written key tells.
         let applied = f.commit.writes.iter().find_map(|w| {
-            let Write::Put { write, data, .. } = w else {
+            let Mutation::Put { key, value, .. } = w else {
                 return None;
             };
-            let before = f.commit.conditions.iter().find(|i| i.key == *write)?.stamp;
-            let stamp = self.replica.stamp(write);
-            if stamp <= before {
+            let before = f.commit.conditions.iter().find(|i| i.key == *key)?.mod_revision;
+            let mod_revision = self.replica.mod_revision(key);
+            if mod_revision <= before {
                 return None;
             }
-            self.replica.holds(write, data).then_some(stamp)
+            self.replica.holds(key, value).then_some(mod_revision)
         });
         match applied {
-            Some(rev) => self.commit_applied(rev),
-            None => self.commit_dropped(),
+            Some(rev) => self.apply_pending_transaction(rev),
+            None => self.discard_pending_transaction(),
         }
     }
 
     /// The commit was not applied and never will be: all of it is to be written again.
-    fn commit_dropped(&mut self) {
-        let Some(l) = self.leader.as_mut() else { return };
-        let Some(f) = l.pending_commit.take() else { return };
+    fn discard_pending_transaction(&mut self) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(f) = leader.pending_transaction.take() else { return };
         for (uid, chunk) in f.chunks {
-            if let Some(j) = l.cluster.jobs.get_mut(&uid).filter(|j| j.stage == Stage::Live) {
+            if let Some(j) = leader.cluster.jobs.get_mut(&uid).filter(|j| j.stage == JobStage::Live)
+            {
                 j.dirty_chunks.insert(chunk);
                 if let Some(g) = j.chunk_groups.get(&chunk) {
-                    l.cluster.done_groups.entry(*g).or_default().dirty = true;
+                    leader.cluster.done_groups.entry(*g).or_default().dirty = true;
                 }
             }
         }
-        for e in &f.adds {
-            let held = l.cluster.machines.get(&e.machine).and_then(|m| m.placements.get(&e.id));
-            let kept = held.is_some_and(|p| p.attempt == e.attempt && p.phase == Phase::Committed);
+        for e in &f.additions {
+            let held =
+                leader.cluster.machines.get(&e.machine).and_then(|m| m.placements.get(&e.id));
+            let kept = held
+                .is_some_and(|p| p.attempt == e.attempt && p.phase == PlacementPhase::Committed);
             match kept {
                 // On the machine whatever the store says: it must be recorded.
-                true => l.cluster.proposals.push_back((e.machine.clone(), e.id.clone())),
-                false => l.cluster.retract(&e.machine, &e.id),
+                true => leader.cluster.proposals.push_back((e.machine.clone(), e.id.clone())),
+                false => leader.cluster.retract(&e.machine, &e.id),
             }
         }
-        let gangs: BTreeSet<&Name> = f.adds.iter().map(|e| &e.id.0).collect();
+        let gangs: BTreeSet<&Name> = f.additions.iter().map(|e| &e.id.0).collect();
         for uid in gangs {
-            let gang = l.cluster.jobs.get_mut(uid).and_then(|job| job.gang.as_mut());
+            let gang = leader.cluster.jobs.get_mut(uid).and_then(|job| job.gang.as_mut());
             if let Some(gang) = gang {
                 gang.forget_attempt();
             }
@@ -391,74 +410,74 @@
         // Stamps of keys that changed under us are taken from the replica. Only our own
         // earlier commits and users' requests write, so nothing is lost by that.
         for n in f.groups {
-            if let Some(g) = l.cluster.groups.get_mut(&n) {
-                g.stamp = self.replica.stamp(&place_key(n));
-                g.urgent |= !g.leaving.is_empty();
+            if let Some(g) = leader.cluster.groups.get_mut(&n) {
+                g.mod_revision = self.replica.mod_revision(&placements_key(n));
+                g.urgent |= !g.settled.is_empty();
             }
         }
         for n in f.done_groups {
-            if let Some(g) = l.cluster.done_groups.get_mut(&n) {
-                g.stamp = self.replica.stamp(&done_key(n));
+            if let Some(g) = leader.cluster.done_groups.get_mut(&n) {
+                g.mod_revision = self.replica.mod_revision(&done_tasks_key(n));
             }
         }
-        for (key, before) in f.garbage {
+        for (key, before) in f.stale_keys {
             // Only what is still as it was: it may have come into use again.
-            if self.replica.stamp(&key) == before && before != 0 {
-                l.cluster.garbage.push((key, before));
+            if self.replica.mod_revision(&key) == before && before != 0 {
+                leader.cluster.stale_keys.push((key, before));
             }
         }
-        l.plan_soon(self.now.mono);
+        leader.plan_soon(self.now.monotonic_ms);
         self.check_term();
     }
 
-    fn commit_applied(&mut self, rev: u64) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else { return };
-        let Some(f) = l.pending_commit.take() else { return };
+    fn apply_pending_transaction(&mut self, rev: u64) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(f) = leader.pending_transaction.take() else { return };
         for n in &f.groups {
-            l.cluster.groups.entry(*n).or_default().stamp = rev;
+            leader.cluster.groups.entry(*n).or_default().mod_revision = rev;
         }
         for n in &f.done_groups {
-            l.cluster.done_groups.entry(*n).or_default().stamp = rev;
+            leader.cluster.done_groups.entry(*n).or_default().mod_revision = rev;
         }
-        for uid in &f.finishes {
+        for uid in &f.finished_jobs {
             log::debug!("{uid}: done");
-            l.cluster.end_job(uid, Stage::Done);
+            leader.cluster.end_job(uid, JobStage::Done);
         }
-        l.cluster.moved(f.moves);
-        for e in &f.leaves {
-            if let Some(g) = l.cluster.groups.get_mut(&e.group) {
+        leader.cluster.moved(f.moves);
+        for e in &f.removals {
+            if let Some(g) = leader.cluster.groups.get_mut(&e.group) {
                 let key = (e.id.clone(), e.attempt);
-                g.leaving.remove(&key);
-                if let Some((_, bytes)) = g.tasks.remove(&key) {
+                g.settled.remove(&key);
+                if let Some((_, bytes)) = g.placements.remove(&key) {
                     g.bytes -= bytes;
                 }
             }
-            l.cluster.settled(&e.machine, &e.id, e.attempt);
+            leader.cluster.settlement_committed(&e.machine, &e.id, e.attempt);
         }
-        for e in &f.adds {
-            let g = l.cluster.groups.entry(e.group).or_default();
+        for e in &f.additions {
+            let g = leader.cluster.groups.entry(e.group).or_default();
             g.bytes += e.bytes;
-            g.tasks.insert((e.id.clone(), e.attempt), (e.machine.clone(), e.bytes));
-            l.cluster.committed(&e.machine, &e.id, e.attempt, e.group);
+            g.placements.insert((e.id.clone(), e.attempt), (e.machine.clone(), e.bytes));
+            leader.cluster.committed(&e.machine, &e.id, e.attempt, e.group);
         }
-        if !f.leaves.is_empty() {
-            l.plan_soon(now);
+        if !f.removals.is_empty() {
+            leader.plan_soon(now);
         }
         let commit = f.commit;
-        self.own_commit(&commit, rev);
+        self.apply_own_transaction(&commit, rev);
     }
 }
 
 impl ClusterState {
     /// Bitmaps that changed, as far as they fit beside `keep` other writes.
-    fn pack_done(&mut self, p: &mut Packer, f: &mut PendingCommit, keep: usize) {
-        let cap = p.cap - GROUP_FRAME_BYTES;
+    fn pack_done(&mut self, p: &mut TransactionBuilder, f: &mut PendingTransaction, keep: usize) {
+        let cap = p.value_bytes_max - GROUP_FRAME_BYTES;
         let dirty: Vec<(Name, u32)> = self
             .queue
             .values()
             .filter_map(|uid| self.jobs.get(uid))
-            .filter(|j| !f.finishes.contains(&j.uid))
+            .filter(|j| !f.finished_jobs.contains(&j.uid))
             .flat_map(|j| j.dirty_chunks.iter().map(|n| (j.uid.clone(), *n)))
             .collect();
         for (uid, chunk) in dirty {
@@ -488,15 +507,20 @@
     }
 
     /// Writes one group of bitmaps; false if it does not fit.
-    fn pack_done_group(&mut self, n: u32, p: &mut Packer, f: &mut PendingCommit) -> bool {
+    fn pack_done_group(
+        &mut self,
+        n: u32,
+        p: &mut TransactionBuilder,
+        f: &mut PendingTransaction,
+    ) -> bool {
         let Some(group) = self.done_groups.get_mut(&n) else { return true };
-        let mut rec = DoneRec::default();
+        let mut rec = DoneTasksRecord::default();
         for (uid, chunk) in group.chunks.keys() {
             if let Some(job) = self.jobs.get(uid) {
                 rec.bits.insert(chunk_name(uid, *chunk), job.done.chunk_text(*chunk));
             }
         }
-        if !p.put(done_key(n), raw(&rec), group.stamp) {
+        if !p.put(done_tasks_key(n), raw(&rec), group.mod_revision) {
             return false;
         }
         group.dirty = false;
@@ -514,8 +538,13 @@
     /// Makes a group of bitmaps fit into a value if it was written when values might be larger: chunks
     /// go to groups of their own, which this commit writes too. A chunk that stands in two groups is
     /// read from both, so the parts are written before the rest. False if the commit has no room.
-    fn divide_done_group(&mut self, n: u32, p: &mut Packer, f: &mut PendingCommit) -> bool {
-        let cap = p.cap - GROUP_FRAME_BYTES;
+    fn divide_done_group(
+        &mut self,
+        n: u32,
+        p: &mut TransactionBuilder,
+        f: &mut PendingTransaction,
+    ) -> bool {
+        let cap = p.value_bytes_max - GROUP_FRAME_BYTES;
         let Some(group) = self.done_groups.get(&n).filter(|g| g.bytes > cap) else { return true };
         let mut parts: Vec<Vec<((Name, u32), usize)>> = Vec::new();
         let (mut kept, mut filled) = (0, cap);
@@ -557,15 +586,19 @@
     }
 
     /// The images on machines, in parts that fit into a value each.
-    fn image_records(&self, cap: usize) -> Vec<ImagesRec> {
-        let mut parts: Vec<ImagesRec> = Vec::new();
+    fn image_records(&self, cap: usize) -> Vec<ImagesRecord> {
+        let mut parts: Vec<ImagesRecord> = Vec::new();
         let mut bytes = cap;
-        for m in self.machines.values().filter(|m| !m.images.is_empty() && m.life != Life::Gone) {
+        for m in self
+            .machines
+            .values()
+            .filter(|m| !m.images.is_empty() && m.state != MachineState::Terminated)
+        {
             // Each image is named once a part; index and comma take a few bytes each.
             let names: usize = m.images.iter().map(|(k, _)| k.len() + 24).sum();
             let most = m.name.len() + 8 + m.images.len() * 5;
             if bytes + names + most + GROUP_FRAME_BYTES > cap {
-                parts.push(ImagesRec::default());
+                parts.push(ImagesRecord::default());
                 bytes = 0;
             }
             let Some(part) = parts.last_mut() else { continue };
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,15 +1,17 @@
 //! Leadership: a leased key, and a term that only grows, taken in one commit.
 
 use super::recovery::SentAt;
-use super::{Controller, Leader, Purpose};
+use super::{CallPurpose, Controller, Leader};
 use crate::constants::{
     ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_REST_MS, LEADER_LIFE_MS,
     LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS, STATE_RPS_SHARE,
     WRITE_SHARE_LEADER,
 };
-use crate::protocol::state::Commit;
-use crate::protocol::state::{raw, Committed, If, Lease, NewLease, Write, COMMIT_PATH};
-use crate::storage::records::{leader_key, term_key, LeaderRec, TermRec};
+use crate::protocol::state::Transaction;
+use crate::protocol::state::{
+    raw, Condition, Lease, Mutation, NewLease, TransactionApplied, COMMIT_PATH,
+};
+use crate::storage::records::{leader_key, term_key, LeaderRecord, TermRecord};
 use rand::Rng;
 
 /// How far this controller is with becoming leader.
@@ -27,7 +29,7 @@
 
 impl Controller {
     pub(super) fn election_due(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         if self.leader.is_some()
             || self.election.busy
             || !self.may_stand()
@@ -38,7 +40,10 @@
         let vacant = match &self.replica.leader {
             None => true,
             // An earlier life of this very controller: it is surely over.
-            Some(l) => l.value.label == self.cfg.label && l.value.incarnation != self.incarnation,
+            Some(leader) => {
+                leader.value.label == self.settings.label
+                    && leader.value.incarnation != self.process_id
+            }
         };
         if !vacant {
             self.election.stand_at = None;
@@ -58,10 +63,10 @@
         }
         self.election.busy = true;
         let body = serde_json::to_vec(&NewLease { life_ms: LEADER_LIFE_MS }).unwrap_or_default();
-        self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, Purpose::Lease);
+        self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, CallPurpose::Lease);
     }
 
-    pub(super) fn lease_granted(&mut self, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn on_lease_granted(&mut self, reply: Option<(u16, Vec<u8>)>) {
         self.election.busy = false;
         self.election.stand_at = None;
         let hold: Option<Lease> = match reply {
@@ -69,36 +74,43 @@
             _ => None,
         };
         let Some(hold) = hold else { return };
-        let own = |l: &LeaderRec| l.label == self.cfg.label && l.incarnation != self.incarnation;
-        let leader_stamp = match &self.replica.leader {
+        let own = |leader: &LeaderRecord| {
+            leader.label == self.settings.label && leader.incarnation != self.process_id
+        };
+        let leader_key_revision = match &self.replica.leader {
             None => 0,
-            Some(l) if own(&l.value) => l.stamp,
+            Some(leader) if own(&leader.value) => leader.mod_revision,
             Some(_) => return,
         };
         if self.recovery.holds() && !self.may_stand() {
             return;
         }
         let term = self.next_term();
-        let rec = LeaderRec { label: self.cfg.label.clone(), incarnation: self.incarnation, term };
-        let mut commit = Commit {
+        let rec =
+            LeaderRecord { label: self.settings.label.clone(), incarnation: self.process_id, term };
+        let mut commit = Transaction {
             conditions: vec![
-                If { key: leader_key(), stamp: leader_stamp },
-                If { key: term_key(), stamp: self.replica.stamp(&term_key()) },
+                Condition { key: leader_key(), mod_revision: leader_key_revision },
+                Condition { key: term_key(), mod_revision: self.replica.mod_revision(&term_key()) },
             ],
             writes: vec![
-                Write::Put { write: leader_key(), data: raw(&rec), lease_id: Some(hold.lease_id) },
-                Write::put(term_key(), &TermRec { term }),
+                Mutation::Put {
+                    key: leader_key(),
+                    value: raw(&rec),
+                    lease_id: Some(hold.lease_id),
+                },
+                Mutation::put(term_key(), &TermRecord { term }),
             ],
         };
         self.add_to_election(&mut commit, term);
         self.election.busy = true;
-        self.writes.take(2.0, f64::MIN, self.now.mono);
+        self.write_budget.take(2.0, f64::MIN, self.now.monotonic_ms);
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = Purpose::Elect { lease_id: hold.lease_id, term, sent: self.sent_at() };
+        let purpose = CallPurpose::Elect { lease_id: hold.lease_id, term, sent: self.sent_at() };
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
-    pub(super) fn elected(
+    pub(super) fn on_election_response(
         &mut self,
         lease_id: u64,
         term: u64,
@@ -106,7 +118,7 @@
         reply: Option<(u16, Vec<u8>)>,
     ) {
         self.election.busy = false;
-        let won: Option<Committed> = match reply {
+        let won: Option<TransactionApplied> = match reply {
             Some((200, body)) => serde_json::from_slice(&body).ok(),
             Some((409, _)) => return self.election_refused(),
             // An unanswered commit may still apply. Nobody renews its lease then, so it
@@ -115,35 +127,35 @@
         };
         let Some(won) = won else { return };
         self.election.refusals = 0;
-        if !self.won_in_present_store(sent, won.ledger_rev) {
+        if !self.won_in_present_store(sent, won.revision) {
             return;
         }
-        if self.leader_stamp_was_used(won.ledger_rev) {
+        if self.leader_revision_was_used(won.revision) {
             log::info!("the leader key has had this stamp before the loss, stands again");
             let path = format!("/holds/{lease_id}");
-            return self.state_call("DELETE", path, vec![], STATE_CALL_MS, Purpose::StepDown);
+            return self.state_call("DELETE", path, vec![], STATE_CALL_MS, CallPurpose::StepDown);
         }
         // The watch may have told of our own term before this answer came: only a higher one
         // counts. Taking an equal one for someone else's once cost three terms in a row.
-        if self.term_heard > term {
+        if self.highest_term > term {
             return;
         }
         log::info!("leads in term {term}");
-        self.term_heard = term;
-        self.sync.max_rev = self.sync.max_rev.max(won.ledger_rev);
-        let all = self.cfg.params.cloud.rps * STATE_RPS_SHARE;
-        self.cloud.set_rate(all, self.now.mono);
+        self.highest_term = term;
+        self.store_sync.max_rev = self.store_sync.max_rev.max(won.revision);
+        let all = self.settings.params.cloud.rps * STATE_RPS_SHARE;
+        self.cloud_budget.set_rate(all, self.now.monotonic_ms);
         self.leader = Some(Leader::new(
             term,
-            won.ledger_rev,
+            won.revision,
             lease_id,
             self.peers.len(),
-            self.now.mono,
+            self.now.monotonic_ms,
             self.replica.hash_keys(),
         ));
         self.set_state_rates();
         self.begin_rebuild_if_lost();
-        self.leader_wants_fresh();
+        self.request_leader_read();
     }
 
     /// Somebody else may have won. Where nobody is seen to again and again, the store has keys that we don't
@@ -152,84 +164,89 @@
         self.election.refusals += 1;
         if self.election.refusals >= ELECTION_REFUSALS_MAX {
             self.election.refusals = 0;
-            self.suspect(None);
+            self.suspect_store_loss(None);
         }
     }
 
     /// Sets this controller's part of what the state service allows all of them.
     pub(super) fn set_state_rates(&mut self) {
-        let controllers = self.cfg.controllers();
+        let controllers = self.settings.controllers();
         let share = match self.leader.is_some() {
             true => leader_write_share(controllers),
             false => follower_write_share(controllers),
         };
-        self.writes.set_rate(self.limits.writes_per_s * share, self.now.mono);
+        self.write_budget.set_rate(self.limits.writes_per_s * share, self.now.monotonic_ms);
         let reads = self.limits.requests_per_s * STATE_RPS_SHARE / controllers as f64;
-        self.reads.set_rate(reads, self.now.mono);
+        self.read_budget.set_rate(reads, self.now.monotonic_ms);
     }
 
     pub(super) fn renew_due(&mut self) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if l.renewing || now < l.renew_at {
+        if leader.renewing || now < leader.renew_at {
             return;
         }
-        l.renewing = true;
-        l.renew_at = now + LEADER_RENEW_MS;
-        let lease_id = l.lease_id;
+        leader.renewing = true;
+        leader.renew_at = now + LEADER_RENEW_MS;
+        let lease_id = leader.lease_id;
         let path = format!("/holds/{lease_id}/renew");
-        let purpose = Purpose::Renew { lease_id };
+        let purpose = CallPurpose::Renew { lease_id };
         self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEW_CALL_MS, purpose);
     }
 
-    pub(super) fn renewed(&mut self, lease_id: u64, reply: Option<(u16, Vec<u8>)>) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut().filter(|l| l.lease_id == lease_id) else {
+    pub(super) fn on_lease_renewal_response(
+        &mut self,
+        lease_id: u64,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.lease_id == lease_id) else {
             return;
         };
-        l.renewing = false;
+        leader.renewing = false;
         match reply {
             Some((200..=299, _)) => {}
             Some((404, _)) => {
                 self.step_down("the lease has ended");
                 self.doubt_leader_key();
             }
-            _ => l.renew_at = now + STATE_RETRY_MS,
+            _ => leader.renew_at = now + STATE_RETRY_MS,
         }
     }
 
     /// Steps down when someone has a higher term, or our key is not ours any more.
     pub(super) fn check_term(&mut self) {
-        let Some(l) = &self.leader else { return };
-        if self.term_heard > l.term {
+        let Some(leader) = &self.leader else { return };
+        if self.highest_term > leader.term {
             return self.step_down("there is a higher term");
         }
-        let known = self.replica.rev >= l.stamp;
-        if known && self.replica.stamp(&leader_key()) != l.stamp {
+        let known = self.replica.revision >= leader.mod_revision;
+        if known && self.replica.mod_revision(&leader_key()) != leader.mod_revision {
             self.step_down("the leader key is not ours");
         }
     }
 
     pub(super) fn step_down(&mut self, why: &str) {
-        let Some(l) = self.leader.take() else { return };
+        let Some(leader) = self.leader.take() else { return };
         self.leave_rebuild();
-        log::info!("no longer leads in term {}: {why}", l.term);
+        log::info!("no longer leads in term {}: {why}", leader.term);
         self.set_state_rates();
-        let rps = self.cfg.params.cloud.rps * STATE_RPS_SHARE / self.cfg.controllers() as f64;
-        self.cloud.set_rate(rps, self.now.mono);
-        for held in l.held {
-            self.redirect(held.conn);
+        let rps =
+            self.settings.params.cloud.rps * STATE_RPS_SHARE / self.settings.controllers() as f64;
+        self.cloud_budget.set_rate(rps, self.now.monotonic_ms);
+        for held in leader.deferred_heartbeats {
+            self.redirect(held.connection);
         }
     }
 
     /// Gives leadership up so that a controller that hears the workers can take it.
     pub(super) fn hand_over(&mut self, why: &str) {
-        let Some(l) = &self.leader else { return };
-        let path = format!("/holds/{}", l.lease_id);
-        self.state_call("DELETE", path, vec![], STATE_CALL_MS, Purpose::StepDown);
-        self.election.rest_until = self.now.mono + HANDOVER_REST_MS;
+        let Some(leader) = &self.leader else { return };
+        let path = format!("/holds/{}", leader.lease_id);
+        self.state_call("DELETE", path, vec![], STATE_CALL_MS, CallPurpose::StepDown);
+        self.election.rest_until = self.now.monotonic_ms + HANDOVER_REST_MS;
         self.step_down(why);
     }
 }
--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/fleet/consolidation.rs
@@ -5,19 +5,19 @@
     ARRIVAL_WINDOW_MS, CLOSE_SHARE, EXCESS_ROOM_MS, HEADROOM_MACHINES, LOW_LOAD_SHARE, MOVE_GAP_MS,
     MOVE_SHARE, UNPLACED_SHARE,
 };
-use crate::storage::machine::Halt;
+use crate::storage::machine::StopReason;
 
 impl Controller {
     /// Empties the dearest thinly used machines when the others have room for their work and
     /// for work to come; opens such machines again when that is no longer so. How many at a
     /// time grows with the fleet.
     pub(super) fn consolidate(&mut self) {
-        let now = self.now.mono;
-        let op = self.op.clone();
+        let now = self.now.monotonic_ms;
+        let operator = self.operator.clone();
         let Some(catalog) = self.catalog.clone() else { return };
-        let Some(l) = self.leader.as_mut() else { return };
-        let spare = l.spare_slots(now, &catalog);
-        let cluster = &l.cluster;
+        let Some(leader) = self.leader.as_mut() else { return };
+        let spare = leader.spare_slots(now, &catalog);
+        let cluster = &leader.cluster;
         let load = |m: &Machine| {
             let mut used = m.total;
             used -= cluster.free(m);
@@ -30,32 +30,32 @@
         let batch_now: f64 =
             open.iter().map(|(m, share)| share * (1.0 - service_share(cluster, m))).sum();
         // What comes at the usual rate may be more than what runs at this moment.
-        let lull = (l.batch_machines(now) - batch_now).max(0.0);
-        let headroom = (busy + lull) * op.headroom_share + lull + HEADROOM_MACHINES;
-        let early = now < l.began + ARRIVAL_WINDOW_MS / 2;
+        let lull = (leader.batch_machines(now) - batch_now).max(0.0);
+        let headroom = (busy + lull) * operator.headroom_share + lull + HEADROOM_MACHINES;
+        let early = now < leader.began_at + ARRIVAL_WINDOW_MS / 2;
         // A few tasks that find no place for reasons of their own (a zone, a kind of machine) must
         // not keep hundreds of machines open.
         let whole = open.first().map_or(Resources::default(), |(m, _)| m.total);
         let unplaced: f64 =
-            l.fleet.unplaced.iter().map(|u| u.slots * u.need.share_of(&whole)).sum();
+            leader.fleet.unplaced.iter().map(|u| u.slots * u.need.share_of(&whole)).sum();
         let unplaced = unplaced > open.len() as f64 * UNPLACED_SHARE;
         let short = unplaced || free < headroom || early;
         let most = ((open.len() as f64 * CLOSE_SHARE) as usize).max(1);
         if short {
-            l.fleet.excess_since = None;
+            leader.fleet.excess_since = None;
             // The fullest first: they have the most work that need not move.
             let mut again: Vec<(f64, Name)> = cluster
                 .machines
                 .values()
-                .filter(|m| m.closing && m.life == Life::Up && !m.draining)
+                .filter(|m| m.draining && m.state == MachineState::Up && !m.cordoned)
                 .map(|m| (load(m), m.name.clone()))
                 .collect();
             again.sort_by(|a, b| b.0.total_cmp(&a.0));
             for (_, name) in again.into_iter().take(most) {
-                if let Some(m) = l.cluster.machines.get_mut(&name) {
+                if let Some(m) = leader.cluster.machines.get_mut(&name) {
                     log::debug!("{name}: opened again");
-                    m.closing = false;
-                    l.plan_soon(now);
+                    m.draining = false;
+                    leader.plan_soon(now);
                 }
             }
             return;
@@ -92,18 +92,18 @@
             }
         }
         if chosen.is_empty() {
-            l.fleet.excess_since = None;
+            leader.fleet.excess_since = None;
             return;
         }
-        let since = *l.fleet.excess_since.get_or_insert(now);
+        let since = *leader.fleet.excess_since.get_or_insert(now);
         if now < since + EXCESS_ROOM_MS {
             return;
         }
-        l.fleet.excess_since = None;
+        leader.fleet.excess_since = None;
         log::debug!("closes {}, the others have room for their work", chosen.join(", "));
         for name in chosen {
-            if let Some(m) = l.cluster.machines.get_mut(&name) {
-                m.closing = true;
+            if let Some(m) = leader.cluster.machines.get_mut(&name) {
+                m.draining = true;
             }
         }
     }
@@ -111,16 +111,16 @@
     /// Moves services off machines that are being emptied to where their image is, a few at a
     /// time, those first that leave their machine soonest empty.
     pub(super) fn move_services(&mut self) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else { return };
-        if now < l.fleet.move_at {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else { return };
+        if now < leader.fleet.move_at {
             return;
         }
-        let cluster = &l.cluster;
+        let cluster = &leader.cluster;
         let mut from: Vec<(f64, &Machine)> = cluster
             .machines
             .values()
-            .filter(|m| m.closing && m.life == Life::Up)
+            .filter(|m| m.draining && m.state == MachineState::Up)
             .map(|m| (services(cluster, m), m))
             .filter(|(n, _)| *n > 0.0)
             .collect();
@@ -141,7 +141,7 @@
             let Some(spec) = job.spec.as_ref().filter(|s| s.kind == JobKind::Service) else {
                 continue;
             };
-            if p.ended.is_some() || p.halt.is_some() || p.running_since.is_none() {
+            if p.settled.is_some() || p.stop_reason.is_some() || p.running_since.is_none() {
                 continue;
             }
             let target = targets.iter_mut().find(|(t, free)| {
@@ -159,13 +159,13 @@
         if chosen.is_empty() {
             return;
         }
-        l.fleet.move_at = now + MOVE_GAP_MS;
+        leader.fleet.move_at = now + MOVE_GAP_MS;
         for (name, id) in chosen {
             if let Some(p) =
-                l.cluster.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
+                leader.cluster.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
             {
                 log::debug!("{}/{}: moves off {name}", id.0, id.1);
-                p.halt = Some(Halt::MakeRoom);
+                p.stop_reason = Some(StopReason::Eviction);
             }
         }
     }
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/fleet/listing.rs
@@ -4,17 +4,17 @@
 use crate::constants::{
     CATALOG_PERIOD_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, MS_PER_S,
 };
-use crate::storage::machine::Phase;
+use crate::storage::machine::PlacementPhase;
 
 impl Controller {
     pub(in crate::coordination) fn catalog_due(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let period = if self.leader.is_some() { CATALOG_PERIOD_MS } else { CATALOG_PERIOD_MS * 10 };
         let wait = if self.catalog.is_some() { period } else { CLOUD_RETRY_MS };
         if self.catalog_asked || self.catalog_at.is_some_and(|t| now < t + wait) {
             return;
         }
-        if self.cloud.take(1.0, 0.0, now) {
+        if self.cloud_budget.take(1.0, 0.0, now) {
             self.catalog_asked = true;
             self.catalog_at = Some(now);
             self.call(
@@ -23,12 +23,12 @@
                 "/catalog".into(),
                 vec![],
                 CLOUD_CALL_MS,
-                Purpose::Catalog,
+                CallPurpose::Catalog,
             );
         }
     }
 
-    pub(in crate::coordination) fn catalog_answered(&mut self, reply: Option<(u16, Vec<u8>)>) {
+    pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<(u16, Vec<u8>)>) {
         self.catalog_asked = false;
         let Some((200, body)) = reply else { return };
         match serde_json::from_slice::<Catalog>(&body) {
@@ -37,16 +37,16 @@
         }
     }
 
-    pub(in crate::coordination) fn hosts_answered(
+    pub(in crate::coordination) fn on_machine_list_response(
         &mut self,
         begun: u64,
         reply: Option<(u16, Vec<u8>)>,
     ) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if l.fleet.list_begun != begun {
+        if leader.fleet.list_begun != begun {
             return;
         }
         let hosts: Option<Hosts> = match reply {
@@ -54,43 +54,43 @@
             _ => None,
         };
         let Some(hosts) = hosts else {
-            l.fleet.listing = false;
-            l.fleet.list_at = now + CLOUD_RETRY_MS;
+            leader.fleet.listing = false;
+            leader.fleet.list_at = now + CLOUD_RETRY_MS;
             return;
         };
         let last = hosts.machines.last().map(|h| h.uid.clone());
-        l.fleet.pages.extend(hosts.machines);
+        leader.fleet.pages.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
-            self.cloud.take(1.0, f64::MIN, now);
+            self.cloud_budget.take(1.0, f64::MIN, now);
             let path = hosts_path(Some(&last), LIST_LIMIT);
-            let purpose = Purpose::Hosts { begun };
+            let purpose = CallPurpose::Hosts { begun };
             return self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
-        l.fleet.listing = false;
+        leader.fleet.listing = false;
         self.list_complete(begun);
     }
 
     /// Compares a whole list with the state. A list asked for at `begun` describes a moment
     /// no more than twice the lag earlier.
     pub(super) fn list_complete(&mut self, begun: u64) {
-        let now = self.now.mono;
-        let lag = (self.cfg.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
-        let Some(l) = self.leader.as_mut() else {
+        let now = self.now.monotonic_ms;
+        let lag = (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let hosts = std::mem::take(&mut l.fleet.pages);
-        l.fleet.listed_once = true;
-        l.fleet.listed_begun = Some(begun);
-        let mut listed: HashSet<&str> = l.cluster.hash_keys().set();
+        let hosts = std::mem::take(&mut leader.fleet.pages);
+        leader.fleet.listed_once = true;
+        leader.fleet.listed_begun = Some(begun);
+        let mut listed: HashSet<&str> = leader.cluster.hash_keys().set();
         listed.extend(hosts.iter().map(|h| h.uid.as_str()));
         let mut dead: Vec<Name> = Vec::new();
         for h in &hosts {
-            if l.fleet.is_gone(&h.uid) {
+            if leader.fleet.is_gone(&h.uid) {
                 continue;
             }
             let name: Name = h.uid.as_str().into();
-            let new = !l.cluster.machines.contains_key(&name);
-            let m = l.cluster.machine_entry(&name, now);
+            let new = !leader.cluster.machines.contains_key(&name);
+            let m = leader.cluster.machine_entry(&name, now);
             if m.type_name.is_empty() {
                 m.type_name = h.machine_type.clone();
                 m.zone = h.zone.clone();
@@ -105,31 +105,33 @@
             m.listed_at.get_or_insert(now);
             // An old machine that has not reported in this term is not one that fails to
             // boot: a new leader once returned healthy machines for that.
-            if m.life == Life::Booting && h.status == HostStatus::Running {
-                m.life = Life::Unheard;
-                m.confirmed_read_at = now;
+            if m.state == MachineState::Booting && h.status == HostStatus::Running {
+                m.state = MachineState::AwaitingHeartbeat;
+                m.first_known_at = now;
             }
-            if h.status == HostStatus::Failed && !m.failed && m.life != Life::Gone {
+            if h.status == HostStatus::Failed && !m.failed && m.state != MachineState::Terminated {
                 dead.push(name);
             }
         }
         for name in dead {
             log::info!("{name}: listed as failed");
-            l.cluster.settle_all(&name);
-            if let Some(m) = l.cluster.machines.get_mut(&name) {
-                m.draining = true;
+            leader.cluster.settle_machine(&name);
+            if let Some(m) = leader.cluster.machines.get_mut(&name) {
+                m.cordoned = true;
                 m.lease_expired = true;
                 m.failed = true;
             }
-            l.plan_soon(now);
+            leader.plan_soon(now);
         }
         let mut gone = Vec::new();
-        for m in l.cluster.machines.values() {
-            let confirmed_read_at = m.listed_at.or(m.up_at).unwrap_or(m.confirmed_read_at);
-            if m.life != Life::Gone && !listed.contains(&*m.name) && begun > confirmed_read_at + lag
+        for m in leader.cluster.machines.values() {
+            let confirmed_read_at = m.listed_at.or(m.up_at).unwrap_or(m.first_known_at);
+            if m.state != MachineState::Terminated
+                && !listed.contains(&*m.name)
+                && begun > confirmed_read_at + lag
             {
                 // A worker that reported after that moment is surely there.
-                if m.reported_at.is_none_or(|t| begun > t + lag) {
+                if m.last_alive_at.is_none_or(|t| begun > t + lag) {
                     gone.push(m.name.clone());
                 }
             }
@@ -142,34 +144,43 @@
 
     /// A machine and everything on it has surely ceased to be.
     pub(super) fn machine_gone(&mut self, name: &Name) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        l.fleet.gone.insert(name.clone());
-        l.cluster.settle_all(name);
-        if let Some(m) = l.cluster.machines.get_mut(name) {
-            m.life = Life::Gone;
+        leader.fleet.gone.insert(name.clone());
+        leader.cluster.settle_machine(name);
+        if let Some(m) = leader.cluster.machines.get_mut(name) {
+            m.state = MachineState::Terminated;
             m.images.clear();
         }
-        l.plan_soon(now);
+        leader.plan_soon(now);
     }
 
     pub(super) fn forget_gone(&mut self) {
-        let Some(l) = self.leader.as_mut() else { return };
+        let Some(leader) = self.leader.as_mut() else { return };
         // A placement whose commit was under way when its machine was found gone or silent was
         // never ordered; it once stayed for ever, and its task with it.
         let mut over: Vec<(Name, TaskId)> = Vec::new();
-        for m in l.cluster.machines.values().filter(|m| m.life == Life::Gone || m.lease_expired) {
+        for m in leader
+            .cluster
+            .machines
+            .values()
+            .filter(|m| m.state == MachineState::Terminated || m.lease_expired)
+        {
             // On a silent one only what was not ordered since it expired.
-            let never = |p: &Placement| m.life == Life::Gone || p.ordered.is_none();
-            let open = |p: &Placement| p.ended.is_none() && p.phase == Phase::Committed;
+            let never =
+                |p: &Placement| m.state == MachineState::Terminated || p.start_sent_after.is_none();
+            let open = |p: &Placement| p.settled.is_none() && p.phase == PlacementPhase::Committed;
             let ids = m.placements.iter().filter(|(_, p)| open(p) && never(p));
             over.extend(ids.map(|(id, _)| (m.name.clone(), id.clone())));
         }
         for (name, id) in over {
-            l.cluster.settle(&name, &id, Cause::Lost);
+            leader.cluster.settle(&name, &id, EndCause::Lost);
         }
-        l.cluster.machines.retain(|_, m| m.life != Life::Gone || !m.placements.is_empty());
+        leader
+            .cluster
+            .machines
+            .retain(|_, m| m.state != MachineState::Terminated || !m.placements.is_empty());
     }
 }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -13,10 +13,10 @@
 };
 use crate::protocol::cloud::{hosts_path, Host, HostStatus, Hosts, MachineType, Names, Rent};
 use crate::protocol::users::JobKind;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::EndCause;
 use crate::protocol::Resources;
 use crate::storage::cluster::ClusterState;
-use crate::storage::machine::{Life, Machine, Placement, TaskId};
+use crate::storage::machine::{Machine, MachineState, Placement, TaskId};
 use crate::storage::records::Name;
 use std::collections::VecDeque;
 
@@ -173,34 +173,37 @@
 
 impl Controller {
     pub(super) fn fleet_due(&mut self) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !l.fleet.listing && now >= l.fleet.list_at && self.cloud.take(1.0, 0.0, now) {
-            l.fleet.listing = true;
-            l.fleet.list_begun = now;
-            l.fleet.pages.clear();
-            l.fleet.list_at = now + LIST_PERIOD_MS;
-            let purpose = Purpose::Hosts { begun: now };
+        if !leader.fleet.listing
+            && now >= leader.fleet.list_at
+            && self.cloud_budget.take(1.0, 0.0, now)
+        {
+            leader.fleet.listing = true;
+            leader.fleet.list_begun = now;
+            leader.fleet.pages.clear();
+            leader.fleet.list_at = now + LIST_PERIOD_MS;
+            let purpose = CallPurpose::Hosts { begun: now };
             let path = hosts_path(None, LIST_LIMIT);
             self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
-        let Some(l) = self.leader.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if now >= l.fleet.look_at {
-            l.fleet.look_at = now + l.fleet_period();
+        if now >= leader.fleet.look_at {
+            leader.fleet.look_at = now + leader.fleet_period();
             self.metrics.work.fleet_scans += 1;
             if let Some(catalog) = &self.catalog {
-                l.note_arrivals(self.now, catalog);
+                leader.note_arrivals(self.now, catalog);
             }
             self.forget_gone();
             self.consolidate();
             self.move_services();
             // One that the state service does not serve may not lead any more: it must not
             // take machines away.
-            if self.served() && !self.starts_are_held() {
+            if self.store_is_usable() && !self.starts_are_held() {
                 self.return_machines();
                 self.rent_machines();
             }
@@ -210,7 +213,7 @@
 
 /// Tasks of services on a machine.
 fn services(cluster: &ClusterState, m: &Machine) -> f64 {
-    let on = |((uid, _), p): &(&TaskId, &Placement)| p.ended.is_none() && cluster.is_service(uid);
+    let on = |((uid, _), p): &(&TaskId, &Placement)| p.settled.is_none() && cluster.is_service(uid);
     m.placements.iter().filter(on).count() as f64
 }
 
@@ -218,7 +221,7 @@
 fn service_share(cluster: &ClusterState, m: &Machine) -> f64 {
     let (mut service, mut all) = (0.0, 0.0);
     for ((uid, _), p) in &m.placements {
-        if let (None, Some(j)) = (p.ended, cluster.jobs.get(uid)) {
+        if let (None, Some(j)) = (p.settled, cluster.jobs.get(uid)) {
             let share = j.need.share_of(&m.total);
             all += share;
             if cluster.is_service(uid) {
@@ -234,9 +237,9 @@
 }
 
 fn usable(m: &Machine) -> bool {
-    m.life == Life::Up
+    m.state == MachineState::Up
+        && !m.cordoned
         && !m.draining
-        && !m.closing
         && !m.lease_expired
         && m.unreachable_since.is_none()
         && m.reclaim_at.is_none()
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/fleet/renting.rs
@@ -8,15 +8,15 @@
 
 impl Controller {
     pub(super) fn rent_machines(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
-        let rent_spot = self.op.rent_spot;
-        let Some(l) = self.leader.as_mut() else {
+        let rent_spot = self.operator.rent_spot;
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !l.fleet.listed_once || now < l.fleet.cloud_at {
+        if !leader.fleet.listed_once || now < leader.fleet.cloud_at {
             return;
         }
         // Room that is on its way.
@@ -27,7 +27,7 @@
             spot: bool,
         }
         let mut coming: Vec<Coming> = Vec::new();
-        for m in l.cluster.machines.values().filter(|m| m.life == Life::Booting) {
+        for m in leader.cluster.machines.values().filter(|m| m.state == MachineState::Booting) {
             let Some(b) = catalog.machine_types.iter().position(|b| b.type_name == m.type_name)
             else {
                 continue;
@@ -43,7 +43,7 @@
                 });
             }
         }
-        for r in &l.fleet.rentals {
+        for r in &leader.fleet.rentals {
             for _ in 0..r.number {
                 let total = total(&catalog.machine_types[r.machine_type]);
                 coming.push(Coming {
@@ -54,13 +54,13 @@
                 });
             }
         }
-        let mut unplaced = l.fleet.unplaced.clone();
+        let mut unplaced = leader.fleet.unplaced.clone();
         // Room for services to come, on ordinary machines: free now, or held by tasks that
         // may be stopped for them.
-        if let Some((need, want)) = l.spare_slots(now, &catalog) {
+        if let Some((need, want)) = leader.spare_slots(now, &catalog) {
             let mut have = 0.0;
-            for m in l.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
-                have += l.cluster.room_for_services(m).times(&need) as f64;
+            for m in leader.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
+                have += leader.cluster.room_for_services(m).times(&need) as f64;
             }
             let missing = want - have;
             if missing > 0.0 {
@@ -79,9 +79,9 @@
             }
         }
         // How many machines of each kind there are: zones with fewer come first.
-        let keys = l.cluster.hash_keys();
+        let keys = leader.cluster.hash_keys();
         let mut counts: HashMap<(&str, bool), usize> = keys.map();
-        for m in l.cluster.machines.values().filter(|m| m.life != Life::Gone) {
+        for m in leader.cluster.machines.values().filter(|m| m.state != MachineState::Terminated) {
             *counts.entry((m.zone.as_str(), m.spot)).or_default() += 1;
         }
         let mut wanted: HashMap<(usize, String, bool), usize> = keys.map();
@@ -133,7 +133,7 @@
                                 continue;
                             }
                             let kind = (b.type_name.clone(), zone.clone(), spot);
-                            if l.fleet.no_capacity.get(&kind).is_some_and(|t| now < *t) {
+                            if leader.fleet.no_capacity.get(&kind).is_some_and(|t| now < *t) {
                                 continue;
                             }
                             let price = if spot { b.spot_price } else { b.rate } / per;
@@ -173,13 +173,13 @@
                 if number == 0 {
                     continue;
                 }
-                if !self.cloud.take(1.0, 1.0, now) {
+                if !self.cloud_budget.take(1.0, 1.0, now) {
                     *left = 0;
                     continue;
                 }
                 *left -= number;
                 let (machine_type, zone, spot) = (*machine_type, zone.clone(), *spot);
-                let request_id = format!("mg-{}", l.unique());
+                let request_id = format!("mg-{}", leader.unique());
                 rentals.push(Rental { request_id, machine_type, zone, spot, number });
             }
         }
@@ -199,8 +199,8 @@
                 number: r.number,
             };
             let body = serde_json::to_vec(&body).unwrap_or_default();
-            if let Some(l) = self.leader.as_mut() {
-                l.fleet.rentals.push(r.clone());
+            if let Some(leader) = self.leader.as_mut() {
+                leader.fleet.rentals.push(r.clone());
             }
             self.call(
                 Service::Cloud,
@@ -208,24 +208,24 @@
                 "/hosts".into(),
                 body,
                 CLOUD_CALL_MS,
-                Purpose::Rent(r),
+                CallPurpose::Rent(r),
             );
         }
     }
 
-    pub(in crate::coordination) fn rent_answered(
+    pub(in crate::coordination) fn on_rental_response(
         &mut self,
         rental: Rental,
         reply: Option<(u16, Vec<u8>)>,
     ) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
-        let Some(l) = self.leader.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        l.fleet.rentals.retain(|r| r.request_id != rental.request_id);
+        leader.fleet.rentals.retain(|r| r.request_id != rental.request_id);
         let Some(machine_type) = catalog.machine_types.get(rental.machine_type) else {
             return;
         };
@@ -236,14 +236,14 @@
                     return;
                 };
                 if names.machines.len() < rental.number {
-                    l.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
+                    leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
                 }
                 for n in names.machines {
                     let name: Name = n.as_str().into();
-                    if l.fleet.is_gone(&n) {
+                    if leader.fleet.is_gone(&n) {
                         continue;
                     }
-                    let m = l.cluster.machine_entry(&name, now);
+                    let m = leader.cluster.machine_entry(&name, now);
                     if m.type_name.is_empty() {
                         m.type_name = machine_type.type_name.clone();
                         m.zone = rental.zone.clone();
@@ -254,10 +254,10 @@
             }
             Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
                 log::info!("no capacity for {} in {}, spot {}", kind.0, kind.1, kind.2);
-                l.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
+                leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
             }
             // Perhaps carried out, perhaps later: what comes of it shows up in the list.
-            _ => l.fleet.cloud_at = now + CLOUD_RETRY_MS,
+            _ => leader.fleet.cloud_at = now + CLOUD_RETRY_MS,
         }
     }
 }
@@ -274,12 +274,13 @@
         let mut services = Vec::new();
         let mut work = Vec::new();
         let mut last = from;
-        for (stamp, uid) in self.cluster.queue.range(from + 1..) {
-            last = *stamp;
+        for (mod_revision, uid) in self.cluster.queue.range(from + 1..) {
+            last = *mod_revision;
             let Some(job) = self.cluster.jobs.get(uid) else { continue };
             let Some(spec) = &job.spec else { continue };
-            let ago = if from == 0 { now.wall.saturating_sub(job.at_wall) } else { 0 };
-            let at = now.mono.saturating_sub(ago);
+            let ago =
+                if from == 0 { now.wall_ms.saturating_sub(job.accepted_at_wall_ms) } else { 0 };
+            let at = now.monotonic_ms.saturating_sub(ago);
             if ago > ARRIVAL_WINDOW_MS {
                 continue;
             }
@@ -294,13 +295,13 @@
         f.seen_arrival = last;
         f.arrivals.extend(services);
         f.work.extend(work);
-        f.arrivals.retain(|(t, _)| now.mono <= t + ARRIVAL_WINDOW_MS);
-        f.work.retain(|(t, _)| now.mono <= t + WORK_WINDOW_MS);
+        f.arrivals.retain(|(t, _)| now.monotonic_ms <= t + ARRIVAL_WINDOW_MS);
+        f.work.retain(|(t, _)| now.monotonic_ms <= t + WORK_WINDOW_MS);
     }
 
     /// Over how long arrivals have been watched, in milliseconds.
     pub(super) fn watched_ms(&self, now: u64, window: u64) -> f64 {
-        (now - self.began).clamp(ARRIVAL_WINDOW_MS / 2, ARRIVAL_WINDOW_MS).min(window) as f64
+        (now - self.began_at).clamp(ARRIVAL_WINDOW_MS / 2, ARRIVAL_WINDOW_MS).min(window) as f64
     }
 
     /// Machines that batch work keeps busy at the rate at which it has been coming.
--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/returning.rs
@@ -9,55 +9,61 @@
 
 impl Controller {
     pub(super) fn return_machines(&mut self) {
-        let now = self.now.mono;
-        let op = self.op.clone();
+        let now = self.now.monotonic_ms;
+        let operator = self.operator.clone();
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
         // Leases may be kept in our place for so long after we were last heard.
-        let isolated = self.isolated_ms() + self.lease_ms();
-        let Some(l) = self.leader.as_mut() else {
+        let isolated = self.isolation_budget_ms() + self.lease_ms();
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let spare = l.spare_slots(now, &catalog);
-        let silent = l.silent_services(now, &self.cfg);
-        let lease = (self.cfg.params.workers.lease_s * MS_PER_S) as u64;
-        let silent_ms = (self.cfg.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
+        let spare = leader.spare_slots(now, &catalog);
+        let silent = leader.silent_services(now, &self.settings);
+        let lease = (self.settings.params.workers.lease_s * MS_PER_S) as u64;
+        let silent_ms = (self.settings.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let mut free_slots: f64 = 0.0;
-        for m in l.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
+        for m in leader.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
             free_slots +=
-                spare.as_ref().map_or(0.0, |(need, _)| l.cluster.free(m).times(need) as f64);
+                spare.as_ref().map_or(0.0, |(need, _)| leader.cluster.free(m).times(need) as f64);
         }
         let mut names = Vec::new();
-        for m in l.cluster.machines.values() {
+        for m in leader.cluster.machines.values() {
             let ready = boot_ms(&catalog, &m.type_name);
             let empty = m.is_empty();
             let age = now.saturating_sub(m.rented_at);
             // Cut off it may come back, and another one in its place takes a boot before it is of
             // use: it is kept for that long. A zone that was cut off was once returned whole.
             let give_up = lease + ready;
-            let idle_ms = match op.idle_return_s {
+            let idle_ms = match operator.idle_return_s {
                 Some(s) => (s * MS_PER_S) as u64,
                 None => (ready as f64 * IDLE_RETURN_BOOTS) as u64,
             };
-            let back = match m.life {
-                Life::Booting | Life::Unheard | Life::Up if m.failed => true,
-                Life::Gone | Life::Deleting | Life::Unheard => false,
-                Life::Booting => age as f64 > ready as f64 * BOOT_LOST,
-                Life::Up if m.lease_expired => {
-                    m.answered_at.is_none_or(|t| now > t + give_up) || m.draining
+            let back = match m.state {
+                MachineState::Booting | MachineState::AwaitingHeartbeat | MachineState::Up
+                    if m.failed =>
+                {
+                    true
+                }
+                MachineState::Terminated
+                | MachineState::Deleting
+                | MachineState::AwaitingHeartbeat => false,
+                MachineState::Booting => age as f64 > ready as f64 * BOOT_LOST,
+                MachineState::Up if m.lease_expired => {
+                    m.last_response_at.is_none_or(|t| now > t + give_up) || m.cordoned
                 }
                 // Empty, or past its time and silent: to wait for the list would hold its
                 // tasks for twice its lag.
-                Life::Up if m.reclaim_at.is_some() => {
+                MachineState::Up if m.reclaim_at.is_some() => {
                     let past = m.reclaim_at.is_some_and(|t| now > t + RECLAIM_PAST_MS);
-                    let quiet = m.reported_at.is_none_or(|t| now > t + silent_ms);
+                    let quiet = m.last_alive_at.is_none_or(|t| now > t + silent_ms);
                     empty || (past && quiet)
                 }
-                Life::Up if m.draining => empty,
-                Life::Up if m.closing => empty && age as f64 >= CHARGE_MIN_S * MS_PER_S,
-                Life::Up if !empty => false,
-                Life::Up => {
+                MachineState::Up if m.cordoned => empty,
+                MachineState::Up if m.draining => empty && age as f64 >= CHARGE_MIN_S * MS_PER_S,
+                MachineState::Up if !empty => false,
+                MachineState::Up => {
                     let idle = m.idle_since.is_some_and(|t| now >= t + idle_ms);
                     let paid = age as f64 >= CHARGE_MIN_S * MS_PER_S;
                     let needed = match &spare {
@@ -75,11 +81,11 @@
                 }
             };
             // Silent since before this term: nobody may tell any more what runs there.
-            let mute = m.life == Life::Up
+            let mute = m.state == MachineState::Up
                 && !m.lease_expired
-                && m.reported_at.is_some_and(|t| now > t + give_up.max(isolated));
-            let unheard =
-                m.life == Life::Unheard && now > m.confirmed_read_at + lease + SILENT_DELETE_MS;
+                && m.last_alive_at.is_some_and(|t| now > t + give_up.max(isolated));
+            let unheard = m.state == MachineState::AwaitingHeartbeat
+                && now > m.first_known_at + lease + SILENT_DELETE_MS;
             let doubtful = silent.contains(&m.name);
             // What nobody can order about any more is replaced: with tasks on it once its lease
             // must be over, so that they start elsewhere.
@@ -87,33 +93,33 @@
                 true => SILENT_DELETE_MS,
                 false => lease,
             };
-            let deaf =
-                m.life == Life::Up && m.unreachable_since.is_some_and(|t| now > t + patience);
+            let deaf = m.state == MachineState::Up
+                && m.unreachable_since.is_some_and(|t| now > t + patience);
             if back || mute || unheard || doubtful || deaf {
                 names.push(m.name.clone());
             }
         }
         // A leader that hears nobody must not take that for the death of all.
-        if names.is_empty() || now > l.heard_at + LEADER_UNHEARD_MS {
+        if names.is_empty() || now > leader.last_heartbeat_at + LEADER_UNHEARD_MS {
             return;
         }
         names.truncate(DELETE_MAX);
-        if !self.cloud.take(1.0, 0.0, now) {
+        if !self.cloud_budget.take(1.0, 0.0, now) {
             return;
         }
         for n in &names {
-            if let Some(m) = l.cluster.machines.get_mut(n) {
-                m.life = Life::Deleting;
+            if let Some(m) = leader.cluster.machines.get_mut(n) {
+                m.state = MachineState::Deleting;
             }
         }
         log::info!("returns {}", names.join(", "));
         let body = Names { machines: names.iter().map(|n| n.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        let purpose = Purpose::Delete(names);
+        let purpose = CallPurpose::Delete(names);
         self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_CALL_MS, purpose);
     }
 
-    pub(in crate::coordination) fn delete_answered(
+    pub(in crate::coordination) fn on_deletion_response(
         &mut self,
         names: Vec<Name>,
         reply: Option<(u16, Vec<u8>)>,
@@ -124,14 +130,20 @@
             }
             return;
         }
-        let Some(l) = self.leader.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         for n in names {
             // Perhaps carried out, perhaps later: asked for again.
-            if let Some(m) = l.cluster.machines.get_mut(&n).filter(|m| m.life == Life::Deleting) {
-                m.life = if m.up_at.is_some() { Life::Up } else { Life::Unheard };
-                m.draining = true;
+            if let Some(m) =
+                leader.cluster.machines.get_mut(&n).filter(|m| m.state == MachineState::Deleting)
+            {
+                m.state = if m.up_at.is_some() {
+                    MachineState::Up
+                } else {
+                    MachineState::AwaitingHeartbeat
+                };
+                m.cordoned = true;
             }
         }
     }
@@ -142,25 +154,27 @@
     /// others report, and whose services have a place elsewhere: deleting them is evidence
     /// at once, where a lease or the list take twice as long. If they were only cut off, their
     /// tasks would have ended with the lease all the same.
-    pub(super) fn silent_services(&self, now: u64, cfg: &Platform) -> Vec<Name> {
-        let w = &cfg.params.workers;
+    pub(super) fn silent_services(&self, now: u64, settings: &Platform) -> Vec<Name> {
+        let w = &settings.params.workers;
         // A report that fails, the worker's wait for it, one at a wrong controller, and back.
         let round = w.report_s * 2.5 + WORKER_WAIT_S + WORKER_RETRY_S * 2.0;
         let round_ms = (round * MS_PER_S) as u64;
         let recent_ms = (w.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let cluster = &self.cluster;
-        let last = |m: &Machine| m.reported_at.unwrap_or(0).max(self.began);
+        let last = |m: &Machine| m.last_alive_at.unwrap_or(0).max(self.began_at);
         let known: Vec<&Machine> = cluster
             .machines
             .values()
-            .filter(|m| matches!(m.life, Life::Up | Life::Unheard) && !m.failed)
+            .filter(|m| {
+                matches!(m.state, MachineState::Up | MachineState::AwaitingHeartbeat) && !m.failed
+            })
             .collect();
         let quiet: Vec<&&Machine> = known
             .iter()
-            .filter(|m| !m.lease_expired && now > last(m).max(m.confirmed_read_at) + round_ms)
+            .filter(|m| !m.lease_expired && now > last(m).max(m.first_known_at) + round_ms)
             .collect();
         let heard =
-            known.iter().filter(|m| m.reported_at.is_some_and(|t| now <= t + recent_ms)).count();
+            known.iter().filter(|m| m.last_alive_at.is_some_and(|t| now <= t + recent_ms)).count();
         let few = quiet.len() * SILENT_FEW <= known.len();
         if !few || heard + quiet.len() < known.len() {
             return Vec::new();
@@ -173,7 +187,7 @@
                 let services: Vec<Resources> = m
                     .placements
                     .iter()
-                    .filter(|((uid, _), p)| p.ended.is_none() && cluster.is_service(uid))
+                    .filter(|((uid, _), p)| p.settled.is_none() && cluster.is_service(uid))
                     .filter_map(|((uid, _), _)| cluster.jobs.get(uid).map(|j| j.need))
                     .collect();
                 let Some(need) = services.first() else { return false };
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -8,10 +8,10 @@
     WRITE_RESERVE,
 };
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
 use crate::storage::limits::StoreLimits;
-use crate::storage::machine::{Halt, Life, Machine, Phase, Placement};
+use crate::storage::machine::{Machine, MachineState, Placement, PlacementPhase, StopReason};
 use crate::storage::records::Name;
 use std::collections::BTreeSet;
 
@@ -41,9 +41,9 @@
 /// A task that is stored and was never ordered by this leader: it is on no machine.
 fn never_ordered(placement: &Placement, term: u64) -> bool {
     placement.attempt >> ATTEMPT_BITS == term
-        && placement.phase == Phase::Committed
-        && placement.ordered.is_none()
-        && placement.seen.is_none()
+        && placement.phase == PlacementPhase::Committed
+        && placement.start_sent_after.is_none()
+        && placement.reported_status.is_none()
 }
 
 /// Milliseconds of silence after which a machine is not waited for: longer than a worker takes to report
@@ -55,21 +55,21 @@
 
 impl Leader {
     /// Stops all tasks of a gang; those that were never ordered are settled at once.
-    pub(super) fn stop_gang(&mut self, uid: &Name, halt: Halt, now: u64) {
+    pub(super) fn stop_gang(&mut self, uid: &Name, halt: StopReason, now: u64) {
         self.cluster.stop_gang(uid, halt);
         let Some(job) = self.cluster.jobs.get(uid) else { return };
         let nowhere: Vec<(Name, u32)> = job
-            .placed
+            .placed_on
             .iter()
             .filter(|(task, machine)| {
                 let machine = self.cluster.machines.get(*machine);
                 let held = machine.and_then(|m| m.placements.get(&(uid.clone(), **task)));
-                held.is_some_and(|p| p.ended.is_none() && never_ordered(p, self.term))
+                held.is_some_and(|p| p.settled.is_none() && never_ordered(p, self.term))
             })
             .map(|(task, machine)| (machine.clone(), *task))
             .collect();
         for (machine, task) in nowhere {
-            self.cluster.settle(&machine, &(uid.clone(), task), Cause::Lost);
+            self.cluster.settle(&machine, &(uid.clone(), task), EndCause::Lost);
         }
         self.plan_soon(now);
     }
@@ -79,10 +79,10 @@
     fn stop_hopeless_gangs(&mut self, workers: &Workers, now: u64) {
         let silent = silent_ms(workers);
         let lost = |m: &Machine| {
-            m.life != Life::Up
+            m.state != MachineState::Up
                 || m.lease_expired
                 || m.unreachable_since.is_some()
-                || m.reported_at.is_none_or(|t| now > t + silent)
+                || m.last_alive_at.is_none_or(|t| now > t + silent)
         };
         let cluster = &self.cluster;
         let mut hopeless: BTreeSet<Name> = BTreeSet::new();
@@ -92,12 +92,14 @@
             if job.gang.as_ref().is_none_or(|gang| gang.running) {
                 continue;
             }
-            let missing = job.placed.iter().any(|(task, machine)| {
+            let missing = job.placed_on.iter().any(|(task, machine)| {
                 let Some(m) = cluster.machines.get(machine) else { return false };
                 let held = m.placements.get(&(uid.clone(), *task));
                 // What an earlier leader has placed may run there.
-                let heard = m.shows_token || now > self.began + silent * 2;
-                held.is_some_and(|p| p.seen.is_none() && p.halt.is_none()) && heard && lost(m)
+                let heard = m.has_our_token || now > self.began_at + silent * 2;
+                held.is_some_and(|p| p.reported_status.is_none() && p.stop_reason.is_none())
+                    && heard
+                    && lost(m)
             });
             if missing {
                 hopeless.insert(uid.clone());
@@ -105,17 +107,19 @@
         }
         for uid in hopeless {
             log::info!("{uid}: its gang can't become complete, the attempt is stopped");
-            self.stop_gang(&uid, Halt::Unwanted, now);
+            self.stop_gang(&uid, StopReason::NotNeeded, now);
         }
     }
 }
 
 impl Controller {
     pub(super) fn gangs_due(&mut self) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut().filter(|l| now >= l.gang_scan_at) else { return };
-        l.gang_scan_at = now + GANG_SCAN_MS;
-        l.stop_hopeless_gangs(&self.cfg.params.workers, now);
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.gang_scan_at) else {
+            return;
+        };
+        leader.gang_scan_at = now + GANG_SCAN_MS;
+        leader.stop_hopeless_gangs(&self.settings.params.workers, now);
     }
 }
 
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -1,10 +1,10 @@
 //! The leader: takeover, write-ahead commits, planning passes, evidence that time gives.
 
-use super::commits::{Entry, Move};
+use super::commits::{PlacementEntry, PlacementMove};
 use super::fleet::Fleet;
 use super::planner;
 use super::snapshot::View;
-use super::workers::HeldReport;
+use super::workers::DeferredHeartbeat;
 use super::{Clock, Controller};
 use crate::constants::{
     ATTEMPT_BITS, AVERAGE_WEIGHT, CLOCK_DRIFT, ESTIMATE_MIN_S, FLEET_MACHINE_MS, FLEET_PERIOD_MS,
@@ -12,40 +12,40 @@
     LEASE_SCAN_MS, MS_PER_S, PASS_GAP_MACHINE_MS, PASS_GAP_MS, POLL_SOON_MS, RATIO_SAMPLES_MIN,
     REPORT_HOLD_MS, SERVICE_REFERENCE_S, STATUS_LOG_PERIOD_MS, WRITE_RESERVE,
 };
-use crate::protocol::state::Commit;
+use crate::protocol::state::Transaction;
 use crate::protocol::users::JobKind;
 use crate::protocol::users::JobSpec;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::EndCause;
 use crate::protocol::Resources;
 use crate::storage::budget::Bucket;
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
-use crate::storage::machine::{Halt, Life, Machine, Phase};
+use crate::storage::machine::{Machine, MachineState, PlacementPhase, StopReason};
 use crate::storage::records::Name;
 use std::collections::BTreeMap;
 
 /// A commit that is under way.
 #[derive(Debug, Default)]
-pub(super) struct PendingCommit {
-    pub commit: Commit,
+pub(super) struct PendingTransaction {
+    pub commit: Transaction,
     pub body: Vec<u8>,
     /// Groups of placements that it writes, with what it stores and takes out.
     pub groups: Vec<u32>,
-    pub adds: Vec<Entry>,
-    pub leaves: Vec<Entry>,
+    pub additions: Vec<PlacementEntry>,
+    pub removals: Vec<PlacementEntry>,
     /// Placements that it moves from a group that was too large.
-    pub moves: Vec<Move>,
+    pub moves: Vec<PlacementMove>,
     /// Groups of bitmaps that it writes, and the chunks that changed.
     pub done_groups: Vec<u32>,
     pub chunks: Vec<(Name, u32)>,
-    pub finishes: Vec<Name>,
-    pub garbage: Vec<(String, u64)>,
+    pub finished_jobs: Vec<Name>,
+    pub stale_keys: Vec<(String, u64)>,
     /// It was sent at least once with no answer: it may have been applied.
-    pub unclear: bool,
+    pub outcome_unknown: bool,
     /// A copy is out now.
-    pub sent: bool,
+    pub in_flight: bool,
     /// Waits for a read that tells what became of it.
-    pub reading: Option<u64>,
+    pub awaiting_read_since: Option<u64>,
     pub not_before: u64,
 }
 
@@ -61,7 +61,7 @@
     /// The term in which it leads, which is also the token shown to workers.
     pub term: u64,
     /// Stamp of the leader key: condition of every commit.
-    pub stamp: u64,
+    pub mod_revision: u64,
     pub(super) lease_id: u64,
     pub(super) renew_at: u64,
     pub(super) renewing: bool,
@@ -74,12 +74,12 @@
     /// Jobs, machines and placements as this term knows them.
     pub cluster: ClusterState,
     pub(super) fleet: Fleet,
-    pub(super) held: Vec<HeldReport>,
-    pub(super) began: u64,
+    pub(super) deferred_heartbeats: Vec<DeferredHeartbeat>,
+    pub(super) began_at: u64,
     /// Last report of any worker.
-    pub(super) heard_at: u64,
+    pub(super) last_heartbeat_at: u64,
     /// When each peer was last told that we lead: what permits it to stand in for us.
-    pub(super) permitted: Vec<Option<u64>>,
+    pub(super) lease_extension_permits: Vec<Option<u64>>,
     /// When gangs that can't become complete are looked for next.
     pub(super) gang_scan_at: u64,
     /// When leases are looked at next.
@@ -87,7 +87,7 @@
     /// When the next line of the day's story is due.
     status_log_at: u64,
     counter: u64,
-    pub(super) pending_commit: Option<PendingCommit>,
+    pub(super) pending_transaction: Option<PendingTransaction>,
     /// The last commit was there to divide a group that is too large.
     pub(super) divided_last: bool,
     plan_at: u64,
@@ -108,7 +108,7 @@
 impl Leader {
     pub(super) fn new(
         term: u64,
-        stamp: u64,
+        mod_revision: u64,
         lease_id: u64,
         peers: usize,
         now: u64,
@@ -116,7 +116,7 @@
     ) -> Leader {
         Leader {
             term,
-            stamp,
+            mod_revision,
             lease_id,
             renew_at: now + LEADER_RENEW_MS,
             renewing: false,
@@ -125,15 +125,15 @@
             ready_at: now,
             cluster: ClusterState::new(keys),
             fleet: Fleet::new(now, keys),
-            held: Vec::new(),
-            began: now,
-            heard_at: now,
-            permitted: vec![None; peers],
+            deferred_heartbeats: Vec::new(),
+            began_at: now,
+            last_heartbeat_at: now,
+            lease_extension_permits: vec![None; peers],
             gang_scan_at: now,
             lease_scan_at: now,
             status_log_at: now + STATUS_LOG_PERIOD_MS,
             counter: 0,
-            pending_commit: None,
+            pending_transaction: None,
             divided_last: false,
             plan_at: now,
             planned_at: 0,
@@ -159,7 +159,7 @@
         let cluster = &self.cluster;
         let count =
             |f: &dyn Fn(&Machine) -> bool| cluster.machines.values().filter(|m| f(m)).count();
-        let up = |m: &Machine| m.life == Life::Up && !m.lease_expired;
+        let up = |m: &Machine| m.state == MachineState::Up && !m.lease_expired;
         let mut free = Resources::default();
         for m in cluster.machines.values().filter(|m| up(m)) {
             free += cluster.free(m);
@@ -169,17 +169,17 @@
                 .machines
                 .values()
                 .flat_map(|m| m.placements.values())
-                .filter(|p| p.ended.is_none())
+                .filter(|p| p.settled.is_none())
         };
         log::info!(
             "{} ordinary and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
             count(&|m| up(m) && !m.spot),
             count(&|m| up(m) && m.spot),
             count(&|m| up(m) && m.placements.is_empty()),
-            count(&|m| m.life == Life::Booting),
-            open().filter(|p| p.running_since.is_some() && p.halt.is_none()).count(),
-            open().filter(|p| p.running_since.is_none() && p.halt.is_none()).count(),
-            open().filter(|p| p.halt.is_some()).count(),
+            count(&|m| m.state == MachineState::Booting),
+            open().filter(|p| p.running_since.is_some() && p.stop_reason.is_none()).count(),
+            open().filter(|p| p.running_since.is_none() && p.stop_reason.is_none()).count(),
+            open().filter(|p| p.stop_reason.is_some()).count(),
             cluster.jobs.values().map(|j| u64::from(j.waiting())).sum::<u64>(),
             free.cpu / 1000,
             free.gpu / 1000,
@@ -204,15 +204,16 @@
     /// When it has to look again if nothing comes in before. Answers to commits come in; what
     /// waits for a pass, for a write to spare or for its longest time does not.
     pub(super) fn next_wake(&self, now: u64, writes: &Bucket) -> Option<u64> {
-        let write = match &self.pending_commit {
-            Some(f) if f.sent || f.reading.is_some() => None,
+        let write = match &self.pending_transaction {
+            Some(f) if f.in_flight || f.awaiting_read_since.is_some() => None,
             Some(f) => Some(f.not_before.max(writes.available_at(f.commit.writes.len() as f64))),
             None if self.cluster.proposals.is_empty() => None,
             None => Some(writes.available_at(WRITE_RESERVE + 1.0)),
         };
         // Whatever comes in answers those that have waited long enough too: in a large fleet a report
         // comes every few milliseconds, and to wake for each of them alone is mostly for nothing.
-        let held = self.held.iter().map(|h| h.since + REPORT_HOLD_MS + POLL_SOON_MS).min();
+        let held =
+            self.deferred_heartbeats.iter().map(|h| h.since + REPORT_HOLD_MS + POLL_SOON_MS).min();
         // A pass waits until what the last one decided is stored.
         let pass = (held.is_some() && self.cluster.proposals.is_empty()).then_some(self.plan_at);
         let pass = pass.map(|t| t.max(now + 1));
@@ -221,7 +222,7 @@
 
     /// Whether a commit that may bring commands for a worker is under way or due.
     pub(super) fn deciding(&self, now: u64) -> bool {
-        self.pending_commit.as_ref().is_some_and(|f| !f.unclear)
+        self.pending_transaction.as_ref().is_some_and(|f| !f.outcome_unknown)
             || !self.cluster.proposals.is_empty()
             || self.plan_at <= now + self.pass_gap()
     }
@@ -262,63 +263,64 @@
         if self.rebuilds() {
             return;
         }
-        if !self.leader.as_ref().is_some_and(|l| l.ready) {
-            self.flush_held();
+        if !self.leader.as_ref().is_some_and(|leader| leader.ready) {
+            self.answer_deferred_heartbeats();
             return;
         }
         self.expire_leases();
-        self.hand_over_if_unheard();
+        self.hand_over_if_no_worker_reports();
         if self.leader.is_none() {
             return;
         }
         self.gangs_due();
         self.fleet_due();
-        let now = self.now.mono;
-        if let Some(l) = self.leader.as_mut().filter(|l| now >= l.status_log_at) {
-            l.status_log_at = now + STATUS_LOG_PERIOD_MS;
-            l.log_status();
+        let now = self.now.monotonic_ms;
+        if let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.status_log_at) {
+            leader.status_log_at = now + STATUS_LOG_PERIOD_MS;
+            leader.log_status();
         }
         // What the last pass decided is stored first: to decide more would only queue it.
-        let due = |l: &Leader| l.plan_at <= now && l.cluster.proposals.is_empty();
-        let plans = self.served() && !self.starts_are_held();
+        let due = |leader: &Leader| leader.plan_at <= now && leader.cluster.proposals.is_empty();
+        let plans = self.store_is_usable() && !self.starts_are_held();
         if self.leader.as_ref().is_some_and(due) && plans {
             self.plan_pass();
         }
         self.commit_due();
-        self.flush_held();
+        self.answer_deferred_heartbeats();
     }
 
     /// A read that was begun after the election, or after an unclear commit, is in.
-    pub(super) fn leader_fresh(&mut self, begun: u64) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else {
+    pub(super) fn on_leader_read(&mut self, begun: u64) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !l.ready {
+        if !leader.ready {
             if self.recovery.holds() {
                 // The store is written back first.
                 return;
             }
-            if self.replica.rev < l.stamp {
-                return self.leader_wants_fresh();
+            if self.replica.revision < leader.mod_revision {
+                return self.request_leader_read();
             }
-            l.cluster = ClusterState::from_replica(&self.replica, now);
-            l.ready = true;
-            l.ready_at = now;
+            leader.cluster = ClusterState::from_replica(&self.replica, now);
+            leader.ready = true;
+            leader.ready_at = now;
             if let Some(rec) = &self.replica.shares {
                 let of = |t: &str| rec.value.teams.iter().find(|(n, _)| n == t).map(|(_, s)| *s);
-                l.shares = self.cfg.params.teams.iter().map(|t| of(&t.name).unwrap_or(0)).collect();
+                leader.shares =
+                    self.settings.params.teams.iter().map(|t| of(&t.name).unwrap_or(0)).collect();
             }
-            l.plan_at = now;
+            leader.plan_at = now;
             log::info!(
                 "term {}: {} live jobs, {} machines with placements",
-                l.term,
-                l.cluster.queue.len(),
-                l.cluster.machines.len()
+                leader.term,
+                leader.cluster.queue.len(),
+                leader.cluster.machines.len()
             );
             return self.check_term();
         }
-        self.resolve_commit(begun);
+        self.resolve_unknown_outcome(begun);
     }
 
     // --- evidence by time --------------------------------------------------------
@@ -327,28 +329,28 @@
     /// lower term can have renewed it, our last answer is older than the lease, and no peer
     /// has answered it in our place since.
     fn expire_leases(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let lease = self.lease_ms();
-        if self.leader.as_ref().is_none_or(|l| now < l.lease_scan_at) {
+        if self.leader.as_ref().is_none_or(|leader| now < leader.lease_scan_at) {
             return;
         }
         self.metrics.work.lease_scans += 1;
         let alone_since = self.nobody_else_answered_before();
-        let Some(l) = self.leader.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
         // No lease that runs now can be over before the oldest of them: until then a look at
         // every machine would find nothing.
         let mut oldest = now;
         let mut lease_expired = Vec::new();
-        for m in l.cluster.machines.values_mut() {
-            let Some(answered) = m.answered_at else {
+        for m in leader.cluster.machines.values_mut() {
+            let Some(answered) = m.last_response_at else {
                 continue;
             };
             // One whose report waits for its answer is not silent: it was once taken for silent
             // again when it came back, with a start for it on the way, and that task ran twice.
-            let last = answered.max(m.received_at.unwrap_or(0));
-            let counts = m.shows_token && !m.lease_expired && m.life == Life::Up;
+            let last = answered.max(m.last_heartbeat_at.unwrap_or(0));
+            let counts = m.has_our_token && !m.lease_expired && m.state == MachineState::Up;
             if counts && now > last + lease && last <= alone_since {
                 m.lease_expired = true;
                 lease_expired.push(m.name.clone());
@@ -356,25 +358,26 @@
                 oldest = oldest.min(last);
             }
         }
-        l.lease_scan_at = (oldest + lease + 1).max(now + LEASE_SCAN_MS);
+        leader.lease_scan_at = (oldest + lease + 1).max(now + LEASE_SCAN_MS);
         for name in lease_expired {
             log::info!("{name}: silent, its lease has run out");
-            l.cluster.settle_all(&name);
-            l.plan_soon(now);
+            leader.cluster.settle_machine(&name);
+            leader.plan_soon(now);
         }
     }
 
     /// The longest time after an answer at which a worker may still run tasks.
     pub(super) fn lease_ms(&self) -> u64 {
-        let s = self.cfg.params.workers.lease_s * (1.0 + CLOCK_DRIFT);
+        let s = self.settings.params.workers.lease_s * (1.0 + CLOCK_DRIFT);
         (s * MS_PER_S) as u64 + LEASE_MARGIN_MS
     }
 
     /// All workers are silent here while peers see them come round: someone else should lead.
-    fn hand_over_if_unheard(&mut self) {
-        let now = self.now.mono;
-        let Some(l) = &self.leader else { return };
-        let quiet = now > l.heard_at + LEADER_UNHEARD_MS && now > l.began + LEADER_UNHEARD_MS;
+    fn hand_over_if_no_worker_reports(&mut self) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = &self.leader else { return };
+        let quiet = now > leader.last_heartbeat_at + LEADER_UNHEARD_MS
+            && now > leader.began_at + LEADER_UNHEARD_MS;
         let peers_hear =
             self.fresh_gossip().any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
         if quiet && peers_hear {
@@ -385,38 +388,45 @@
     // --- planning ----------------------------------------------------------------
 
     fn plan_pass(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let Some(catalog) = self.catalog.clone() else {
             return;
         };
-        let wall = self.now.wall;
-        let cfg = self.cfg.clone();
-        let op = self.op.clone();
-        let Some(l) = self.leader.as_mut() else {
+        let wall_ms = self.now.wall_ms;
+        let settings = self.settings.clone();
+        let operator = self.operator.clone();
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        l.planned_at = now;
-        l.plan_at = now + op.pass_period_ms;
-        if !l.cluster.anything_waits() && l.shares.len() == cfg.params.teams.len() {
+        leader.planned_at = now;
+        leader.plan_at = now + operator.pass_period_ms;
+        if !leader.cluster.has_waiting_tasks() && leader.shares.len() == settings.params.teams.len()
+        {
             // There is nothing to place, to make room for or to reserve.
-            l.reservation = None;
-            l.fleet.none_unplaced();
+            leader.reservation = None;
+            leader.fleet.none_unplaced();
             return;
         }
         self.metrics.work.planner_passes += 1;
-        self.metrics.work.planner_machines += l.cluster.machines.len() as u64;
-        let mut view = View::of_cluster(l, &cfg, &op, &catalog, Clock { mono: now, wall });
-        let shares = planner::move_shares(&view.snapshot, l.shares.clone());
-        if shares != l.shares {
-            l.shares = shares;
-            l.shares_written = false;
+        self.metrics.work.planner_machines += leader.cluster.machines.len() as u64;
+        let mut view = View::of_cluster(
+            leader,
+            &settings,
+            &operator,
+            &catalog,
+            Clock { monotonic_ms: now, wall_ms },
+        );
+        let shares = planner::move_shares(&view.snapshot, leader.shares.clone());
+        if shares != leader.shares {
+            leader.shares = shares;
+            leader.shares_written = false;
         }
-        for (team, share) in view.snapshot.teams.iter_mut().zip(&l.shares) {
+        for (team, share) in view.snapshot.teams.iter_mut().zip(&leader.shares) {
             team.share = *share;
         }
         let plan = planner::plan(&view.snapshot);
         self.metrics.work.planner_places += plan.places_examined;
-        l.reservation =
+        leader.reservation =
             plan.reservation.map(|(j, m, _)| (view.jobs[j].clone(), view.machines[m].clone()));
         let mut gangs: BTreeMap<usize, Vec<Name>> = BTreeMap::new();
         for (j, m) in &plan.places {
@@ -425,16 +435,16 @@
                 continue;
             }
             let (uid, machine) = (view.jobs[*j].clone(), view.machines[*m].clone());
-            let Some(task) = l.cluster.jobs.get(&uid).and_then(|j| j.next_waiting()) else {
+            let Some(task) = leader.cluster.jobs.get(&uid).and_then(|j| j.next_waiting()) else {
                 continue;
             };
-            let attempt = l.unique();
-            l.cluster.propose(&uid, task, &machine, attempt, now);
+            let attempt = leader.unique();
+            leader.cluster.propose(&uid, task, &machine, attempt, now);
             log::debug!("{uid}/{task}: placed on {machine}, attempt {attempt}");
         }
         for (j, machines) in gangs {
-            let (uid, attempt) = (&view.jobs[j], l.unique());
-            if l.cluster.propose_gang(uid, &machines, attempt, now) {
+            let (uid, attempt) = (&view.jobs[j], leader.unique());
+            if leader.cluster.propose_gang(uid, &machines, attempt, now) {
                 log::debug!("{uid}: gang placed on {}, attempt {attempt}", machines.join(", "));
             } else {
                 log::error!("{uid}: a part of a gang is not placed");
@@ -443,26 +453,31 @@
         for (m, handle) in &plan.halts {
             let id = view.handles[*m][*handle].clone();
             let machine = &view.machines[*m];
-            if l.cluster.jobs.get(&id.0).is_some_and(|job| job.is_gang()) {
+            if leader.cluster.jobs.get(&id.0).is_some_and(|job| job.is_gang()) {
                 log::debug!("{}: gang stopped to make room", id.0);
-                l.stop_gang(&id.0, Halt::MakeRoom, now);
+                leader.stop_gang(&id.0, StopReason::Eviction, now);
                 continue;
             }
-            let held = l.cluster.machines.get_mut(machine).and_then(|m| m.placements.get_mut(&id));
+            let held =
+                leader.cluster.machines.get_mut(machine).and_then(|m| m.placements.get_mut(&id));
             let Some(p) = held else { continue };
             log::debug!("{}/{}: stopped on {machine} to make room", id.0, id.1);
-            p.halt = p.halt.max(Some(Halt::MakeRoom));
+            p.stop_reason = p.stop_reason.max(Some(StopReason::Eviction));
             // Stored but never ordered by us: it can't be there, so its place is free at once.
-            let ours = p.attempt >> ATTEMPT_BITS == l.term;
-            if ours && p.phase == Phase::Committed && p.ordered.is_none() && p.seen.is_none() {
-                l.cluster.settle(machine, &id, Cause::Lost);
+            let ours = p.attempt >> ATTEMPT_BITS == leader.term;
+            if ours
+                && p.phase == PlacementPhase::Committed
+                && p.start_sent_after.is_none()
+                && p.reported_status.is_none()
+            {
+                leader.cluster.settle(machine, &id, EndCause::Lost);
             }
         }
-        l.fleet.note_unplaced(&view, &plan, &catalog);
+        leader.fleet.note_unplaced(&view, &plan, &catalog);
     }
 }
 
 /// Whether a cause means that the machine or the job is at fault.
-pub(super) fn is_failure(cause: Cause) -> bool {
-    matches!(cause, Cause::Error)
+pub(super) fn is_failure(cause: EndCause) -> bool {
+    matches!(cause, EndCause::Error)
 }
--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -140,7 +140,7 @@
 
     /// Writes a line with what was done since the last one, when it is due.
     pub(super) fn log_metrics_due(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let metrics = &mut self.metrics;
         if now < metrics.log_at {
             return;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -33,7 +33,7 @@
 };
 use crate::protocol::cloud::Catalog;
 use crate::protocol::recovery::RECOVERY_PATH;
-use crate::protocol::state::Commit;
+use crate::protocol::state::Transaction;
 use crate::settings::{Operator, Platform};
 use crate::storage::budget::Bucket;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
@@ -47,13 +47,13 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Clock {
     /// Steady clock: only differences mean anything.
-    pub mono: u64,
+    pub monotonic_ms: u64,
     /// Time of day, which may be off and step.
-    pub wall: u64,
+    pub wall_ms: u64,
 }
 
 /// Names an inbound connection.
-pub type ConnId = u64;
+pub type ConnectionId = u64;
 /// Names a call.
 pub type CallId = u64;
 
@@ -74,7 +74,7 @@
     /// A request from users, workers or health checks.
     Public {
         /// The connection to answer on.
-        conn: ConnId,
+        connection: ConnectionId,
         /// HTTP method.
         method: String,
         /// Path with its query.
@@ -85,7 +85,7 @@
     /// A request from another controller.
     Peer {
         /// The connection to answer on.
-        conn: ConnId,
+        connection: ConnectionId,
         /// HTTP method.
         method: String,
         /// Path with its query.
@@ -108,7 +108,7 @@
     /// Answers a request.
     Respond {
         /// The connection it came on.
-        conn: ConnId,
+        connection: ConnectionId,
         /// HTTP status.
         status: u16,
         /// Seconds after which the client may come back.
@@ -135,8 +135,8 @@
 
 /// Who waits for the answer to a user's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Asker {
-    conn: ConnId,
+pub(crate) struct Requester {
+    connection: ConnectionId,
     /// A peer that passes the answer on.
     relayed: bool,
     since: u64,
@@ -144,7 +144,7 @@
 
 /// What a call was made for.
 #[derive(Debug)]
-enum Purpose {
+enum CallPurpose {
     List { epoch: u32 },
     Watch { asked: StoreQuestion },
     Fresh { begun: u64, asked: StoreQuestion },
@@ -154,12 +154,12 @@
     StepDown,
     LeaderCommit { term: u64 },
     Submit { batch: u64, copy: usize },
-    Cancel { asker: Asker, uid: String, commit: Commit, sent: recovery::SentAt },
+    Cancel { requester: Requester, uid: String, commit: Transaction, sent: recovery::SentAt },
     Rebuild(recovery::RebuildCall),
     Decision(recovery::DecisionCall),
     Image { peer: usize },
     Gossip { peer: usize, begun: u64 },
-    Relay { asker: Asker },
+    Relay { requester: Requester },
     Catalog,
     Hosts { begun: u64 },
     Rent(fleet::Rental),
@@ -175,21 +175,21 @@
 
 /// A controller.
 pub struct Controller {
-    cfg: Rc<Platform>,
-    op: Rc<Operator>,
+    settings: Rc<Platform>,
+    operator: Rc<Operator>,
     rng: SmallRng,
-    incarnation: u64,
+    process_id: u64,
     now: Clock,
-    begun: u64,
-    out: Vec<Effect>,
+    started_at: u64,
+    effects: Vec<Effect>,
     next_call: CallId,
-    calls: HashMap<CallId, Purpose>,
+    calls: HashMap<CallId, CallPurpose>,
     replica: Replica,
-    sync: sync::Sync,
+    store_sync: sync::Sync,
     limits: StoreLimits,
-    reads: Bucket,
-    writes: Bucket,
-    cloud: Bucket,
+    read_budget: Bucket,
+    write_budget: Bucket,
+    cloud_budget: Bucket,
     catalog: Option<Rc<Catalog>>,
     catalog_at: Option<u64>,
     catalog_asked: bool,
@@ -197,60 +197,66 @@
     leader: Option<Leader>,
     peers: Vec<peers::PeerView>,
     /// Highest term heard of from anyone.
-    term_heard: u64,
+    highest_term: u64,
     /// When each worker last reported here.
-    workers_seen: HashMap<String, u64>,
+    worker_heartbeats: HashMap<String, u64>,
     lease_extension: lease_extension::LeaseExtension,
     /// Jobs that are over by the word of peers, ahead of our copy of the store.
     ended_by_peers: HashSet<Name>,
     metrics: metrics::Metrics,
     /// Submissions that gather for a batch, and batches on their way.
-    gathering: Vec<submissions::Pending>,
-    batches: HashMap<u64, submissions::Batch>,
+    gathering_submissions: Vec<submissions::Pending>,
+    submission_batches: HashMap<u64, submissions::Batch>,
     batches_made: u64,
     recovery: recovery::Recovery,
 }
 
 impl Controller {
     /// A controller that has just started.
-    pub fn new(cfg: Platform, op: Operator, clock: Clock, seed: u64) -> Controller {
+    pub fn new(settings: Platform, operator: Operator, clock: Clock, seed: u64) -> Controller {
         let mut rng = SmallRng::seed_from_u64(seed);
         let keys = HashKeys::from_seed(seed);
-        let n = cfg.controllers() as f64;
-        let limits = StoreLimits::new(&cfg.params.state);
-        let peers = cfg.peers.iter().map(|_| peers::PeerView::default()).collect();
-        let share = election::follower_write_share(cfg.controllers());
+        let n = settings.controllers() as f64;
+        let limits = StoreLimits::new(&settings.params.state);
+        let peers = settings.peers.iter().map(|_| peers::PeerView::default()).collect();
+        let share = election::follower_write_share(settings.controllers());
         Controller {
-            incarnation: rng.random(),
-            reads: Bucket::new(limits.requests_per_s * STATE_RPS_SHARE / n, clock.mono),
-            writes: Bucket::new(limits.writes_per_s * share, clock.mono),
-            cloud: Bucket::new(cfg.params.cloud.rps * STATE_RPS_SHARE / n, clock.mono),
+            process_id: rng.random(),
+            read_budget: Bucket::new(
+                limits.requests_per_s * STATE_RPS_SHARE / n,
+                clock.monotonic_ms,
+            ),
+            write_budget: Bucket::new(limits.writes_per_s * share, clock.monotonic_ms),
+            cloud_budget: Bucket::new(
+                settings.params.cloud.rps * STATE_RPS_SHARE / n,
+                clock.monotonic_ms,
+            ),
             limits,
             rng,
             now: clock,
-            begun: clock.mono,
-            out: Vec::new(),
+            started_at: clock.monotonic_ms,
+            effects: Vec::new(),
             next_call: 1,
             calls: keys.map(),
             replica: Replica::new(keys),
-            sync: sync::Sync::default(),
+            store_sync: sync::Sync::default(),
             catalog: None,
             catalog_at: None,
             catalog_asked: false,
             election: election::Election::default(),
             leader: None,
             peers,
-            term_heard: 0,
-            workers_seen: keys.map(),
-            lease_extension: lease_extension::LeaseExtension::new(clock.mono),
+            highest_term: 0,
+            worker_heartbeats: keys.map(),
+            lease_extension: lease_extension::LeaseExtension::new(clock.monotonic_ms),
             ended_by_peers: keys.set(),
-            metrics: metrics::Metrics::new(clock.mono),
-            gathering: Vec::new(),
-            batches: keys.map(),
+            metrics: metrics::Metrics::new(clock.monotonic_ms),
+            gathering_submissions: Vec::new(),
+            submission_batches: keys.map(),
             batches_made: 0,
-            recovery: recovery::Recovery::new(&op.recovery),
-            cfg: Rc::new(cfg),
-            op: Rc::new(op),
+            recovery: recovery::Recovery::new(&operator.recovery),
+            settings: Rc::new(settings),
+            operator: Rc::new(operator),
         }
     }
 
@@ -274,14 +280,14 @@
             }
         }
         self.due();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
     /// When the next batch is due at the latest.
     pub fn next_wake(&self) -> u64 {
-        let now = self.now.mono;
-        let leader = self.leader.as_ref().filter(|_| self.served());
-        let leader = leader.and_then(|l| l.next_wake(now, &self.writes));
+        let now = self.now.monotonic_ms;
+        let leader = self.leader.as_ref().filter(|_| self.store_is_usable());
+        let leader = leader.and_then(|leader| leader.next_wake(now, &self.write_budget));
         let times = [leader, self.batches_wake()].into_iter().flatten();
         // What is due already waits for something that no time tells, and is looked at now and then.
         let times = times.map(|t| if t > now { t } else { now + POLL_SOON_MS });
@@ -290,36 +296,40 @@
 
     fn command(&mut self, command: Command) {
         match command {
-            Command::Public { conn, method, path, body } => self.public(conn, &method, &path, body),
-            Command::Peer { conn, method, path, body } => {
-                self.peer_request(conn, &method, &path, &body)
+            Command::Public { connection, method, path, body } => {
+                self.public(connection, &method, &path, body)
+            }
+            Command::Peer { connection, method, path, body } => {
+                self.peer_request(connection, &method, &path, &body)
             }
             Command::Reply { call, reply } => self.reply(call, reply),
         }
     }
 
-    fn public(&mut self, conn: ConnId, method: &str, path: &str, body: Vec<u8>) {
+    fn public(&mut self, connection: ConnectionId, method: &str, path: &str, body: Vec<u8>) {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
-        let asker = Asker { conn, relayed: false, since: self.now.mono };
+        let requester = Requester { connection, relayed: false, since: self.now.monotonic_ms };
         match (method, path) {
-            ("POST", "/checkin") => self.worker_report(conn, &body),
+            ("POST", "/checkin") => self.on_heartbeat(connection, &body),
             ("GET", "/up") => {
                 self.metrics.work.health_checks += 1;
-                self.up(conn)
+                self.up(connection)
             }
-            ("GET", "/v1/status") => self.status(conn, query),
+            ("GET", "/v1/status") => self.status(connection, query),
             (_, path) if path.starts_with(RECOVERY_PATH) => {
-                self.recovery_request(conn, method, path, &body)
+                self.recovery_request(connection, method, path, &body)
+            }
+            (_, "/checkin" | "/up" | "/v1/status") => {
+                self.refuse(requester, 405, "wrong method", None)
             }
-            (_, "/checkin" | "/up" | "/v1/status") => self.refuse(asker, 405, "wrong method", None),
-            _ => self.user_request(asker, method, path, &body),
+            _ => self.user_request(requester, method, path, &body),
         }
     }
 
     fn shed(&mut self, command: Command) {
-        if let Command::Public { conn, .. } = command {
-            let asker = Asker { conn, relayed: false, since: self.now.mono };
-            self.refuse(asker, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
+        if let Command::Public { connection, .. } = command {
+            let requester = Requester { connection, relayed: false, since: self.now.monotonic_ms };
+            self.refuse(requester, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
         }
     }
 
@@ -327,31 +337,33 @@
         let Some(purpose) = self.calls.remove(&call) else {
             return;
         };
-        if self.is_state(&purpose) {
-            self.state_answered(&purpose, reply.as_ref().map(|r| r.0));
+        if self.is_store_call(&purpose) {
+            self.note_store_response(&purpose, reply.as_ref().map(|r| r.0));
         }
         match purpose {
-            Purpose::List { epoch } => self.listed(epoch, reply),
-            Purpose::Watch { asked } => self.watched(asked, reply),
-            Purpose::Fresh { begun, asked } => self.fresh_read(begun, asked, reply),
-            Purpose::Lease => self.lease_granted(reply),
-            Purpose::Elect { lease_id, term, sent } => self.elected(lease_id, term, sent, reply),
-            Purpose::Renew { lease_id } => self.renewed(lease_id, reply),
-            Purpose::StepDown => {}
-            Purpose::LeaderCommit { term } => self.leader_committed(term, reply),
-            Purpose::Submit { batch, copy } => self.submitted(batch, copy, reply),
-            Purpose::Cancel { asker, uid, commit, sent } => {
-                self.cancel_committed(asker, uid, commit, sent, reply)
+            CallPurpose::List { epoch } => self.on_list_response(epoch, reply),
+            CallPurpose::Watch { asked } => self.on_watch_response(asked, reply),
+            CallPurpose::Fresh { begun, asked } => self.on_fresh_read_response(begun, asked, reply),
+            CallPurpose::Lease => self.on_lease_granted(reply),
+            CallPurpose::Elect { lease_id, term, sent } => {
+                self.on_election_response(lease_id, term, sent, reply)
             }
-            Purpose::Rebuild(call) => self.rebuild_answered(call, reply),
-            Purpose::Decision(call) => self.decision_answered(call, reply),
-            Purpose::Image { peer } => self.image_answered(peer, reply),
-            Purpose::Gossip { peer, begun } => self.gossip_answered(peer, begun, reply),
-            Purpose::Relay { asker } => self.relay_answered(asker, reply),
-            Purpose::Catalog => self.catalog_answered(reply),
-            Purpose::Hosts { begun } => self.hosts_answered(begun, reply),
-            Purpose::Rent(rental) => self.rent_answered(rental, reply),
-            Purpose::Delete(names) => self.delete_answered(names, reply),
+            CallPurpose::Renew { lease_id } => self.on_lease_renewal_response(lease_id, reply),
+            CallPurpose::StepDown => {}
+            CallPurpose::LeaderCommit { term } => self.on_leader_commit_response(term, reply),
+            CallPurpose::Submit { batch, copy } => self.on_batch_response(batch, copy, reply),
+            CallPurpose::Cancel { requester, uid, commit, sent } => {
+                self.on_cancellation_response(requester, uid, commit, sent, reply)
+            }
+            CallPurpose::Rebuild(call) => self.on_rebuild_response(call, reply),
+            CallPurpose::Decision(call) => self.on_decision_response(call, reply),
+            CallPurpose::Image { peer } => self.on_image_response(peer, reply),
+            CallPurpose::Gossip { peer, begun } => self.on_gossip_response(peer, begun, reply),
+            CallPurpose::Relay { requester } => self.on_relay_response(requester, reply),
+            CallPurpose::Catalog => self.on_catalog_response(reply),
+            CallPurpose::Hosts { begun } => self.on_machine_list_response(begun, reply),
+            CallPurpose::Rent(rental) => self.on_rental_response(rental, reply),
+            CallPurpose::Delete(names) => self.on_deletion_response(names, reply),
         }
     }
 
@@ -373,22 +385,28 @@
         path: String,
         body: Vec<u8>,
         timeout_ms: u64,
-        purpose: Purpose,
+        purpose: CallPurpose,
     ) {
         let id = self.next_call;
         self.next_call += 1;
         self.metrics.work.peer_requests_sent += u64::from(matches!(service, Service::Peer(_)));
         self.calls.insert(id, purpose);
-        self.out.push(Effect::Call { id, service, method, path, body, timeout_ms });
+        self.effects.push(Effect::Call { id, service, method, path, body, timeout_ms });
     }
 
-    fn respond(&mut self, conn: ConnId, status: u16, retry_after_s: Option<u64>, body: Vec<u8>) {
-        self.out.push(Effect::Respond { conn, status, retry_after_s, body });
+    fn respond(
+        &mut self,
+        connection: ConnectionId,
+        status: u16,
+        retry_after_s: Option<u64>,
+        body: Vec<u8>,
+    ) {
+        self.effects.push(Effect::Respond { connection, status, retry_after_s, body });
     }
 
     /// The term this controller leads in.
     pub fn leads(&self) -> Option<u64> {
-        self.leader.as_ref().map(|l| l.term)
+        self.leader.as_ref().map(|leader| leader.term)
     }
 
     /// The leader's state, for tests and the operators' view.
--- a/src/coordination/recovery/accounting.rs
+++ b/src/coordination/recovery/accounting.rs
@@ -8,14 +8,14 @@
 
 use crate::constants::{LIST_MARGIN_MS, MS_PER_S};
 use crate::coordination::Controller;
-use crate::protocol::state::{Commit, Write};
-use crate::storage::machine::{Life, Machine};
-use crate::storage::records::{RebuildPhase, RebuildRec};
+use crate::protocol::state::{Mutation, Transaction};
+use crate::storage::machine::{Machine, MachineState};
+use crate::storage::records::{RebuildPhase, RebuildRecord};
 use mountgap_records::constants::REBUILD_KEY;
 
 /// Whether a machine's tasks are known: its worker has shown our term, or nothing runs there.
 fn is_accounted_for(machine: &Machine) -> bool {
-    machine.shows_token || machine.failed || machine.life == Life::Gone
+    machine.has_our_token || machine.failed || machine.state == MachineState::Terminated
 }
 
 impl Controller {
@@ -25,7 +25,7 @@
             self.starts_released();
         }
         let ready = self.leader.as_ref().is_some_and(|leader| leader.ready);
-        if !held || !ready || self.recovery.marking || !self.served() {
+        if !held || !ready || self.recovery.marking || !self.store_is_usable() {
             return;
         }
         if !self.all_machines_are_accounted_for() {
@@ -42,25 +42,25 @@
     }
 
     fn all_machines_are_accounted_for(&self) -> bool {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return false };
         // Whoever answered workers before our term may have done so for so long, as it could not
         // read the store; every lease that it renewed is over by then, and those that we did in the rebuild.
-        let leases_over = leader.ready_at + self.isolated_ms() + self.lease_ms();
+        let leases_over = leader.ready_at + self.isolation_budget_ms() + self.lease_ms();
         if now > leases_over {
             return true;
         }
         // A list that was asked for early may lack machines that are up.
-        let lag = (self.cfg.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
-        let listed = leader.fleet.listed_begun().is_some_and(|begun| begun > leader.began + lag);
+        let lag = (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
+        let listed = leader.fleet.listed_begun().is_some_and(|begun| begun > leader.began_at + lag);
         listed && leader.cluster.machines.values().all(is_accounted_for)
     }
 
     fn mark_accounted(&mut self) {
         let Some(mark) = &self.replica.rebuild else { return };
-        let record = RebuildRec { phase: RebuildPhase::Accounted, ..mark.value.clone() };
-        let writes = vec![Write::put(REBUILD_KEY.into(), &record)];
-        let commit = Commit { conditions: Vec::new(), writes };
+        let record = RebuildRecord { phase: RebuildPhase::Accounted, ..mark.value.clone() };
+        let writes = vec![Mutation::put(REBUILD_KEY.into(), &record)];
+        let commit = Transaction { conditions: Vec::new(), writes };
         if self.send_fenced(commit) {
             self.recovery.marking = true;
         }
@@ -68,7 +68,7 @@
 
     /// Every machine is accounted for: what is in part only is stopped, and planning begins.
     fn starts_released(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) {
             log::info!("every machine is accounted for, tasks may start");
             leader.cluster.stop_incomplete_gangs();
