--- a/src/coordination/recovery/detect.rs
+++ b/src/coordination/recovery/detect.rs
@@ -12,7 +12,7 @@
 };
 use crate::coordination::Controller;
 use crate::protocol::state::{Changes, Event, Item};
-use crate::storage::records::{leader_key, RebuildPhase, RebuildRec};
+use crate::storage::records::{leader_key, RebuildPhase, RebuildRecord};
 use crate::storage::replica::Replica;
 use mountgap_records::constants::REBUILD_KEY;
 use mountgap_recovery::audit::{audit, Loss};
@@ -20,8 +20,8 @@
 
 /// Whether an event says that somebody rebuilds the store.
 fn begins_rebuild(event: &Event) -> bool {
-    let data = event.data.as_ref().filter(|_| event.write.as_deref() == Some(REBUILD_KEY));
-    let record = data.and_then(|data| serde_json::from_str::<RebuildRec>(data.get()).ok());
+    let data = event.value.as_ref().filter(|_| event.put_key.as_deref() == Some(REBUILD_KEY));
+    let record = data.and_then(|data| serde_json::from_str::<RebuildRecord>(data.get()).ok());
     record.is_some_and(|record| record.phase == RebuildPhase::Writing)
 }
 
@@ -31,14 +31,14 @@
     pub(in crate::coordination) fn read_anew(&mut self) {
         self.replica = Replica::new(self.replica.hash_keys());
         self.recovery.image = StoreImage::new();
-        self.sync.begin_anew();
+        self.store_sync.begin_anew();
         // What we knew is gone, and with it the ends that peers need not have named.
         self.peers.iter_mut().for_each(|p| p.ends_asked = None);
     }
 
     /// Something suggests that the store has lost data, or that we only have lost track of it: it is
     /// read anew and compared with what was known.
-    pub(in crate::coordination) fn suspect(&mut self, suspicion: Option<Loss>) {
+    pub(in crate::coordination) fn suspect_store_loss(&mut self, suspicion: Option<Loss>) {
         if !self.recovery.enabled {
             return;
         }
@@ -54,8 +54,8 @@
         if let Some(loss) = &suspicion {
             log::warn!("the store may have lost data: {loss}; holding still");
         }
-        self.recovery.known_at = self.sync.fresh_at;
-        self.recovery.remembers = self.recovery.memory_counts(self.now.mono);
+        self.recovery.known_at = self.store_sync.fresh_at;
+        self.recovery.remembers = self.recovery.memory_counts(self.now.monotonic_ms);
         let known = std::mem::take(&mut self.recovery.image);
         self.step_down("the store may have lost data");
         self.recovery.phase = Phase::Verifying { known, suspicion };
@@ -71,15 +71,15 @@
         let lost_term = lost.as_ref().map_or(0, StoreImage::term);
         self.recovery.lost_term = lost_term;
         self.recovery.lost = lost;
-        self.recovery.reread_at = self.now.mono + HOLD_REREAD_MS;
-        self.recovery.phase = Phase::Lost { loss, stand_at: self.now.mono + wait };
+        self.recovery.reread_at = self.now.monotonic_ms + HOLD_REREAD_MS;
+        self.recovery.phase = Phase::Lost { loss, stand_at: self.now.monotonic_ms + wait };
     }
 
     /// Notes a key of the whole store as it is read.
     pub(in crate::coordination) fn note_item(&mut self, item: &Item) {
         if self.recovery.enabled && item.key.starts_with(KEY_FAMILY) {
-            self.note_leader_stamp(&item.key, item.stamp);
-            self.recovery.image.put(&item.key, item.stamp, item.data.get());
+            self.record_leader_revision(&item.key, item.mod_revision);
+            self.recovery.image.put(&item.key, item.mod_revision, item.value.get());
         }
     }
 
@@ -89,29 +89,29 @@
         if !self.recovery.enabled {
             return true;
         }
-        if changes.ledger_rev < since {
-            let loss = Loss::RevisionFell { known: since, shown: changes.ledger_rev };
-            self.suspect(Some(loss));
+        if changes.revision < since {
+            let loss = Loss::RevisionFell { known: since, shown: changes.revision };
+            self.suspect_store_loss(Some(loss));
             return false;
         }
         let following = matches!(self.recovery.phase, Phase::Following);
         if following && changes.events.iter().any(begins_rebuild) {
-            self.suspect(Some(Loss::RebuildBegun));
+            self.suspect_store_loss(Some(Loss::RebuildBegun));
             return false;
         }
-        for event in changes.events.iter().filter(|event| event.data.is_some()) {
-            let key = event.write.as_deref().unwrap_or_default();
-            self.note_leader_stamp(key, event.stamp);
+        for event in changes.events.iter().filter(|event| event.value.is_some()) {
+            let key = event.put_key.as_deref().unwrap_or_default();
+            self.record_leader_revision(key, event.mod_revision);
         }
         let image = &mut self.recovery.image;
         for event in &changes.events {
-            if let (Some(key), Some(data)) = (&event.write, &event.data) {
-                image.put(key, event.stamp, data.get());
-            } else if let Some(key) = &event.remove {
-                image.remove(key, event.stamp);
+            if let (Some(key), Some(data)) = (&event.put_key, &event.value) {
+                image.put(key, event.mod_revision, data.get());
+            } else if let Some(key) = &event.removed_key {
+                image.remove(key, event.mod_revision);
             }
         }
-        image.advance(changes.ledger_rev);
+        image.advance(changes.revision);
         true
     }
 
@@ -120,43 +120,46 @@
         if !self.recovery.enabled {
             return;
         }
-        self.recovery.image.advance(self.replica.rev);
+        self.recovery.image.advance(self.replica.revision);
         self.recovery.read_complete = self.rebuild_is_complete();
         if !matches!(self.recovery.phase, Phase::Following) {
             return;
         }
-        self.recovery.memory_from = Some(self.now.mono + MEMORY_AGE_MS);
+        self.recovery.memory_from = Some(self.now.monotonic_ms + MEMORY_AGE_MS);
         if let Some(known) = self.recovery.snapshot.take() {
             self.recovery.phase = Phase::Verifying { known, suspicion: None };
         } else if self.rebuild_phase() == Some(RebuildPhase::Writing) {
             self.lose(Loss::RebuildBegun, None);
         } else if self.replica.store.is_none() && self.replica.term.is_none() {
-            self.recovery.phase = Phase::FirstStart { since: self.now.mono, witness: None };
+            self.recovery.phase = Phase::FirstStart { since: self.now.monotonic_ms, witness: None };
         }
     }
 
     /// While somebody else rebuilds the store it may be lost once more, unseen by us. So it is read anew now and
     /// then until we see it complete.
     pub(super) fn reread_due(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         if self.recovery.is_lost() && !self.rebuilds() && now >= self.recovery.reread_at {
             self.recovery.reread_at = now + HOLD_REREAD_MS;
-            if self.reaches_store() {
+            if self.store_is_reachable() {
                 self.read_anew();
             }
         }
     }
 
-    fn note_leader_stamp(&mut self, key: &str, stamp: u64) {
+    fn record_leader_revision(&mut self, key: &str, mod_revision: u64) {
         if key == leader_key() {
-            self.recovery.leader_stamps.entry(stamp).or_insert(self.sync.epoch);
+            self.recovery.leader_revisions.entry(mod_revision).or_insert(self.store_sync.epoch);
         }
     }
 
     /// Whether the leader key has had this stamp before the store was lost. A leader's transactions depend on
     /// it, and one that was held up since would be carried out.
-    pub(in crate::coordination) fn leader_stamp_was_used(&self, stamp: u64) -> bool {
-        self.recovery.leader_stamps.get(&stamp).is_some_and(|epoch| *epoch != self.sync.epoch)
+    pub(in crate::coordination) fn leader_revision_was_used(&self, mod_revision: u64) -> bool {
+        self.recovery
+            .leader_revisions
+            .get(&mod_revision)
+            .is_some_and(|epoch| *epoch != self.store_sync.epoch)
     }
 
     fn rebuild_is_complete(&self) -> bool {
@@ -177,7 +180,7 @@
                 let heard = heard.map(|(witness, _)| witness.clone());
                 if self.replica.store.is_some() {
                     self.recovery.phase = Phase::Following;
-                    self.recovery.memory_from = Some(self.now.mono);
+                    self.recovery.memory_from = Some(self.now.monotonic_ms);
                 } else if let Some(witness) = heard {
                     self.lose(Loss::EmptyButKnown { witness }, None);
                 }
@@ -231,29 +234,29 @@
         log::info!("the store is rebuilt: {} jobs", self.replica.jobs.len());
         self.recovery.phase = Phase::Following;
         self.recovery.continuity_proved = true;
-        self.recovery.memory_from = Some(self.now.mono);
+        self.recovery.memory_from = Some(self.now.monotonic_ms);
         self.recovery.lost = None;
         self.recovery.known_at = None;
         self.recovery.rebuild = None;
         // Whoever wrote it back leads from here on, and builds on what is there now.
-        self.leader_wants_fresh();
+        self.request_leader_read();
     }
 
     // --- a leader key that should be gone -------------------------------------------
 
     /// The store has said that the lease of the leader key is over, so the key should go.
     pub(in crate::coordination) fn doubt_leader_key(&mut self) {
-        self.recovery.doubt_at = Some(self.now.mono + LEASE_OVER_DOUBT_MS);
-        self.recovery.doubt_rest_until = self.now.mono;
+        self.recovery.doubt_at = Some(self.now.monotonic_ms + LEASE_OVER_DOUBT_MS);
+        self.recovery.doubt_rest_until = self.now.monotonic_ms;
     }
 
     /// A store that was set back without falling behind does not tell that the leader key is gone:
     /// nobody would ever lead again. Where nobody is heard to lead for long the store is read anew.
     pub(super) fn doubt_due(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let looks = matches!(self.recovery.phase, Phase::Following | Phase::Lost { .. });
         let named = self.replica.leader.as_ref().map(|leader| &leader.value);
-        let leads = |label: &str| match label == self.cfg.label {
+        let leads = |label: &str| match label == self.settings.label {
             true => self.leader.is_some(),
             false => self.fresh_gossip().any(|g| g.leads && g.label == label),
         };
@@ -263,11 +266,11 @@
             return;
         }
         let at = *self.recovery.doubt_at.get_or_insert(now + LEADER_DOUBT_MS);
-        if now >= at && self.reaches_store() {
+        if now >= at && self.store_is_reachable() {
             log::info!("nobody is heard to lead, reading the store anew");
             self.recovery.doubt_at = None;
             self.recovery.doubt_rest_until = now + DOUBT_REST_MS;
-            self.suspect(None);
+            self.suspect_store_loss(None);
         }
     }
 
@@ -289,8 +292,8 @@
     /// The store that we follow has lost data, though nothing that we read ourselves shows it.
     pub(super) fn lose_unread(&mut self, loss: Loss) {
         self.step_down("the store has lost data");
-        self.recovery.known_at = self.sync.fresh_at;
-        self.recovery.remembers = self.recovery.memory_counts(self.now.mono);
+        self.recovery.known_at = self.store_sync.fresh_at;
+        self.recovery.remembers = self.recovery.memory_counts(self.now.monotonic_ms);
         let image = std::mem::take(&mut self.recovery.image);
         self.lose(loss, Some(image));
         self.read_anew();
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -3,8 +3,8 @@
 use super::rebuild::{mark, Rebuild};
 use super::Phase;
 use crate::coordination::Controller;
-use crate::protocol::state::{Commit, If, Write};
-use crate::storage::records::{store_key, RebuildPhase, RebuildRec, StoreRec};
+use crate::protocol::state::{Condition, Mutation, Transaction};
+use crate::storage::records::{store_key, RebuildPhase, RebuildRecord, StoreIdRecord};
 use mountgap_records::constants::REBUILD_KEY;
 use mountgap_recovery::constants::TERM_GAP;
 use mountgap_recovery::image::StoreImage;
@@ -14,8 +14,10 @@
     /// Whether this controller may stand for election: to lead, or to rebuild the store.
     pub(in crate::coordination) fn may_stand(&self) -> bool {
         match self.recovery.phase {
-            Phase::Following => self.served(),
-            Phase::Lost { stand_at, .. } => self.reaches_store() && self.now.mono >= stand_at,
+            Phase::Following => self.store_is_usable(),
+            Phase::Lost { stand_at, .. } => {
+                self.store_is_reachable() && self.now.monotonic_ms >= stand_at
+            }
             _ => false,
         }
     }
@@ -23,7 +25,7 @@
     /// The term to stand with. A rebuild leaves those free that may have been taken in the part of
     /// the history that is lost.
     pub(in crate::coordination) fn next_term(&self) -> u64 {
-        let known = self.replica.term().max(self.term_heard);
+        let known = self.replica.term().max(self.highest_term);
         if !self.recovery.is_lost() {
             return known.saturating_add(1);
         }
@@ -33,17 +35,17 @@
 
     /// What an election commits beside leader key and term: the identity of a new store, or the mark
     /// that a rebuild has begun.
-    pub(in crate::coordination) fn add_to_election(&mut self, commit: &mut Commit, term: u64) {
+    pub(in crate::coordination) fn add_to_election(&mut self, commit: &mut Transaction, term: u64) {
         if !self.recovery.enabled {
             return;
         }
         let (key, write) = match &self.recovery.phase {
             Phase::Lost { loss, .. } => {
-                let record = RebuildRec {
+                let record = RebuildRecord {
                     phase: RebuildPhase::Writing,
-                    owner: self.cfg.label.clone(),
+                    owner: self.settings.label.clone(),
                     term,
-                    at: self.now.wall,
+                    at: self.now.wall_ms,
                     loss: loss.to_string(),
                     sources: Vec::new(),
                     gap: Vec::new(),
@@ -51,13 +53,13 @@
                 (REBUILD_KEY.to_string(), mark(&record))
             }
             _ if self.replica.store.is_none() => {
-                let record = StoreRec { id: self.rng.random() };
+                let record = StoreIdRecord { id: self.rng.random() };
                 let key = store_key();
-                (key.clone(), Write::put(key, &record))
+                (key.clone(), Mutation::put(key, &record))
             }
             _ => return,
         };
-        commit.conditions.push(If { stamp: self.replica.stamp(&key), key });
+        commit.conditions.push(Condition { mod_revision: self.replica.mod_revision(&key), key });
         commit.writes.push(write);
     }
 
@@ -65,7 +67,7 @@
     pub(in crate::coordination) fn begin_rebuild_if_lost(&mut self) {
         if self.recovery.is_lost() {
             log::info!("rebuilds the store");
-            self.recovery.rebuild = Some(Rebuild::new(self.peers.len(), self.now.mono));
+            self.recovery.rebuild = Some(Rebuild::new(self.peers.len(), self.now.monotonic_ms));
             // It may have been lost once more since we read it, and nothing written tells of that. What is
             // read from now on holds our election.
             self.read_anew();
--- a/src/coordination/recovery/gather.rs
+++ b/src/coordination/recovery/gather.rs
@@ -2,7 +2,7 @@
 
 use super::Phase;
 use crate::constants::{IMAGE_CALL_MS, IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, PEER_VERSION};
-use crate::coordination::{ConnId, Controller, Purpose, Service};
+use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
 use mountgap_recovery::audit::Loss;
 use mountgap_recovery::image::StoreImage;
@@ -29,11 +29,11 @@
     }
 
     fn take(&mut self, page: ImagePage) {
-        for (key, stamp) in &page.removed {
-            self.image.remove(key, *stamp);
+        for (key, mod_revision) in &page.removed {
+            self.image.remove(key, *mod_revision);
         }
-        for (key, stamp, data) in &page.values {
-            self.image.put(key, *stamp, data);
+        for (key, mod_revision, data) in &page.values {
+            self.image.put(key, *mod_revision, data);
         }
         if let Some((key, _, _)) = page.values.last() {
             self.after = key.clone();
@@ -49,7 +49,7 @@
 impl Controller {
     /// Asks peers for what is missing of their images.
     pub(super) fn gather_due(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         for peer in 0..self.peers.len() {
             let Some(rebuild) = self.recovery.rebuild.as_mut() else { return };
             let image = &mut rebuild.peers[peer];
@@ -60,17 +60,17 @@
             image.next_at = now + IMAGE_RETRY_MS;
             let request = ImageRequest {
                 version: PEER_VERSION,
-                label: self.cfg.label.clone(),
+                label: self.settings.label.clone(),
                 after: image.after.clone(),
             };
-            let purpose = Purpose::Image { peer };
+            let purpose = CallPurpose::Image { peer };
             let body = encode(&request);
             let service = Service::Peer(peer);
             self.call(service, "POST", "/image".into(), body, IMAGE_CALL_MS, purpose);
         }
     }
 
-    pub(in crate::coordination) fn image_answered(
+    pub(in crate::coordination) fn on_image_response(
         &mut self,
         peer: usize,
         reply: Option<(u16, Vec<u8>)>,
@@ -82,10 +82,10 @@
             Some((200, body)) => decode::<ImagePage>(&body).ok(),
             _ => None,
         };
-        let label = &self.cfg.peers[peer].label;
+        let label = &self.settings.peers[peer].label;
         let valid = |page: &ImagePage| page.version == PEER_VERSION && page.label == *label;
         let Some(page) = page.filter(valid) else { return };
-        self.term_heard = self.term_heard.max(page.term);
+        self.highest_term = self.highest_term.max(page.term);
         if page.holds {
             image.next_at = 0;
             image.take(page);
@@ -95,26 +95,30 @@
 
     /// Answers a peer that rebuilds the store. One that asks has begun to; if we know nothing of a
     /// loss we look for ourselves first.
-    pub(in crate::coordination) fn answer_image_request(&mut self, conn: ConnId, body: &[u8]) {
+    pub(in crate::coordination) fn answer_image_request(
+        &mut self,
+        connection: ConnectionId,
+        body: &[u8],
+    ) {
         let request = match decode::<ImageRequest>(body) {
             Ok(request) if request.version == PEER_VERSION && self.recovery.enabled => request,
-            _ => return self.respond(conn, 404, None, vec![]),
+            _ => return self.respond(connection, 404, None, vec![]),
         };
-        if matches!(self.recovery.phase, Phase::Following) && self.sync.loaded {
-            self.suspect(Some(Loss::RebuildBegun));
+        if matches!(self.recovery.phase, Phase::Following) && self.store_sync.loaded {
+            self.suspect_store_loss(Some(Loss::RebuildBegun));
         }
         let page = self.image_page(&request.after);
-        self.respond(conn, 200, None, encode(&page));
+        self.respond(connection, 200, None, encode(&page));
     }
 
     fn image_page(&self, after: &str) -> ImagePage {
         let recovery = &self.recovery;
         let mut page = ImagePage {
             version: PEER_VERSION,
-            label: self.cfg.label.clone(),
+            label: self.settings.label.clone(),
             holds: recovery.holds(),
             remembers: recovery.remembers,
-            term: self.term_heard,
+            term: self.highest_term,
             revision: 0,
             values: Vec::new(),
             removed: Vec::new(),
@@ -132,7 +136,7 @@
                 break;
             }
             bytes += key.len() + value.data.len();
-            page.values.push((key.to_string(), value.stamp, value.data.to_string()));
+            page.values.push((key.to_string(), value.mod_revision, value.data.to_string()));
         }
         page
     }
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -27,7 +27,7 @@
 
 use super::Controller;
 use crate::protocol::peers::RecoveryState;
-use crate::protocol::state::{Commit, If, Write};
+use crate::protocol::state::{Condition, Mutation, Transaction};
 use crate::settings::GapPolicy;
 use crate::snapshots::SnapshotStatus;
 use crate::storage::records::RebuildPhase;
@@ -101,7 +101,7 @@
     /// When the store is read anew while we hold still.
     reread_at: u64,
     /// Stamps that the leader key has had, with the read of the store in which each was first seen.
-    leader_stamps: BTreeMap<u64, u32>,
+    leader_revisions: BTreeMap<u64, u32>,
     /// A change of the phase of the rebuild is on its way.
     marking: bool,
     /// The store is known to have gone on since before the last start of all controllers: this life or a
@@ -133,7 +133,7 @@
             known_at: None,
             rebuild: None,
             read_complete: false,
-            leader_stamps: BTreeMap::new(),
+            leader_revisions: BTreeMap::new(),
             reread_at: 0,
             marking: false,
             continuity_proved: false,
@@ -204,7 +204,7 @@
     /// The image of the store for a snapshot; none while there is nothing to keep. A copy costs the
     /// same whatever its size.
     pub fn image_for_snapshot(&self) -> Option<StoreImage> {
-        let ready = self.recovery.enabled && self.sync.loaded && !self.recovery.holds();
+        let ready = self.recovery.enabled && self.store_sync.loaded && !self.recovery.holds();
         (ready && self.recovery.image.identity().is_some()).then(|| self.recovery.image.clone())
     }
 
@@ -224,7 +224,7 @@
 
     /// When a transaction goes out.
     pub(super) fn sent_at(&self) -> SentAt {
-        SentAt { epoch: self.sync.epoch, revision: self.replica.rev }
+        SentAt { epoch: self.store_sync.epoch, revision: self.replica.revision }
     }
 
     /// Whether a transaction that was answered with a revision has gone into the store that we
@@ -238,18 +238,23 @@
         if !self.recovery.enabled {
             return true;
         }
-        if sent.epoch == self.sync.epoch && revision <= sent.revision {
-            self.suspect(Some(Loss::RevisionFell { known: sent.revision, shown: revision }));
+        if sent.epoch == self.store_sync.epoch && revision <= sent.revision {
+            self.suspect_store_loss(Some(Loss::RevisionFell {
+                known: sent.revision,
+                shown: revision,
+            }));
         }
-        sent.epoch == self.sync.epoch
+        sent.epoch == self.store_sync.epoch
     }
 
     /// Makes a user's transaction depend on the last rebuild that we know: one that goes into a store that is rebuilt
     /// meanwhile would be taken out again, or end a job that is flagged there.
-    pub(super) fn depend_on_rebuild(&self, commit: &mut Commit) {
+    pub(super) fn depend_on_rebuild(&self, commit: &mut Transaction) {
         if self.recovery.enabled {
             let key = REBUILD_KEY.to_string();
-            commit.conditions.push(If { stamp: self.replica.stamp(&key), key });
+            commit
+                .conditions
+                .push(Condition { mod_revision: self.replica.mod_revision(&key), key });
         }
     }
 
@@ -259,16 +264,16 @@
     }
 
     /// Notes a transaction of ours that was confirmed, ahead of the watch.
-    pub(super) fn note_own_commit(&mut self, commit: &Commit, revision: u64) {
+    pub(super) fn record_own_transaction(&mut self, commit: &Transaction, revision: u64) {
         if !self.recovery.enabled {
             return;
         }
         for write in &commit.writes {
             match write {
-                Write::Put { write, data, .. } => {
-                    self.recovery.image.put(write, revision, data.get())
+                Mutation::Put { key, value, .. } => {
+                    self.recovery.image.put(key, revision, value.get())
                 }
-                Write::Remove { remove } => self.recovery.image.remove(remove, revision),
+                Mutation::Remove { key } => self.recovery.image.remove(key, revision),
             }
         }
     }
@@ -284,7 +289,7 @@
         // have started anew, the store may have been set back with nobody to notice but the workers.
         let unknown_may_run =
             self.has_gap() || self.recovery.enabled && !self.recovery.continuity_proved;
-        unknown_may_run && self.leader.as_ref().is_some_and(|l| !l.machines_accounted)
+        unknown_may_run && self.leader.as_ref().is_some_and(|leader| !leader.machines_accounted)
     }
 
     /// Whether a rebuild could not draw on the memory of every controller, and no operator has closed
--- a/src/coordination/recovery/operator.rs
+++ b/src/coordination/recovery/operator.rs
@@ -2,55 +2,57 @@
 //! decision; it counts once it is committed.
 
 use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
-use crate::coordination::{Asker, ConnId, Controller, Purpose};
+use crate::coordination::{CallPurpose, ConnectionId, Controller, Requester};
 use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest, RECOVERY_PATH};
-use crate::protocol::state::{Commit, Committed, If, Write, COMMIT_PATH};
+use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::valid_uid;
-use crate::storage::records::{end_key, flagged_key, EndRec, FlaggedRec, RebuildRec, Stage};
+use crate::storage::records::{
+    flagged_jobs_key, job_end_key, FlaggedJobsRecord, JobEndRecord, JobStage, RebuildRecord,
+};
 use mountgap_records::constants::REBUILD_KEY;
 use std::collections::BTreeSet;
 
 /// An operator's decision on its way.
 #[derive(Debug)]
 pub(in crate::coordination) struct DecisionCall {
-    conn: ConnId,
-    commit: Commit,
+    connection: ConnectionId,
+    commit: Transaction,
     answer: DecisionAnswer,
 }
 
 impl Controller {
     pub(in crate::coordination) fn recovery_request(
         &mut self,
-        conn: ConnId,
+        connection: ConnectionId,
         method: &str,
         path: &str,
         body: &[u8],
     ) {
-        let asker = Asker { conn, relayed: false, since: self.now.mono };
+        let requester = Requester { connection, relayed: false, since: self.now.monotonic_ms };
         if (method, path) == ("GET", RECOVERY_PATH) {
             let body = serde_json::to_vec_pretty(&self.recovery_report()).unwrap_or_default();
-            return self.respond(conn, 200, None, body);
+            return self.respond(connection, 200, None, body);
         }
         let Some(decision) = Decision::of_path(path) else {
-            return self.refuse(asker, 404, "no such path", None);
+            return self.refuse(requester, 404, "no such path", None);
         };
         if method != "POST" {
-            return self.refuse(asker, 405, "wrong method", None);
+            return self.refuse(requester, 405, "wrong method", None);
         }
         let request: DecisionRequest = match serde_json::from_slice(body) {
             Ok(request) => request,
-            Err(e) => return self.refuse(asker, 400, &e.to_string(), None),
+            Err(e) => return self.refuse(requester, 400, &e.to_string(), None),
         };
         if let Some(job) = request.jobs.iter().find(|job| !valid_uid(job)) {
-            return self.refuse(asker, 400, &format!("{job}: must look like job-000412"), None);
+            return self.refuse(requester, 400, &format!("{job}: must look like job-000412"), None);
         }
-        if !self.served() {
-            return self.unavailable(asker);
+        if !self.store_is_usable() {
+            return self.unavailable(requester);
         }
-        self.decide(asker, decision, &request);
+        self.decide(requester, decision, &request);
     }
 
-    fn decide(&mut self, asker: Asker, decision: Decision, request: &DecisionRequest) {
+    fn decide(&mut self, requester: Requester, decision: Decision, request: &DecisionRequest) {
         let groups = self.replica.flagged.values();
         let flagged = groups.flat_map(|group| group.value.jobs.keys()).cloned();
         let jobs: Vec<String> = match (decision, request.all) {
@@ -69,7 +71,7 @@
         let most = (self.limits.transaction_ops / 2).max(1);
         let now_decided: BTreeSet<String> = jobs.iter().take(most).cloned().collect();
         let left = jobs.len() - now_decided.len();
-        let mut commit = Commit::default();
+        let mut commit = Transaction::default();
         if decision == Decision::GiveUp {
             now_decided.iter().for_each(|job| self.add_end_of(job, &mut commit));
         }
@@ -80,66 +82,76 @@
         }
         let answer = DecisionAnswer { decided: now_decided.len(), left };
         if commit.writes.is_empty() {
-            return self.answer_json(asker, 200, &answer);
+            return self.answer_json(requester, 200, &answer);
         }
         let ops = commit.writes.len() as f64;
-        if !self.writes.take(ops, WRITE_KEEP_USERS, self.now.mono) {
-            return self.refuse(asker, 503, "too many requests", Some(RETRY_AFTER_S));
+        if !self.write_budget.take(ops, WRITE_KEEP_USERS, self.now.monotonic_ms) {
+            return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         self.metrics.work.state_writes += ops as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = Purpose::Decision(DecisionCall { conn: asker.conn, commit, answer });
+        let purpose = CallPurpose::Decision(DecisionCall {
+            connection: requester.connection,
+            commit,
+            answer,
+        });
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
     /// Ends a job as cancelled.
-    fn add_end_of(&self, job: &str, commit: &mut Commit) {
+    fn add_end_of(&self, job: &str, commit: &mut Transaction) {
         let known = self.replica.jobs.get(job).map(|known| &known.value);
-        let end = EndRec {
-            at: known.map_or(self.now.wall, |known| known.at),
-            stage: Stage::Cancelled,
+        let end = JobEndRecord {
+            at: known.map_or(self.now.wall_ms, |known| known.at),
+            stage: JobStage::Cancelled,
             tasks: known.map_or(0, |known| known.tasks),
             done: self.replica.done_bitmap(job).count(),
         };
-        commit.conditions.push(If { key: end_key(job), stamp: 0 });
-        commit.writes.push(Write::put(end_key(job), &end));
+        commit.conditions.push(Condition { key: job_end_key(job), mod_revision: 0 });
+        commit.writes.push(Mutation::put(job_end_key(job), &end));
     }
 
-    fn add_unflagging(&self, jobs: &BTreeSet<String>, commit: &mut Commit) {
+    fn add_unflagging(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
         for (n, group) in &self.replica.flagged {
             if !group.value.jobs.keys().any(|job| jobs.contains(job)) {
                 continue;
             }
             let kept = group.value.jobs.iter().filter(|(job, _)| !jobs.contains(*job));
-            let kept = FlaggedRec { jobs: kept.map(|(job, why)| (job.clone(), *why)).collect() };
-            commit.conditions.push(If { key: flagged_key(*n), stamp: group.stamp });
-            commit.writes.push(Write::put(flagged_key(*n), &kept));
+            let kept =
+                FlaggedJobsRecord { jobs: kept.map(|(job, why)| (job.clone(), *why)).collect() };
+            commit
+                .conditions
+                .push(Condition { key: flagged_jobs_key(*n), mod_revision: group.mod_revision });
+            commit.writes.push(Mutation::put(flagged_jobs_key(*n), &kept));
         }
     }
 
     /// From now on a job that is not known was never accepted.
-    fn add_closing(&self, commit: &mut Commit) {
+    fn add_closing(&self, commit: &mut Transaction) {
         let Some(mark) = self.replica.rebuild.as_ref().filter(|_| self.has_gap()) else { return };
-        let closed = RebuildRec { gap: Vec::new(), ..mark.value.clone() };
-        commit.conditions.push(If { key: REBUILD_KEY.into(), stamp: mark.stamp });
-        commit.writes.push(Write::put(REBUILD_KEY.into(), &closed));
+        let closed = RebuildRecord { gap: Vec::new(), ..mark.value.clone() };
+        commit
+            .conditions
+            .push(Condition { key: REBUILD_KEY.into(), mod_revision: mark.mod_revision });
+        commit.writes.push(Mutation::put(REBUILD_KEY.into(), &closed));
     }
 
-    pub(in crate::coordination) fn decision_answered(
+    pub(in crate::coordination) fn on_decision_response(
         &mut self,
         call: DecisionCall,
         reply: Option<(u16, Vec<u8>)>,
     ) {
-        let asker = Asker { conn: call.conn, relayed: false, since: self.now.mono };
+        let requester =
+            Requester { connection: call.connection, relayed: false, since: self.now.monotonic_ms };
         match reply {
             Some((200, body)) => {
-                if let Ok(done) = serde_json::from_slice::<Committed>(&body) {
-                    self.own_commit(&call.commit, done.ledger_rev);
+                if let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) {
+                    self.apply_own_transaction(&call.commit, done.revision);
                 }
                 log::info!("an operator has decided on {} jobs", call.answer.decided);
-                self.answer_json(asker, 200, &call.answer);
+                self.answer_json(requester, 200, &call.answer);
             }
-            _ => self.refuse(asker, 503, "not carried out, ask again", Some(RETRY_AFTER_S)),
+            _ => self.refuse(requester, 503, "not carried out, ask again", Some(RETRY_AFTER_S)),
         }
     }
 }
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -12,11 +12,13 @@
     WRITE_RESERVE,
 };
 use crate::coordination::lease_extension::halts_of_ended;
-use crate::coordination::{ConnId, Controller, Purpose};
-use crate::protocol::state::{Commit, Committed, Conflict, If, Write, COMMIT_PATH};
-use crate::protocol::workers::Report;
+use crate::coordination::{CallPurpose, ConnectionId, Controller};
+use crate::protocol::state::{
+    Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
+};
+use crate::protocol::workers::Heartbeat;
 use crate::settings::GapPolicy;
-use crate::storage::records::{leader_key, FlagReason, RebuildPhase, RebuildRec};
+use crate::storage::records::{leader_key, FlagReason, RebuildPhase, RebuildRecord};
 use mountgap_records::constants::REBUILD_KEY;
 use mountgap_recovery::audit::{audit, Loss};
 use mountgap_recovery::image::StoreImage;
@@ -53,7 +55,7 @@
 #[derive(Debug)]
 pub(in crate::coordination) struct RebuildCall {
     term: u64,
-    commit: Commit,
+    commit: Transaction,
 }
 
 impl Rebuild {
@@ -71,8 +73,8 @@
 }
 
 /// The mark of a rebuild as it changes from one phase to the next.
-pub(super) fn mark(record: &RebuildRec) -> Write {
-    Write::put(REBUILD_KEY.into(), record)
+pub(super) fn mark(record: &RebuildRecord) -> Mutation {
+    Mutation::put(REBUILD_KEY.into(), record)
 }
 
 impl Controller {
@@ -88,7 +90,7 @@
             return;
         }
         if let Phase::Lost { stand_at, .. } = &mut self.recovery.phase {
-            *stand_at = self.now.mono + REBUILD_STAND_MS;
+            *stand_at = self.now.monotonic_ms + REBUILD_STAND_MS;
         }
     }
 
@@ -96,7 +98,7 @@
         if !self.rebuilds() {
             return;
         }
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let Some(rebuild) = &self.recovery.rebuild else { return };
         if rebuild.plan.is_some() {
             return self.write_back_due();
@@ -105,8 +107,8 @@
         let waited = now >= rebuild.begun + REBUILD_GATHER_MS;
         // The present store is read up to our own election first: an earlier rebuild may have
         // written a part of it.
-        let stamp = self.leader.as_ref().map_or(0, |leader| leader.stamp);
-        if (all || waited) && self.sync.loaded && self.replica.rev >= stamp {
+        let mod_revision = self.leader.as_ref().map_or(0, |leader| leader.mod_revision);
+        if (all || waited) && self.store_sync.loaded && self.replica.revision >= mod_revision {
             self.plan_rebuild();
         } else {
             self.gather_due();
@@ -117,16 +119,16 @@
     fn plan_rebuild(&mut self) {
         let own = self.recovery.lost.clone();
         let Some(rebuild) = &self.recovery.rebuild else { return };
-        let mut sources = vec![self.cfg.label.clone()];
+        let mut sources = vec![self.settings.label.clone()];
         let mut gap = Vec::new();
         // All have started since a loss that only workers tell of.
         let unexplained =
             matches!(self.recovery.phase, Phase::Lost { loss: Loss::UnexplainedTask { .. }, .. });
         if unexplained || !self.recovery.remembers {
-            gap.push(self.cfg.label.clone());
+            gap.push(self.settings.label.clone());
         }
         let mut images: Vec<StoreImage> = own.into_iter().collect();
-        for (peer, image) in self.cfg.peers.iter().zip(&rebuild.peers) {
+        for (peer, image) in self.settings.peers.iter().zip(&rebuild.peers) {
             if let Some(image) = image.whole() {
                 sources.push(peer.label.clone());
                 images.push(image.clone());
@@ -155,7 +157,7 @@
         // Kept for whoever has to go on: the image that knows most of the lost store.
         self.recovery.lost = lines.into_iter().max_by_key(StoreImage::revision);
         if self.leader.as_ref().is_some_and(|leader| picture.term > leader.term) {
-            self.term_heard = self.term_heard.max(picture.term);
+            self.highest_term = self.highest_term.max(picture.term);
             return self.check_term();
         }
         let limits = self.rebuild_limits();
@@ -182,14 +184,14 @@
     }
 
     fn write_back_due(&mut self) {
-        let (now, limits) = (self.now.mono, self.rebuild_limits());
+        let (now, limits) = (self.now.monotonic_ms, self.rebuild_limits());
         let Some(rebuild) = &self.recovery.rebuild else { return };
         let Some(plan) = rebuild.plan.as_ref() else { return };
-        if rebuild.sent || now < rebuild.not_before || !self.reaches_store() {
+        if rebuild.sent || now < rebuild.not_before || !self.store_is_reachable() {
             return;
         }
         // No more at a time than the bucket ever holds.
-        let burst = (self.writes.burst() - WRITE_RESERVE).max(1.0) as usize;
+        let burst = (self.write_budget.burst() - WRITE_RESERVE).max(1.0) as usize;
         let limits = Limits { transaction_ops: limits.transaction_ops.min(burst), ..limits };
         let commit = match plan.layout.next_piece(&self.recovery.image, &limits) {
             Some(piece) => commit_of(piece),
@@ -199,13 +201,13 @@
                     GapPolicy::Hold => plan.gap.clone(),
                     GapPolicy::Release => Vec::new(),
                 };
-                let record = RebuildRec {
+                let record = RebuildRecord {
                     phase: RebuildPhase::Complete,
                     sources: plan.sources.clone(),
                     gap,
                     ..before.value.clone()
                 };
-                Commit { conditions: Vec::new(), writes: vec![mark(&record)] }
+                Transaction { conditions: Vec::new(), writes: vec![mark(&record)] }
             }
         };
         if self.send_fenced(commit) {
@@ -216,29 +218,31 @@
     }
 
     /// Sends a transaction that depends on our lead and on the mark of the rebuild as we know it.
-    pub(super) fn send_fenced(&mut self, mut commit: Commit) -> bool {
+    pub(super) fn send_fenced(&mut self, mut commit: Transaction) -> bool {
         let Some(leader) = &self.leader else { return false };
         let Some(mark) = &self.replica.rebuild else { return false };
-        let (term, stamp) = (leader.term, leader.stamp);
+        let (term, mod_revision) = (leader.term, leader.mod_revision);
         let ops = commit.writes.len() as f64;
-        commit.conditions.push(If { key: leader_key(), stamp });
-        commit.conditions.push(If { key: REBUILD_KEY.into(), stamp: mark.stamp });
-        if !self.writes.take(ops, 0.0, self.now.mono) {
+        commit.conditions.push(Condition { key: leader_key(), mod_revision });
+        commit
+            .conditions
+            .push(Condition { key: REBUILD_KEY.into(), mod_revision: mark.mod_revision });
+        if !self.write_budget.take(ops, 0.0, self.now.monotonic_ms) {
             return false;
         }
         self.metrics.work.state_writes += ops as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = Purpose::Rebuild(RebuildCall { term, commit });
+        let purpose = CallPurpose::Rebuild(RebuildCall { term, commit });
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
         true
     }
 
-    pub(in crate::coordination) fn rebuild_answered(
+    pub(in crate::coordination) fn on_rebuild_response(
         &mut self,
         call: RebuildCall,
         reply: Option<(u16, Vec<u8>)>,
     ) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         if self.leader.as_ref().is_none_or(|leader| leader.term != call.term) {
             return;
         }
@@ -248,11 +252,11 @@
         }
         match reply {
             Some((200, body)) => {
-                let Ok(done) = serde_json::from_slice::<Committed>(&body) else { return };
-                if done.ledger_rev <= self.leader.as_ref().map_or(0, |leader| leader.stamp) {
-                    return self.suspect(None);
+                let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) else { return };
+                if done.revision <= self.leader.as_ref().map_or(0, |leader| leader.mod_revision) {
+                    return self.suspect_store_loss(None);
                 }
-                self.own_commit(&call.commit, done.ledger_rev);
+                self.apply_own_transaction(&call.commit, done.revision);
                 if let Some(rebuild) = &mut self.recovery.rebuild {
                     rebuild.pieces += 1;
                     rebuild.refusals = 0;
@@ -261,8 +265,8 @@
             }
             // Changed by a late copy or by another controller: a read tells what is left.
             Some((409, body)) => {
-                let failed = serde_json::from_slice::<Conflict>(&body)
-                    .unwrap_or(Conflict { failed: Vec::new(), ledger_rev: 0 });
+                let failed = serde_json::from_slice::<TransactionConflict>(&body)
+                    .unwrap_or(TransactionConflict { failed: Vec::new(), revision: 0 });
                 if failed.failed.contains(&leader_key()) {
                     self.step_down("the leader key has changed");
                     return self.doubt_leader_key();
@@ -271,7 +275,7 @@
                     rebuild.refusals += 1;
                     if rebuild.refusals >= REBUILD_REFUSALS_MAX {
                         // Reads between them have shown no reason: what we read is not what is there.
-                        return self.suspect(None);
+                        return self.suspect_store_loss(None);
                     }
                 }
                 self.pause_rebuild(now);
@@ -292,7 +296,7 @@
         if let Some(rebuild) = &mut self.recovery.rebuild {
             rebuild.not_before = now + STATE_RETRY_MS;
         }
-        self.leader_wants_fresh();
+        self.request_leader_read();
     }
 
     /// A piece is in, or the mark has changed.
@@ -300,7 +304,7 @@
         let complete =
             self.replica.rebuild.as_ref().is_some_and(|r| r.value.phase != RebuildPhase::Writing);
         if let (true, Some(rebuild)) = (complete, &self.recovery.rebuild) {
-            let seconds = (self.now.mono - rebuild.begun) as f64 / 1000.0;
+            let seconds = (self.now.monotonic_ms - rebuild.begun) as f64 / 1000.0;
             log::info!("all records are written: {} commits in {seconds:.1} s", rebuild.pieces);
             self.end_hold_if_rebuilt();
         }
@@ -308,14 +312,18 @@
 
     /// Answers a report while the store is rebuilt: the worker's lease goes on, what is known to be
     /// over is stopped, and nothing starts.
-    pub(in crate::coordination) fn answer_in_rebuild(&mut self, conn: ConnId, report: Report) {
+    pub(in crate::coordination) fn answer_in_rebuild(
+        &mut self,
+        connection: ConnectionId,
+        report: Heartbeat,
+    ) {
         let Some(token) = self.leader.as_ref().map(|leader| leader.term) else {
-            return self.redirect(conn);
+            return self.redirect(connection);
         };
         let plan = self.recovery.rebuild.as_ref().and_then(|rebuild| rebuild.plan.as_ref());
         let over = |job: &str| plan.is_some_and(|plan| plan.picture.ends.contains_key(job));
         let commands = halts_of_ended(&report, over);
-        self.answer_without_starts(conn, token, commands);
+        self.answer_without_starts(connection, token, commands);
     }
 
     /// Before when nobody was told of an end that we don't know, while we hold still: as of the loss,
@@ -326,7 +334,7 @@
         let without_gap =
             |plan: &Plan| plan.gap.is_empty() || self.recovery.gap_policy == GapPolicy::Release;
         match plan {
-            Some(plan) if without_gap(plan) => self.sync.fresh_at,
+            Some(plan) if without_gap(plan) => self.store_sync.fresh_at,
             _ => self.recovery.known_at,
         }
     }
@@ -359,15 +367,15 @@
     lines
 }
 
-fn commit_of(piece: Piece) -> Commit {
-    let mut commit = Commit::default();
-    for (change, stamp) in piece.changes {
-        commit.conditions.push(If { key: change.key().to_string(), stamp });
+fn commit_of(piece: Piece) -> Transaction {
+    let mut commit = Transaction::default();
+    for (change, mod_revision) in piece.changes {
+        commit.conditions.push(Condition { key: change.key().to_string(), mod_revision });
         commit.writes.push(match change {
-            Change::Remove { key } => Write::Remove { remove: key },
-            Change::Put { key, data } => Write::Put {
-                write: key,
-                data: serde_json::value::RawValue::from_string(data)
+            Change::Remove { key } => Mutation::Remove { key },
+            Change::Put { key, data } => Mutation::Put {
+                key,
+                value: serde_json::value::RawValue::from_string(data)
                     .expect("the layout's values are JSON"),
                 lease_id: None,
             },
--- a/src/coordination/recovery/view.rs
+++ b/src/coordination/recovery/view.rs
@@ -95,7 +95,7 @@
         };
         let last = self.replica.rebuild.as_ref().map(|record| &record.value);
         RecoveryReport {
-            controller: self.cfg.label.clone(),
+            controller: self.settings.label.clone(),
             enabled: self.recovery.enabled,
             phase: self.recovery_phase().into(),
             loss,
--- a/src/coordination/recovery/witnesses.rs
+++ b/src/coordination/recovery/witnesses.rs
@@ -11,19 +11,19 @@
 };
 use crate::coordination::Controller;
 use crate::protocol::peers::{Gossip, RecoveryState};
-use crate::protocol::workers::Report;
+use crate::protocol::workers::Heartbeat;
 use mountgap_recovery::audit::Loss;
 use mountgap_recovery::constants::TERM_BELIEVED_MAX;
 
 impl Controller {
     /// A worker that shows a token has been answered by a leader, so there was a store.
-    pub(in crate::coordination) fn note_worker_token(&mut self, report: &Report) {
-        let believed = report.token > 0 && report.token <= TERM_BELIEVED_MAX;
+    pub(in crate::coordination) fn note_worker_token(&mut self, report: &Heartbeat) {
+        let believed = report.fencing_token > 0 && report.fencing_token <= TERM_BELIEVED_MAX;
         if !believed || !self.recovery.holds() {
             return;
         }
-        self.term_heard = self.term_heard.max(report.token);
-        let (machine, token) = (&report.machine, report.token);
+        self.highest_term = self.highest_term.max(report.fencing_token);
+        let (machine, token) = (&report.machine, report.fencing_token);
         self.witness(|| format!("the worker of {machine} shows token {token}"));
     }
 
@@ -33,7 +33,7 @@
             return;
         }
         let ours = gossip.store.is_some() && gossip.store == self.recovery_state().0;
-        let following = matches!(self.recovery.phase, Phase::Following) && self.sync.loaded;
+        let following = matches!(self.recovery.phase, Phase::Following) && self.store_sync.loaded;
         if following && ours && gossip.recovery == Some(RecoveryState::Following) {
             self.recovery.continuity_proved = true;
         }
@@ -42,13 +42,13 @@
             // Not rebuilt since. It remembers more than we do: what it holds contradicts what is there.
             return self.lose_unread(Loss::PeerSays { peer: gossip.label.clone() });
         }
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let long = self.recovery.memory_from.is_some_and(|from| now >= from + 2 * HOLD_REREAD_MS);
         let holds = gossip.lost_term.is_some();
         if following && holds && long && now >= self.recovery.doubt_rest_until {
             // It should have seen by now that the store is rebuilt: perhaps it is not any more.
             self.recovery.doubt_rest_until = now + DOUBT_REST_MS;
-            return self.suspect(None);
+            return self.suspect_store_loss(None);
         }
         if let Some(id) = gossip.store {
             self.witness(|| format!("controller {} knows store {}", gossip.label, StoreId(id)));
@@ -58,7 +58,7 @@
     }
 
     fn witness(&mut self, text: impl Fn() -> String) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         if let Phase::FirstStart { witness, .. } = &mut self.recovery.phase {
             witness.get_or_insert_with(|| (text(), now));
         }
@@ -67,9 +67,9 @@
     /// An empty store is a new one once every worker had time to show a token, and every peer has
     /// said that it knows of no store, or has not been heard for long.
     pub(super) fn first_start_due(&mut self) {
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         let Phase::FirstStart { since, witness } = &self.recovery.phase else { return };
-        let reports = self.cfg.params.workers.report_s * FIRST_START_REPORTS + WORKER_RETRY_S;
+        let reports = self.settings.params.workers.report_s * FIRST_START_REPORTS + WORKER_RETRY_S;
         let waited = now >= since + (reports * MS_PER_S) as u64;
         let heard_all = self.fresh_gossip().count() == self.peers.len();
         let long = now >= since + FIRST_START_MAX_MS;
--- a/src/coordination/report_evidence.rs
+++ b/src/coordination/report_evidence.rs
@@ -3,20 +3,20 @@
 
 use crate::constants::{MS_PER_S, RECLAIM_MOST_S, UNREACHABLE_SESSION_SIGNS, WORKER_WAIT_S};
 use crate::protocol::cloud::Catalog;
-use crate::protocol::workers::{Cause, Report, TaskReport};
+use crate::protocol::workers::{EndCause, Heartbeat, ReportedTask};
 use crate::protocol::{parse_task, Resources};
 use crate::storage::hashing::{HashKeys, HashMap};
-use crate::storage::machine::{Life, Machine, TaskId};
+use crate::storage::machine::{Machine, MachineState, TaskId};
 use crate::storage::records::Name;
 
 /// Session and sequence: of two reports of a machine the larger is the newer one.
-pub(super) type ReportId = (u64, u64);
+pub(super) type HeartbeatId = (u64, u64);
 
 /// Tasks of a report by task and attempt.
-pub(super) type Shown<'a> = HashMap<(TaskId, u64), &'a TaskReport>;
+pub(super) type ReportedTasks<'a> = HashMap<(TaskId, u64), &'a ReportedTask>;
 
 /// The tasks that a report shows; names that can't be read are left out.
-pub(super) fn shown(report: &Report, keys: HashKeys) -> Shown<'_> {
+pub(super) fn shown(report: &Heartbeat, keys: HashKeys) -> ReportedTasks<'_> {
     let mut shown = keys.map();
     for reported in &report.tasks {
         if let Some((job, task)) = parse_task(&reported.task_id) {
@@ -27,23 +27,23 @@
 }
 
 /// Whether our answers arrive at a machine, as far as a report tells.
-pub(super) struct Hearing {
+pub(super) struct ResponseDelivery {
     /// An answer of ours has arrived.
-    pub heard: bool,
+    pub delivered: bool,
     /// Signs that none does.
-    pub signs: u32,
+    pub undelivered_signs: u32,
 }
 
-impl Hearing {
+impl ResponseDelivery {
     /// Judges a report before it is noted as the machine's newest.
     ///
     /// A worker that our answer has reached stays with us: its next report is the next one it
     /// sends, and comes before it would have given the answer up. One that no answer reaches
     /// waits, and tries the other controllers first. The first report with our token also
     /// shows that an answer has arrived.
-    pub(super) fn of(machine: &Machine, id: ReportId, ours: bool, now: u64) -> Hearing {
+    pub(super) fn of(machine: &Machine, id: HeartbeatId, ours: bool, now: u64) -> ResponseDelivery {
         let (before, answered, received) =
-            (machine.newest, machine.answered_at, machine.received_at);
+            (machine.newest_heartbeat, machine.last_response_at, machine.last_heartbeat_at);
         let answered_last = received.is_some_and(|r| answered.is_some_and(|a| a >= r));
         let wait = (WORKER_WAIT_S * MS_PER_S) as u64;
         let follows = id == (before.0, before.1.saturating_add(1));
@@ -54,39 +54,42 @@
             signs += UNREACHABLE_SESSION_SIGNS;
         }
         signs += u32::from(answered_last && id.1 > before.1.saturating_add(1));
-        Hearing { heard: prompt || ours && !machine.shows_token, signs }
+        ResponseDelivery {
+            delivered: prompt || ours && !machine.has_our_token,
+            undelivered_signs: signs,
+        }
     }
 }
 
 /// Notes what a report says of its machine itself.
 pub(super) fn note_machine(
     machine: &mut Machine,
-    report: &Report,
+    report: &Heartbeat,
     catalog: Option<&Catalog>,
     ours: bool,
     now: u64,
 ) {
-    machine.newest = (report.session, report.sequence);
-    machine.received_at = Some(now);
+    machine.newest_heartbeat = (report.incarnation, report.sequence);
+    machine.last_heartbeat_at = Some(now);
     machine.type_name.clone_from(&report.machine_type);
     machine.zone.clone_from(&report.zone);
     machine.spot = report.spot;
     if let Some(known) = catalog.and_then(|c| c.machine_type(&machine.type_name)) {
         machine.total = Resources::new(known.cores, known.gpus, known.ram_gb);
     }
-    if matches!(machine.life, Life::Booting | Life::Unheard) {
-        machine.life = Life::Up;
+    if matches!(machine.state, MachineState::Booting | MachineState::AwaitingHeartbeat) {
+        machine.state = MachineState::Up;
         let spot = if machine.spot { ", spot" } else { "" };
         log::info!("{}: up, {} in {}{spot}", machine.name, machine.type_name, machine.zone);
     }
     machine.up_at.get_or_insert(now);
     // A report that does not show our token though we answered one before may be a late copy
     // of one from before our term: such must not hide that a machine is silent.
-    if ours || machine.answered_at.is_none() {
-        machine.reported_at = Some(now);
+    if ours || machine.last_response_at.is_none() {
+        machine.last_alive_at = Some(now);
     }
     machine.lease_expired = false;
-    machine.shows_token |= ours;
+    machine.has_our_token |= ours;
     note_reclaim(machine, report.reclaim_s, now);
 }
 
@@ -104,7 +107,7 @@
 #[derive(Default)]
 pub(super) struct Evidence {
     /// Placements that are over, with the cause.
-    pub settled: Vec<(TaskId, Cause)>,
+    pub settled: Vec<(TaskId, EndCause)>,
     /// Tasks first seen running, with the time at which they were placed.
     pub running: Vec<(TaskId, u64)>,
     /// A start that we ordered has arrived.
@@ -117,23 +120,24 @@
     /// Compares the placements on a machine with what is shown, and notes what is shown of each.
     pub(super) fn of(
         machine: &mut Machine,
-        shown: &Shown,
-        id: ReportId,
+        shown: &ReportedTasks,
+        id: HeartbeatId,
         ours: bool,
         now: u64,
     ) -> Evidence {
         let mut evidence = Evidence::default();
-        for (task, p) in machine.placements.iter_mut().filter(|(_, p)| p.ended.is_none()) {
+        for (task, p) in machine.placements.iter_mut().filter(|(_, p)| p.settled.is_none()) {
             match shown.get(&(task.clone(), p.attempt)) {
                 Some(reported) if !reported.status.is_on_machine() => {
                     if ours {
-                        let cause = reported.cause.unwrap_or(Cause::Lost);
+                        let cause = reported.cause.unwrap_or(EndCause::Lost);
                         evidence.settled.push((task.clone(), cause));
                     }
                 }
                 Some(reported) => {
-                    evidence.start_arrived |= ours && p.seen.is_none() && p.ordered.is_some();
-                    p.seen = Some(reported.status);
+                    evidence.start_arrived |=
+                        ours && p.reported_status.is_none() && p.start_sent_after.is_some();
+                    p.reported_status = Some(reported.status);
                     if reported.status.has_begun() && p.running_since.is_none() {
                         p.running_since = Some(now);
                         evidence.running.push((task.clone(), p.placed_at));
@@ -141,12 +145,14 @@
                 }
                 None if !ours => {}
                 // It was there and is not any more: killed with its session.
-                None if p.seen.is_some() => evidence.settled.push((task.clone(), Cause::Lost)),
+                None if p.reported_status.is_some() => {
+                    evidence.settled.push((task.clone(), EndCause::Lost))
+                }
                 // Never arrived, and not wanted any more.
-                None if p.halt.is_some() && p.ordered.is_none_or(|o| id > o) => {
-                    evidence.settled.push((task.clone(), Cause::Lost));
+                None if p.stop_reason.is_some() && p.start_sent_after.is_none_or(|o| id > o) => {
+                    evidence.settled.push((task.clone(), EndCause::Lost));
                 }
-                None => evidence.start_missed |= p.ordered.is_some_and(|o| id > o),
+                None => evidence.start_missed |= p.start_sent_after.is_some_and(|o| id > o),
             }
         }
         evidence
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -12,7 +12,7 @@
 use crate::protocol::Resources;
 use crate::settings::{Operator, Platform};
 use crate::storage::hashing::{HashMap, HashSet};
-use crate::storage::machine::{Life, Machine, TaskId};
+use crate::storage::machine::{Machine, MachineState, TaskId};
 use crate::storage::records::Name;
 
 /// What a pass needs to know of a job for each of its placements.
@@ -41,17 +41,18 @@
 
 impl View {
     pub(super) fn of_cluster<'a>(
-        l: &'a Leader,
-        cfg: &Platform,
-        op: &Operator,
+        leader: &'a Leader,
+        settings: &Platform,
+        operator: &Operator,
         catalog: &Catalog,
         clock: Clock,
     ) -> View {
-        let now = clock.mono;
-        let cluster = &l.cluster;
+        let now = clock.monotonic_ms;
+        let cluster = &leader.cluster;
         let keys = cluster.hash_keys();
         let mut zones: Vec<&str> = Vec::new();
-        for z in catalog.machine_types.iter().flat_map(|b| b.zones.iter()).chain(&cfg.params.zones)
+        for z in
+            catalog.machine_types.iter().flat_map(|b| b.zones.iter()).chain(&settings.params.zones)
         {
             if !zones.contains(&z.as_str()) {
                 zones.push(z);
@@ -59,7 +60,7 @@
         }
         let zone_of = |y: &str| zones.iter().position(|z| *z == y);
         let type_index_of = |s: &str| catalog.machine_types.iter().position(|b| b.type_name == s);
-        let team_of = |t: &str| cfg.params.teams.iter().position(|x| x.name == t);
+        let team_of = |t: &str| settings.params.teams.iter().position(|x| x.name == t);
         let mut images: HashMap<&str, usize> = keys.map();
         let mut image_of = |k: &'a str| {
             let n = images.len();
@@ -67,7 +68,7 @@
         };
         // What all placements of a job share is worked out once a job, not once a placement.
         let mut facts: HashMap<&Name, Option<Facts>> = keys.map();
-        let silent = (cfg.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
+        let silent = (settings.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let slots = HTTP_BODY_MAX / REPORT_TASK_BYTES;
 
         let mut v = View {
@@ -79,8 +80,10 @@
         };
         v.snapshot.now = now;
         for (i, spot) in [false, true].into_iter().enumerate() {
-            let coming =
-                cluster.machines.values().filter(|m| m.life == Life::Booting && m.spot == spot);
+            let coming = cluster
+                .machines
+                .values()
+                .filter(|m| m.state == MachineState::Booting && m.spot == spot);
             let coming: Vec<(u64, Resources)> = coming
                 .filter_map(|m| {
                     let machine_type = &catalog.machine_types[type_index_of(&m.type_name)?];
@@ -99,29 +102,29 @@
             v.snapshot.coming[i] = many.then(|| waits.sum::<u64>() / n);
             v.snapshot.arriving.extend(coming);
         }
-        v.snapshot.gang_wait_ms = (cfg.params.workers.gang_wait_s * MS_PER_S) as u64;
+        v.snapshot.gang_wait_ms = (settings.params.workers.gang_wait_s * MS_PER_S) as u64;
         let mut held_reports: HashSet<&Name> = keys.set();
-        held_reports.extend(l.held.iter().map(|held| &held.machine));
-        v.snapshot.thresholds = op.thresholds.clone();
+        held_reports.extend(leader.deferred_heartbeats.iter().map(|held| &held.machine));
+        v.snapshot.thresholds = operator.thresholds.clone();
         for m in cluster.machines.values() {
             let (Some(zone), Some(type_index)) = (zone_of(&m.zone), type_index_of(&m.type_name))
             else {
                 continue;
             };
-            let open = m.life == Life::Up
+            let open = m.state == MachineState::Up
+                && !m.cordoned
                 && !m.draining
-                && !m.closing
                 && !m.lease_expired
                 // What is to be taken gets nothing more: it would not be stored, and the same tasks
                 // were placed there pass after pass while others had room for them.
                 && m.reclaim_at.is_none()
                 // Nothing goes to a machine before it has shown our token: what reports may be
                 // a late copy of one that is gone, or a machine that hears nobody.
-                && m.shows_token
+                && m.has_our_token
                 // What a task of an unknown job takes of its machine is not known either.
                 && m.unknown_tasks.is_empty()
                 && m.unreachable_since.is_none()
-                && m.reported_at.is_some_and(|t| now - t <= silent);
+                && m.last_alive_at.is_some_and(|t| now - t <= silent);
             if !open {
                 continue;
             }
@@ -136,7 +139,7 @@
             let mut running = Vec::new();
             let mut handles = Vec::new();
             for (id, p) in &m.placements {
-                if p.ended.is_some() {
+                if p.settled.is_some() {
                     continue;
                 }
                 let fact = facts.entry(&id.0).or_insert_with(|| {
@@ -146,10 +149,10 @@
                         priority: spec.priority,
                         team: team_of(&spec.team),
                         need: job.need,
-                        bandwidth: spec.cores * op.bandwidth(&spec.class),
-                        run: l.run_ms(spec),
+                        bandwidth: spec.cores * operator.bandwidth(&spec.class),
+                        run: leader.run_ms(spec),
                         service: spec.kind == JobKind::Service,
-                        saves: saves_when_stopped(spec, &cfg.params.workers),
+                        saves: saves_when_stopped(spec, &settings.params.workers),
                         stops: if spec.is_gang() { spec.tasks } else { 1 },
                         image: image_of(&spec.image),
                         size_gb: spec.size_gb,
@@ -166,7 +169,7 @@
                     }
                 }
                 let ran = p.running_since.map(|t| now - t);
-                let end = if p.halt.is_some() {
+                let end = if p.stop_reason.is_some() {
                     now + halt_ms
                 } else if service {
                     now + (SERVICE_RUN_S * MS_PER_S) as u64
@@ -190,7 +193,7 @@
                     ran_ms: ran,
                     saves: fact.saves,
                     stops: fact.stops,
-                    halting: p.halt.is_some(),
+                    halting: p.stop_reason.is_some(),
                     halt_ms,
                     handle: handles.len() - 1,
                 });
@@ -206,7 +209,7 @@
                 fetch_ms_per_gb: per_gb,
                 next_report_ms: match held_reports.contains(&m.name) {
                     true => 0,
-                    false => next_report_ms(m, cfg.params.workers.report_s, now),
+                    false => next_report_ms(m, settings.params.workers.report_s, now),
                 },
             });
             v.machines.push(m.name.clone());
@@ -215,14 +218,14 @@
         let mut index: HashMap<&Name, usize> = keys.map();
         index.extend(v.machines.iter().enumerate().map(|(i, m)| (m, i)));
         // What each team's unfinished jobs take together, up to the one looked at.
-        let mut claimed = vec![Resources::default(); cfg.params.teams.len()];
+        let mut claimed = vec![Resources::default(); settings.params.teams.len()];
         for uid in cluster.queue.values() {
             let Some(job) = cluster.jobs.get(uid) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
             // A job that fails everywhere is tried one task at a time.
-            let waiting = match job.suspect() && !job.is_gang() {
+            let waiting = match job.fails_everywhere() && !job.is_gang() {
                 true => job.waiting().min(1),
                 false => job.waiting(),
             };
@@ -237,7 +240,7 @@
             let mut in_zone = vec![0; zones.len()];
             let mut lost_zone = false;
             if spec.spread || spec.one_zone || spec.kind == JobKind::Service {
-                for name in job.placed.values() {
+                for name in job.placed_on.values() {
                     match cluster.machines.get(name).and_then(|m| zone_of(&m.zone)) {
                         Some(z) => in_zone[z] += 1,
                         // Where it is is not known yet: `apart` and `together` can't be kept.
@@ -262,16 +265,16 @@
             };
             let tries_everywhere = match job.is_gang() {
                 true => job.failed_on.len() > GANG_AVOID_MAX,
-                false => job.suspect(),
+                false => job.fails_everywhere(),
             };
             let avoid = match tries_everywhere {
                 true => vec![],
                 false => job.failed_on.iter().filter_map(|m| index.get(m).copied()).collect(),
             };
-            let within = planner::within(&claimed[team], &guarantee(&cfg.params.teams[team]));
-            let waited_ms = clock.wall.saturating_sub(job.at_wall);
-            let run_ms = l.run_ms(spec);
-            let mut times: Vec<u64> = cfg
+            let within = planner::within(&claimed[team], &guarantee(&settings.params.teams[team]));
+            let waited_ms = clock.wall_ms.saturating_sub(job.accepted_at_wall_ms);
+            let run_ms = leader.run_ms(spec);
+            let mut times: Vec<u64> = settings
                 .params
                 .objectives
                 .iter()
@@ -292,7 +295,7 @@
                 times,
                 within,
                 need: job.need,
-                bandwidth: spec.cores * op.bandwidth(&spec.class),
+                bandwidth: spec.cores * operator.bandwidth(&spec.class),
                 run_ms,
                 allowed_types,
                 zone,
@@ -301,7 +304,7 @@
                 zone_cap: spec.zone_cap(),
                 one_zone: spec.one_zone,
                 waiting,
-                begun: job.begun || job.done_count > 0 || !job.placed.is_empty(),
+                begun: job.has_started || job.done_count > 0 || !job.placed_on.is_empty(),
                 image: image_of(&spec.image),
                 size_gb: spec.size_gb,
                 avoid,
@@ -309,7 +312,7 @@
             v.jobs.push(uid.clone());
         }
         let unknown = cluster.used_by_unknown_tasks();
-        for t in &cfg.params.teams {
+        for t in &settings.params.teams {
             let mut used = cluster.usage.get(&t.name).copied().unwrap_or_default();
             used += unknown;
             v.snapshot.teams.push(TeamView {
@@ -319,7 +322,7 @@
                 share: 0,
             });
         }
-        v.snapshot.reserved = l.reservation.as_ref().and_then(|(job, machine)| {
+        v.snapshot.reserved = leader.reservation.as_ref().and_then(|(job, machine)| {
             let j = v.jobs.iter().position(|x| x == job)?;
             Some((j, v.machines.iter().position(|x| x == machine)?))
         });
@@ -330,7 +333,7 @@
 /// Milliseconds until a machine's next report is to be expected.
 fn next_report_ms(machine: &Machine, report_s: f64, now: u64) -> u64 {
     let period = report_s * MS_PER_S;
-    let since = machine.received_at.map_or(0, |t| now - t) as f64;
+    let since = machine.last_heartbeat_at.map_or(0, |t| now - t) as f64;
     let earliest = (period * (1.0 - REPORT_JITTER) - since).max(0.0);
     let latest = (period * (1.0 + REPORT_JITTER) - since).max(period * REPORT_JITTER);
     ((earliest + latest) / 2.0) as u64
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -4,8 +4,8 @@
 use super::recovery::RecoveryView;
 use super::{Controller, Leader};
 use crate::storage::job::Job;
-use crate::storage::machine::{Life, Machine};
-use crate::storage::records::Stage;
+use crate::storage::machine::{Machine, MachineState};
+use crate::storage::records::JobStage;
 use crate::transport::counts::TransportCounts;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -129,25 +129,25 @@
 }
 
 fn state_of(machine: &Machine) -> &'static str {
-    match machine.life {
-        Life::Booting => "booting",
-        Life::Unheard => "not heard of",
-        Life::Deleting => "deleting",
-        Life::Gone => "gone",
-        Life::Up if machine.lease_expired => "silent",
-        Life::Up if machine.reclaim_at.is_some() => "reclaimed",
-        Life::Up if machine.draining => "set aside",
-        Life::Up => "up",
+    match machine.state {
+        MachineState::Booting => "booting",
+        MachineState::AwaitingHeartbeat => "not heard of",
+        MachineState::Deleting => "deleting",
+        MachineState::Terminated => "gone",
+        MachineState::Up if machine.lease_expired => "silent",
+        MachineState::Up if machine.reclaim_at.is_some() => "reclaimed",
+        MachineState::Up if machine.cordoned => "set aside",
+        MachineState::Up => "up",
     }
 }
 
 impl Controller {
     /// Answers a status request.
-    pub(super) fn status(&mut self, conn: super::ConnId, query: &str) {
+    pub(super) fn status(&mut self, connection: super::ConnectionId, query: &str) {
         let view = self.status_view(query == DETAILS_QUERY);
         // On many lines: with hundreds of machines one would be longer than a response may have.
         let body = serde_json::to_vec_pretty(&view).unwrap_or_default();
-        self.respond(conn, 200, None, body);
+        self.respond(connection, 200, None, body);
     }
 
     /// Leader, term, sums, counters and latencies; with `details` machines and waiting jobs too.
@@ -155,13 +155,13 @@
         let leader = self.leader.as_ref().filter(|leader| leader.ready);
         let listed = leader.filter(|_| details);
         StatusView {
-            controller: self.cfg.label.clone(),
+            controller: self.settings.label.clone(),
             version: env!("CARGO_PKG_VERSION"),
-            up_s: (self.now.mono - self.begun) / 1000,
-            served_by_state_service: self.served(),
-            leader: self.replica.leader.as_ref().map(|l| l.value.label.clone()),
+            up_s: (self.now.monotonic_ms - self.started_at) / 1000,
+            served_by_state_service: self.store_is_usable(),
+            leader: self.replica.leader.as_ref().map(|leader| leader.value.label.clone()),
             term: self.replica.term(),
-            revision: self.replica.rev,
+            revision: self.replica.revision,
             jobs: self.job_sums(),
             fleet: leader.map(Leader::fleet_sums),
             held: self.held_sums(),
@@ -182,9 +182,9 @@
     fn job_sums(&self) -> JobSums {
         let count = |s| self.replica.jobs.values().filter(|j| j.value.stage == s).count();
         JobSums {
-            live: count(Stage::Live),
-            done: count(Stage::Done),
-            cancelled: count(Stage::Cancelled),
+            live: count(JobStage::Live),
+            done: count(JobStage::Done),
+            cancelled: count(JobStage::Cancelled),
         }
     }
 
@@ -213,7 +213,7 @@
                 live_jobs: leader.cluster.jobs.len(),
                 machines: leader.cluster.machines.len(),
                 placements: leader.cluster.machines.values().map(|m| m.placements.len()).sum(),
-                reports: leader.held.len(),
+                reports: leader.deferred_heartbeats.len(),
                 ..copy
             },
         }
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -1,6 +1,6 @@
 //! Following the state service: the first load, the watch, and zero-wait reads.
 
-use super::{Asker, Controller, Purpose, Service, StoreQuestion};
+use super::{CallPurpose, Controller, Requester, Service, StoreQuestion};
 use crate::constants::{
     FRESH_GAP_MS, KEY_FAMILY, KEY_ROOT, READ_PERIOD_MS, STATE_CALL_MS, STATE_FOREIGN_MS,
     STATE_LIST_LIMIT, STATE_LIST_MS, STATE_LOST_MS, STATE_RETRY_MS, WATCH_BLOCK_MS, WATCH_CALL_MS,
@@ -13,18 +13,18 @@
 
 /// What waits for a read begun after it came.
 #[derive(Debug)]
-pub(crate) enum Waiter {
+pub(crate) enum FreshReadWaiter {
     Poll {
-        asker: Asker,
+        requester: Requester,
         uid: String,
     },
     Cancel {
-        asker: Asker,
+        requester: Requester,
         uid: String,
     },
     /// The answer if the job turns out to be unknown: status, reason.
     Submit {
-        asker: Asker,
+        requester: Requester,
         uid: String,
         verdict: Option<(u16, String)>,
         spec: Option<Rc<JobSpec>>,
@@ -42,8 +42,8 @@
     list_rev: Option<u64>,
     list_since: Option<String>,
     watching: bool,
-    fresh_running: Option<Vec<Waiter>>,
-    fresh_waiting: Vec<Waiter>,
+    fresh_running: Option<Vec<FreshReadWaiter>>,
+    fresh_waiting: Vec<FreshReadWaiter>,
     fresh_begun: u64,
     not_before: u64,
     /// Begin of the last request that the state service answered.
@@ -73,22 +73,22 @@
 }
 
 impl Controller {
-    pub(super) fn is_state(&self, p: &Purpose) -> bool {
+    pub(super) fn is_store_call(&self, p: &CallPurpose) -> bool {
         !matches!(
             p,
-            Purpose::Gossip { .. }
-                | Purpose::Relay { .. }
-                | Purpose::Image { .. }
-                | Purpose::Catalog
-                | Purpose::Hosts { .. }
-                | Purpose::Rent(_)
-                | Purpose::Delete(_)
+            CallPurpose::Gossip { .. }
+                | CallPurpose::Relay { .. }
+                | CallPurpose::Image { .. }
+                | CallPurpose::Catalog
+                | CallPurpose::Hosts { .. }
+                | CallPurpose::Rent(_)
+                | CallPurpose::Delete(_)
         )
     }
 
-    pub(super) fn state_answered(&mut self, purpose: &Purpose, status: Option<u16>) {
+    pub(super) fn note_store_response(&mut self, purpose: &CallPurpose, status: Option<u16>) {
         match status {
-            Some(503) | None if matches!(purpose, Purpose::Watch { .. }) => {}
+            Some(503) | None if matches!(purpose, CallPurpose::Watch { .. }) => {}
             Some(429) => {
                 log::debug!("state service: too many requests");
                 if self.limits.lower_rates() {
@@ -97,39 +97,41 @@
                 }
                 if matches!(
                     purpose,
-                    Purpose::LeaderCommit { .. } | Purpose::Submit { .. } | Purpose::Cancel { .. }
+                    CallPurpose::LeaderCommit { .. }
+                        | CallPurpose::Submit { .. }
+                        | CallPurpose::Cancel { .. }
                 ) {
-                    self.writes.drain(self.now.mono);
+                    self.write_budget.drain(self.now.monotonic_ms);
                 } else {
-                    self.reads.drain(self.now.mono);
+                    self.read_budget.drain(self.now.monotonic_ms);
                 }
             }
             Some(503) | None => {
-                if !self.sync.refused {
+                if !self.store_sync.refused {
                     log::info!("state service does not serve us");
                 }
-                self.sync.refused = true;
+                self.store_sync.refused = true;
             }
             Some(_) => {
-                if self.sync.refused {
+                if self.store_sync.refused {
                     log::info!("state service serves us");
                 }
-                self.sync.refused = false;
-                self.sync.served_at = Some(self.now.mono);
+                self.store_sync.refused = false;
+                self.store_sync.served_at = Some(self.now.monotonic_ms);
             }
         }
     }
 
     /// Whether the state service serves us, as far as we know, and its data is to be trusted.
-    pub(super) fn served(&self) -> bool {
-        self.reaches_store() && !self.recovery.holds()
+    pub(super) fn store_is_usable(&self) -> bool {
+        self.store_is_reachable() && !self.recovery.holds()
     }
 
     /// Whether the state service answers us, whatever it has lost.
-    pub(super) fn reaches_store(&self) -> bool {
-        self.sync.loaded
-            && !self.sync.refused
-            && self.sync.served_at.is_some_and(|t| self.now.mono - t < STATE_LOST_MS)
+    pub(super) fn store_is_reachable(&self) -> bool {
+        self.store_sync.loaded
+            && !self.store_sync.refused
+            && self.store_sync.served_at.is_some_and(|t| self.now.monotonic_ms - t < STATE_LOST_MS)
     }
 
     pub(super) fn state_call(
@@ -138,78 +140,81 @@
         path: String,
         body: Vec<u8>,
         timeout_ms: u64,
-        purpose: Purpose,
+        purpose: CallPurpose,
     ) {
         let work = &mut self.metrics.work;
         work.state_calls += 1;
         match purpose {
-            Purpose::List { .. } | Purpose::Watch { .. } | Purpose::Fresh { .. } => {
+            CallPurpose::List { .. } | CallPurpose::Watch { .. } | CallPurpose::Fresh { .. } => {
                 work.state_reads += 1
             }
             _ if path == COMMIT_PATH => work.state_commits += 1,
             _ => {}
         }
-        self.reads.take(1.0, f64::MIN, self.now.mono);
+        self.read_budget.take(1.0, f64::MIN, self.now.monotonic_ms);
         self.call(Service::State, method, path, body, timeout_ms, purpose);
     }
 
     pub(super) fn sync_due(&mut self) {
-        let now = self.now.mono;
-        if now < self.sync.not_before {
+        let now = self.now.monotonic_ms;
+        if now < self.store_sync.not_before {
             return;
         }
-        if !self.sync.loaded {
-            if !self.sync.listing {
-                self.sync.listing = true;
-                let path = list_path(KEY_FAMILY, self.sync.list_since.as_deref(), STATE_LIST_LIMIT);
-                let purpose = Purpose::List { epoch: self.sync.epoch };
+        if !self.store_sync.loaded {
+            if !self.store_sync.listing {
+                self.store_sync.listing = true;
+                let path =
+                    list_path(KEY_FAMILY, self.store_sync.list_since.as_deref(), STATE_LIST_LIMIT);
+                let purpose = CallPurpose::List { epoch: self.store_sync.epoch };
                 self.state_call("GET", path, vec![], STATE_LIST_MS, purpose);
             }
             return;
         }
-        if !self.sync.watching && !self.sync.refused {
-            self.sync.watching = true;
-            let path = changes_path(KEY_FAMILY, self.replica.rev, WATCH_BLOCK_MS);
-            let purpose = Purpose::Watch { asked: self.store_question() };
+        if !self.store_sync.watching && !self.store_sync.refused {
+            self.store_sync.watching = true;
+            let path = changes_path(KEY_FAMILY, self.replica.revision, WATCH_BLOCK_MS);
+            let purpose = CallPurpose::Watch { asked: self.store_question() };
             self.state_call("GET", path, vec![], WATCH_CALL_MS, purpose);
         }
-        let periodic = now >= self.sync.fresh_begun + READ_PERIOD_MS;
-        let wanted =
-            !self.sync.fresh_waiting.is_empty() && now >= self.sync.fresh_begun + FRESH_GAP_MS;
-        if self.sync.fresh_running.is_none() && (periodic || wanted) {
-            if !self.reads.take(0.0, 1.0, now) && !periodic {
+        let periodic = now >= self.store_sync.fresh_begun + READ_PERIOD_MS;
+        let wanted = !self.store_sync.fresh_waiting.is_empty()
+            && now >= self.store_sync.fresh_begun + FRESH_GAP_MS;
+        if self.store_sync.fresh_running.is_none() && (periodic || wanted) {
+            if !self.read_budget.take(0.0, 1.0, now) && !periodic {
                 return;
             }
-            self.sync.fresh_running = Some(std::mem::take(&mut self.sync.fresh_waiting));
-            self.sync.fresh_begun = now;
-            let path = changes_path(KEY_FAMILY, self.replica.rev, 0);
-            let purpose = Purpose::Fresh { begun: now, asked: self.store_question() };
+            self.store_sync.fresh_running =
+                Some(std::mem::take(&mut self.store_sync.fresh_waiting));
+            self.store_sync.fresh_begun = now;
+            let path = changes_path(KEY_FAMILY, self.replica.revision, 0);
+            let purpose = CallPurpose::Fresh { begun: now, asked: self.store_question() };
             self.state_call("GET", path, vec![], STATE_CALL_MS, purpose);
         }
     }
 
     fn store_question(&self) -> StoreQuestion {
-        StoreQuestion { epoch: self.sync.epoch, since: self.replica.rev }
+        StoreQuestion { epoch: self.store_sync.epoch, since: self.replica.revision }
     }
 
-    pub(super) fn want_fresh(&mut self, w: Waiter) {
-        self.sync.fresh_waiting.push(w);
+    pub(super) fn request_fresh_read(&mut self, w: FreshReadWaiter) {
+        self.store_sync.fresh_waiting.push(w);
         self.sync_due();
     }
 
     pub(super) fn waiters(&self) -> usize {
-        self.sync.fresh_waiting.len() + self.sync.fresh_running.as_ref().map_or(0, |r| r.len())
+        self.store_sync.fresh_waiting.len()
+            + self.store_sync.fresh_running.as_ref().map_or(0, |r| r.len())
     }
 
     fn retry_later(&mut self) {
-        self.sync.not_before = self.now.mono + STATE_RETRY_MS;
+        self.store_sync.not_before = self.now.monotonic_ms + STATE_RETRY_MS;
     }
 
-    pub(super) fn listed(&mut self, epoch: u32, reply: Option<(u16, Vec<u8>)>) {
-        if epoch != self.sync.epoch {
+    pub(super) fn on_list_response(&mut self, epoch: u32, reply: Option<(u16, Vec<u8>)>) {
+        if epoch != self.store_sync.epoch {
             return;
         }
-        self.sync.listing = false;
+        self.store_sync.listing = false;
         let page: Option<Page> = match &reply {
             Some((200, body)) => serde_json::from_slice(body).ok(),
             _ => None,
@@ -219,8 +224,8 @@
         };
         self.metrics.work.state_bytes_read +=
             reply.as_ref().map_or(0, |(_, body)| body.len() as u64);
-        if self.sync.list_rev.is_none() {
-            self.sync.list_rev = Some(page.ledger_rev);
+        if self.store_sync.list_rev.is_none() {
+            self.store_sync.list_rev = Some(page.revision);
         }
         for item in &page.items {
             self.replica.apply_item(item);
@@ -234,34 +239,38 @@
             );
             self.replica = Replica::new(self.replica.hash_keys());
             self.recovery.forget_image();
-            self.sync.list_rev = None;
-            self.sync.list_since = None;
-            self.sync.not_before = self.now.mono + STATE_FOREIGN_MS;
+            self.store_sync.list_rev = None;
+            self.store_sync.list_since = None;
+            self.store_sync.not_before = self.now.monotonic_ms + STATE_FOREIGN_MS;
             return;
         }
         if page.has_next {
-            self.sync.list_since = page.items.last().map(|i| i.key.clone());
+            self.store_sync.list_since = page.items.last().map(|i| i.key.clone());
             return self.sync_due();
         }
         // Pages are of different moments: changes since the first one follow by reads.
-        self.replica.rev = self.sync.list_rev.take().unwrap_or(page.ledger_rev);
-        self.sync.max_rev = self.sync.max_rev.max(page.ledger_rev);
-        self.sync.list_since = None;
-        self.sync.loaded = true;
+        self.replica.revision = self.store_sync.list_rev.take().unwrap_or(page.revision);
+        self.store_sync.max_rev = self.store_sync.max_rev.max(page.revision);
+        self.store_sync.list_since = None;
+        self.store_sync.loaded = true;
         if let Some(t) = self.replica.term.as_ref().map(|t| t.value.term) {
-            self.term_heard = self.term_heard.max(t);
+            self.highest_term = self.highest_term.max(t);
         }
         if self.catalog.is_none() {
             self.catalog = self.replica.catalog.as_ref().map(|c| Rc::new(c.value.clone()));
         }
         self.note_listing_complete();
-        log::info!("loaded: {} jobs at revision {}", self.replica.jobs.len(), self.replica.rev);
+        log::info!(
+            "loaded: {} jobs at revision {}",
+            self.replica.jobs.len(),
+            self.replica.revision
+        );
         self.sync_due();
     }
 
     /// Puts an answer into the replica; false if it has to be read anew.
     fn apply(&mut self, asked: StoreQuestion, reply: &Option<(u16, Vec<u8>)>) -> Option<bool> {
-        if asked.epoch != self.sync.epoch {
+        if asked.epoch != self.store_sync.epoch {
             return Some(false);
         }
         match reply {
@@ -273,16 +282,16 @@
                 if !self.note_changes(asked.since, &changes) {
                     return Some(false);
                 }
-                self.sync.max_rev = self.sync.max_rev.max(changes.ledger_rev);
+                self.store_sync.max_rev = self.store_sync.max_rev.max(changes.revision);
                 let touched = self.replica.apply(&changes);
-                self.jobs_touched(&touched);
-                self.term_heard = self.term_heard.max(self.replica.term());
+                self.on_jobs_changed(&touched);
+                self.highest_term = self.highest_term.max(self.replica.term());
                 Some(true)
             }
             Some((410, _)) => {
                 log::info!("too far behind, reading the store anew");
                 if self.recovery.notices_losses() {
-                    self.suspect(None);
+                    self.suspect_store_loss(None);
                 } else {
                     self.read_anew();
                     self.step_down("lost track of the store");
@@ -293,45 +302,49 @@
         }
     }
 
-    pub(super) fn jobs_touched(&mut self, touched: &[Name]) {
-        let now = self.now.mono;
-        if let Some(l) = self.leader.as_mut().filter(|l| l.ready) {
+    pub(super) fn on_jobs_changed(&mut self, touched: &[Name]) {
+        let now = self.now.monotonic_ms;
+        if let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) {
             for uid in touched {
-                l.cluster.job_changed(&self.replica, uid, now);
+                leader.cluster.job_changed(&self.replica, uid, now);
             }
             if !touched.is_empty() {
-                l.plan_soon(now);
+                leader.plan_soon(now);
             }
         }
     }
 
-    pub(super) fn watched(&mut self, asked: StoreQuestion, reply: Option<(u16, Vec<u8>)>) {
-        if asked.epoch == self.sync.epoch {
-            self.sync.watching = false;
+    pub(super) fn on_watch_response(
+        &mut self,
+        asked: StoreQuestion,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        if asked.epoch == self.store_sync.epoch {
+            self.store_sync.watching = false;
         }
         if self.apply(asked, &reply).is_none() {
             self.retry_later();
         }
     }
 
-    pub(super) fn fresh_read(
+    pub(super) fn on_fresh_read_response(
         &mut self,
         begun: u64,
         asked: StoreQuestion,
         reply: Option<(u16, Vec<u8>)>,
     ) {
-        let waiters = self.sync.fresh_running.take().unwrap_or_default();
+        let waiters = self.store_sync.fresh_running.take().unwrap_or_default();
         match self.apply(asked, &reply) {
             Some(true) => {
-                self.sync.fresh_at = Some(begun);
+                self.store_sync.fresh_at = Some(begun);
                 self.forget_ended_by_peers();
                 self.note_fresh_read(begun);
                 for w in waiters {
                     // While we hold still nothing of users is judged by what the store shows.
                     match &w {
-                        Waiter::Leader => self.fresh_done(w, begun),
-                        _ if self.recovery.holds() => self.fresh_failed(w),
-                        _ => self.fresh_done(w, begun),
+                        FreshReadWaiter::Leader => self.complete_waiter(w, begun),
+                        _ if self.recovery.holds() => self.fail_waiter(w),
+                        _ => self.complete_waiter(w, begun),
                     }
                 }
             }
@@ -340,48 +353,49 @@
                     self.retry_later();
                 }
                 for w in waiters {
-                    self.fresh_failed(w);
+                    self.fail_waiter(w);
                 }
             }
         }
         self.sync_due();
     }
 
-    fn fresh_done(&mut self, w: Waiter, begun: u64) {
+    fn complete_waiter(&mut self, w: FreshReadWaiter, begun: u64) {
         match w {
-            Waiter::Poll { asker, uid } => self.answer_poll(asker, &uid),
-            Waiter::Cancel { asker, uid } => self.cancel_known(asker, uid),
-            Waiter::Submit { asker, uid, verdict, spec } => {
-                self.submit_known(asker, uid, verdict, spec)
+            FreshReadWaiter::Poll { requester, uid } => self.answer_poll(requester, &uid),
+            FreshReadWaiter::Cancel { requester, uid } => self.cancel_known(requester, uid),
+            FreshReadWaiter::Submit { requester, uid, verdict, spec } => {
+                self.submit_known(requester, uid, verdict, spec)
             }
-            Waiter::Leader => self.leader_fresh(begun),
+            FreshReadWaiter::Leader => self.on_leader_read(begun),
         }
     }
 
-    fn fresh_failed(&mut self, w: Waiter) {
+    fn fail_waiter(&mut self, w: FreshReadWaiter) {
         match w {
-            Waiter::Poll { asker, uid } => {
-                self.relay_or_refuse(asker, "GET", format!("/v1/jobs/{uid}"), vec![])
+            FreshReadWaiter::Poll { requester, uid } => {
+                self.relay_or_refuse(requester, "GET", format!("/v1/jobs/{uid}"), vec![])
             }
-            Waiter::Cancel { asker, uid } => {
-                self.relay_or_refuse(asker, "POST", format!("/v1/jobs/{uid}/withdraw"), vec![])
+            FreshReadWaiter::Cancel { requester, uid } => {
+                self.relay_or_refuse(requester, "POST", format!("/v1/jobs/{uid}/withdraw"), vec![])
             }
-            Waiter::Submit { asker, spec, .. } => match spec {
+            FreshReadWaiter::Submit { requester, spec, .. } => match spec {
                 Some(spec) => {
                     let body = serde_json::to_vec(&*spec).unwrap_or_default();
-                    self.relay_or_refuse(asker, "POST", "/v1/jobs".into(), body)
+                    self.relay_or_refuse(requester, "POST", "/v1/jobs".into(), body)
                 }
-                None => self.unavailable(asker),
+                None => self.unavailable(requester),
             },
-            Waiter::Leader => self.leader_wants_fresh(),
+            FreshReadWaiter::Leader => self.request_leader_read(),
         }
     }
 
     /// The leader needs a read that has not begun yet; one serves all who ask for it.
-    pub(super) fn leader_wants_fresh(&mut self) {
-        let waits = self.sync.fresh_waiting.iter().any(|w| matches!(w, Waiter::Leader));
+    pub(super) fn request_leader_read(&mut self) {
+        let waits =
+            self.store_sync.fresh_waiting.iter().any(|w| matches!(w, FreshReadWaiter::Leader));
         if self.leader.is_some() && !waits {
-            self.sync.fresh_waiting.push(Waiter::Leader);
+            self.store_sync.fresh_waiting.push(FreshReadWaiter::Leader);
         }
     }
 }
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -4,77 +4,95 @@
 //! that began after the request came; only final states come from memory.
 
 use super::recovery::SentAt;
-use super::sync::Waiter;
-use super::{Asker, ConnId, Controller, Purpose};
+use super::sync::FreshReadWaiter;
+use super::{CallPurpose, ConnectionId, Controller, Requester};
 use crate::constants::{
     PEER_VERSION, RETRY_AFTER_BUSY_S, RETRY_AFTER_S, STATE_CALL_MS, STATE_LOST_MS, USER_WAIT_MAX,
     WRITE_KEEP_USERS,
 };
 use crate::protocol::peers::{encode, Relayed};
-use crate::protocol::state::{Commit, Committed, If, Write, COMMIT_PATH};
+use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::{valid_uid, Accepted, Refusal, Status, View};
-use crate::storage::records::{end_key, EndRec, JobRec, Stage};
-use crate::storage::replica::Stamped;
+use crate::storage::records::{job_end_key, JobEndRecord, JobRecord, JobStage};
+use crate::storage::replica::Versioned;
 
 impl Controller {
-    fn answer(&mut self, asker: Asker, status: u16, retry_after_s: Option<u64>, body: Vec<u8>) {
-        if asker.relayed {
+    fn answer(
+        &mut self,
+        requester: Requester,
+        status: u16,
+        retry_after_s: Option<u64>,
+        body: Vec<u8>,
+    ) {
+        if requester.relayed {
             let m = Relayed { version: PEER_VERSION, status, retry_after_s, body };
-            self.respond(asker.conn, 200, None, encode(&m));
+            self.respond(requester.connection, 200, None, encode(&m));
         } else {
-            self.respond(asker.conn, status, retry_after_s, body);
+            self.respond(requester.connection, status, retry_after_s, body);
         }
     }
 
-    pub(super) fn pass_on(&mut self, asker: Asker, m: Relayed) {
-        self.answer(asker, m.status, m.retry_after_s, m.body);
+    pub(super) fn pass_on(&mut self, requester: Requester, m: Relayed) {
+        self.answer(requester, m.status, m.retry_after_s, m.body);
     }
 
     pub(super) fn answer_json<T: serde::Serialize>(
         &mut self,
-        asker: Asker,
+        requester: Requester,
         status: u16,
         value: &T,
     ) {
         let body = serde_json::to_vec(value).unwrap_or_default();
-        self.answer(asker, status, None, body);
+        self.answer(requester, status, None, body);
     }
 
-    pub(super) fn refuse(&mut self, asker: Asker, status: u16, error: &str, retry: Option<u64>) {
+    pub(super) fn refuse(
+        &mut self,
+        requester: Requester,
+        status: u16,
+        error: &str,
+        retry: Option<u64>,
+    ) {
         if status >= 429 {
             self.metrics.work.refused += 1;
         }
         let body = serde_json::to_vec(&Refusal { error }).unwrap_or_default();
-        self.answer(asker, status, retry, body);
+        self.answer(requester, status, retry, body);
     }
 
-    pub(super) fn unavailable(&mut self, asker: Asker) {
-        self.refuse(asker, 503, "the state service can't be reached", Some(RETRY_AFTER_S));
+    pub(super) fn unavailable(&mut self, requester: Requester) {
+        self.refuse(requester, 503, "the state service can't be reached", Some(RETRY_AFTER_S));
     }
 
-    pub(super) fn user_request(&mut self, asker: Asker, method: &str, path: &str, body: &[u8]) {
+    pub(super) fn user_request(
+        &mut self,
+        requester: Requester,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) {
         let Some(rest) = path.strip_prefix("/v1/jobs") else {
-            return self.refuse(asker, 404, "no such path", None);
+            return self.refuse(requester, 404, "no such path", None);
         };
         let known = match (method, rest) {
             ("POST", "") => {
                 self.metrics.work.submissions += 1;
-                return self.submit(asker, body);
+                return self.submit(requester, body);
             }
             (_, "") => false,
             (_, rest) => {
                 let Some(rest) = rest.strip_prefix('/') else {
-                    return self.refuse(asker, 404, "no such path", None);
+                    return self.refuse(requester, 404, "no such path", None);
                 };
                 match (method, rest.strip_suffix("/withdraw")) {
                     ("POST", Some(uid)) => {
                         self.metrics.work.cancellations += 1;
-                        return self.cancel(asker, uid);
+                        return self.cancel(requester, uid);
                     }
                     (_, Some(_)) => false,
                     ("GET", None) if !rest.contains('/') => {
                         self.metrics.work.polls += 1;
-                        return self.poll_job(asker, rest);
+                        return self.poll_job(requester, rest);
                     }
                     (_, None) if !rest.contains('/') => false,
                     _ => true,
@@ -82,91 +100,91 @@
             }
         };
         if known {
-            self.refuse(asker, 404, "no such path", None);
+            self.refuse(requester, 404, "no such path", None);
         } else {
-            self.refuse(asker, 405, "wrong method", None);
+            self.refuse(requester, 405, "wrong method", None);
         }
     }
 
     /// Whether a request that needs the store can be taken; answers it otherwise.
     pub(super) fn admit(
         &mut self,
-        asker: Asker,
+        requester: Requester,
         method: &'static str,
         path: &str,
         body: &[u8],
     ) -> bool {
         if self.recovery.holds() {
-            self.unavailable(asker);
+            self.unavailable(requester);
             return false;
         }
         if self.waiters() >= USER_WAIT_MAX {
-            self.refuse(asker, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
+            self.refuse(requester, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
             return false;
         }
-        if !self.sync.loaded || self.sync.refused {
-            self.relay_or_refuse(asker, method, path.to_string(), body.to_vec());
+        if !self.store_sync.loaded || self.store_sync.refused {
+            self.relay_or_refuse(requester, method, path.to_string(), body.to_vec());
             return false;
         }
         true
     }
 
     /// Puts an own commit into the replica ahead of the watch.
-    pub(super) fn own_commit(&mut self, commit: &Commit, rev: u64) {
-        self.sync.max_rev = self.sync.max_rev.max(rev);
+    pub(super) fn apply_own_transaction(&mut self, commit: &Transaction, rev: u64) {
+        self.store_sync.max_rev = self.store_sync.max_rev.max(rev);
         let mut touched = Vec::new();
         for w in &commit.writes {
             match w {
-                Write::Put { write, data, .. } => {
-                    touched.extend(self.replica.write(write, data, rev))
+                Mutation::Put { key, value, .. } => {
+                    touched.extend(self.replica.write(key, value, rev))
                 }
-                Write::Remove { remove } => self.replica.remove(remove, rev),
+                Mutation::Remove { key } => self.replica.remove(key, rev),
             }
         }
-        self.note_own_commit(commit, rev);
-        self.jobs_touched(&touched);
+        self.record_own_transaction(commit, rev);
+        self.on_jobs_changed(&touched);
     }
 
-    fn status_of(&self, uid: &str, job: &Stamped<JobRec>) -> Status {
+    fn status_of(&self, uid: &str, job: &Versioned<JobRecord>) -> Status {
         match job.value.stage {
-            Stage::Done => Status::Done,
-            Stage::Cancelled => Status::Cancelled,
-            Stage::Live if self.replica.placed(uid) > 0 => Status::Running,
-            Stage::Live => Status::Queued,
+            JobStage::Done => Status::Done,
+            JobStage::Cancelled => Status::Cancelled,
+            JobStage::Live if self.replica.placed(uid) > 0 => Status::Running,
+            JobStage::Live => Status::Queued,
         }
     }
 
-    pub(super) fn answer_known(&mut self, asker: Asker, uid: &str) {
+    pub(super) fn answer_known(&mut self, requester: Requester, uid: &str) {
         if self.replica.is_flagged(uid) {
-            return self.unavailable(asker);
+            return self.unavailable(requester);
         }
         if let Some(job) = self.replica.jobs.get(uid) {
             let status = self.status_of(uid, job);
-            self.answer_json(asker, 200, &Accepted { uid, status });
+            self.answer_json(requester, 200, &Accepted { uid, status });
         }
     }
 
-    fn poll_job(&mut self, asker: Asker, uid: &str) {
+    fn poll_job(&mut self, requester: Requester, uid: &str) {
         if !valid_uid(uid) {
-            return self.refuse(asker, 404, "no such job", None);
+            return self.refuse(requester, 404, "no such job", None);
         }
         // While we hold still the copy is of a store that a late transaction may have ended the job in.
         if self.replica.has_ended(uid) && !self.recovery.holds() {
-            return self.answer_poll(asker, uid);
+            return self.answer_poll(requester, uid);
         }
-        if self.admit(asker, "GET", &format!("/v1/jobs/{uid}"), &[]) {
-            self.want_fresh(Waiter::Poll { asker, uid: uid.to_string() });
+        if self.admit(requester, "GET", &format!("/v1/jobs/{uid}"), &[]) {
+            self.request_fresh_read(FreshReadWaiter::Poll { requester, uid: uid.to_string() });
         }
     }
 
     /// Answers a poll from the replica, which is fresh enough by now.
-    pub(super) fn answer_poll(&mut self, asker: Asker, uid: &str) {
-        let _ = self.metrics.poll_ms.record(self.now.mono - asker.since);
+    pub(super) fn answer_poll(&mut self, requester: Requester, uid: &str) {
+        let _ = self.metrics.poll_ms.record(self.now.monotonic_ms - requester.since);
         let Some(job) = self.replica.jobs.get(uid) else {
-            return self.unknown_job(asker);
+            return self.unknown_job(requester);
         };
         if self.replica.is_flagged(uid) {
-            return self.unavailable(asker);
+            return self.unavailable(requester);
         }
         let status = self.status_of(uid, job);
         let (done, running) = match status {
@@ -174,107 +192,116 @@
             Status::Cancelled => (job.value.done, 0),
             _ => (self.replica.done_bitmap(uid).count(), self.replica.placed(uid)),
         };
-        self.answer_json(asker, 200, &View { uid, status, done, running });
+        self.answer_json(requester, 200, &View { uid, status, done, running });
     }
 
-    fn cancel(&mut self, asker: Asker, uid: &str) {
+    fn cancel(&mut self, requester: Requester, uid: &str) {
         if !valid_uid(uid) {
-            return self.refuse(asker, 404, "no such job", None);
+            return self.refuse(requester, 404, "no such job", None);
         }
-        if !self.admit(asker, "POST", &format!("/v1/jobs/{uid}/withdraw"), &[]) {
+        if !self.admit(requester, "POST", &format!("/v1/jobs/{uid}/withdraw"), &[]) {
             return;
         }
         match self.replica.jobs.get(uid).map(|j| j.value.stage) {
-            Some(Stage::Live) => self.commit_withdrawal(asker, uid),
-            Some(_) => self.answer_known(asker, uid),
-            None => self.want_fresh(Waiter::Cancel { asker, uid: uid.to_string() }),
+            Some(JobStage::Live) => self.commit_cancellation(requester, uid),
+            Some(_) => self.answer_known(requester, uid),
+            None => {
+                self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid: uid.to_string() })
+            }
         }
     }
 
     /// A withdrawal after a fresh read.
-    pub(super) fn cancel_known(&mut self, asker: Asker, uid: String) {
+    pub(super) fn cancel_known(&mut self, requester: Requester, uid: String) {
         match self.replica.jobs.get(uid.as_str()).map(|j| j.value.stage) {
-            Some(Stage::Live) => self.commit_withdrawal(asker, &uid),
-            Some(_) => self.answer_known(asker, &uid),
-            None => self.unknown_job(asker),
+            Some(JobStage::Live) => self.commit_cancellation(requester, &uid),
+            Some(_) => self.answer_known(requester, &uid),
+            None => self.unknown_job(requester),
         }
     }
 
     /// A job that is not known was never accepted, unless a part of the history is lost.
-    fn unknown_job(&mut self, asker: Asker) {
+    fn unknown_job(&mut self, requester: Requester) {
         match self.has_gap() {
-            true => self.unavailable(asker),
-            false => self.refuse(asker, 404, "no such job", None),
+            true => self.unavailable(requester),
+            false => self.refuse(requester, 404, "no such job", None),
         }
     }
 
-    fn commit_withdrawal(&mut self, asker: Asker, uid: &str) {
+    fn commit_cancellation(&mut self, requester: Requester, uid: &str) {
         if self.replica.is_flagged(uid) {
-            return self.unavailable(asker);
+            return self.unavailable(requester);
         }
         let Some(job) = self.replica.jobs.get(uid) else {
             return;
         };
-        let rec = EndRec {
+        let rec = JobEndRecord {
             at: job.value.at,
-            stage: Stage::Cancelled,
+            stage: JobStage::Cancelled,
             tasks: job.value.tasks,
             done: self.replica.done_bitmap(uid).count(),
         };
-        let key = end_key(uid);
-        let mut commit = Commit {
-            conditions: vec![If { key: key.clone(), stamp: 0 }],
-            writes: vec![Write::put(key, &rec)],
+        let key = job_end_key(uid);
+        let mut commit = Transaction {
+            conditions: vec![Condition { key: key.clone(), mod_revision: 0 }],
+            writes: vec![Mutation::put(key, &rec)],
         };
         self.depend_on_rebuild(&mut commit);
-        if !self.writes.take(1.0, WRITE_KEEP_USERS, self.now.mono) {
-            return self.refuse(asker, 503, "too many requests", Some(RETRY_AFTER_S));
+        if !self.write_budget.take(1.0, WRITE_KEEP_USERS, self.now.monotonic_ms) {
+            return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = Purpose::Cancel { asker, uid: uid.to_string(), commit, sent: self.sent_at() };
+        let purpose =
+            CallPurpose::Cancel { requester, uid: uid.to_string(), commit, sent: self.sent_at() };
         self.metrics.work.state_writes += 1;
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
-    pub(super) fn cancel_committed(
+    pub(super) fn on_cancellation_response(
         &mut self,
-        asker: Asker,
+        requester: Requester,
         uid: String,
-        commit: Commit,
+        commit: Transaction,
         sent: SentAt,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         match reply {
             Some((200, body)) => {
-                let Ok(done) = serde_json::from_slice::<Committed>(&body) else {
-                    return self.unavailable(asker);
+                let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) else {
+                    return self.unavailable(requester);
                 };
-                if !self.confirmed_in_store(sent, done.ledger_rev) {
-                    return self.unavailable(asker);
+                if !self.confirmed_in_store(sent, done.revision) {
+                    return self.unavailable(requester);
                 }
-                self.own_commit(&commit, done.ledger_rev);
+                self.apply_own_transaction(&commit, done.revision);
                 log::debug!("{uid}: withdrawn");
-                self.answer_json(asker, 200, &Accepted { uid: &uid, status: Status::Cancelled });
+                self.answer_json(
+                    requester,
+                    200,
+                    &Accepted { uid: &uid, status: Status::Cancelled },
+                );
             }
             // Done in the meantime, or withdrawn already.
-            Some((409, _)) => self.want_fresh(Waiter::Cancel { asker, uid }),
-            Some((429, _)) => self.refuse(asker, 503, "too many requests", Some(RETRY_AFTER_S)),
-            _ => self.relay_or_refuse(asker, "POST", format!("/v1/jobs/{uid}/withdraw"), vec![]),
+            Some((409, _)) => self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid }),
+            Some((429, _)) => self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S)),
+            _ => {
+                self.relay_or_refuse(requester, "POST", format!("/v1/jobs/{uid}/withdraw"), vec![])
+            }
         }
     }
 
     /// 200 when users are at least as well off here as elsewhere: served by the state
     /// service, or able to have a served peer answer, or all are refused alike (coming
     /// back into the balancer is slow, and there is nowhere better to go).
-    pub(super) fn up(&mut self, conn: ConnId) {
-        let ok = self.served() || {
+    pub(super) fn up(&mut self, connection: ConnectionId) {
+        let ok = self.store_is_usable() || {
             let fresh: Vec<_> = self.fresh_gossip().collect();
             let all_refused =
                 fresh.len() == self.peers.len() && fresh.iter().all(|g| !served_gossip(g));
-            self.sync.loaded && (self.best_peer().is_some() || all_refused)
+            self.store_sync.loaded && (self.best_peer().is_some() || all_refused)
         };
         let (status, body) = if ok { (200, "{\"up\":true}") } else { (503, "{\"up\":false}") };
-        self.respond(conn, status, (!ok).then_some(RETRY_AFTER_S), body.into());
+        self.respond(connection, status, (!ok).then_some(RETRY_AFTER_S), body.into());
     }
 }
 
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -77,7 +77,7 @@
         let reserved = leader.reservation.as_ref().filter(|(uid, _)| *uid == job.uid);
         Some(match reserved {
             Some((_, machine)) => WaitReason::Reserved(machine.clone()),
-            None if job.paused_until > self.now.mono => WaitReason::Paused,
+            None if job.paused_until > self.now.monotonic_ms => WaitReason::Paused,
             None if self.at_team_limit(leader, job) => WaitReason::TeamLimit,
             None => WaitReason::Room,
         })
@@ -91,15 +91,15 @@
         match leader.cluster.gang_phase(job) {
             GangPhase::Running => None,
             GangPhase::Unplaced => {
-                let most = gang_tasks_max(&self.limits, self.cfg.controllers());
+                let most = gang_tasks_max(&self.limits, self.settings.controllers());
                 (job.tasks as usize > most).then_some(WaitReason::TooLargeToStore { most })
             }
             GangPhase::Storing => Some(WaitReason::Storing),
-            GangPhase::Stopping => Some(WaitReason::LastAttempt { tasks: job.placed.len() }),
+            GangPhase::Stopping => Some(WaitReason::LastAttempt { tasks: job.placed_on.len() }),
             GangPhase::Assembling => {
                 let shown = |status| {
                     let placements = leader.cluster.placements_of(job);
-                    placements.filter(|p| p.seen == status).count()
+                    placements.filter(|p| p.reported_status == status).count()
                 };
                 Some(WaitReason::Assembling {
                     fetching: shown(Some(TaskStatus::Pulling)),
@@ -113,7 +113,7 @@
     /// Whether what the job needs at least to go on would put its team over its limit.
     fn at_team_limit(&self, leader: &Leader, job: &Job) -> bool {
         let Some(spec) = &job.spec else { return false };
-        let team = self.cfg.params.teams.iter().find(|t| t.name == spec.team);
+        let team = self.settings.params.teams.iter().find(|t| t.name == spec.team);
         let limit =
             team.map_or(Resources::default(), |t| Resources::new(t.cpus_max, t.gpus_max, 0.0));
         let mut with = leader.cluster.usage.get(&spec.team).copied().unwrap_or_default();
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -6,8 +6,8 @@
 
 use super::gangs::saves_when_stopped;
 use super::leader::is_failure;
-use super::report_evidence::{note_machine, shown, Evidence, Hearing, ReportId};
-use super::{Asker, ConnId, Controller, Leader};
+use super::report_evidence::{note_machine, shown, Evidence, HeartbeatId, ResponseDelivery};
+use super::{ConnectionId, Controller, Leader, Requester};
 use crate::constants::{
     ATTEMPT_BITS, COMMANDS_MAX, ELECTION_LEAST_MS, FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS,
     FAULTY_FAILURES, FAULTY_WINDOW_MS, GRACE_EXTRA_S, MS_PER_S, RECLAIM_MARGIN_S, REPORT_HOLD_MS,
@@ -20,14 +20,14 @@
 use crate::storage::adoption::{make_returned_up_to, Adoption};
 use crate::storage::cluster::ClusterState;
 use crate::storage::gangs::GangState;
-use crate::storage::machine::{Halt, Life, Phase, Placement, TaskId};
-use crate::storage::records::{Name, Stage};
+use crate::storage::machine::{MachineState, Placement, PlacementPhase, StopReason, TaskId};
+use crate::storage::records::{JobStage, Name};
 use std::collections::BTreeSet;
 
 /// A report whose answer waits for a commit that may bring commands.
 #[derive(Debug)]
-pub(super) struct HeldReport {
-    pub conn: ConnId,
+pub(super) struct DeferredHeartbeat {
+    pub connection: ConnectionId,
     pub machine: Name,
     newest: (u64, u64),
     pub since: u64,
@@ -39,21 +39,23 @@
 
 impl Controller {
     /// Answers a report with the leader to turn to, if it is known.
-    pub(super) fn redirect(&mut self, conn: ConnId) {
-        self.redirect_past(conn, self.term_heard);
+    pub(super) fn redirect(&mut self, connection: ConnectionId) {
+        self.redirect_past(connection, self.highest_term);
     }
 
     /// The same, where only a leader of this term or a later one will do.
-    fn redirect_past(&mut self, conn: ConnId, term: u64) {
+    fn redirect_past(&mut self, connection: ConnectionId, term: u64) {
         self.metrics.work.reports_redirected += 1;
         let leader = match &self.replica.leader {
-            Some(l) if l.value.label != self.cfg.label && l.value.term >= term => {
-                Some(l.value.label.clone())
+            Some(leader)
+                if leader.value.label != self.settings.label && leader.value.term >= term =>
+            {
+                Some(leader.value.label.clone())
             }
             _ => self.fresh_gossip().find(|g| g.leads && g.term >= term).map(|g| g.label.clone()),
         };
-        let body = serde_json::to_vec(&Redirect { leader }).unwrap_or_default();
-        self.respond(conn, 421, None, body);
+        let body = serde_json::to_vec(&LeaderRedirect { leader }).unwrap_or_default();
+        self.respond(connection, 421, None, body);
     }
 
     /// Takes note of a token above every term that we know. Whoever leads has stored its term before it
@@ -62,98 +64,99 @@
     ///
     /// Without the store the token is believed if there was time for so many elections: a leader
     /// that is cut off should make way for its successor.
-    fn hear_token(&mut self, token: u64) {
-        if self.served() {
-            return self.leader_wants_fresh();
+    fn observe_fencing_token(&mut self, token: u64) {
+        if self.store_is_usable() {
+            return self.request_leader_read();
         }
-        let read_at = self.sync.fresh_at.unwrap_or(self.begun);
-        let elections = (self.now.mono - read_at) / ELECTION_LEAST_MS + 1;
-        if token - self.term_heard <= elections {
-            self.term_heard = token;
+        let read_at = self.store_sync.fresh_at.unwrap_or(self.started_at);
+        let elections = (self.now.monotonic_ms - read_at) / ELECTION_LEAST_MS + 1;
+        if token - self.highest_term <= elections {
+            self.highest_term = token;
             self.check_term();
         }
     }
 
-    pub(super) fn worker_report(&mut self, conn: ConnId, body: &[u8]) {
-        let report: Report = match serde_json::from_slice(body) {
+    pub(super) fn on_heartbeat(&mut self, connection: ConnectionId, body: &[u8]) {
+        let report: Heartbeat = match serde_json::from_slice(body) {
             Ok(r) => r,
             Err(e) => {
-                let asker = Asker { conn, relayed: false, since: self.now.mono };
-                return self.refuse(asker, 400, &e.to_string(), None);
+                let requester =
+                    Requester { connection, relayed: false, since: self.now.monotonic_ms };
+                return self.refuse(requester, 400, &e.to_string(), None);
             }
         };
-        let now = self.now.mono;
+        let now = self.now.monotonic_ms;
         self.metrics.work.reports += 1;
-        self.workers_seen.insert(report.machine.clone(), now);
+        self.worker_heartbeats.insert(report.machine.clone(), now);
         self.note_worker_token(&report);
-        if report.token > self.term_heard {
-            self.hear_token(report.token);
+        if report.fencing_token > self.highest_term {
+            self.observe_fencing_token(report.fencing_token);
         }
-        if report.token > self.term_heard {
+        if report.fencing_token > self.highest_term {
             // It would drop our answer. Whoever gave it that token, it is not the leader that we know.
-            return self.redirect_past(conn, report.token);
+            return self.redirect_past(connection, report.fencing_token);
         }
-        let ready = self.leader.as_ref().is_some_and(|l| l.ready);
-        if ready && self.may_answer() {
-            self.absorb(conn, report);
-        } else if self.rebuilds() && self.may_answer() {
-            self.answer_in_rebuild(conn, report);
-        } else if self.leader.is_none() && self.may_extend_lease(report.token) {
-            self.extend_lease(conn, report);
+        let ready = self.leader.as_ref().is_some_and(|leader| leader.ready);
+        if ready && self.may_renew_worker_leases() {
+            self.process_heartbeat(connection, report);
+        } else if self.rebuilds() && self.may_renew_worker_leases() {
+            self.answer_in_rebuild(connection, report);
+        } else if self.leader.is_none() && self.may_extend_lease(report.fencing_token) {
+            self.extend_lease(connection, report);
         } else {
-            self.redirect(conn);
+            self.redirect(connection);
         }
     }
 
-    fn absorb(&mut self, conn: ConnId, report: Report) {
-        let now = self.now.mono;
+    fn process_heartbeat(&mut self, connection: ConnectionId, report: Heartbeat) {
+        let now = self.now.monotonic_ms;
         let catalog = self.catalog.clone();
         let rebuilt = self.replica.rebuild.is_some();
         let history_is_doubtful = rebuilt || self.starts_are_held();
-        let Some(l) = self.leader.as_mut() else {
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        l.heard_at = now;
-        if l.fleet.is_gone(&report.machine) {
+        leader.last_heartbeat_at = now;
+        if leader.fleet.is_gone(&report.machine) {
             // A late report of a machine that was deleted.
-            return self.redirect(conn);
+            return self.redirect(connection);
         }
         let name: Name = report.machine.as_str().into();
-        let ours = report.token == l.term;
-        let keys = l.cluster.hash_keys();
-        let m = l.cluster.machine_entry(&name, now);
-        let id = (report.session, report.sequence);
-        if id <= m.newest {
+        let ours = report.fencing_token == leader.term;
+        let keys = leader.cluster.hash_keys();
+        let m = leader.cluster.machine_entry(&name, now);
+        let id = (report.incarnation, report.sequence);
+        if id <= m.newest_heartbeat {
             // Late or repeated: the worker has given it up.
-            return self.redirect(conn);
+            return self.redirect(connection);
         }
-        if m.lease_expired && report.session <= m.newest.0 {
+        if m.lease_expired && report.incarnation <= m.newest_heartbeat.0 {
             // Sent before its lease ran out and held on the way: what it shows is over, and
             // the worker has begun another session since. Such reports once brought back
             // machines that were still cut off, with tasks long started elsewhere.
-            return self.redirect(conn);
+            return self.redirect(connection);
         }
-        let hearing = Hearing::of(m, id, ours, now);
+        let hearing = ResponseDelivery::of(m, id, ours, now);
         note_machine(m, &report, catalog.as_deref(), ours, now);
         let shown = shown(&report, keys);
         let evidence = Evidence::of(m, &shown, id, ours, now);
-        let signs = hearing.signs + u32::from(evidence.start_missed);
-        let heard = hearing.heard || evidence.start_arrived;
-        let lease = self.cfg.params.workers.lease_s * MS_PER_S;
+        let signs = hearing.undelivered_signs + u32::from(evidence.start_missed);
+        let heard = hearing.delivered || evidence.start_arrived;
+        let lease = self.settings.params.workers.lease_s * MS_PER_S;
         let calm = (lease * UNREACHABLE_CALM_LEASES) as u64;
-        if m.note_heed(signs, heard, now, calm) {
+        if m.note_response_delivery(signs, heard, now, calm) {
             log::info!("{name}: reports, but no answer seems to reach it");
         }
         if m.unreachable_since.is_some() {
             // What was never shown there is settled by its next report and starts elsewhere.
-            for p in m.placements.values_mut().filter(|p| p.seen.is_none()) {
-                p.halt.get_or_insert(Halt::MakeRoom);
+            for p in m.placements.values_mut().filter(|p| p.reported_status.is_none()) {
+                p.stop_reason.get_or_insert(StopReason::Eviction);
             }
         }
         let ended = report.tasks.iter().filter(|task| !task.status.is_on_machine());
         let ended = ended.filter(|task| parse_task(&task.task_id).is_some());
-        let mut held = HeldReport {
-            conn,
+        let mut held = DeferredHeartbeat {
+            connection,
             machine: name.clone(),
             newest: id,
             since: now,
@@ -162,25 +165,25 @@
             unknown_tasks: Vec::new(),
         };
         for ((job, task), placed_at) in evidence.running {
-            let Some(j) = l.cluster.jobs.get_mut(&job) else { continue };
-            j.begun = true;
+            let Some(j) = leader.cluster.jobs.get_mut(&job) else { continue };
+            j.has_started = true;
             if let Some(gang) = &mut j.gang {
                 gang.note_running();
             }
             let Some(spec) = j.spec.clone() else { continue };
-            let machine_type = &l.cluster.machines[&name].type_name;
+            let machine_type = &leader.cluster.machines[&name].type_name;
             let known = catalog.as_ref().and_then(|c| c.machine_type(machine_type));
             let room = known.map_or(0.0, |t| t.cache_gb);
-            if let Some(m) = l.cluster.machines.get_mut(&name) {
+            if let Some(m) = leader.cluster.machines.get_mut(&name) {
                 m.note_image(&spec.image, spec.size_gb, room);
             }
             let _ = self.metrics.start_ms.record(now - placed_at);
             log::debug!("{job}/{task}: runs on {name}, {} ms after it was placed", now - placed_at);
         }
         for (task, cause) in evidence.settled {
-            l.note_end(&name, &task, cause, now);
-            l.cluster.settle(&name, &task, cause);
-            l.plan_soon(now);
+            leader.record_task_end(&name, &task, cause, now);
+            leader.cluster.settle(&name, &task, cause);
+            leader.plan_soon(now);
         }
         // What is shown and nothing explains.
         let mut unknown_tasks = BTreeSet::new();
@@ -189,7 +192,7 @@
                 continue;
             };
             let id: TaskId = (job.into(), task);
-            let known = l.cluster.machines[&name]
+            let known = leader.cluster.machines[&name]
                 .placements
                 .get(&id)
                 .is_some_and(|p| p.attempt == reported.attempt);
@@ -206,39 +209,40 @@
                 unknown_tasks.insert((id, attempt));
                 continue;
             }
-            if rebuilt && l.cluster.adopt(&name, &id, attempt, now) != Adoption::Refused {
+            if rebuilt && leader.cluster.adopt(&name, &id, attempt, now) != Adoption::Refused {
                 continue;
             }
             log::info!("{}: attempt {attempt} on {name} is not known", reported.task_id);
             if ours && !rebuilt && self.recovery.notices_losses() {
-                self.redirect(conn);
+                self.redirect(connection);
                 return self.note_unexplained_task(&name, &reported.task_id);
             }
             held.unknown_tasks.push((reported.task_id.clone(), attempt));
-            l.cluster.add_unknown(&name, &id, attempt, now);
+            leader.cluster.add_untracked_task(&name, &id, attempt, now);
         }
-        if let Some(m) = l.cluster.machines.get_mut(&name).filter(|_| !rebuilt || ours) {
+        if let Some(m) = leader.cluster.machines.get_mut(&name).filter(|_| !rebuilt || ours) {
             m.unknown_tasks = unknown_tasks;
         }
-        if l.cluster.machines[&name].is_empty() {
-            l.cluster.machines.get_mut(&name).map(|m| m.idle_since.get_or_insert(now));
+        if leader.cluster.machines[&name].is_empty() {
+            leader.cluster.machines.get_mut(&name).map(|m| m.idle_since.get_or_insert(now));
         }
-        l.reclaim(&name, now, &self.cfg);
-        l.held.push(held);
+        leader.reclaim(&name, now, &self.settings);
+        leader.deferred_heartbeats.push(held);
     }
 
     /// Answers held reports whose commits are in, or that can wait no longer.
-    pub(super) fn flush_held(&mut self) {
-        let now = self.now.mono;
-        let Some(l) = self.leader.as_mut() else {
+    pub(super) fn answer_deferred_heartbeats(&mut self) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let deciding = l.ready && l.deciding(now);
+        let deciding = leader.ready && leader.deciding(now);
         let mut go = Vec::new();
         let mut keep = Vec::new();
-        for h in l.held.drain(..) {
-            let wants = l.cluster.machines.get(&h.machine).is_some_and(|m| {
-                m.proposed > 0 || (m.life == Life::Up && !m.draining && m.reclaim_at.is_none())
+        for h in leader.deferred_heartbeats.drain(..) {
+            let wants = leader.cluster.machines.get(&h.machine).is_some_and(|m| {
+                m.uncommitted_placements > 0
+                    || (m.state == MachineState::Up && !m.cordoned && m.reclaim_at.is_none())
             });
             if deciding && wants && now < h.since + REPORT_HOLD_MS {
                 keep.push(h);
@@ -246,36 +250,36 @@
                 go.push(h);
             }
         }
-        l.held = keep;
+        leader.deferred_heartbeats = keep;
         for h in go {
-            self.answer_report(h);
+            self.answer_heartbeat(h);
         }
     }
 
-    fn answer_report(&mut self, h: HeldReport) {
-        let now = self.now.mono;
-        if !self.may_answer() {
-            return self.redirect(h.conn);
+    fn answer_heartbeat(&mut self, h: DeferredHeartbeat) {
+        let now = self.now.monotonic_ms;
+        if !self.may_renew_worker_leases() {
+            return self.redirect(h.connection);
         }
-        let may_start = self.may_start();
+        let may_order_starts = self.may_order_starts();
         let rebuilt_in = self.replica.rebuild.as_ref().map_or(0, |record| record.value.term);
-        let Some(l) = self.leader.as_mut() else {
-            return self.redirect(h.conn);
+        let Some(leader) = self.leader.as_mut() else {
+            return self.redirect(h.connection);
         };
-        let term = l.term;
-        let jobs = &l.cluster.jobs;
-        let Some(m) = l.cluster.machines.get_mut(&h.machine) else {
-            return self.redirect(h.conn);
+        let term = leader.term;
+        let jobs = &leader.cluster.jobs;
+        let Some(m) = leader.cluster.machines.get_mut(&h.machine) else {
+            return self.redirect(h.connection);
         };
-        if m.newest != h.newest || m.life == Life::Gone {
-            return self.redirect(h.conn);
+        if m.newest_heartbeat != h.newest || m.state == MachineState::Terminated {
+            return self.redirect(h.connection);
         }
         let mut commands = Vec::new();
         let mut starts = Vec::new();
         let mut nowhere = Vec::new();
         // What does not fit into an answer goes out with the next one.
         for (task_id, attempt) in h.unknown_tasks.into_iter().take(COMMANDS_MAX) {
-            commands.push(WorkerCommand::Halt { task_id, attempt, grace_s: 0.0 });
+            commands.push(WorkerCommand::Stop { task_id, attempt, grace_s: 0.0 });
         }
         for (task_id, attempt) in h.ended {
             // Only once what it said is committed, which takes the placement out.
@@ -287,35 +291,35 @@
             }
         }
         for (id, p) in &mut m.placements {
-            if p.ended.is_some() || p.phase != Phase::Committed {
+            if p.settled.is_some() || p.phase != PlacementPhase::Committed {
                 continue;
             }
             if commands.len() + starts.len() >= COMMANDS_MAX {
                 break;
             }
             let job = jobs.get(&id.0);
-            let live = job.is_some_and(|j| j.stage == Stage::Live && !j.done.get(id.1));
+            let live = job.is_some_and(|j| j.stage == JobStage::Live && !j.done.get(id.1));
             // Peers' word stops a task, but settles nothing: see `blind`.
             let told = self.ended_by_peers.contains(&id.0);
-            let halt = if live && !told { p.halt } else { Some(Halt::Unwanted) };
+            let halt = if live && !told { p.stop_reason } else { Some(StopReason::NotNeeded) };
             let task_id = task_name(&id.0, id.1);
             let inherited = p.attempt >> ATTEMPT_BITS != term;
             if let Some(halt) = halt {
-                if p.seen.is_none() && p.ordered.is_none() && !inherited {
-                    if !live || p.halt.is_some() {
+                if p.reported_status.is_none() && p.start_sent_after.is_none() && !inherited {
+                    if !live || p.stop_reason.is_some() {
                         nowhere.push(id.clone());
                     }
                     continue;
                 }
                 let saves = job.and_then(|j| j.spec.as_ref()).filter(|s| s.saves());
                 let grace_s = match (halt, saves) {
-                    (Halt::MakeRoom, Some(s)) => s.checkpoint_cost_s + GRACE_EXTRA_S,
+                    (StopReason::Eviction, Some(s)) => s.checkpoint_cost_s + GRACE_EXTRA_S,
                     _ => 0.0,
                 };
-                commands.push(WorkerCommand::Halt { task_id, attempt: p.attempt, grace_s });
-            } else if may_start
-                && p.seen.is_none()
-                && m.life == Life::Up
+                commands.push(WorkerCommand::Stop { task_id, attempt: p.attempt, grace_s });
+            } else if may_order_starts
+                && p.reported_status.is_none()
+                && m.state == MachineState::Up
                 && !m.lease_expired
                 && (!inherited || h.ours)
             {
@@ -331,19 +335,19 @@
                     }
                     continue;
                 }
-                p.ordered = Some(h.newest);
+                p.start_sent_after = Some(h.newest);
                 starts.push(WorkerCommand::Start { task_id, attempt: p.attempt });
             }
         }
         commands.extend(starts);
-        m.answered_at = Some(now);
+        m.last_response_at = Some(now);
         for id in nowhere {
-            l.cluster.settle(&h.machine, &id, Cause::Lost);
+            leader.cluster.settle(&h.machine, &id, EndCause::Lost);
         }
         let _ = self.metrics.report_ms.record(now - h.since);
-        let body =
-            serde_json::to_vec(&WorkerCommands { token: term, commands }).unwrap_or_default();
-        self.respond(h.conn, 200, None, body);
+        let body = serde_json::to_vec(&HeartbeatResponse { fencing_token: term, commands })
+            .unwrap_or_default();
+        self.respond(h.connection, 200, None, body);
     }
 }
 
@@ -354,15 +358,16 @@
     gang: &GangState,
     placement: &Placement,
     inherited: bool,
-    newest: ReportId,
+    newest: HeartbeatId,
 ) -> bool {
-    let session_ended = placement.ordered.is_some_and(|(session, _)| session < newest.0);
+    let session_ended =
+        placement.start_sent_after.is_some_and(|(incarnation, _)| incarnation < newest.0);
     inherited || session_ended || gang.running
 }
 
 impl Leader {
     /// Draws conclusions from how a task ended: run times, sick machines, bad jobs.
-    fn note_end(&mut self, machine: &Name, id: &TaskId, cause: Cause, now: u64) {
+    fn record_task_end(&mut self, machine: &Name, id: &TaskId, cause: EndCause, now: u64) {
         let cluster = &mut self.cluster;
         let Some(job) = cluster.jobs.get_mut(&id.0) else {
             return;
@@ -372,7 +377,7 @@
             return;
         };
         let ran = m.placements.get(id).and_then(|p| p.running_since).map(|t| now - t);
-        if cause == Cause::Done {
+        if cause == EndCause::Done {
             // It works here: the machines where it failed before are to blame.
             let blamed: Vec<Name> = job.failed_on.drain().collect();
             m.failures.clear();
@@ -383,7 +388,7 @@
                             "{other}: set aside, {} failed there and not on {machine}",
                             id.0
                         );
-                        o.draining = true;
+                        o.cordoned = true;
                     }
                 }
             }
@@ -398,7 +403,7 @@
             return;
         }
         job.failed_on.insert(machine.clone());
-        if job.suspect() {
+        if job.fails_everywhere() {
             job.fail_pause_ms = (job.fail_pause_ms * 2).clamp(FAIL_PAUSE_MS, FAIL_PAUSE_MAX_MS);
             job.paused_until = now + job.fail_pause_ms;
             log::debug!("{}: failed on several machines, paused {} ms", id.0, job.fail_pause_ms);
@@ -410,33 +415,33 @@
         jobs.sort_unstable();
         jobs.dedup();
         let works_elsewhere = job.successes > 0 && m.failures.len() as u32 >= FAULTY_FAILURES;
-        if (jobs.len() as u32 >= FAULTY_FAILURES || works_elsewhere) && !m.draining {
+        if (jobs.len() as u32 >= FAULTY_FAILURES || works_elsewhere) && !m.cordoned {
             log::info!("{machine}: set aside, tasks of {} jobs failed there", jobs.len());
-            m.draining = true;
+            m.cordoned = true;
         }
     }
 
     /// A machine that the cloud will take: tasks that can't end in time are stopped while
     /// they can still save, and those that can't save at once, so that they start elsewhere.
-    fn reclaim(&mut self, name: &Name, now: u64, cfg: &Platform) {
+    fn reclaim(&mut self, name: &Name, now: u64, settings: &Platform) {
         let jobs = &self.cluster.jobs;
         let Some(m) = self.cluster.machines.get_mut(name) else {
             return;
         };
         let Some(at) = m.reclaim_at else { return };
         let left = at.saturating_sub(now);
-        let report = (cfg.params.workers.report_s * MS_PER_S) as u64;
+        let report = (settings.params.workers.report_s * MS_PER_S) as u64;
         let mut gangs: BTreeSet<Name> = BTreeSet::new();
         for ((uid, _), p) in &mut m.placements {
             let Some(spec) = jobs.get(uid).and_then(|j| j.spec.as_ref()) else {
                 continue;
             };
-            if p.ended.is_some() || p.halt.is_some() {
+            if p.settled.is_some() || p.stop_reason.is_some() {
                 continue;
             }
             let stop = if spec.kind == JobKind::Service || p.running_since.is_none() {
                 true
-            } else if saves_when_stopped(spec, &cfg.params.workers) {
+            } else if saves_when_stopped(spec, &settings.params.workers) {
                 let needs = ((spec.checkpoint_cost_s + RECLAIM_MARGIN_S) * MS_PER_S) as u64;
                 left <= needs + report * 2
             } else {
@@ -447,11 +452,11 @@
             if stop && spec.is_gang() {
                 gangs.insert(uid.clone());
             } else if stop {
-                p.halt = Some(Halt::MakeRoom);
+                p.stop_reason = Some(StopReason::Eviction);
             }
         }
         for uid in gangs {
-            self.stop_gang(&uid, Halt::MakeRoom, now);
+            self.stop_gang(&uid, StopReason::Eviction, now);
         }
     }
 }
@@ -459,13 +464,13 @@
 impl ClusterState {
     /// A task that runs with no placement: counted where it is, so that it is not started
     /// elsewhere, and halted.
-    fn add_unknown(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) {
+    fn add_untracked_task(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) {
         let Some(job) = self.jobs.get_mut(&id.0) else {
             return;
         };
-        let free = job.stage == Stage::Live
+        let free = job.stage == JobStage::Live
             && !job.done.get(id.1)
-            && !job.placed.contains_key(&id.1)
+            && !job.placed_on.contains_key(&id.1)
             && !job.settling.contains(&id.1)
             && id.1 < job.tasks;
         if !free {
@@ -474,9 +479,9 @@
         make_returned_up_to(job, id.1);
         self.propose(&id.0, id.1, machine, attempt, now);
         if let Some(p) = self.machines.get_mut(machine).and_then(|m| m.placements.get_mut(id)) {
-            p.phase = Phase::Committed;
-            p.seen = Some(TaskStatus::Running);
-            p.halt = Some(Halt::MakeRoom);
+            p.phase = PlacementPhase::Committed;
+            p.reported_status = Some(TaskStatus::Running);
+            p.stop_reason = Some(StopReason::Eviction);
         }
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -12,9 +12,12 @@
 const FIRST_PEER: usize = 2;
 
 fn clock(start: Instant) -> Clock {
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     // One second ahead of zero, so that differences to "long ago" stay in range.
-    Clock { mono: start.elapsed().as_millis() as u64 + 1_000, wall: wall.as_millis() as u64 }
+    Clock {
+        monotonic_ms: start.elapsed().as_millis() as u64 + 1_000,
+        wall_ms: wall_ms.as_millis() as u64,
+    }
 }
 
 /// Runs a controller until the process is killed.
@@ -36,13 +39,13 @@
     });
     let mut core = Controller::new(platform, operator, clock(start), seed());
     if let Some((directory, _)) = &snapshots {
-        if let Some((header, image)) = directory.read_newest(clock(start).wall) {
+        if let Some((header, image)) = directory.read_newest(clock(start).wall_ms) {
             log::info!("snapshot of revision {}, {} keys", header.revision, header.keys);
             core.restore_snapshot(image);
         }
     }
     loop {
-        let now = clock(start).mono;
+        let now = clock(start).monotonic_ms;
         let wait = if net.has_incoming() { 0 } else { core.next_wake().saturating_sub(now) };
         let incoming = net.poll(Duration::from_millis(wait.min(POLL_MAX_MS)))?;
         core.note_transport(net.counts());
@@ -57,22 +60,22 @@
 }
 
 fn write_snapshot_if_due(core: &mut Controller, writer: &mut SnapshotWriter, now: Clock) {
-    if !writer.is_due(now.mono) {
+    if !writer.is_due(now.monotonic_ms) {
         return;
     }
     core.note_snapshot(writer.status());
     if let Some(image) = core.image_for_snapshot() {
-        writer.take(image, now.mono, now.wall);
+        writer.take(image, now.monotonic_ms, now.wall_ms);
     }
 }
 
 fn command(i: Incoming) -> Command {
     match i {
-        Incoming::Request { conn, origin: Origin::Public, request: r } => {
-            Command::Public { conn, method: r.method, path: r.path, body: r.body }
+        Incoming::Request { connection, origin: Origin::Public, request: r } => {
+            Command::Public { connection, method: r.method, path: r.path, body: r.body }
         }
-        Incoming::Request { conn, origin: Origin::Peer, request: r } => {
-            Command::Peer { conn, method: r.method, path: r.path, body: r.body }
+        Incoming::Request { connection, origin: Origin::Peer, request: r } => {
+            Command::Peer { connection, method: r.method, path: r.path, body: r.body }
         }
         Incoming::Reply { call, reply } => {
             Command::Reply { call, reply: reply.map(|r| (r.status, r.body)) }
@@ -82,8 +85,8 @@
 
 fn perform(net: &mut Net, effect: Effect) {
     match effect {
-        Effect::Respond { conn, status, retry_after_s, body } => {
-            net.respond(conn, status, retry_after_s, &body)
+        Effect::Respond { connection, status, retry_after_s, body } => {
+            net.respond(connection, status, retry_after_s, &body)
         }
         Effect::Call { id, service, method, path, body, timeout_ms } => {
             let target = match service {
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -9,9 +9,11 @@
     /// Its name.
     pub key: String,
     /// Its value.
-    pub data: Box<RawValue>,
+    #[serde(rename = "data")]
+    pub value: Box<RawValue>,
     /// Revision of its last change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// `GET /store?prefix=`.
@@ -23,28 +25,32 @@
     #[serde(default)]
     pub has_next: bool,
     /// Revision of the store.
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub revision: u64,
 }
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct If {
+pub struct Condition {
     /// The key.
     pub key: String,
     /// The revision of its last change that is asked for; 0: it must not exist.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// A change in a transaction.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Write {
+pub enum Mutation {
     /// Sets a key.
     Put {
         /// The key.
-        write: String,
+        #[serde(rename = "write")]
+        key: String,
         /// Its new value.
-        data: Box<RawValue>,
+        #[serde(rename = "data")]
+        value: Box<RawValue>,
         /// The lease with which it ends.
         #[serde(skip_serializing_if = "Option::is_none")]
         #[serde(rename = "tenancy")]
@@ -53,21 +59,21 @@
     /// Removes a key.
     Remove {
         /// The key.
-        remove: String,
+        #[serde(rename = "remove")]
+        key: String,
     },
 }
 
-impl Write {
+impl Mutation {
     /// A write of a value with no lease.
-    pub fn put<T: Serialize>(key: String, value: &T) -> Write {
-        Write::Put { write: key, data: raw(value), lease_id: None }
+    pub fn put<T: Serialize>(key: String, value: &T) -> Mutation {
+        Mutation::Put { key, value: raw(value), lease_id: None }
     }
 
     /// The key that is changed.
     pub fn key(&self) -> &str {
         match self {
-            Write::Put { write, .. } => write,
-            Write::Remove { remove } => remove,
+            Mutation::Put { key, .. } | Mutation::Remove { key } => key,
         }
     }
 }
@@ -79,53 +85,57 @@
 
 /// `POST /commit`.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Commit {
+pub struct Transaction {
     /// What must hold for the transaction to be applied.
     #[serde(rename = "if")]
-    pub conditions: Vec<If>,
+    pub conditions: Vec<Condition>,
     /// The changes, all with one revision.
-    pub writes: Vec<Write>,
+    pub writes: Vec<Mutation>,
 }
 
 /// Answer of a commit that was applied.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Committed {
+pub struct TransactionApplied {
     /// Revision of the change.
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub revision: u64,
 }
 
 /// Answer of a commit whose conditions failed.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Conflict {
+pub struct TransactionConflict {
     /// Keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
     /// Revision of the store.
     #[serde(default)]
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub revision: u64,
 }
 
 /// One change seen by a watch.
 #[derive(Debug, Deserialize)]
 pub struct Event {
     /// The key that was set.
-    #[serde(default)]
-    pub write: Option<String>,
+    #[serde(default, rename = "write")]
+    pub put_key: Option<String>,
     /// The key that was removed.
-    #[serde(default)]
-    pub remove: Option<String>,
+    #[serde(default, rename = "remove")]
+    pub removed_key: Option<String>,
     /// The new value.
-    #[serde(default)]
-    pub data: Option<Box<RawValue>>,
+    #[serde(default, rename = "data")]
+    pub value: Option<Box<RawValue>>,
     /// Revision of the change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// `GET /changes`.
 #[derive(Debug, Deserialize)]
 pub struct Changes {
     /// Revision up to which the answer holds all changes.
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub revision: u64,
     /// Changes in the order of their revisions.
     #[serde(default)]
     pub events: Vec<Event>,
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -36,7 +36,7 @@
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum EndCause {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -58,60 +58,69 @@
     Lost,
 }
 
-/// A task in a report.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct TaskReport {
-    /// The task's name on the wire, see [`super::task_name`].
-    #[serde(rename = "load")]
-    pub task_id: String,
-    /// Attempt that the start named.
-    #[serde(rename = "try")]
-    pub attempt: u64,
-    /// Its state.
-    pub status: TaskStatus,
-    /// Why it ended.
-    #[serde(default)]
-    pub cause: Option<Cause>,
-    /// Whether its progress was saved.
-    #[serde(default)]
-    pub saved: Option<bool>,
-}
+pub use wire::{Report as Heartbeat, TaskReport as ReportedTask};
 
-/// A worker's report.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Report {
-    /// Name of the machine.
-    #[serde(rename = "stead")]
-    pub machine: String,
-    /// Where the worker takes direct commands.
-    pub address: String,
-    /// Type of the machine.
-    #[serde(rename = "build")]
-    pub machine_type: String,
-    /// Zone of the machine.
-    #[serde(rename = "yard")]
-    pub zone: String,
-    /// Whether it is a spot machine.
-    #[serde(rename = "lendables")]
-    pub spot: bool,
-    /// Session: grows each time the worker's lease expires.
-    #[serde(rename = "tenure")]
-    pub session: u64,
-    /// Number of the report within the session.
-    #[serde(rename = "tally")]
-    pub sequence: u64,
-    /// Highest token that the worker has seen.
-    #[serde(default)]
-    #[serde(rename = "baton")]
-    pub token: u64,
-    /// Seconds until the cloud takes the machine back.
-    #[serde(default)]
-    #[serde(rename = "recall_s")]
-    pub reclaim_s: Option<f64>,
-    /// All tasks on the machine, ended ones included until they are cleared.
-    #[serde(default)]
-    #[serde(rename = "loads")]
-    pub tasks: Vec<TaskReport>,
+/// Types whose Rust names reach the wire: a worker whose heartbeat can't be read is told which type was
+/// expected, so they keep the names of the protocol's page.
+mod wire {
+    use super::{EndCause, TaskStatus};
+    use serde::{Deserialize, Serialize};
+
+    /// A task in a report.
+    #[derive(Debug, Clone, Serialize, Deserialize)]
+    pub struct TaskReport {
+        /// The task's name on the wire, see [`crate::protocol::task_name`].
+        #[serde(rename = "load")]
+        pub task_id: String,
+        /// Attempt that the start named.
+        #[serde(rename = "try")]
+        pub attempt: u64,
+        /// Its state.
+        pub status: TaskStatus,
+        /// Why it ended.
+        #[serde(default)]
+        pub cause: Option<EndCause>,
+        /// Whether its progress was saved.
+        #[serde(default)]
+        pub saved: Option<bool>,
+    }
+
+    /// A worker's report.
+    #[derive(Debug, Clone, Serialize, Deserialize)]
+    pub struct Report {
+        /// Name of the machine.
+        #[serde(rename = "stead")]
+        pub machine: String,
+        /// Where the worker takes direct commands.
+        pub address: String,
+        /// Type of the machine.
+        #[serde(rename = "build")]
+        pub machine_type: String,
+        /// Zone of the machine.
+        #[serde(rename = "yard")]
+        pub zone: String,
+        /// Whether it is a spot machine.
+        #[serde(rename = "lendables")]
+        pub spot: bool,
+        /// Session: grows each time the worker's lease expires.
+        #[serde(rename = "tenure")]
+        pub incarnation: u64,
+        /// Number of the report within the session.
+        #[serde(rename = "tally")]
+        pub sequence: u64,
+        /// Highest token that the worker has seen.
+        #[serde(default)]
+        #[serde(rename = "baton")]
+        pub fencing_token: u64,
+        /// Seconds until the cloud takes the machine back.
+        #[serde(default)]
+        #[serde(rename = "recall_s")]
+        pub reclaim_s: Option<f64>,
+        /// All tasks on the machine, ended ones included until they are cleared.
+        #[serde(default)]
+        #[serde(rename = "loads")]
+        pub tasks: Vec<TaskReport>,
+    }
 }
 
 /// An order to a worker.
@@ -128,7 +137,8 @@
         attempt: u64,
     },
     /// Stops a task.
-    Halt {
+    #[serde(rename = "halt")]
+    Stop {
         /// The task.
         #[serde(rename = "load")]
         task_id: String,
@@ -152,10 +162,10 @@
 
 /// Answer to a report.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct WorkerCommands {
+pub struct HeartbeatResponse {
     /// The sender's token: a worker drops answers with a lower one than it has seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// What to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<WorkerCommand>,
@@ -163,7 +173,7 @@
 
 /// Answer of a controller that doesn't lead.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Redirect {
+pub struct LeaderRedirect {
     /// The controller to report to, if it is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "steward")]
--- a/src/snapshots.rs
+++ b/src/snapshots.rs
@@ -76,9 +76,10 @@
     }
 
     /// Hands over an image, unless the last one is not written yet.
-    pub fn take(&mut self, image: StoreImage, now: u64, wall: u64) {
+    pub fn take(&mut self, image: StoreImage, now: u64, wall_ms: u64) {
         self.next_at = now + self.period_ms;
-        if let Err(TrySendError::Full(_)) = self.orders.try_send(Order { image, taken_at: wall }) {
+        if let Err(TrySendError::Full(_)) = self.orders.try_send(Order { image, taken_at: wall_ms })
+        {
             log::warn!("the last snapshot is still being written, this one is left out");
         }
     }
@@ -147,7 +148,7 @@
     }
 
     /// The newest snapshot that is whole, of this deployment and not from the future.
-    pub fn read_newest(&self, wall: u64) -> Option<(Header, StoreImage)> {
+    pub fn read_newest(&self, wall_ms: u64) -> Option<(Header, StoreImage)> {
         let files = match self.newest_first() {
             Ok(files) => files,
             Err(e) => {
@@ -155,13 +156,13 @@
                 return None;
             }
         };
-        files.iter().find_map(|file| self.read(file, wall))
+        files.iter().find_map(|file| self.read(file, wall_ms))
     }
 
-    fn read(&self, file: &Path, wall: u64) -> Option<(Header, StoreImage)> {
+    fn read(&self, file: &Path, wall_ms: u64) -> Option<(Header, StoreImage)> {
         let bytes = fs::read(file).map_err(|e| e.to_string());
         let read = bytes
-            .and_then(|bytes| decode(&bytes, &self.deployment, wall).map_err(|e| e.to_string()));
+            .and_then(|bytes| decode(&bytes, &self.deployment, wall_ms).map_err(|e| e.to_string()));
         read.map_err(|reason| log::warn!("snapshot {} is refused: {reason}", file.display())).ok()
     }
 
--- a/src/storage/adoption.rs
+++ b/src/storage/adoption.rs
@@ -5,9 +5,9 @@
 
 use super::cluster::ClusterState;
 use super::job::Job;
-use super::machine::{Halt, Phase, TaskId};
-use super::records::{Name, Stage};
-use crate::protocol::workers::{Cause, TaskStatus};
+use super::machine::{PlacementPhase, StopReason, TaskId};
+use super::records::{JobStage, Name};
+use crate::protocol::workers::{EndCause, TaskStatus};
 
 /// What becomes of a task that runs and has no placement that we know of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,7 +26,7 @@
         let tasks = (uid.clone(), 0)..=(uid.clone(), u32::MAX);
         let mut placed = Vec::new();
         for machine in self.machines.values() {
-            let open = machine.placements.range(tasks.clone()).filter(|(_, p)| p.ended.is_none());
+            let open = machine.placements.range(tasks.clone()).filter(|(_, p)| p.settled.is_none());
             placed.extend(open.map(|((_, task), _)| (*task, machine.name.clone())));
         }
         placed
@@ -49,25 +49,25 @@
     /// rebuild it may have been placed in the part of the history that is lost.
     pub fn adopt(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) -> Adoption {
         let Some(job) = self.jobs.get(&id.0) else { return Adoption::Refused };
-        if job.stage != Stage::Live || id.1 >= job.tasks || job.done.get(id.1) {
+        if job.stage != JobStage::Live || id.1 >= job.tasks || job.done.get(id.1) {
             return Adoption::Refused;
         }
         if job.settling.contains(&id.1) {
             return Adoption::Waits;
         }
-        if let Some(other) = job.placed.get(&id.1).cloned() {
+        if let Some(other) = job.placed_on.get(&id.1).cloned() {
             return self.settle_earlier(&other, id, attempt);
         }
-        let withheld = job.withheld;
+        let withheld = job.quarantined;
         if let Some(job) = self.jobs.get_mut(&id.0) {
             make_returned_up_to(job, id.1);
         }
         self.propose(&id.0, id.1, machine, attempt, now);
         let placements = self.machines.get_mut(machine).map(|m| &mut m.placements);
         if let Some(placement) = placements.and_then(|p| p.get_mut(id)) {
-            placement.phase = Phase::Committed;
-            placement.seen = Some(TaskStatus::Running);
-            placement.halt = withheld.then_some(Halt::MakeRoom);
+            placement.phase = PlacementPhase::Committed;
+            placement.reported_status = Some(TaskStatus::Running);
+            placement.stop_reason = withheld.then_some(StopReason::Eviction);
         }
         Adoption::Adopted
     }
@@ -76,22 +76,23 @@
     /// last is settled and that is committed: a higher one proves that ours is over.
     fn settle_earlier(&mut self, machine: &Name, id: &TaskId, attempt: u64) -> Adoption {
         let known = self.machines.get(machine).and_then(|m| m.placements.get(id));
-        let earlier = known.is_some_and(|p| p.attempt < attempt && p.phase == Phase::Committed);
+        let earlier =
+            known.is_some_and(|p| p.attempt < attempt && p.phase == PlacementPhase::Committed);
         if !earlier {
             return Adoption::Refused;
         }
-        self.settle(machine, id, Cause::Lost);
+        self.settle(machine, id, EndCause::Lost);
         Adoption::Waits
     }
 }
 
 /// Tasks between the fresh ones and this one wait like returned ones.
 pub fn make_returned_up_to(job: &mut Job, task: u32) {
-    while job.next_fresh <= task {
-        let fresh = job.next_fresh;
+    while job.first_never_placed <= task {
+        let fresh = job.first_never_placed;
         if !job.done.get(fresh) {
-            job.returned.insert(fresh);
+            job.requeued.insert(fresh);
         }
-        job.next_fresh += 1;
+        job.first_never_placed += 1;
     }
 }
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -7,12 +7,12 @@
 use super::gangs::GangState;
 use super::hashing::{HashKeys, HashMap};
 use super::job::Job;
-use super::machine::{Halt, Life, Machine, Phase, Placement, TaskId};
-use super::records::{parse_chunk, Name, Placed, Stage};
+use super::machine::{Machine, MachineState, Placement, PlacementPhase, StopReason, TaskId};
+use super::records::{parse_chunk, JobStage, Name, StoredPlacement};
 use super::replica::Replica;
 use crate::constants::DONE_CHUNK_TASKS;
 use crate::protocol::users::JobKind;
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::EndCause;
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -23,13 +23,13 @@
 #[derive(Debug, Default)]
 pub struct Group {
     /// Revision of its key.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// What the store has, with the machine and the length of the text.
-    pub tasks: BTreeMap<(TaskId, u64), (Name, usize)>,
+    pub placements: BTreeMap<(TaskId, u64), (Name, usize)>,
     /// Bytes of the value.
     pub bytes: usize,
     /// Settled placements to take out.
-    pub leaving: BTreeSet<(TaskId, u64)>,
+    pub settled: BTreeSet<(TaskId, u64)>,
     /// One of them must be out soon: its task waits for that.
     pub urgent: bool,
 }
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct DoneGroup {
     /// Revision of its key.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Job and chunk, with the bytes that it takes at the most.
     pub chunks: BTreeMap<(Name, u32), usize>,
     /// Bytes of the value at the most.
@@ -65,15 +65,15 @@
     /// Placements that wait to be stored, in the order decided.
     pub proposals: VecDeque<(Name, TaskId)>,
     /// A gang among the proposals did not fit into the last commit beside other changes.
-    pub gang_waits: bool,
+    pub gang_is_deferred: bool,
     /// Placements that ended without being in any group.
-    pub loose: Vec<(Name, TaskId)>,
+    pub unstored_settlements: Vec<(Name, TaskId)>,
     /// Live jobs whose tasks are all done.
-    pub complete: BTreeSet<Name>,
+    pub completed_jobs: BTreeSet<Name>,
     /// Images on machines that are not known yet in this term.
     pub stored_images: HashMap<Name, Vec<(String, f64)>>,
     /// Keys to remove when there is room in a commit: key, stamp.
-    pub garbage: Vec<(String, u64)>,
+    pub stale_keys: Vec<(String, u64)>,
 }
 
 impl ClusterState {
@@ -87,11 +87,11 @@
             groups: BTreeMap::new(),
             done_groups: BTreeMap::new(),
             proposals: VecDeque::new(),
-            gang_waits: false,
-            loose: Vec::new(),
-            complete: BTreeSet::new(),
+            gang_is_deferred: false,
+            unstored_settlements: Vec::new(),
+            completed_jobs: BTreeSet::new(),
             stored_images: keys.map(),
-            garbage: Vec::new(),
+            stale_keys: Vec::new(),
         }
     }
 
@@ -112,21 +112,22 @@
         }
         let mut placed: HashMap<Name, Vec<(u32, Name)>> = r.hash_keys().map();
         for (n, rec) in &r.places {
-            let mut group = Group { stamp: rec.stamp, ..Group::default() };
+            let mut group = Group { mod_revision: rec.mod_revision, ..Group::default() };
             for p in rec.value.placed() {
                 let id: TaskId = (p.uid(), p.task);
                 let name: Name = p.machine.into();
-                let text = Placed::text(&id.0, p.task, p.machine, p.attempt).unwrap_or_default();
+                let text =
+                    StoredPlacement::text(&id.0, p.task, p.machine, p.attempt).unwrap_or_default();
                 group.bytes += text.len() + 1;
-                group.tasks.insert((id.clone(), p.attempt), (name.clone(), text.len() + 1));
+                group.placements.insert((id.clone(), p.attempt), (name.clone(), text.len() + 1));
                 let m = b.machine_entry(&name, now);
-                m.life = Life::Unheard;
+                m.state = MachineState::AwaitingHeartbeat;
                 if m.placements.contains_key(&id) {
                     log::error!("{}/{}: stored twice on {name}", id.0, id.1);
-                    group.leaving.insert((id, p.attempt));
+                    group.settled.insert((id, p.attempt));
                     continue;
                 }
-                let mut held = Placement::new(p.attempt, Phase::Committed, now);
+                let mut held = Placement::new(p.attempt, PlacementPhase::Committed, now);
                 held.group = Some(*n);
                 m.placements.insert(id.clone(), held);
                 placed.entry(id.0).or_default().push((id.1, name));
@@ -135,14 +136,14 @@
         }
         for (uid, job) in &r.jobs {
             let on = placed.get(uid).map_or(&[][..], |v| v);
-            if job.value.stage == Stage::Live || !on.is_empty() {
+            if job.value.stage == JobStage::Live || !on.is_empty() {
                 b.add_job(r, uid, on);
             }
         }
         for (n, rec) in &r.done {
-            let mut group = DoneGroup { stamp: rec.stamp, ..DoneGroup::default() };
+            let mut group = DoneGroup { mod_revision: rec.mod_revision, ..DoneGroup::default() };
             for (uid, chunk) in rec.value.bits.keys().filter_map(|k| parse_chunk(k)) {
-                let Some(job) = b.jobs.get_mut(uid).filter(|j| j.stage == Stage::Live) else {
+                let Some(job) = b.jobs.get_mut(uid).filter(|j| j.stage == JobStage::Live) else {
                     continue;
                 };
                 let bytes = job.chunk_bytes(chunk);
@@ -157,7 +158,7 @@
     }
 
     /// Whether any task waits for a machine.
-    pub fn anything_waits(&self) -> bool {
+    pub fn has_waiting_tasks(&self) -> bool {
         self.queue.values().filter_map(|uid| self.jobs.get(uid)).any(|j| j.waiting() > 0)
     }
 
@@ -184,51 +185,51 @@
             need: spec.as_ref().map(|s| s.need()).unwrap_or_default(),
             spec,
             stage: rec.value.stage,
-            arrival: rec.stamp,
-            at_wall: rec.value.at,
+            arrival: rec.mod_revision,
+            accepted_at_wall_ms: rec.value.at,
             tasks: rec.value.tasks,
             done_count: done.count(),
             done,
             dirty_chunks: BTreeSet::new(),
             chunk_groups: keys.map(),
-            next_fresh: 0,
-            returned: BTreeSet::new(),
-            placed: BTreeMap::new(),
+            first_never_placed: 0,
+            requeued: BTreeSet::new(),
+            placed_on: BTreeMap::new(),
             settling: keys.set(),
             failed_on: keys.set(),
             fail_pause_ms: 0,
             paused_until: 0,
             successes: 0,
-            begun: false,
-            withheld: r.is_flagged(uid),
+            has_started: false,
+            quarantined: r.is_flagged(uid),
         };
         for (task, machine) in on {
-            job.placed.insert(*task, machine.clone());
+            job.placed_on.insert(*task, machine.clone());
             let held = self.machines.get_mut(machine).map(|m| &mut m.placements);
             if let Some(p) = held.and_then(|p| p.get_mut(&(uid.clone(), *task))) {
-                if job.stage != Stage::Live || job.done.get(*task) {
-                    p.halt = Some(Halt::Unwanted);
-                } else if job.withheld {
-                    p.halt = Some(Halt::MakeRoom);
+                if job.stage != JobStage::Live || job.done.get(*task) {
+                    p.stop_reason = Some(StopReason::NotNeeded);
+                } else if job.quarantined {
+                    p.stop_reason = Some(StopReason::Eviction);
                 }
             }
         }
-        let last = (0..job.tasks).rev().find(|t| job.done.get(*t) || job.placed.contains_key(t));
-        job.next_fresh = last.map_or(0, |t| t + 1);
-        for t in 0..job.next_fresh {
-            if !job.done.get(t) && !job.placed.contains_key(&t) {
-                job.returned.insert(t);
+        let last = (0..job.tasks).rev().find(|t| job.done.get(*t) || job.placed_on.contains_key(t));
+        job.first_never_placed = last.map_or(0, |t| t + 1);
+        for t in 0..job.first_never_placed {
+            if !job.done.get(t) && !job.placed_on.contains_key(&t) {
+                job.requeued.insert(t);
             }
         }
         if let Some(spec) = &job.spec {
-            let used = job.need * job.placed.len() as i64;
+            let used = job.need * job.placed_on.len() as i64;
             *self.usage.entry(spec.team.clone()).or_default() += used;
         }
-        if job.stage == Stage::Live {
+        if job.stage == JobStage::Live {
             self.queue.insert(job.arrival, uid.clone());
         }
         if job.complete() {
-            self.complete.insert(uid.clone());
+            self.completed_jobs.insert(uid.clone());
         }
         self.jobs.insert(uid.clone(), job);
     }
@@ -237,7 +238,7 @@
     pub fn job_changed(&mut self, r: &Replica, uid: &Name, now: u64) {
         let Some(rec) = r.jobs.get(uid) else { return };
         if !self.jobs.contains_key(uid) {
-            if rec.value.stage == Stage::Live {
+            if rec.value.stage == JobStage::Live {
                 // Only a store that has lost data names placements of a job that it doesn't know. They were
                 // once left out when its description came back, and tasks ran twice.
                 let on = if r.store.is_some() { self.placed_tasks_of(uid) } else { Vec::new() };
@@ -246,58 +247,56 @@
             }
             return;
         }
-        if rec.value.stage != Stage::Live {
+        if rec.value.stage != JobStage::Live {
             return self.end_job(uid, rec.value.stage);
         }
         let withheld = r.is_flagged(uid);
-        let Some(job) = self.jobs.get_mut(uid).filter(|job| job.withheld != withheld) else {
+        let Some(job) = self.jobs.get_mut(uid).filter(|job| job.quarantined != withheld) else {
             return;
         };
-        job.withheld = withheld;
+        job.quarantined = withheld;
         if job.complete() {
-            self.complete.insert(uid.clone());
+            self.completed_jobs.insert(uid.clone());
         }
     }
 
     /// A job is over: what waits is dropped, what runs is halted.
-    pub fn end_job(&mut self, uid: &Name, stage: Stage) {
+    pub fn end_job(&mut self, uid: &Name, stage: JobStage) {
         let Some(job) = self.jobs.get_mut(uid) else {
             return;
         };
-        if job.stage != Stage::Live {
+        if job.stage != JobStage::Live {
             return;
         }
         self.queue.remove(&job.arrival);
-        self.complete.remove(uid);
+        self.completed_jobs.remove(uid);
         job.stage = stage;
-        job.returned.clear();
-        job.next_fresh = job.tasks;
+        job.requeued.clear();
+        job.first_never_placed = job.tasks;
         job.dirty_chunks.clear();
         for (chunk, n) in job.chunk_groups.drain() {
             if let Some(g) = self.done_groups.get_mut(&n) {
                 g.bytes -= g.chunks.remove(&(uid.clone(), chunk)).unwrap_or(0);
             }
         }
-        let placed: Vec<(u32, Name)> = job.placed.iter().map(|(t, m)| (*t, m.clone())).collect();
+        let placed: Vec<(u32, Name)> = job.placed_on.iter().map(|(t, m)| (*t, m.clone())).collect();
         for (task, machine) in placed {
             let id = (uid.clone(), task);
             // A placement that is only proposed is halted too: if the commit under way stores
             // it, it must not be ordered any more.
             let Some(m) = self.machines.get_mut(&machine) else { continue };
             if let Some(p) = m.placements.get_mut(&id) {
-                p.halt = Some(Halt::Unwanted);
+                p.stop_reason = Some(StopReason::NotNeeded);
             }
         }
-        self.drop_if_over(uid);
+        self.forget_if_finished(uid);
     }
 
     /// Forgets a job that is over and has nothing on machines.
-    pub fn drop_if_over(&mut self, uid: &Name) {
-        if self
-            .jobs
-            .get(uid)
-            .is_some_and(|j| j.stage != Stage::Live && j.placed.is_empty() && j.settling.is_empty())
-        {
+    pub fn forget_if_finished(&mut self, uid: &Name) {
+        if self.jobs.get(uid).is_some_and(|j| {
+            j.stage != JobStage::Live && j.placed_on.is_empty() && j.settling.is_empty()
+        }) {
             self.jobs.remove(uid);
         }
     }
@@ -307,85 +306,85 @@
         let (Some(job), Some(m)) = (self.jobs.get_mut(uid), self.machines.get_mut(machine)) else {
             return;
         };
-        job.take_waiting(task);
-        job.placed.insert(task, machine.clone());
+        job.take_from_waiting(task);
+        job.placed_on.insert(task, machine.clone());
         if let Some(spec) = &job.spec {
             *self.usage.entry(spec.team.clone()).or_default() += job.need;
         }
-        let p = Placement::new(attempt, Phase::Proposed, now);
+        let p = Placement::new(attempt, PlacementPhase::Proposed, now);
         m.placements.insert((uid.clone(), task), p);
         m.idle_since = None;
-        m.proposed += 1;
+        m.uncommitted_placements += 1;
         self.proposals.push_back((machine.clone(), (uid.clone(), task)));
     }
 
     /// Takes back a proposal that never reached the store.
     pub fn retract(&mut self, machine: &Name, id: &TaskId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        m.proposed = m.proposed.saturating_sub(1);
-        let open = |p: &Placement| p.phase == Phase::Proposed && p.ended.is_none();
+        m.uncommitted_placements = m.uncommitted_placements.saturating_sub(1);
+        let open = |p: &Placement| p.phase == PlacementPhase::Proposed && p.settled.is_none();
         if !m.placements.get(id).is_some_and(open) {
             return;
         }
         m.placements.remove(id);
         let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        job.placed.remove(&id.1);
+        job.placed_on.remove(&id.1);
         if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.team)) {
             *u -= job.need;
         }
-        if job.stage == Stage::Live && !job.done.get(id.1) {
-            job.returned.insert(id.1);
+        if job.stage == JobStage::Live && !job.done.get(id.1) {
+            job.requeued.insert(id.1);
         }
-        self.drop_if_over(&id.0);
+        self.forget_if_finished(&id.0);
     }
 
     /// A placement is in the store.
     pub fn committed(&mut self, machine: &Name, id: &TaskId, attempt: u64, group: u32) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        m.proposed = m.proposed.saturating_sub(1);
+        m.uncommitted_placements = m.uncommitted_placements.saturating_sub(1);
         let Some(p) = m.placements.get_mut(id).filter(|p| p.attempt == attempt) else { return };
-        p.phase = Phase::Committed;
+        p.phase = PlacementPhase::Committed;
         p.group = Some(group);
         // Settled while the commit was under way.
-        if let (Some(cause), Some(g)) = (p.ended, self.groups.get_mut(&group)) {
-            g.leaving.insert((id.clone(), attempt));
-            g.urgent |= cause != Cause::Done;
+        if let (Some(cause), Some(g)) = (p.settled, self.groups.get_mut(&group)) {
+            g.settled.insert((id.clone(), attempt));
+            g.urgent |= cause != EndCause::Done;
         }
     }
 
     /// Evidence has settled a placement: it no longer counts for place and quota, and its
     /// task is free again once the settlement is committed.
-    pub fn settle(&mut self, machine: &Name, id: &TaskId, cause: Cause) {
+    pub fn settle(&mut self, machine: &Name, id: &TaskId, cause: EndCause) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
         let Some(p) = m.placements.get_mut(id) else {
             return;
         };
-        if p.ended.is_some() {
+        if p.settled.is_some() {
             return;
         }
-        p.ended = Some(cause);
+        p.settled = Some(cause);
         let attempt = p.attempt;
         let job = self.jobs.get_mut(&id.0);
         match p.group.and_then(|g| self.groups.get_mut(&g)) {
             Some(g) => {
-                g.leaving.insert((id.clone(), attempt));
+                g.settled.insert((id.clone(), attempt));
                 // Its task may start again only once this is in the store.
-                let again = job.as_ref().is_some_and(|j| j.stage == Stage::Live);
-                g.urgent |= again && cause != Cause::Done;
+                let again = job.as_ref().is_some_and(|j| j.stage == JobStage::Live);
+                g.urgent |= again && cause != EndCause::Done;
             }
-            None => self.loose.push((machine.clone(), id.clone())),
+            None => self.unstored_settlements.push((machine.clone(), id.clone())),
         }
         let Some(job) = job else { return };
-        if job.placed.get(&id.1) == Some(machine) {
-            job.placed.remove(&id.1);
+        if job.placed_on.get(&id.1) == Some(machine) {
+            job.placed_on.remove(&id.1);
         }
         job.settling.insert(id.1);
         if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.team)) {
             *u -= job.need;
         }
-        if cause == Cause::Done && job.stage == Stage::Live {
+        if cause == EndCause::Done && job.stage == JobStage::Live {
             if job.done.set(id.1) {
                 job.done_count += 1;
                 job.dirty_chunks.insert(id.1 / DONE_CHUNK_TASKS);
@@ -395,7 +394,7 @@
             job.fail_pause_ms = 0;
             m.successes += 1;
             if job.complete() {
-                self.complete.insert(job.uid.clone());
+                self.completed_jobs.insert(job.uid.clone());
             }
         }
         if job.is_gang() {
@@ -408,48 +407,48 @@
     ///
     /// Only the attempt that was settled: its task may have been placed again since, even on
     /// the same machine. Settling one attempt twice once let a task wait that was placed.
-    pub fn settled(&mut self, machine: &Name, id: &TaskId, attempt: u64) {
+    pub fn settlement_committed(&mut self, machine: &Name, id: &TaskId, attempt: u64) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        let over = |p: &Placement| p.attempt == attempt && p.ended.is_some();
+        let over = |p: &Placement| p.attempt == attempt && p.settled.is_some();
         if !m.placements.get(id).is_some_and(over) {
             return;
         }
         m.placements.remove(id);
         if let Some(job) = self.jobs.get_mut(&id.0) {
-            let waits = job.settling.remove(&id.1) && !job.placed.contains_key(&id.1);
-            if waits && job.stage == Stage::Live && !job.done.get(id.1) {
-                job.returned.insert(id.1);
+            let waits = job.settling.remove(&id.1) && !job.placed_on.contains_key(&id.1);
+            if waits && job.stage == JobStage::Live && !job.done.get(id.1) {
+                job.requeued.insert(id.1);
             }
         }
-        self.drop_if_over(&id.0);
+        self.forget_if_finished(&id.0);
     }
 
     /// Takes out placements that ended without ever being in the store.
-    pub fn settle_loose(&mut self) -> bool {
-        let loose = std::mem::take(&mut self.loose);
+    pub fn drop_unstored_settlements(&mut self) -> bool {
+        let loose = std::mem::take(&mut self.unstored_settlements);
         let any = !loose.is_empty();
         for (machine, id) in loose {
             let held = self.machines.get(&machine).and_then(|m| m.placements.get(&id));
             // Stored meanwhile: it is taken out of its group first.
             if let Some(attempt) = held.filter(|p| p.group.is_none()).map(|p| p.attempt) {
-                self.settled(&machine, &id, attempt);
+                self.settlement_committed(&machine, &id, attempt);
             }
         }
         any
     }
 
     /// Settles all placements of a machine: they are surely gone.
-    pub fn settle_all(&mut self, machine: &Name) {
+    pub fn settle_machine(&mut self, machine: &Name) {
         let ids: Vec<TaskId> = self
             .machines
             .get(machine)
             .into_iter()
             .flat_map(|m| m.placements.iter())
-            .filter(|(_, p)| p.ended.is_none() && p.phase == Phase::Committed)
+            .filter(|(_, p)| p.settled.is_none() && p.phase == PlacementPhase::Committed)
             .map(|(id, _)| id.clone())
             .collect();
         for id in ids {
-            self.settle(machine, &id, Cause::Lost);
+            self.settle(machine, &id, EndCause::Lost);
         }
     }
 
@@ -457,7 +456,7 @@
     pub fn free(&self, m: &Machine) -> Resources {
         let mut free = m.total;
         for ((job, _), p) in &m.placements {
-            if p.ended.is_none() {
+            if p.settled.is_none() {
                 if let Some(j) = self.jobs.get(job) {
                     free -= j.need;
                 }
@@ -481,7 +480,7 @@
     pub fn room_for_services(&self, m: &Machine) -> Resources {
         let mut room = self.free(m);
         for ((uid, _), p) in &m.placements {
-            if p.ended.is_none() && !self.is_service(uid) {
+            if p.settled.is_none() && !self.is_service(uid) {
                 if let Some(j) = self.jobs.get(uid) {
                     room += j.need;
                 }
@@ -492,7 +491,7 @@
 
     /// A job's tasks on machines.
     pub fn placements_of<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a Placement> {
-        job.placed.iter().filter_map(|(task, machine)| {
+        job.placed_on.iter().filter_map(|(task, machine)| {
             self.machines.get(machine)?.placements.get(&(job.uid.clone(), *task))
         })
     }
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -7,10 +7,10 @@
 
 use super::cluster::ClusterState;
 use super::job::Job;
-use super::machine::{Halt, Placement};
-use super::records::{Name, Stage};
+use super::machine::{Placement, StopReason};
+use super::records::{JobStage, Name};
 use crate::constants::{DONE_CHUNK_TASKS, GANG_RETRY_MAX_MS, GANG_RETRY_MS};
-use crate::protocol::workers::Cause;
+use crate::protocol::workers::EndCause;
 
 /// What a leader knows of a gang beside what it knows of any job.
 #[derive(Debug, Clone, Default)]
@@ -46,7 +46,7 @@
 
     /// Whether nothing of an earlier attempt is left, neither on machines nor in the store.
     pub fn attempt_is_over(&self) -> bool {
-        self.placed.is_empty() && self.settling.is_empty()
+        self.placed_on.is_empty() && self.settling.is_empty()
     }
 
     /// Tasks of a gang that wait for machines: all or none.
@@ -90,12 +90,12 @@
         if job.attempt_is_over() {
             return GangPhase::Unplaced;
         }
-        let all = job.placed.len() == job.tasks as usize;
+        let all = job.placed_on.len() == job.tasks as usize;
         let any = |test: &dyn Fn(&Placement) -> bool| self.placements_of(job).any(test);
-        if !all || any(&|p| p.halt.is_some()) {
+        if !all || any(&|p| p.stop_reason.is_some()) {
             return GangPhase::Stopping;
         }
-        if any(&|p| p.phase == super::machine::Phase::Proposed) {
+        if any(&|p| p.phase == super::machine::PlacementPhase::Proposed) {
             return GangPhase::Storing;
         }
         if any(&|p| p.running_since.is_none()) {
@@ -119,26 +119,26 @@
     }
 
     /// Stops all tasks of a gang. Those that have been told to save are left to it.
-    pub fn stop_gang(&mut self, uid: &Name, halt: Halt) {
+    pub fn stop_gang(&mut self, uid: &Name, halt: StopReason) {
         let Some(job) = self.jobs.get(uid) else { return };
-        for (task, machine) in &job.placed {
+        for (task, machine) in &job.placed_on {
             let machine = self.machines.get_mut(machine);
             let held = machine.and_then(|m| m.placements.get_mut(&(uid.clone(), *task)));
-            if let Some(placement) = held.filter(|p| p.ended.is_none()) {
-                placement.halt.get_or_insert(halt);
+            if let Some(placement) = held.filter(|p| p.settled.is_none()) {
+                placement.stop_reason.get_or_insert(halt);
             }
         }
     }
 
     /// Evidence has settled a task of a gang. One that is done shows that all are; with any other
     /// end the attempt is over.
-    pub(super) fn gang_task_settled(&mut self, uid: &Name, cause: Cause) {
-        let Some(job) = self.jobs.get_mut(uid).filter(|job| job.stage == Stage::Live) else {
+    pub(super) fn gang_task_settled(&mut self, uid: &Name, cause: EndCause) {
+        let Some(job) = self.jobs.get_mut(uid).filter(|job| job.stage == JobStage::Live) else {
             return;
         };
-        if cause != Cause::Done {
+        if cause != EndCause::Done {
             if !job.complete() {
-                self.stop_gang(uid, Halt::Unwanted);
+                self.stop_gang(uid, StopReason::NotNeeded);
             }
             return;
         }
@@ -149,19 +149,19 @@
             }
         }
         if job.complete() {
-            self.complete.insert(uid.clone());
+            self.completed_jobs.insert(uid.clone());
         }
     }
 
     /// Stops gangs of which the store has only a part: an earlier leader has seen a task gone.
     pub fn stop_incomplete_gangs(&mut self) {
         let incomplete = |job: &&Job| {
-            job.is_gang() && !job.attempt_is_over() && job.placed.len() < job.tasks as usize
+            job.is_gang() && !job.attempt_is_over() && job.placed_on.len() < job.tasks as usize
         };
         let gangs: Vec<Name> =
             self.jobs.values().filter(incomplete).map(|job| job.uid.clone()).collect();
         for uid in gangs {
-            self.stop_gang(&uid, Halt::Unwanted);
+            self.stop_gang(&uid, StopReason::NotNeeded);
         }
     }
 }
--- a/src/storage/gangs/tests.rs
+++ b/src/storage/gangs/tests.rs
@@ -4,8 +4,10 @@
 use crate::protocol::state::raw;
 use crate::protocol::users::JobKind;
 use crate::storage::hashing::HashKeys;
-use crate::storage::machine::Phase;
-use crate::storage::records::{end_key, gang_batch_key, place_key, EndRec, PlaceRec, Placed};
+use crate::storage::machine::PlacementPhase;
+use crate::storage::records::{
+    gang_batch_key, job_end_key, placements_key, JobEndRecord, PlacementsRecord, StoredPlacement,
+};
 use crate::storage::replica::Replica;
 use crate::storage::testing::batch_of;
 use std::rc::Rc;
@@ -17,9 +19,10 @@
     spec.kind = JobKind::Gang;
     let mut replica = Replica::new(HashKeys::from_seed(1));
     replica.write(&gang_batch_key("a"), &raw(&batch), 3);
-    let text = |n| Placed::text("job-1", n, ["n-a", "n-b"][n as usize % 2], 7).expect("a text");
+    let text =
+        |n| StoredPlacement::text("job-1", n, ["n-a", "n-b"][n as usize % 2], 7).expect("a text");
     let tasks: Vec<String> = (0..placed).map(text).collect();
-    replica.write(&place_key(0), &raw(&PlaceRec { tasks: tasks.join(" ") }), 4);
+    replica.write(&placements_key(0), &raw(&PlacementsRecord { tasks: tasks.join(" ") }), 4);
     replica
 }
 
@@ -27,18 +30,18 @@
     "job-1".into()
 }
 
-fn halts(cluster: &ClusterState) -> Vec<Option<Halt>> {
+fn halts(cluster: &ClusterState) -> Vec<Option<StopReason>> {
     let machines = cluster.machines.values();
-    machines.flat_map(|m| m.placements.values()).map(|p| p.halt).collect()
+    machines.flat_map(|m| m.placements.values()).map(|p| p.stop_reason).collect()
 }
 
 /// Settles a task and, if `stored`, takes it out of the store.
-fn settle(cluster: &mut ClusterState, task: u32, cause: Cause, stored: bool) {
-    let machine = cluster.jobs[&uid()].placed[&task].clone();
+fn settle(cluster: &mut ClusterState, task: u32, cause: EndCause, stored: bool) {
+    let machine = cluster.jobs[&uid()].placed_on[&task].clone();
     let attempt = cluster.machines[&machine].placements[&(uid(), task)].attempt;
     cluster.settle(&machine, &(uid(), task), cause);
     if stored {
-        cluster.settled(&machine, &(uid(), task), attempt);
+        cluster.settlement_committed(&machine, &(uid(), task), attempt);
     }
 }
 
@@ -47,45 +50,45 @@
     let whole = ClusterState::from_replica(&replica(4, 4), 0);
     assert_eq!(halts(&whole), vec![None; 4]);
     let part = ClusterState::from_replica(&replica(4, 3), 0);
-    assert_eq!(halts(&part), vec![Some(Halt::Unwanted); 3]);
+    assert_eq!(halts(&part), vec![Some(StopReason::NotNeeded); 3]);
 }
 
 #[test]
 fn the_next_attempt_waits_until_the_last_is_out_of_the_store() {
     let mut cluster = ClusterState::from_replica(&replica(2, 2), 0);
     assert_eq!(cluster.jobs[&uid()].waiting(), 0);
-    settle(&mut cluster, 0, Cause::Lost, true);
+    settle(&mut cluster, 0, EndCause::Lost, true);
     assert_eq!(cluster.jobs[&uid()].waiting(), 0, "one task is left");
-    assert_eq!(halts(&cluster), vec![Some(Halt::Unwanted)]);
-    settle(&mut cluster, 1, Cause::MatesGone, false);
+    assert_eq!(halts(&cluster), vec![Some(StopReason::NotNeeded)]);
+    settle(&mut cluster, 1, EndCause::MatesGone, false);
     assert_eq!(cluster.jobs[&uid()].waiting(), 0, "and stands in the store");
     let machines: Vec<Name> = vec!["n-a".into(), "n-b".into()];
     assert!(!cluster.propose_gang(&uid(), &machines, 8, 0));
     let on: Name = "n-b".into();
-    cluster.settled(&on, &(uid(), 1), 7);
+    cluster.settlement_committed(&on, &(uid(), 1), 7);
     assert_eq!(cluster.jobs[&uid()].waiting(), 2);
     assert!(!cluster.propose_gang(&uid(), &machines[..1], 8, 0), "not a part of it");
     assert!(cluster.propose_gang(&uid(), &machines, 8, 0));
-    assert_eq!(cluster.jobs[&uid()].placed.len(), 2);
+    assert_eq!(cluster.jobs[&uid()].placed_on.len(), 2);
     assert_eq!(cluster.gang_phase(&cluster.jobs[&uid()]), GangPhase::Storing);
 }
 
 #[test]
 fn one_task_that_is_done_shows_that_all_are() {
     let mut cluster = ClusterState::from_replica(&replica(4, 4), 0);
-    settle(&mut cluster, 2, Cause::Done, false);
+    settle(&mut cluster, 2, EndCause::Done, false);
     assert!(cluster.jobs[&uid()].complete());
-    assert!(cluster.complete.contains(&uid()));
-    settle(&mut cluster, 0, Cause::Lost, false);
+    assert!(cluster.completed_jobs.contains(&uid()));
+    settle(&mut cluster, 0, EndCause::Lost, false);
     assert!(cluster.jobs[&uid()].complete(), "a machine that is lost later changes nothing");
 }
 
 #[test]
 fn a_stop_that_saves_is_not_cut_short_by_the_first_task_that_has_saved() {
     let mut cluster = ClusterState::from_replica(&replica(4, 4), 0);
-    cluster.stop_gang(&uid(), Halt::MakeRoom);
-    settle(&mut cluster, 1, Cause::Halted, true);
-    assert_eq!(halts(&cluster), vec![Some(Halt::MakeRoom); 3]);
+    cluster.stop_gang(&uid(), StopReason::Eviction);
+    settle(&mut cluster, 1, EndCause::Halted, true);
+    assert_eq!(halts(&cluster), vec![Some(StopReason::Eviction); 3]);
 }
 
 #[test]
@@ -111,14 +114,15 @@
 fn a_gang_that_is_cancelled_stops_and_starts_no_more() {
     let mut replica = replica(2, 2);
     let mut cluster = ClusterState::from_replica(&replica, 0);
-    let end = EndRec { at: 0, stage: Stage::Cancelled, tasks: 2, done: 0 };
-    replica.write(&end_key("job-1"), &raw(&end), 9);
+    let end = JobEndRecord { at: 0, stage: JobStage::Cancelled, tasks: 2, done: 0 };
+    replica.write(&job_end_key("job-1"), &raw(&end), 9);
     cluster.job_changed(&replica, &uid(), 0);
-    assert_eq!(halts(&cluster), vec![Some(Halt::Unwanted); 2]);
-    settle(&mut cluster, 0, Cause::Halted, true);
-    settle(&mut cluster, 1, Cause::Halted, true);
+    assert_eq!(halts(&cluster), vec![Some(StopReason::NotNeeded); 2]);
+    settle(&mut cluster, 0, EndCause::Halted, true);
+    settle(&mut cluster, 1, EndCause::Halted, true);
     assert!(!cluster.jobs.contains_key(&uid()));
-    let held =
-        |m: &Name| cluster.machines[m].placements.values().any(|p| p.phase != Phase::Proposed);
+    let held = |m: &Name| {
+        cluster.machines[m].placements.values().any(|p| p.phase != PlacementPhase::Proposed)
+    };
     assert!(!held(&"n-a".into()) && !held(&"n-b".into()));
 }
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -2,7 +2,7 @@
 
 use super::gangs::GangState;
 use super::hashing::{HashMap, HashSet};
-use super::records::{chunk_name, Bitmap, Name, Stage};
+use super::records::{chunk_name, Bitmap, JobStage, Name};
 use crate::constants::{BAD_JOB_MACHINES, DONE_CHUNK_TASKS};
 use crate::protocol::users::JobSpec;
 use crate::protocol::Resources;
@@ -19,11 +19,11 @@
     /// What each task takes.
     pub need: Resources,
     /// Whether it is live, done or cancelled.
-    pub stage: Stage,
+    pub stage: JobStage,
     /// Grows from job to job.
     pub arrival: u64,
     /// Time of day of its acceptance.
-    pub at_wall: u64,
+    pub accepted_at_wall_ms: u64,
     /// Number of its tasks.
     pub tasks: u32,
     /// Tasks that are done.
@@ -35,11 +35,11 @@
     /// The group of bitmaps that holds a chunk.
     pub chunk_groups: HashMap<u32, u32>,
     /// Tasks from here on were never placed.
-    pub next_fresh: u32,
+    pub first_never_placed: u32,
     /// Tasks below that wait again.
-    pub returned: BTreeSet<u32>,
+    pub requeued: BTreeSet<u32>,
     /// Unsettled placements: task to machine.
-    pub placed: BTreeMap<u32, Name>,
+    pub placed_on: BTreeMap<u32, Name>,
     /// Tasks whose end is settled but not committed.
     pub settling: HashSet<u32>,
     /// Machines on which a task failed since the last success.
@@ -51,9 +51,9 @@
     /// Tasks that ended well.
     pub successes: u32,
     /// A task of it was seen running.
-    pub begun: bool,
+    pub has_started: bool,
     /// A rebuild could not account for it: nothing of it starts or ends until an operator decides.
-    pub withheld: bool,
+    pub quarantined: bool,
     /// What is known of it as a gang; none for other jobs.
     pub gang: Option<GangState>,
 }
@@ -61,28 +61,31 @@
 impl Job {
     /// Tasks that wait for a machine.
     pub fn waiting(&self) -> u32 {
-        if self.stage != Stage::Live || self.withheld {
+        if self.stage != JobStage::Live || self.quarantined {
             return 0;
         }
         if self.is_gang() {
             return self.gang_waiting();
         }
-        self.returned.len() as u32 + (self.tasks - self.next_fresh)
+        self.requeued.len() as u32 + (self.tasks - self.first_never_placed)
     }
 
     /// The next waiting task.
     pub fn next_waiting(&self) -> Option<u32> {
-        if self.stage != Stage::Live || self.withheld {
+        if self.stage != JobStage::Live || self.quarantined {
             return None;
         }
-        self.returned.first().copied().or((self.next_fresh < self.tasks).then_some(self.next_fresh))
+        self.requeued
+            .first()
+            .copied()
+            .or((self.first_never_placed < self.tasks).then_some(self.first_never_placed))
     }
 
-    pub(super) fn take_waiting(&mut self, task: u32) {
-        if !self.returned.remove(&task) && task == self.next_fresh {
-            self.next_fresh += 1;
-            while self.next_fresh < self.tasks && self.done.get(self.next_fresh) {
-                self.next_fresh += 1;
+    pub(super) fn take_from_waiting(&mut self, task: u32) {
+        if !self.requeued.remove(&task) && task == self.first_never_placed {
+            self.first_never_placed += 1;
+            while self.first_never_placed < self.tasks && self.done.get(self.first_never_placed) {
+                self.first_never_placed += 1;
             }
         }
     }
@@ -95,11 +98,11 @@
 
     /// Whether every task is done.
     pub fn complete(&self) -> bool {
-        self.stage == Stage::Live && !self.withheld && self.done_count >= self.tasks
+        self.stage == JobStage::Live && !self.quarantined && self.done_count >= self.tasks
     }
 
     /// Whether the job failed on several machines and nowhere succeeded since.
-    pub fn suspect(&self) -> bool {
+    pub fn fails_everywhere(&self) -> bool {
         self.failed_on.len() >= BAD_JOB_MACHINES
     }
 }
