--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -2,13 +2,13 @@
 
 use super::records::Name;
 use crate::constants::{IMAGES_KEPT, UNREACHABLE_SIGNS};
-use crate::protocol::workers::{Cause, TaskStatus};
+use crate::protocol::workers::{EndCause, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How far a placement has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum PlacementPhase {
     /// Decided, not yet in the store: must not be ordered.
     Proposed,
     /// In the store.
@@ -17,11 +17,11 @@
 
 /// Why a task is to be stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Halt {
+pub enum StopReason {
     /// To make room, or because its machine is emptied: progress is saved where it can be.
-    MakeRoom,
+    Eviction,
     /// Its result is not wanted any more.
-    Unwanted,
+    NotNeeded,
 }
 
 /// A task on a machine.
@@ -30,35 +30,35 @@
     /// Number of this attempt, never used for another one.
     pub attempt: u64,
     /// Whether it is in the store.
-    pub phase: Phase,
+    pub phase: PlacementPhase,
     /// The report in whose answer the start went out last.
-    pub ordered: Option<(u64, u64)>,
+    pub start_sent_after: Option<(u64, u64)>,
     /// As last shown by the worker.
-    pub seen: Option<TaskStatus>,
+    pub reported_status: Option<TaskStatus>,
     /// When it was first shown running.
     pub running_since: Option<u64>,
     /// When it was decided.
     pub placed_at: u64,
     /// Why it is to be stopped, if it is.
-    pub halt: Option<Halt>,
+    pub stop_reason: Option<StopReason>,
     /// Settled by evidence; taken out once that is committed.
-    pub ended: Option<Cause>,
+    pub settled: Option<EndCause>,
     /// The group of placements in the store that names it.
     pub group: Option<u32>,
 }
 
 impl Placement {
     /// A placement of which nothing has been shown yet.
-    pub fn new(attempt: u64, phase: Phase, now: u64) -> Placement {
+    pub fn new(attempt: u64, phase: PlacementPhase, now: u64) -> Placement {
         Placement {
             attempt,
             phase,
-            ordered: None,
-            seen: None,
+            start_sent_after: None,
+            reported_status: None,
             running_since: None,
             placed_at: now,
-            halt: None,
-            ended: None,
+            stop_reason: None,
+            settled: None,
             group: None,
         }
     }
@@ -69,18 +69,18 @@
 
 /// Life of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum MachineState {
     /// Rented, not yet up.
     Booting,
     /// Up as far as the store or the list tells, but its worker has not reported in this
     /// term. It may be busy with another controller, or cut off.
-    Unheard,
+    AwaitingHeartbeat,
     /// Its worker has reported.
     Up,
     /// A deletion was asked for.
     Deleting,
     /// Surely gone, with all that was on it.
-    Gone,
+    Terminated,
 }
 
 /// A machine.
@@ -97,33 +97,33 @@
     /// What it has in all.
     pub total: Resources,
     /// Where it stands between rental and deletion.
-    pub life: Life,
+    pub state: MachineState,
     /// When it was rented, as well as we know.
     pub rented_at: u64,
     /// When this term first knew of it.
-    pub confirmed_read_at: u64,
+    pub first_known_at: u64,
     /// When it was first seen up.
     pub up_at: Option<u64>,
     /// When a list first named it.
     pub listed_at: Option<u64>,
     /// The newest report: session and sequence.
-    pub newest: (u64, u64),
+    pub newest_heartbeat: (u64, u64),
     /// The worker has shown our token.
-    pub shows_token: bool,
+    pub has_our_token: bool,
     /// When it last gave a sign of life, see [`Machine::received_at`] for the difference.
-    pub reported_at: Option<u64>,
+    pub last_alive_at: Option<u64>,
     /// When the newest report came, whoever's token it shows.
-    pub received_at: Option<u64>,
+    pub last_heartbeat_at: Option<u64>,
     /// When we last answered it with 200.
-    pub answered_at: Option<u64>,
+    pub last_response_at: Option<u64>,
     /// When the cloud takes it.
     pub reclaim_at: Option<u64>,
     /// Its lease has run out and its tasks are settled, until it reports again.
     pub lease_expired: bool,
     /// Signs in a row that our answers do not reach it.
-    pub unheeded: u32,
+    pub undelivered_signs: u32,
     /// When the last such sign was seen.
-    pub unheeded_at: u64,
+    pub undelivered_sign_at: u64,
     /// Since when it is held for deaf: it reports, but what we answer has no effect.
     pub unreachable_since: Option<u64>,
     /// Tasks on it that are not taken out yet.
@@ -134,14 +134,14 @@
     /// Images it holds, newest last, with their size.
     pub images: Vec<(String, f64)>,
     /// Placements on it that are not in the store yet.
-    pub proposed: u32,
+    pub uncommitted_placements: u32,
     /// Set aside: gets no new tasks and is returned when empty.
-    pub draining: bool,
+    pub cordoned: bool,
     /// The cloud lists it as failed: nothing runs there any more.
     pub failed: bool,
     /// Being emptied because the others have room for its work; opened again when they
     /// have not.
-    pub closing: bool,
+    pub draining: bool,
     /// Recent failures: when, job.
     pub failures: Vec<(u64, Name)>,
     /// Since when nothing is on it.
@@ -159,28 +159,28 @@
             zone: String::new(),
             spot: false,
             total: Resources::default(),
-            life: Life::Booting,
+            state: MachineState::Booting,
             rented_at: now,
-            confirmed_read_at: now,
+            first_known_at: now,
             up_at: None,
             listed_at: None,
-            newest: (0, 0),
-            shows_token: false,
-            reported_at: None,
-            received_at: None,
-            answered_at: None,
+            newest_heartbeat: (0, 0),
+            has_our_token: false,
+            last_alive_at: None,
+            last_heartbeat_at: None,
+            last_response_at: None,
             reclaim_at: None,
             lease_expired: false,
-            unheeded: 0,
-            unheeded_at: 0,
+            undelivered_signs: 0,
+            undelivered_sign_at: 0,
             unreachable_since: None,
             placements: BTreeMap::new(),
             unknown_tasks: BTreeSet::new(),
             images: Vec::new(),
-            proposed: 0,
-            draining: false,
+            uncommitted_placements: 0,
+            cordoned: false,
             failed: false,
-            closing: false,
+            draining: false,
             failures: Vec::new(),
             idle_since: None,
             successes: 0,
@@ -195,15 +195,21 @@
     /// Takes note of signs that our answers do not reach it (`signs`), or of one that they do.
     /// Enough signs in a row make it deaf; being heeded, or no more signs for `calm_ms`, ends
     /// that. Tells whether it has fallen deaf just now.
-    pub fn note_heed(&mut self, signs: u32, heeded: bool, now: u64, calm_ms: u64) -> bool {
-        let calm = self.unheeded > 0 && now > self.unheeded_at + calm_ms;
+    pub fn note_response_delivery(
+        &mut self,
+        signs: u32,
+        heeded: bool,
+        now: u64,
+        calm_ms: u64,
+    ) -> bool {
+        let calm = self.undelivered_signs > 0 && now > self.undelivered_sign_at + calm_ms;
         if heeded || (signs == 0 && calm) {
-            self.unheeded = 0;
+            self.undelivered_signs = 0;
             self.unreachable_since = None;
         } else if signs > 0 {
-            self.unheeded += signs;
-            self.unheeded_at = now;
-            if self.unheeded >= UNREACHABLE_SIGNS && self.unreachable_since.is_none() {
+            self.undelivered_signs += signs;
+            self.undelivered_sign_at = now;
+            if self.undelivered_signs >= UNREACHABLE_SIGNS && self.unreachable_since.is_none() {
                 self.unreachable_since = Some(now);
                 return true;
             }
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -7,9 +7,9 @@
 
 use super::hashing::{HashKeys, HashMap};
 use super::records::{
-    chunk_name, foreign_layout, parse_key, BatchRec, Bitmap, DoneRec, EndGroupRec, EndRec,
-    FlaggedRec, ImagesRec, JobRec, Key, LeaderRec, Name, PlaceRec, RebuildRec, ShareRec, Stage,
-    StoreRec, TermRec,
+    chunk_name, foreign_layout, parse_key, BatchRecord, Bitmap, DoneTasksRecord, FlaggedJobsRecord,
+    ImagesRecord, JobEndGroupRecord, JobEndRecord, JobRecord, JobStage, Key, LeaderRecord, Name,
+    PlacementsRecord, RebuildRecord, SharesRecord, StoreIdRecord, TermRecord,
 };
 use crate::constants::{ARRIVAL_BITS, DONE_CHUNK_TASKS};
 use crate::protocol::cloud::Catalog;
@@ -20,9 +20,9 @@
 
 /// A stored value with the stamp of its key.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stamped<T> {
+pub struct Versioned<T> {
     /// Revision of the key's last change.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// The value.
     pub value: T,
 }
@@ -31,33 +31,33 @@
 #[derive(Debug)]
 pub struct Replica {
     /// All changes up to this revision are in.
-    pub rev: u64,
+    pub revision: u64,
     /// Who leads, while the lease lasts.
-    pub leader: Option<Stamped<LeaderRec>>,
+    pub leader: Option<Versioned<LeaderRecord>>,
     /// The highest term.
-    pub term: Option<Stamped<TermRec>>,
+    pub term: Option<Versioned<TermRecord>>,
     /// The last known machine types.
-    pub catalog: Option<Stamped<Catalog>>,
+    pub catalog: Option<Versioned<Catalog>>,
     /// The teams' shares.
-    pub shares: Option<Stamped<ShareRec>>,
+    pub shares: Option<Versioned<SharesRecord>>,
     /// Every job that was ever accepted. Its stamp is its arrival number.
-    pub jobs: HashMap<Name, Stamped<JobRec>>,
+    pub jobs: HashMap<Name, Versioned<JobRecord>>,
     /// Batches that are still kept, by key, with their jobs.
-    pub batches: HashMap<Name, Stamped<Vec<Name>>>,
+    pub batches: HashMap<Name, Versioned<Vec<Name>>>,
     /// Groups of bitmaps of done tasks.
-    pub done: BTreeMap<u32, Stamped<DoneRec>>,
+    pub done: BTreeMap<u32, Versioned<DoneTasksRecord>>,
     /// Groups of placements.
-    pub places: BTreeMap<u32, Stamped<PlaceRec>>,
+    pub places: BTreeMap<u32, Versioned<PlacementsRecord>>,
     /// The store's identity.
-    pub store: Option<Stamped<StoreRec>>,
+    pub store: Option<Versioned<StoreIdRecord>>,
     /// The last rebuild of the store.
-    pub rebuild: Option<Stamped<RebuildRec>>,
+    pub rebuild: Option<Versioned<RebuildRecord>>,
     /// Stamps of groups of ends.
     end_groups: BTreeMap<u32, u64>,
     /// Jobs that a rebuild could not account for, in groups.
-    pub flagged: BTreeMap<u32, Stamped<FlaggedRec>>,
+    pub flagged: BTreeMap<u32, Versioned<FlaggedJobsRecord>>,
     /// Images on machines, in parts.
-    pub images: BTreeMap<u32, Stamped<ImagesRec>>,
+    pub images: BTreeMap<u32, Versioned<ImagesRecord>>,
     /// Tasks placed per job, for users' polls.
     placed: HashMap<Name, u32>,
     /// Keys removed ahead of the watch.
@@ -80,7 +80,7 @@
     /// An empty copy, from before the first read.
     pub fn new(keys: HashKeys) -> Replica {
         Replica {
-            rev: 0,
+            revision: 0,
             leader: None,
             term: None,
             catalog: None,
@@ -107,49 +107,49 @@
 
     /// Puts in a page of the whole store.
     pub fn apply_item(&mut self, item: &Item) {
-        self.write(&item.key, &item.data, item.stamp);
+        self.write(&item.key, &item.value, item.mod_revision);
     }
 
     /// Puts in an answer of a watch or a read; gives the jobs that changed.
     pub fn apply(&mut self, changes: &Changes) -> Vec<Name> {
         let mut touched = Vec::new();
-        let from = self.rev;
-        for ev in changes.events.iter().filter(|e| e.stamp > from) {
+        let from = self.revision;
+        for ev in changes.events.iter().filter(|e| e.mod_revision > from) {
             touched.extend(self.event(ev));
         }
-        self.rev = self.rev.max(changes.ledger_rev);
-        let rev = self.rev;
+        self.revision = self.revision.max(changes.revision);
+        let rev = self.revision;
         self.removed.retain(|_, r| *r > rev);
         touched
     }
 
     fn event(&mut self, ev: &Event) -> Vec<Name> {
-        if let (Some(key), Some(data)) = (&ev.write, &ev.data) {
-            if self.removed.get(key).is_some_and(|r| *r >= ev.stamp) {
+        if let (Some(key), Some(data)) = (&ev.put_key, &ev.value) {
+            if self.removed.get(key).is_some_and(|r| *r >= ev.mod_revision) {
                 return Vec::new();
             }
-            return self.write(key, data, ev.stamp);
+            return self.write(key, data, ev.mod_revision);
         }
-        if let Some(key) = &ev.remove {
-            self.remove(key, ev.stamp);
+        if let Some(key) = &ev.removed_key {
+            self.remove(key, ev.mod_revision);
         }
         Vec::new()
     }
 
     /// Whether a job is known and neither done nor cancelled.
     pub fn is_live(&self, uid: &str) -> bool {
-        self.jobs.get(uid).is_some_and(|job| job.value.stage == Stage::Live)
+        self.jobs.get(uid).is_some_and(|job| job.value.stage == JobStage::Live)
     }
 
     /// Whether a job is known to be done or cancelled.
     pub fn has_ended(&self, uid: &str) -> bool {
-        self.jobs.get(uid).is_some_and(|job| job.value.stage != Stage::Live)
+        self.jobs.get(uid).is_some_and(|job| job.value.stage != JobStage::Live)
     }
 
     /// Stamp of a key; 0 if it doesn't exist.
-    pub fn stamp(&self, key: &str) -> u64 {
-        fn of<T>(s: Option<&Stamped<T>>) -> u64 {
-            s.map_or(0, |s| s.stamp)
+    pub fn mod_revision(&self, key: &str) -> u64 {
+        fn of<T>(s: Option<&Versioned<T>>) -> u64 {
+            s.map_or(0, |s| s.mod_revision)
         }
         match parse_key(key) {
             Some(Key::Leader) => of(self.leader.as_ref()),
@@ -157,7 +157,7 @@
             Some(Key::Catalog) => of(self.catalog.as_ref()),
             Some(Key::Shares) => of(self.shares.as_ref()),
             Some(Key::Batch(_) | Key::GangBatch(_)) => of(self.batches.get(key)),
-            Some(Key::End(u)) => self.jobs.get(u).map_or(0, |j| j.value.end_stamp),
+            Some(Key::End(u)) => self.jobs.get(u).map_or(0, |j| j.value.end_revision),
             Some(Key::Done(g)) => of(self.done.get(&g)),
             Some(Key::Place(g)) => of(self.places.get(&g)),
             Some(Key::Images(n)) => of(self.images.get(&n)),
@@ -179,7 +179,7 @@
             Some(Key::Done(g)) => same(self.done.get(&g).map(|s| &s.value), data),
             Some(Key::Images(n)) => same(self.images.get(&n).map(|s| &s.value), data),
             Some(Key::End(u)) => {
-                let rec: Option<EndRec> = serde_json::from_str(data.get()).ok();
+                let rec: Option<JobEndRecord> = serde_json::from_str(data.get()).ok();
                 self.jobs.get(u).map(|s| s.value.stage) == rec.map(|r| r.stage)
             }
             Some(Key::Shares) => same(self.shares.as_ref().map(|s| &s.value), data),
@@ -189,61 +189,68 @@
     }
 
     /// Puts in one value; older ones than what is held are skipped. Gives the jobs that changed.
-    pub fn write(&mut self, key: &str, data: &RawValue, stamp: u64) -> Vec<Name> {
+    pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<Name> {
         if foreign_layout(key) && self.foreign.is_none() {
             self.foreign = Some(key.to_string());
         }
-        if self.stamp(key) >= stamp {
+        if self.mod_revision(key) >= mod_revision {
             return Vec::new();
         }
         fn stamped<T: DeserializeOwned>(
             key: &str,
             data: &RawValue,
-            stamp: u64,
-        ) -> Option<Stamped<T>> {
-            value(key, data).map(|value| Stamped { stamp, value })
+            mod_revision: u64,
+        ) -> Option<Versioned<T>> {
+            value(key, data).map(|value| Versioned { mod_revision, value })
         }
         match parse_key(key) {
             None => {}
-            Some(Key::Leader) => self.leader = stamped(key, data, stamp),
-            Some(Key::Term) => self.term = stamped(key, data, stamp),
-            Some(Key::Catalog) => self.catalog = stamped(key, data, stamp),
-            Some(Key::Shares) => self.shares = stamped(key, data, stamp),
+            Some(Key::Leader) => self.leader = stamped(key, data, mod_revision),
+            Some(Key::Term) => self.term = stamped(key, data, mod_revision),
+            Some(Key::Catalog) => self.catalog = stamped(key, data, mod_revision),
+            Some(Key::Shares) => self.shares = stamped(key, data, mod_revision),
             Some(Key::Batch(_) | Key::GangBatch(_)) => {
-                let rec: Option<BatchRec> = value(key, data);
-                return rec.map_or_else(Vec::new, |rec| self.batch(key, rec, stamp));
+                let rec: Option<BatchRecord> = value(key, data);
+                return rec.map_or_else(Vec::new, |rec| self.batch(key, rec, mod_revision));
             }
             Some(Key::End(uid)) => {
-                let rec: Option<EndRec> = value(key, data);
-                return rec.map_or_else(Vec::new, |rec| vec![self.end(uid, rec, stamp)]);
+                let rec: Option<JobEndRecord> = value(key, data);
+                return rec.map_or_else(Vec::new, |rec| vec![self.end(uid, rec, mod_revision)]);
             }
             Some(Key::Done(g)) => {
-                if let Some(rec) = stamped(key, data, stamp) {
+                if let Some(rec) = stamped(key, data, mod_revision) {
                     self.done.insert(g, rec);
                 }
             }
             Some(Key::Place(g)) => {
-                let Some(rec) = stamped::<PlaceRec>(key, data, stamp) else { return Vec::new() };
+                let Some(rec) = stamped::<PlacementsRecord>(key, data, mod_revision) else {
+                    return Vec::new();
+                };
                 self.count_placed(&rec.value, 1);
                 if let Some(old) = self.places.insert(g, rec) {
                     self.count_placed(&old.value, -1);
                 }
             }
             Some(Key::Images(n)) => {
-                if let Some(rec) = stamped(key, data, stamp) {
+                if let Some(rec) = stamped(key, data, mod_revision) {
                     self.images.insert(n, rec);
                 }
             }
-            Some(Key::Store) => self.store = stamped(key, data, stamp),
-            Some(Key::Rebuild) => self.rebuild = stamped(key, data, stamp),
+            Some(Key::Store) => self.store = stamped(key, data, mod_revision),
+            Some(Key::Rebuild) => self.rebuild = stamped(key, data, mod_revision),
             Some(Key::EndGroup(n)) => {
-                let rec: Option<EndGroupRec> = value(key, data);
-                self.end_groups.insert(n, stamp);
+                let rec: Option<JobEndGroupRecord> = value(key, data);
+                self.end_groups.insert(n, mod_revision);
                 let ends = rec.unwrap_or_default().ends;
-                return ends.into_iter().map(|(uid, end)| self.end(&uid, end, stamp)).collect();
+                return ends
+                    .into_iter()
+                    .map(|(uid, end)| self.end(&uid, end, mod_revision))
+                    .collect();
             }
             Some(Key::Flagged(n)) => {
-                let Some(rec) = stamped::<FlaggedRec>(key, data, stamp) else { return Vec::new() };
+                let Some(rec) = stamped::<FlaggedJobsRecord>(key, data, mod_revision) else {
+                    return Vec::new();
+                };
                 let mut touched = flagged_jobs(&rec.value);
                 if let Some(old) = self.flagged.insert(n, rec) {
                     touched.extend(flagged_jobs(&old.value));
@@ -260,7 +267,7 @@
     }
 
     /// A batch of accepted jobs. Of a job that stands in two batches the earlier one counts.
-    fn batch(&mut self, key: &str, rec: BatchRec, stamp: u64) -> Vec<Name> {
+    fn batch(&mut self, key: &str, rec: BatchRecord, mod_revision: u64) -> Vec<Name> {
         let mut names = Vec::new();
         let mut touched = Vec::new();
         for (i, spec) in rec.jobs.into_iter().enumerate() {
@@ -269,66 +276,66 @@
                 None => spec.uid.as_str().into(),
             };
             names.push(uid.clone());
-            let arrival = (stamp << ARRIVAL_BITS) + rec.first + i as u64;
-            let new = JobRec {
+            let arrival = (mod_revision << ARRIVAL_BITS) + rec.first + i as u64;
+            let new = JobRecord {
                 at: rec.at,
-                stage: Stage::Live,
+                stage: JobStage::Live,
                 tasks: spec.tasks,
                 spec: Some(spec),
                 done: 0,
-                end_stamp: 0,
+                end_revision: 0,
             };
             match self.jobs.get_mut(&uid) {
                 None => {
-                    self.jobs.insert(uid.clone(), Stamped { stamp: arrival, value: new });
+                    self.jobs.insert(uid.clone(), Versioned { mod_revision: arrival, value: new });
                 }
                 // Its end was read first.
                 Some(j) if j.value.spec.is_none() => {
-                    j.stamp = arrival;
+                    j.mod_revision = arrival;
                     j.value.at = new.at;
                     j.value.tasks = new.tasks;
                     j.value.spec = new.spec;
                 }
-                Some(j) if j.stamp > arrival && j.value.stage == Stage::Live => {
-                    *j = Stamped { stamp: arrival, value: new };
+                Some(j) if j.mod_revision > arrival && j.value.stage == JobStage::Live => {
+                    *j = Versioned { mod_revision: arrival, value: new };
                 }
                 Some(_) => continue,
             }
             touched.push(uid);
         }
-        self.batches.insert(key.into(), Stamped { stamp, value: names });
+        self.batches.insert(key.into(), Versioned { mod_revision, value: names });
         touched
     }
 
-    fn end(&mut self, uid: &str, rec: EndRec, stamp: u64) -> Name {
+    fn end(&mut self, uid: &str, rec: JobEndRecord, mod_revision: u64) -> Name {
         let name: Name = match self.jobs.get_key_value(uid) {
             Some((k, _)) => k.clone(),
             None => uid.into(),
         };
-        let j = self.jobs.entry(name.clone()).or_insert_with(|| Stamped {
-            stamp: 0,
-            value: JobRec {
+        let j = self.jobs.entry(name.clone()).or_insert_with(|| Versioned {
+            mod_revision: 0,
+            value: JobRecord {
                 at: rec.at,
                 stage: rec.stage,
                 tasks: rec.tasks,
                 spec: None,
                 done: rec.done,
-                end_stamp: stamp,
+                end_revision: mod_revision,
             },
         });
         j.value.stage = rec.stage;
         j.value.done = rec.done;
-        j.value.end_stamp = stamp;
+        j.value.end_revision = mod_revision;
         name
     }
 
-    /// Takes out a key that was removed at `stamp`.
-    pub fn remove(&mut self, key: &str, stamp: u64) {
-        if self.stamp(key) >= stamp {
+    /// Takes out a key that was removed at `mod_revision`.
+    pub fn remove(&mut self, key: &str, mod_revision: u64) {
+        if self.mod_revision(key) >= mod_revision {
             return;
         }
-        if stamp > self.rev {
-            self.removed.insert(key.to_string(), stamp);
+        if mod_revision > self.revision {
+            self.removed.insert(key.to_string(), mod_revision);
         }
         match parse_key(key) {
             Some(Key::Leader) => self.leader = None,
@@ -340,7 +347,7 @@
                 // is not needed any more.
                 for uid in self.batches.remove(key).into_iter().flat_map(|b| b.value) {
                     if let Some(j) = self.jobs.get_mut(&uid) {
-                        if j.value.stage != Stage::Live {
+                        if j.value.stage != JobStage::Live {
                             j.value.spec = None;
                         }
                     }
@@ -367,7 +374,7 @@
         }
     }
 
-    fn count_placed(&mut self, rec: &PlaceRec, by: i64) {
+    fn count_placed(&mut self, rec: &PlacementsRecord, by: i64) {
         for p in rec.placed() {
             let uid = p.uid();
             let n = self.placed.entry(uid.clone()).or_default();
@@ -402,7 +409,7 @@
     }
 }
 
-fn flagged_jobs(rec: &FlaggedRec) -> Vec<Name> {
+fn flagged_jobs(rec: &FlaggedJobsRecord) -> Vec<Name> {
     rec.jobs.keys().map(|uid| uid.as_str().into()).collect()
 }
 
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -3,38 +3,38 @@
 use super::*;
 use crate::protocol::state::raw;
 use crate::storage::hashing::HashKeys;
-use crate::storage::records::{batch_key, end_key, place_key, Placed};
+use crate::storage::records::{batch_key, job_end_key, placements_key, StoredPlacement};
 use crate::storage::testing::batch_of;
 
-fn put(key: String, rec: &PlaceRec, stamp: u64) -> Event {
-    Event { write: Some(key), remove: None, data: Some(raw(rec)), stamp }
+fn put(key: String, rec: &PlacementsRecord, mod_revision: u64) -> Event {
+    Event { put_key: Some(key), removed_key: None, value: Some(raw(rec)), mod_revision }
 }
 
-fn one() -> PlaceRec {
-    PlaceRec { tasks: Placed::text("job-1", 0, "n-1", 7).expect("can be written") }
+fn one() -> PlacementsRecord {
+    PlacementsRecord { tasks: StoredPlacement::text("job-1", 0, "n-1", 7).expect("can be written") }
 }
 
 #[test]
 fn an_older_answer_that_comes_late_changes_nothing() {
     let mut r = Replica::new(HashKeys::from_seed(1));
-    let none = PlaceRec::default();
-    let new = Changes { ledger_rev: 9, events: vec![put(place_key(0), &none, 8)] };
-    let old = Changes { ledger_rev: 5, events: vec![put(place_key(0), &one(), 4)] };
+    let none = PlacementsRecord::default();
+    let new = Changes { revision: 9, events: vec![put(placements_key(0), &none, 8)] };
+    let old = Changes { revision: 5, events: vec![put(placements_key(0), &one(), 4)] };
     r.apply(&new);
     r.apply(&old);
     assert_eq!(r.places[&0].value, none);
-    assert_eq!((r.rev, r.placed("job-1")), (9, 0));
+    assert_eq!((r.revision, r.placed("job-1")), (9, 0));
 }
 
 #[test]
 fn a_key_removed_ahead_of_the_watch_does_not_come_back() {
     let mut r = Replica::new(HashKeys::from_seed(1));
-    r.write(&place_key(0), &raw(&one()), 4);
-    r.remove(&place_key(0), 6);
-    r.apply(&Changes { ledger_rev: 5, events: vec![put(place_key(0), &one(), 4)] });
+    r.write(&placements_key(0), &raw(&one()), 4);
+    r.remove(&placements_key(0), 6);
+    r.apply(&Changes { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
     assert!(r.places.is_empty(), "the write at 4 is older than the removal at 6");
     assert_eq!(r.placed("job-1"), 0);
-    r.apply(&Changes { ledger_rev: 8, events: vec![put(place_key(0), &one(), 8)] });
+    r.apply(&Changes { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
     assert_eq!((r.places.len(), r.placed("job-1")), (1, 1), "a later write counts");
 }
 
@@ -47,16 +47,16 @@
     two.first = 1;
     r.write(&batch_key("a"), &raw(&batch_of("job-1", 1)), 4);
     r.write(&batch_key("b"), &raw(&two), 4);
-    assert!(r.jobs["job-1"].stamp < r.jobs["job-2"].stamp);
+    assert!(r.jobs["job-1"].mod_revision < r.jobs["job-2"].mod_revision);
 }
 
 #[test]
 fn of_a_job_in_two_batches_the_first_counts_in_whatever_order_they_are_read() {
-    let end = EndRec { at: 5, stage: Stage::Done, tasks: 3, done: 3 };
+    let end = JobEndRecord { at: 5, stage: JobStage::Done, tasks: 3, done: 3 };
     let all = [
         (batch_key("a"), raw(&batch_of("job-1", 3)), 4),
         (batch_key("b"), raw(&batch_of("job-1", 7)), 6),
-        (end_key("job-1"), raw(&end), 9),
+        (job_end_key("job-1"), raw(&end), 9),
     ];
     for order in [[0, 1, 2], [1, 0, 2], [2, 1, 0], [2, 0, 1]] {
         let mut r = Replica::new(HashKeys::from_seed(1));
@@ -64,7 +64,10 @@
             r.write(&all[i].0, &all[i].1, all[i].2);
         }
         let j = &r.jobs["job-1"].value;
-        assert_eq!((j.stage, j.end_stamp, r.stamp(&end_key("job-1"))), (Stage::Done, 9, 9));
+        assert_eq!(
+            (j.stage, j.end_revision, r.mod_revision(&job_end_key("job-1"))),
+            (JobStage::Done, 9, 9)
+        );
         if order[2] == 2 {
             assert_eq!(j.tasks, 3, "read in order {order:?}");
         }
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 /// Names an inbound connection; never used twice.
-pub type ConnId = u64;
+pub type ConnectionId = u64;
 /// Names an outbound call; chosen by the caller.
 pub type CallId = u64;
 /// Index of a place that calls go to.
@@ -53,7 +53,7 @@
     /// A whole request came in.
     Request {
         /// The connection to answer on.
-        conn: ConnId,
+        connection: ConnectionId,
         /// The listener it came through.
         origin: Origin,
         /// The request.
@@ -69,7 +69,7 @@
 }
 
 enum Role {
-    Inbound { id: ConnId, origin: Origin, busy: bool, keep_alive: bool, close: bool },
+    Inbound { id: ConnectionId, origin: Origin, busy: bool, keep_alive: bool, close: bool },
     Outbound { target: Target, call: Option<(CallId, Instant)>, connecting: bool },
 }
 
@@ -95,9 +95,9 @@
     public: TcpListener,
     peer: TcpListener,
     conns: HashMap<usize, Conn>,
-    inbound: HashMap<ConnId, usize>,
+    inbound: HashMap<ConnectionId, usize>,
     next_key: usize,
-    next_conn: ConnId,
+    next_conn: ConnectionId,
     targets: Vec<SocketAddrV4>,
     pooled: Vec<Vec<usize>>,
     open: Vec<usize>,
@@ -217,7 +217,7 @@
         let key = self.next_key;
         self.next_key += 1;
         self.readiness.add(&stream, key, interest).ok()?;
-        let conn = Conn {
+        let connection = Conn {
             stream,
             role,
             input: Vec::new(),
@@ -227,26 +227,28 @@
             since: Instant::now(),
             ended: false,
         };
-        self.conns.insert(key, conn);
+        self.conns.insert(key, connection);
         Some(key)
     }
 
     fn set_interest(&mut self, key: usize) {
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.conns.get_mut(&key) else {
             return;
         };
-        let write = conn.written < conn.output.len()
-            || matches!(conn.role, Role::Outbound { connecting: true, .. });
+        let write = connection.written < connection.output.len()
+            || matches!(connection.role, Role::Outbound { connecting: true, .. });
         // A client that sends more while it waits for an answer is read later.
-        let read = match &conn.role {
-            Role::Inbound { busy, .. } => !conn.ended && (!busy || conn.input.len() < READ_CHUNK),
+        let read = match &connection.role {
+            Role::Inbound { busy, .. } => {
+                !connection.ended && (!busy || connection.input.len() < READ_CHUNK)
+            }
             Role::Outbound { .. } => true,
         };
         let want = Interest { read, write };
-        if want != conn.interest {
-            conn.interest = want;
+        if want != connection.interest {
+            connection.interest = want;
             self.counts.interest_changes += 1;
-            let _ = self.readiness.modify(&conn.stream, key, want);
+            let _ = self.readiness.modify(&connection.stream, key, want);
         }
     }
 
@@ -265,27 +267,27 @@
 
     /// Writes what is waiting; false if the connection is gone.
     fn flush(&mut self, key: usize) -> bool {
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.conns.get_mut(&key) else {
             return false;
         };
-        if let Role::Outbound { connecting, .. } = &mut conn.role {
+        if let Role::Outbound { connecting, .. } = &mut connection.role {
             if *connecting {
-                if !matches!(conn.stream.take_error(), Ok(None)) {
+                if !matches!(connection.stream.take_error(), Ok(None)) {
                     self.close(key);
                     return false;
                 }
                 *connecting = false;
             }
         }
-        while conn.written < conn.output.len() {
+        while connection.written < connection.output.len() {
             self.counts.writes += 1;
-            match conn.stream.write(&conn.output[conn.written..]) {
+            match connection.stream.write(&connection.output[connection.written..]) {
                 Ok(0) => {
                     self.close(key);
                     return false;
                 }
                 Ok(n) => {
-                    conn.written += n;
+                    connection.written += n;
                     self.counts.bytes_written += n as u64;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return true,
@@ -296,9 +298,9 @@
                 }
             }
         }
-        conn.output = Vec::new();
-        conn.written = 0;
-        if let Role::Inbound { busy: false, close: true, .. } = conn.role {
+        connection.output = Vec::new();
+        connection.written = 0;
+        if let Role::Inbound { busy: false, close: true, .. } = connection.role {
             self.close(key);
             return false;
         }
@@ -308,30 +310,32 @@
     /// Reads what there is; false if the connection is gone.
     fn read(&mut self, key: usize) -> bool {
         loop {
-            let Some(conn) = self.conns.get_mut(&key) else {
+            let Some(connection) = self.conns.get_mut(&key) else {
                 return false;
             };
             self.counts.reads += 1;
-            match conn.stream.read(&mut self.scratch) {
+            match connection.stream.read(&mut self.scratch) {
                 Ok(0) => {
-                    conn.ended = true;
+                    connection.ended = true;
                     break;
                 }
                 Ok(n) => {
                     self.counts.bytes_read += n as u64;
-                    if conn.input.is_empty() && matches!(conn.role, Role::Inbound { .. }) {
-                        conn.since = Instant::now();
+                    if connection.input.is_empty()
+                        && matches!(connection.role, Role::Inbound { .. })
+                    {
+                        connection.since = Instant::now();
                     }
-                    conn.input.extend_from_slice(&self.scratch[..n]);
-                    if conn.input.len() > HTTP_REPLY_MAX + HTTP_HEAD_MAX {
+                    connection.input.extend_from_slice(&self.scratch[..n]);
+                    if connection.input.len() > HTTP_REPLY_MAX + HTTP_HEAD_MAX {
                         self.close(key);
                         return false;
                     }
                     if n < self.scratch.len() {
                         break;
                     }
-                    if matches!(conn.role, Role::Inbound { .. })
-                        && conn.input.len() > HTTP_BODY_MAX + HTTP_HEAD_MAX
+                    if matches!(connection.role, Role::Inbound { .. })
+                        && connection.input.len() > HTTP_BODY_MAX + HTTP_HEAD_MAX
                     {
                         break;
                     }
@@ -355,21 +359,21 @@
     }
 
     fn take_requests(&mut self, key: usize) -> bool {
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.conns.get_mut(&key) else {
             return false;
         };
-        let Role::Inbound { id, origin, busy, keep_alive, close } = &mut conn.role else {
+        let Role::Inbound { id, origin, busy, keep_alive, close } = &mut connection.role else {
             return true;
         };
         if *busy {
-            if conn.ended && conn.input.is_empty() {
+            if connection.ended && connection.input.is_empty() {
                 // Half-closed: the answer is still written.
                 *close = true;
             }
             return true;
         }
         match http::take_request(
-            &mut conn.input,
+            &mut connection.input,
             match origin {
                 Origin::Public => HTTP_BODY_MAX,
                 Origin::Peer => HTTP_BODY_MAX + HTTP_HEAD_MAX,
@@ -381,15 +385,15 @@
                 self.counts.largest_message = self.counts.largest_message.max(bytes);
                 *busy = true;
                 *keep_alive = request.keep_alive;
-                conn.since = Instant::now();
-                if conn.input.is_empty() {
-                    conn.input = Vec::new();
+                connection.since = Instant::now();
+                if connection.input.is_empty() {
+                    connection.input = Vec::new();
                 }
-                self.incoming.push(Incoming::Request { conn: *id, origin: *origin, request });
+                self.incoming.push(Incoming::Request { connection: *id, origin: *origin, request });
                 true
             }
-            Ok(None) if conn.ended => {
-                if conn.output.is_empty() {
+            Ok(None) if connection.ended => {
+                if connection.output.is_empty() {
                     self.close(key);
                     return false;
                 }
@@ -397,43 +401,49 @@
                 true
             }
             Ok(None) => {
-                if http::wants_continue(&conn.input) {
-                    conn.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+                if http::wants_continue(&connection.input) {
+                    connection.output.extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     return self.flush(key);
                 }
                 true
             }
             Err(e) => {
                 *close = true;
-                conn.ended = true;
-                conn.input = Vec::new();
+                connection.ended = true;
+                connection.input = Vec::new();
                 let body = crate::protocol::users::Refusal { error: e.reason };
                 let body = serde_json::to_vec(&body).unwrap_or_default();
-                http::write_response(&mut conn.output, e.status, None, &body, false);
+                http::write_response(&mut connection.output, e.status, None, &body, false);
                 self.flush(key)
             }
         }
     }
 
     /// Answers a request; the connection may be gone by now.
-    pub fn respond(&mut self, id: ConnId, status: u16, retry_after_s: Option<u64>, body: &[u8]) {
+    pub fn respond(
+        &mut self,
+        id: ConnectionId,
+        status: u16,
+        retry_after_s: Option<u64>,
+        body: &[u8],
+    ) {
         let Some(&key) = self.inbound.get(&id) else {
             return;
         };
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.conns.get_mut(&key) else {
             return;
         };
-        let Role::Inbound { busy, keep_alive, close, .. } = &mut conn.role else {
+        let Role::Inbound { busy, keep_alive, close, .. } = &mut connection.role else {
             return;
         };
         if !*busy {
             return;
         }
         *busy = false;
-        let keep = *keep_alive && !*close && !conn.ended;
+        let keep = *keep_alive && !*close && !connection.ended;
         *close = !keep;
-        conn.since = Instant::now();
-        http::write_response(&mut conn.output, status, retry_after_s, body, keep);
+        connection.since = Instant::now();
+        http::write_response(&mut connection.output, status, retry_after_s, body, keep);
         if self.flush(key) && self.take_requests(key) {
             self.set_interest(key);
         }
@@ -481,25 +491,25 @@
 
     fn send(&mut self, key: usize, call: Call, deadline: Instant) {
         let host = self.targets[call.target].to_string();
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.conns.get_mut(&key) else {
             return;
         };
-        let Role::Outbound { call: slot, connecting, .. } = &mut conn.role else {
+        let Role::Outbound { call: slot, connecting, .. } = &mut connection.role else {
             return;
         };
         *slot = Some((call.id, deadline));
-        http::write_request(&mut conn.output, call.method, &call.path, &host, &call.body);
-        conn.since = Instant::now();
+        http::write_request(&mut connection.output, call.method, &call.path, &host, &call.body);
+        connection.since = Instant::now();
         if *connecting || self.flush(key) {
             self.set_interest(key);
         }
     }
 
     fn take_replies(&mut self, key: usize) -> bool {
-        let Some(conn) = self.conns.get_mut(&key) else {
+        let Some(connection) = self.conns.get_mut(&key) else {
             return false;
         };
-        let Role::Outbound { target, call, .. } = &mut conn.role else {
+        let Role::Outbound { target, call, .. } = &mut connection.role else {
             return true;
         };
         let target = *target;
@@ -508,15 +518,15 @@
             self.close(key);
             return false;
         };
-        match http::take_response(&mut conn.input, conn.ended) {
+        match http::take_response(&mut connection.input, connection.ended) {
             Ok(Some(r)) => {
                 self.counts.replies += 1;
                 let bytes = r.body.len() as u64;
                 self.counts.largest_message = self.counts.largest_message.max(bytes);
                 *call = None;
-                let keep = r.keep_alive && !conn.ended && conn.input.is_empty();
-                conn.input = Vec::new();
-                conn.since = Instant::now();
+                let keep = r.keep_alive && !connection.ended && connection.input.is_empty();
+                connection.input = Vec::new();
+                connection.since = Instant::now();
                 self.incoming.push(Incoming::Reply { call: id, reply: Some(r) });
                 if !keep {
                     self.close(key);
@@ -528,7 +538,7 @@
                 }
                 self.conns.contains_key(&key)
             }
-            Ok(None) if !conn.ended => true,
+            Ok(None) if !connection.ended => true,
             Ok(None) | Err(_) => {
                 self.close(key);
                 false
@@ -548,12 +558,12 @@
     }
 
     fn close(&mut self, key: usize) {
-        let Some(conn) = self.conns.remove(&key) else {
+        let Some(connection) = self.conns.remove(&key) else {
             return;
         };
         self.counts.closes += 1;
-        let _ = self.readiness.remove(&conn.stream);
-        match conn.role {
+        let _ = self.readiness.remove(&connection.stream);
+        match connection.role {
             Role::Inbound { id, .. } => {
                 self.inbound.remove(&id);
             }
@@ -577,23 +587,23 @@
         let mut slow = Vec::new();
         let mut gone = Vec::new();
         self.counts.buffered_bytes = 0;
-        for (key, conn) in &self.conns {
-            let held = conn.input.capacity() + conn.output.capacity();
+        for (key, connection) in &self.conns {
+            let held = connection.input.capacity() + connection.output.capacity();
             self.counts.buffered_bytes += held as u64;
-            match &conn.role {
+            match &connection.role {
                 Role::Inbound { busy: true, .. } => {}
-                Role::Inbound { .. } if !conn.output.is_empty() => {
-                    if over(conn.since, HTTP_REQUEST_MS) {
+                Role::Inbound { .. } if !connection.output.is_empty() => {
+                    if over(connection.since, HTTP_REQUEST_MS) {
                         gone.push(*key);
                     }
                 }
-                Role::Inbound { .. } if !conn.input.is_empty() => {
-                    if over(conn.since, HTTP_REQUEST_MS) {
+                Role::Inbound { .. } if !connection.input.is_empty() => {
+                    if over(connection.since, HTTP_REQUEST_MS) {
                         slow.push(*key);
                     }
                 }
                 Role::Inbound { .. } => {
-                    if over(conn.since, idle_ms) {
+                    if over(connection.since, idle_ms) {
                         gone.push(*key);
                     }
                 }
@@ -603,21 +613,21 @@
                     }
                 }
                 Role::Outbound { call: None, .. } => {
-                    if over(conn.since, HTTP_IDLE_MS) {
+                    if over(connection.since, HTTP_IDLE_MS) {
                         gone.push(*key);
                     }
                 }
             }
         }
         for key in slow {
-            if let Some(conn) = self.conns.get_mut(&key) {
-                conn.input = Vec::new();
-                conn.ended = true;
-                if let Role::Inbound { close, .. } = &mut conn.role {
+            if let Some(connection) = self.conns.get_mut(&key) {
+                connection.input = Vec::new();
+                connection.ended = true;
+                if let Role::Inbound { close, .. } = &mut connection.role {
                     *close = true;
                 }
                 http::write_response(
-                    &mut conn.output,
+                    &mut connection.output,
                     408,
                     None,
                     b"{\"error\":\"too slow\"}",
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -31,34 +31,35 @@
     assert_eq!(records::catalog_key(), "mg/2/catalog");
     assert_eq!(records::shares_key(), "mg/2/shares");
     assert_eq!(records::batch_key("00ab-1-0-0"), "mg/2/jobs/00ab-1-0-0");
-    assert_eq!(records::end_key("job-1"), "mg/2/end/job-1");
-    assert_eq!(records::done_key(3), "mg/2/done/0003");
-    assert_eq!(records::place_key(12), "mg/2/place/0012");
+    assert_eq!(records::job_end_key("job-1"), "mg/2/end/job-1");
+    assert_eq!(records::done_tasks_key(3), "mg/2/done/0003");
+    assert_eq!(records::placements_key(12), "mg/2/place/0012");
     assert_eq!(records::images_key(0), "mg/2/kits/0000");
     assert_eq!(records::chunk_name("job-1", 2), "job-1/2");
 }
 
 #[test]
 fn records_of_the_store() {
-    json::<records::LeaderRec>(
+    json::<records::LeaderRecord>(
         r#"{"label":"stead-0","incarnation":18446744073709551615,"term":7}"#,
     );
-    json::<records::TermRec>(r#"{"term":7}"#);
-    json::<records::BatchRec>(&format!(
+    json::<records::TermRecord>(r#"{"term":7}"#);
+    json::<records::BatchRecord>(&format!(
         r#"{{"at":1700000000000,"first":3,"jobs":[{SUBMISSION}]}}"#
     ));
-    json::<records::EndRec>(r#"{"at":1700000000000,"stage":"done","loads":16,"done":16}"#);
-    json::<records::EndRec>(r#"{"at":5,"stage":"withdrawn","loads":2,"done":1}"#);
-    json::<records::DoneRec>(r#"{"bits":{"job-1/0":"00000000000000ff"}}"#);
-    json::<records::PlaceRec>(
+    json::<records::JobEndRecord>(r#"{"at":1700000000000,"stage":"done","loads":16,"done":16}"#);
+    json::<records::JobEndRecord>(r#"{"at":5,"stage":"withdrawn","loads":2,"done":1}"#);
+    json::<records::DoneTasksRecord>(r#"{"bits":{"job-1/0":"00000000000000ff"}}"#);
+    json::<records::PlacementsRecord>(
         r#"{"tasks":"000412/3@n-000231#1c000001 000412/4@n-000232#1c000002"}"#,
     );
-    json::<records::ImagesRec>(r#"{"kits":[["img",1.5]],"held":{"n-1":[0]}}"#);
-    json::<records::ShareRec>(r#"{"term":7,"teams":[["red",600],["blue",400]]}"#);
-    let text = records::Placed::text("job-000412", 3, "n-000231", 0x1c00_0001);
+    json::<records::ImagesRecord>(r#"{"kits":[["img",1.5]],"held":{"n-1":[0]}}"#);
+    json::<records::SharesRecord>(r#"{"term":7,"teams":[["red",600],["blue",400]]}"#);
+    let text = records::StoredPlacement::text("job-000412", 3, "n-000231", 0x1c00_0001);
     assert_eq!(text.as_deref(), Some("000412/3@n-000231#1c000001"));
     // A record of before its last field was added.
-    let old: records::BatchRec = serde_json::from_str(r#"{"at":5,"jobs":[]}"#).expect("it is read");
+    let old: records::BatchRecord =
+        serde_json::from_str(r#"{"at":5,"jobs":[]}"#).expect("it is read");
     assert!(old.jobs.is_empty());
 }
 
@@ -82,20 +83,20 @@
 
 #[test]
 fn messages_of_workers() {
-    json::<workers::Report>(
+    json::<workers::Heartbeat>(
         r#"{"stead":"n-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","lendables":true,"tenure":1,"tally":88,"baton":41,"recall_s":30.5,"loads":[{"load":"job-000412/3","try":2,"status":"running","cause":null,"saved":null},{"load":"job-000398/0","try":1,"status":"ended","cause":"done","saved":true}]}"#,
     );
     for status in ["pulling", "running", "flushing", "ended"] {
         json::<workers::TaskStatus>(&format!("\"{status}\""));
     }
     for cause in ["done", "halted", "error", "no_room", "busy", "no_such"] {
-        json::<workers::Cause>(&format!("\"{cause}\""));
+        json::<workers::EndCause>(&format!("\"{cause}\""));
     }
-    json::<workers::WorkerCommands>(
+    json::<workers::HeartbeatResponse>(
         r#"{"baton":41,"orders":[{"verb":"start","load":"job-000412/4","try":2},{"verb":"halt","load":"job-000377/1","try":1,"wind_down_s":10.0},{"verb":"clear","load":"job-000398/0","try":1}]}"#,
     );
-    json::<workers::Redirect>(r#"{"steward":"stead-2"}"#);
-    json::<workers::Redirect>("{}");
+    json::<workers::LeaderRedirect>(r#"{"steward":"stead-2"}"#);
+    json::<workers::LeaderRedirect>("{}");
 }
 
 #[test]
@@ -115,20 +116,20 @@
 
 #[test]
 fn messages_of_the_state_service() {
-    let commit = state::Commit {
-        conditions: vec![state::If { key: "a/b".into(), stamp: 0 }],
+    let commit = state::Transaction {
+        conditions: vec![state::Condition { key: "a/b".into(), mod_revision: 0 }],
         writes: vec![
-            state::Write::Put { write: "a/b".into(), data: state::raw(&[1]), lease_id: Some(7) },
-            state::Write::put("a/c".into(), &"x"),
-            state::Write::Remove { remove: "c/d".into() },
+            state::Mutation::Put { key: "a/b".into(), value: state::raw(&[1]), lease_id: Some(7) },
+            state::Mutation::put("a/c".into(), &"x"),
+            state::Mutation::Remove { key: "c/d".into() },
         ],
     };
     assert_eq!(
         serde_json::to_string(&commit).expect("it can be written"),
         r#"{"if":[{"key":"a/b","stamp":0}],"writes":[{"write":"a/b","data":[1],"tenancy":7},{"write":"a/c","data":"x"},{"remove":"c/d"}]}"#
     );
-    json::<state::Committed>(r#"{"ledger_rev":432}"#);
-    json::<state::Conflict>(r#"{"failed":["a/b"],"ledger_rev":431}"#);
+    json::<state::TransactionApplied>(r#"{"ledger_rev":432}"#);
+    json::<state::TransactionConflict>(r#"{"failed":["a/b"],"ledger_rev":431}"#);
     json::<state::NewLease>(r#"{"life_ms":5000}"#);
     json::<state::Lease>(r#"{"tenancy":7}"#);
     assert_eq!(state::list_path("c/", None, 200), "/store?prefix=c/&limit=200");
@@ -161,13 +162,13 @@
     assert_eq!(records::gang_batch_key("00ab-1-0-0"), "mg/2/gangs/00ab-1-0-0");
     let gang = SUBMISSION.replace("batch", "ensemble");
     json::<users::JobSpec>(&gang);
-    json::<records::BatchRec>(&format!(r#"{{"at":5,"first":0,"jobs":[{gang}]}}"#));
+    json::<records::BatchRecord>(&format!(r#"{{"at":5,"first":0,"jobs":[{gang}]}}"#));
     json::<workers::TaskStatus>("\"waiting\"");
     for cause in ["mates_gone", "alone"] {
-        json::<workers::Cause>(&format!("\"{cause}\""));
+        json::<workers::EndCause>(&format!("\"{cause}\""));
     }
     // A gang's placements are written like any others, all with one attempt number.
-    json::<records::PlaceRec>(
+    json::<records::PlacementsRecord>(
         r#"{"tasks":"000412/0@n-000231#1c000003 000412/1@n-000231#1c000003"}"#,
     );
 }
--- a/tests/measure_rebuild.rs
+++ b/tests/measure_rebuild.rs
@@ -59,22 +59,25 @@
 
 /// An image of so many jobs that have ended and so many placed tasks.
 fn image_of(ended: u64, tasks: u64) -> StoreImage {
-    use mountgap_records::records::{end_key, place_key, EndRec, PlaceRec, Placed, Stage};
+    use mountgap_records::records::{
+        job_end_key, placements_key, JobEndRecord, JobStage, PlacementsRecord, StoredPlacement,
+    };
     let mut image = StoreImage::new();
     for n in 0..ended {
-        let end = EndRec { at: 1_700_000_000_000 + n, stage: Stage::Done, tasks: 30, done: 30 };
+        let end =
+            JobEndRecord { at: 1_700_000_000_000 + n, stage: JobStage::Done, tasks: 30, done: 30 };
         let data = serde_json::to_string(&end).expect("JSON");
-        image.put(&end_key(&format!("job-{n:06}")), n + 1, &data);
+        image.put(&job_end_key(&format!("job-{n:06}")), n + 1, &data);
     }
     for group in 0..tasks.div_ceil(200) {
         let texts = (group * 200..tasks.min(group * 200 + 200)).map(|n| {
             let job = format!("job-{:06}", ended + n / 30);
             let machine = format!("n-{:06}", n % 4_000);
-            Placed::text(&job, (n % 30) as u32, &machine, (1 << 26) + n).expect("a text")
+            StoredPlacement::text(&job, (n % 30) as u32, &machine, (1 << 26) + n).expect("a text")
         });
-        let record = PlaceRec { tasks: texts.collect::<Vec<_>>().join(" ") };
+        let record = PlacementsRecord { tasks: texts.collect::<Vec<_>>().join(" ") };
         let data = serde_json::to_string(&record).expect("JSON");
-        image.put(&place_key(group as u32), ended + group + 1, &data);
+        image.put(&placements_key(group as u32), ended + group + 1, &data);
     }
     image.advance(ended + tasks);
     image
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -753,7 +753,7 @@
     let l = w.leader().unwrap();
     let job = &w.nodes[l].core.as_ref().unwrap().leader().unwrap().cluster.jobs["job-000001"];
     assert!(job.done_count > 20, "it moves on: {}", job.done_count);
-    assert!(job.returned.len() < 100, "no object per waiting task");
+    assert!(job.requeued.len() < 100, "no object per waiting task");
     w.withdraw("job-000001", 0);
     w.run(CANCEL_MS + 2_000);
 }
@@ -782,7 +782,7 @@
     let l = w.leader().unwrap();
     let cluster = &w.nodes[l].core.as_ref().unwrap().leader().unwrap().cluster;
     assert!(
-        cluster.machines.values().filter(|m| !m.draining).count() >= 1,
+        cluster.machines.values().filter(|m| !m.cordoned).count() >= 1,
         "a good machine is left"
     );
     assert!(cluster.jobs["job-000005"].paused_until > 0, "the bad job is held back");
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -40,7 +40,7 @@
 /// Polls until a request has come in; gives its connection and body.
 fn next_request(net: &mut Net) -> (u64, Vec<u8>) {
     match next(net) {
-        Incoming::Request { conn, request, .. } => (conn, request.body),
+        Incoming::Request { connection, request, .. } => (connection, request.body),
         other => panic!("not a request: {other:?}"),
     }
 }
@@ -56,15 +56,15 @@
     let mut net = transport(any_port());
     let mut client = connected(&net);
     client.write_all(REQUEST).expect("sent");
-    let (conn, _) = next_request(&mut net);
-    net.respond(conn, 200, None, b"{}");
+    let (connection, _) = next_request(&mut net);
+    net.respond(connection, 200, None, b"{}");
     read_some(&mut client);
     let before = net.counts();
     for _ in 0..10 {
         client.write_all(REQUEST).expect("sent");
-        let (conn, body) = next_request(&mut net);
+        let (connection, body) = next_request(&mut net);
         assert_eq!(body, b"hello");
-        net.respond(conn, 200, None, b"{}");
+        net.respond(connection, 200, None, b"{}");
         assert!(read_some(&mut client).ends_with("{}"));
     }
     let cost = net.counts().since(&before);
@@ -83,9 +83,9 @@
             assert!(net.poll(Duration::ZERO).expect("polls").is_empty(), "{n} bytes");
         }
     }
-    let (conn, body) = next_request(&mut net);
+    let (connection, body) = next_request(&mut net);
     assert_eq!(body, b"hello");
-    net.respond(conn, 200, None, b"{}");
+    net.respond(connection, 200, None, b"{}");
     assert!(read_some(&mut client).starts_with("HTTP/1.1 200"));
 }
 
@@ -95,9 +95,9 @@
     let mut client = connected(&net);
     client.write_all(REQUEST).expect("sent");
     client.shutdown(Shutdown::Write).expect("half closed");
-    let (conn, _) = next_request(&mut net);
+    let (connection, _) = next_request(&mut net);
     let _ = net.poll(Duration::ZERO).expect("polls");
-    net.respond(conn, 200, None, b"{}");
+    net.respond(connection, 200, None, b"{}");
     assert!(read_some(&mut client).starts_with("HTTP/1.1 200"));
     for _ in 0..WAITS {
         if net.counts().connections == 0 {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -69,7 +69,7 @@
     ToCloud { node: usize, life: u64, call: u64, method: String, path: String, body: Vec<u8> },
     ToPeer { node: usize, life: u64, call: u64, to: usize, path: String, body: Vec<u8> },
     Reply { node: usize, life: u64, call: u64, status: u16, body: Vec<u8> },
-    Report { worker: String, request: u64, node: usize, body: Vec<u8> },
+    Heartbeat { worker: String, request: u64, node: usize, body: Vec<u8> },
     Answer { worker: String, request: u64, status: u16, body: Vec<u8> },
     User { request: u64, node: usize, method: &'static str, path: String, body: Vec<u8> },
     UserAnswer { request: u64, status: u16, body: Vec<u8> },
@@ -258,7 +258,7 @@
                 self.nodes[i].start_at = None;
                 let seed = self.rng.random();
                 let n = self.nodes.len();
-                let clock = Clock { mono: self.now, wall: 1_000_000 + self.now };
+                let clock = Clock { monotonic_ms: self.now, wall_ms: 1_000_000 + self.now };
                 let cfg = config(i, n, self.gpu_max, &self.next_limits);
                 self.nodes[i].core = Some(Controller::new(cfg, self.operator.clone(), clock, seed));
                 self.nodes[i].wake = 0;
@@ -312,7 +312,7 @@
         if n.inbox.is_empty() && now < n.wake {
             return;
         }
-        let clock = Clock { mono: now, wall: 1_000_000 + now };
+        let clock = Clock { monotonic_ms: now, wall_ms: 1_000_000 + now };
         let effects = core.batch(clock, std::mem::take(&mut n.inbox));
         n.wake = core.next_wake();
         n.frozen_until = now + n.turn_ms;
@@ -325,8 +325,8 @@
 
     fn record_effect(&mut self, node: usize, e: &Effect) {
         match e {
-            Effect::Respond { conn, status, retry_after_s, body } => {
-                let what = format_args!("c-{node} answers {conn} {status} {retry_after_s:?}");
+            Effect::Respond { connection, status, retry_after_s, body } => {
+                let what = format_args!("c-{node} answers {connection} {status} {retry_after_s:?}");
                 self.recorder.message(self.now, what, body);
             }
             Effect::Call { id, service, method, path, body, timeout_ms } => {
@@ -345,7 +345,7 @@
                 let what = format_args!("reply to c-{node} life {life} call {call} {status}");
                 self.recorder.message(now, what, body);
             }
-            Msg::Report { worker, request, node, body } => {
+            Msg::Heartbeat { worker, request, node, body } => {
                 let what = format_args!("report {request} of {worker} to c-{node}");
                 self.recorder.message(now, what, body);
             }
@@ -393,10 +393,10 @@
         let turn_ms = self.nodes[node].turn_ms;
         let d = self.hop() + turn_ms;
         match e {
-            Effect::Respond { conn, status, body, .. } => {
+            Effect::Respond { connection, status, body, .. } => {
                 let n = &mut self.nodes[node];
                 let (cut_workers, cut_peers) = (n.cut_workers, n.cut_peers);
-                match n.conns.remove(&conn) {
+                match n.conns.remove(&connection) {
                     Some(Conn::Worker { name, request })
                         if !cut_workers && !self.apart(&name, node) =>
                     {
@@ -470,10 +470,10 @@
                 if n.core.is_none() {
                     return;
                 }
-                let conn = n.next_conn;
+                let connection = n.next_conn;
                 n.next_conn += 1;
-                n.conns.insert(conn, Conn::Peer { node, life, call });
-                n.inbox.push(Command::Peer { conn, method: "POST".into(), path, body });
+                n.conns.insert(connection, Conn::Peer { node, life, call });
+                n.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
             }
             Msg::Reply { node, life, call, status, body } => {
                 let n = &mut self.nodes[node];
@@ -481,7 +481,7 @@
                     n.inbox.push(Command::Reply { call, reply: Some((status, body)) });
                 }
             }
-            Msg::Report { worker, request, node, body } => {
+            Msg::Heartbeat { worker, request, node, body } => {
                 let apart = self.apart(&worker, node);
                 let n = &mut self.nodes[node];
                 if n.cut_workers || apart {
@@ -491,11 +491,11 @@
                     let d = self.hop();
                     return self.send(d, Msg::Answer { worker, request, status: 0, body: vec![] });
                 }
-                let conn = n.next_conn;
+                let connection = n.next_conn;
                 n.next_conn += 1;
-                n.conns.insert(conn, Conn::Worker { name: worker, request });
+                n.conns.insert(connection, Conn::Worker { name: worker, request });
                 n.inbox.push(Command::Public {
-                    conn,
+                    connection,
                     method: "POST".into(),
                     path: "/checkin".into(),
                     body,
@@ -509,10 +509,10 @@
                 if n.core.is_none() {
                     return self.send(1, Msg::UserAnswer { request, status: 0, body: vec![] });
                 }
-                let conn = n.next_conn;
+                let connection = n.next_conn;
                 n.next_conn += 1;
-                n.conns.insert(conn, Conn::User { request });
-                n.inbox.push(Command::Public { conn, method: method.into(), path, body });
+                n.conns.insert(connection, Conn::User { request });
+                n.inbox.push(Command::Public { connection, method: method.into(), path, body });
             }
             Msg::UserAnswer { request, status, body } => self.user_answer(request, status, &body),
         }
--- a/tests/world/scenario.rs
+++ b/tests/world/scenario.rs
@@ -140,10 +140,10 @@
     /// Something that is no message of a peer reaches a controller from where its peers are.
     pub fn peer_says(&mut self, node: usize, path: &str, body: &[u8]) {
         let n = &mut self.nodes[node];
-        let conn = n.next_conn;
+        let connection = n.next_conn;
         n.next_conn += 1;
         let (path, body) = (path.to_string(), body.to_vec());
-        n.inbox.push(Command::Peer { conn, method: "POST".into(), path, body });
+        n.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
     }
 
     /// What the leader and the workers see, for messages of failed stories.
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -202,7 +202,7 @@
                     // A copy from the network: its answer reaches nobody.
                     let (late, to) =
                         (self.rng.random_range(2_000..self.copies_ms), self.rng.random_range(0..3));
-                    let copy = Msg::Report {
+                    let copy = Msg::Heartbeat {
                         worker: name.into(),
                         request: u64::MAX,
                         node: to,
@@ -210,7 +210,7 @@
                     };
                     self.send(late, copy);
                 }
-                self.send(d, Msg::Report { worker: name.into(), request, node, body });
+                self.send(d, Msg::Heartbeat { worker: name.into(), request, node, body });
             }
         }
     }
@@ -352,7 +352,7 @@
         let w = self.workers.get_mut(machine).expect("a machine");
         w.tally += 1;
         let (worker, body) = (machine.to_string(), self.report(machine));
-        self.send(delay, Msg::Report { worker, request: u64::MAX, node, body });
+        self.send(delay, Msg::Heartbeat { worker, request: u64::MAX, node, body });
     }
 
     /// Puts a running task on a machine behind the controllers' backs.
