--- a/crates/mountgap-recovery/src/audit.rs
+++ b/crates/mountgap-recovery/src/audit.rs
@@ -11,10 +11,10 @@
 
 /// What shows that the store has lost data.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Loss {
+pub enum DataLoss {
     /// An answer named a revision below one that the store had reached.
     #[error("the store is at revision {shown}, and was at {known}")]
-    RevisionFell {
+    RevisionRegressed {
         /// Revision that was known.
         known: u64,
         /// Revision that was answered.
@@ -22,13 +22,13 @@
     },
     /// The store has no identity any more.
     #[error("store {known} has lost its identity")]
-    IdentityGone {
+    IdentityMissing {
         /// The identity that was known.
         known: StoreId,
     },
     /// The store has another identity.
     #[error("store {known} has become store {shown}")]
-    OtherStore {
+    IdentityChanged {
         /// The identity that was known.
         known: StoreId,
         /// The one that it has now.
@@ -36,31 +36,31 @@
     },
     /// The end of a job is gone, or was written anew; ends are kept as they are for ever.
     #[error("the end of {job} is gone")]
-    EndGone {
+    JobEndMissing {
         /// The job.
         job: String,
     },
     /// An accepted job is gone that has not ended.
     #[error("accepted job {job} is gone")]
-    JobGone {
+    JobMissing {
         /// The job.
         job: String,
     },
     /// A key has a history that contradicts what was read.
     #[error("key {key} contradicts what was read of it")]
-    Contradiction {
+    KeyMismatch {
         /// The key.
         key: String,
     },
     /// A controller that starts on an empty store finds that there was one before.
-    #[error("the store is empty, but {witness}")]
-    EmptyButKnown {
+    #[error("the store is empty, but {evidence}")]
+    EmptyAfterUse {
         /// Who knows of the earlier store, and what.
-        witness: String,
+        evidence: String,
     },
     /// A worker runs a task that the store does not explain.
     #[error("{machine} runs {task}, which no record explains")]
-    UnexplainedTask {
+    UnrecordedTask {
         /// Where it runs.
         machine: String,
         /// Its name.
@@ -68,20 +68,23 @@
     },
     /// Another controller that remembers more says so.
     #[error("controller {peer} says that it has lost data")]
-    PeerSays {
+    ReportedByPeer {
         /// Its label.
         peer: String,
     },
     /// Another controller has begun to rebuild the store.
     #[error("a rebuild of the store has begun")]
-    RebuildBegun,
+    RebuildStarted,
 }
 
 /// Compares what was known of a store with what a whole new read of it shows.
-pub fn audit(known: &StoreImage, shown: &StoreImage) -> Result<(), Loss> {
+pub fn audit(known: &StoreImage, shown: &StoreImage) -> Result<(), DataLoss> {
     identity(known, shown)?;
     if shown.revision() < known.revision() {
-        return Err(Loss::RevisionFell { known: known.revision(), shown: shown.revision() });
+        return Err(DataLoss::RevisionRegressed {
+            known: known.revision(),
+            shown: shown.revision(),
+        });
     }
     let ended = ended_jobs(shown);
     for (key, value) in known.iter() {
@@ -91,16 +94,18 @@
         // All that was there at the known revision is known, and with the same stamp.
         let old = value.mod_revision <= known.revision();
         if old && known.mod_revision(key) != value.mod_revision {
-            return Err(Loss::Contradiction { key: key.to_string() });
+            return Err(DataLoss::KeyMismatch { key: key.to_string() });
         }
     }
     Ok(())
 }
 
-fn identity(known: &StoreImage, shown: &StoreImage) -> Result<(), Loss> {
+fn identity(known: &StoreImage, shown: &StoreImage) -> Result<(), DataLoss> {
     match (known.identity(), shown.identity()) {
-        (Some(known), None) => Err(Loss::IdentityGone { known }),
-        (Some(known), Some(shown)) if known != shown => Err(Loss::OtherStore { known, shown }),
+        (Some(known), None) => Err(DataLoss::IdentityMissing { known }),
+        (Some(known), Some(shown)) if known != shown => {
+            Err(DataLoss::IdentityChanged { known, shown })
+        }
         _ => Ok(()),
     }
 }
@@ -111,21 +116,21 @@
     known: &StoredValue,
     shown: &StoreImage,
     ended: &BTreeSet<String>,
-) -> Result<(), Loss> {
-    let contradiction = || Err(Loss::Contradiction { key: key.to_string() });
+) -> Result<(), DataLoss> {
+    let contradiction = || Err(DataLoss::KeyMismatch { key: key.to_string() });
     let now = shown.get(key);
     if now.is_some_and(|now| now.mod_revision < known.mod_revision) {
         return contradiction();
     }
     match parse_key(key) {
         Some(Key::End(job)) if now.is_none_or(|now| now.mod_revision != known.mod_revision) => {
-            Err(Loss::EndGone { job: job.to_string() })
+            Err(DataLoss::JobEndMissing { job: job.to_string() })
         }
         Some(Key::Batch(_) | Key::GangBatch(_)) if now.is_none() => {
             let jobs = serde_json::from_str::<BatchRecord>(&known.data).map(|batch| batch.jobs);
             let open = |uid: &&String| !ended.contains(*uid);
             match jobs.unwrap_or_default().iter().map(|job| &job.uid).find(open) {
-                Some(job) => Err(Loss::JobGone { job: job.clone() }),
+                Some(job) => Err(DataLoss::JobMissing { job: job.clone() }),
                 None => Ok(()),
             }
         }
--- a/crates/mountgap-recovery/src/picture.rs
+++ b/crates/mountgap-recovery/src/merged_state.rs
@@ -29,7 +29,7 @@
 
 /// A batch of accepted jobs.
 #[derive(Debug, Clone)]
-pub struct Batch {
+pub struct AcceptedBatch {
     /// Its records.
     pub record: BatchRecord,
     /// Revision of its key in the source, for the order of arrival.
@@ -38,9 +38,9 @@
 
 /// What the sources say together.
 #[derive(Debug, Clone, Default)]
-pub struct Picture {
+pub struct MergedState {
     /// Batches of jobs by key, gangs' too.
-    pub batches: BTreeMap<String, Batch>,
+    pub batches: BTreeMap<String, AcceptedBatch>,
     /// Ends by job.
     pub ends: BTreeMap<String, JobEndRecord>,
     /// Done tasks by job, as stored texts by chunk.
@@ -63,7 +63,7 @@
 
 /// How many jobs a rebuild has accounted for, and how.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Account {
+pub struct MergeSummary {
     /// Jobs that go on.
     pub recovered: usize,
     /// Jobs that have ended.
@@ -76,16 +76,16 @@
     pub unreadable: usize,
 }
 
-impl Picture {
+impl MergedState {
     /// The records of an image.
-    pub fn of_image(image: &StoreImage) -> Picture {
-        let mut picture = Picture::default();
+    pub fn from_image(image: &StoreImage) -> MergedState {
+        let mut merged = MergedState::default();
         for (key, value) in image.iter() {
-            if picture.take(key, value.mod_revision, &value.data).is_none() {
-                picture.unreadable.insert(key.to_string());
+            if merged.take(key, value.mod_revision, &value.data).is_none() {
+                merged.unreadable.insert(key.to_string());
             }
         }
-        picture
+        merged
     }
 
     /// Takes in one value; none if it can't be read.
@@ -96,7 +96,7 @@
         match parse_key(key) {
             Some(Key::Batch(_) | Key::GangBatch(_)) => {
                 let record = read(data)?;
-                self.add_batch(key, Batch { record, mod_revision });
+                self.add_batch(key, AcceptedBatch { record, mod_revision });
             }
             Some(Key::End(job)) => self.add_end(job, read(data)?),
             Some(Key::EndGroup(_)) => {
@@ -132,7 +132,7 @@
     }
 
     /// Joins what another picture says.
-    pub fn join(&mut self, other: &Picture) {
+    pub fn join(&mut self, other: &MergedState) {
         for (key, batch) in &other.batches {
             self.add_batch(key, batch.clone());
         }
@@ -157,14 +157,14 @@
 
     /// A batch is never changed once it is written; should two differ, the larger text counts
     /// everywhere.
-    fn add_batch(&mut self, key: &str, batch: Batch) {
+    fn add_batch(&mut self, key: &str, batch: AcceptedBatch) {
         let text = |record: &BatchRecord| serde_json::to_string(&record.jobs).unwrap_or_default();
         match self.batches.get_mut(key) {
             None => {
                 self.batches.insert(key.to_string(), batch);
             }
             Some(known) => {
-                let rank = |batch: &Batch| (text(&batch.record), batch.record.at);
+                let rank = |batch: &AcceptedBatch| (text(&batch.record), batch.record.at);
                 let mod_revision = known.mod_revision.max(batch.mod_revision);
                 if rank(known) < rank(&batch) {
                     *known = batch;
@@ -265,9 +265,9 @@
     }
 
     /// How many jobs are accounted for, and how.
-    pub fn account(&self) -> Account {
+    pub fn summary(&self) -> MergeSummary {
         let live = self.live_jobs().count();
-        Account {
+        MergeSummary {
             recovered: live - self.flagged.len().min(live),
             ended: self.ends.len(),
             flagged: self.flagged.len(),
--- a/crates/mountgap-recovery/src/write_back.rs
+++ b/crates/mountgap-recovery/src/write_back.rs
@@ -1,12 +1,12 @@
 //! Writing a picture back into the store, in conditional transactions of limited size.
 //!
-//! What the store should hold is worked out once ([`Layout`]); each transaction is the first part of
+//! What the store should hold is worked out once ([`DesiredState`]); each transaction is the first part of
 //! what the present store still lacks. So a rebuild can stop anywhere, and whoever goes on finds
 //! what is left by looking at the store. Each change depends on the stamp of its key.
 
 use crate::constants::{TRANSACTION_BYTES, VALUE_FRAME_BYTES};
 use crate::image::{StoreId, StoreImage};
-use crate::picture::{Batch, Picture};
+use crate::merged_state::{AcceptedBatch, MergedState};
 use mountgap_records::records::{
     catalog_key, done_tasks_key, flagged_jobs_key, job_end_group_key, job_end_key, parse_key,
     placements_key, shares_key, store_key, BatchRecord, DoneTasksRecord, FlaggedJobsRecord,
@@ -21,7 +21,7 @@
 
 /// What the state service takes.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct TransactionLimits {
     /// Bytes of a value.
     pub value_bytes: usize,
     /// Changes of a transaction.
@@ -56,14 +56,14 @@
 
 /// One transaction: changes, each with the stamp that its key must have.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Piece {
+pub struct RebuildTransaction {
     /// Changes with the present stamps of their keys.
     pub changes: Vec<(Change, u64)>,
 }
 
 /// A value that the store should hold.
 #[derive(Debug, Clone)]
-struct Wanted {
+struct DesiredValue {
     key: String,
     data: String,
     /// Batches of different windows may not stand in one transaction: their jobs' arrival numbers
@@ -75,8 +75,8 @@
 
 /// What the store should hold.
 #[derive(Debug, Clone, Default)]
-pub struct Layout {
-    wanted: Vec<Wanted>,
+pub struct DesiredState {
+    wanted: Vec<DesiredValue>,
 }
 
 fn text<T: Serialize>(value: &T) -> String {
@@ -98,33 +98,33 @@
     groups
 }
 
-impl Layout {
+impl DesiredState {
     /// Works out what the store should hold: the picture, under a new identity. Ends that the
     /// present store has under keys of their own stay there, the others are written together.
     pub fn new(
-        picture: &Picture,
+        merged: &MergedState,
         identity: StoreId,
         present: &StoreImage,
-        limits: &Limits,
+        limits: &TransactionLimits,
     ) -> Self {
-        let mut layout = Layout::default();
+        let mut desired = DesiredState::default();
         let room = limits.value_bytes.saturating_sub(VALUE_FRAME_BYTES);
-        layout.add(store_key(), text(&StoreIdRecord { id: identity.0 }));
-        layout.add_flagged(picture, room);
-        layout.add_batches(picture, limits.value_bytes);
-        layout.add_done(picture, room);
-        layout.add_places(picture, room);
-        layout.add_ends(picture, present, room);
-        layout.add_shared(picture, limits.value_bytes);
-        layout
+        desired.add(store_key(), text(&StoreIdRecord { id: identity.0 }));
+        desired.add_flagged(merged, room);
+        desired.add_batches(merged, limits.value_bytes);
+        desired.add_done(merged, room);
+        desired.add_places(merged, room);
+        desired.add_ends(merged, present, room);
+        desired.add_shared(merged, limits.value_bytes);
+        desired
     }
 
     fn add(&mut self, key: String, data: String) {
-        self.wanted.push(Wanted { key, data, window: 0, batch: None });
+        self.wanted.push(DesiredValue { key, data, window: 0, batch: None });
     }
 
-    fn add_flagged(&mut self, picture: &Picture, room: usize) {
-        let entries = picture.flagged.iter().map(|(job, reason)| {
+    fn add_flagged(&mut self, merged: &MergedState, room: usize) {
+        let entries = merged.flagged.iter().map(|(job, reason)| {
             let bytes = job.len() + text(reason).len() + 4;
             ((job.clone(), *reason), bytes)
         });
@@ -136,8 +136,8 @@
 
     /// Batches in the order of their arrival. One that was written when values might be larger is
     /// divided.
-    fn add_batches(&mut self, picture: &Picture, value_bytes: usize) {
-        let mut batches: Vec<(&String, &Batch)> = picture.batches.iter().collect();
+    fn add_batches(&mut self, merged: &MergedState, value_bytes: usize) {
+        let mut batches: Vec<(&String, &AcceptedBatch)> = merged.batches.iter().collect();
         batches.sort_by_key(|(key, batch)| (batch.record.at, batch.mod_revision, *key));
         let (mut window, mut first) = (0, 0);
         for (key, batch) in batches {
@@ -149,13 +149,13 @@
                 let record = BatchRecord { at: batch.record.at, first: first as u64, jobs };
                 first += record.jobs.len();
                 let (data, batch) = (text(&record), Some((record.at, text(&record.jobs))));
-                self.wanted.push(Wanted { key, data, window, batch });
+                self.wanted.push(DesiredValue { key, data, window, batch });
             }
         }
     }
 
-    fn add_done(&mut self, picture: &Picture, room: usize) {
-        let entries = picture.done_chunks().map(|(name, bits)| {
+    fn add_done(&mut self, merged: &MergedState, room: usize) {
+        let entries = merged.done_chunks().map(|(name, bits)| {
             let bytes = name.len() + bits.len() + 6;
             ((name, bits.clone()), bytes)
         });
@@ -165,8 +165,8 @@
         }
     }
 
-    fn add_places(&mut self, picture: &Picture, room: usize) {
-        let entries = picture.placements.iter().filter_map(|((job, task), placed)| {
+    fn add_places(&mut self, merged: &MergedState, room: usize) {
+        let entries = merged.placements.iter().filter_map(|((job, task), placed)| {
             let entry = StoredPlacement::text(job, *task, &placed.machine, placed.attempt)?;
             let bytes = entry.len() + 1;
             Some((entry, bytes))
@@ -176,7 +176,7 @@
         }
     }
 
-    fn add_ends(&mut self, picture: &Picture, present: &StoreImage, room: usize) {
+    fn add_ends(&mut self, merged: &MergedState, present: &StoreImage, room: usize) {
         let stands_alone = |job: &str, end: &JobEndRecord| {
             let value = present.get(&job_end_key(job));
             value.is_some_and(|v| {
@@ -184,7 +184,7 @@
             })
         };
         let entries =
-            picture.ends.iter().filter(|(job, end)| !stands_alone(job, end)).map(|(job, end)| {
+            merged.ends.iter().filter(|(job, end)| !stands_alone(job, end)).map(|(job, end)| {
                 let bytes = job.len() + text(end).len() + 4;
                 ((job.clone(), end.clone()), bytes)
             });
@@ -194,41 +194,47 @@
         }
     }
 
-    fn add_shared(&mut self, picture: &Picture, value_bytes: usize) {
-        if let Some(catalog) = picture.catalog.as_ref().filter(|c| c.len() <= value_bytes) {
+    fn add_shared(&mut self, merged: &MergedState, value_bytes: usize) {
+        if let Some(catalog) = merged.catalog.as_ref().filter(|c| c.len() <= value_bytes) {
             self.add(catalog_key(), catalog.clone());
         }
-        if let Some(shares) = &picture.shares {
+        if let Some(shares) = &merged.shares {
             self.add(shares_key(), text(shares));
         }
     }
 
     /// The next transaction; none once the store holds all of it and nothing else.
-    pub fn next_piece(&self, present: &StoreImage, limits: &Limits) -> Option<Piece> {
-        let mut piece = Piece::default();
+    pub fn next_transaction(
+        &self,
+        present: &StoreImage,
+        limits: &TransactionLimits,
+    ) -> Option<RebuildTransaction> {
+        let mut transaction = RebuildTransaction::default();
         let (mut bytes, mut window) = (0, None);
         for wanted in self.wanted.iter().filter(|wanted| !wanted.holds_in(present)) {
             let same_window = wanted.batch.is_none() || window.is_none_or(|w| w == wanted.window);
             let size = wanted.key.len() + wanted.data.len();
-            let fits = piece.changes.is_empty() || bytes + size <= TRANSACTION_BYTES;
-            if piece.changes.len() >= limits.transaction_ops || !fits || !same_window {
-                return Some(piece);
+            let fits = transaction.changes.is_empty() || bytes + size <= TRANSACTION_BYTES;
+            if transaction.changes.len() >= limits.transaction_ops || !fits || !same_window {
+                return Some(transaction);
             }
             bytes += size;
             window = window.or(wanted.batch.as_ref().map(|_| wanted.window));
             let change = Change::Put { key: wanted.key.clone(), data: wanted.data.clone() };
-            piece.changes.push((change, present.mod_revision(&wanted.key)));
+            transaction.changes.push((change, present.mod_revision(&wanted.key)));
         }
         let kept: BTreeSet<&str> = self.wanted.iter().map(|w| w.key.as_str()).collect();
         for (key, value) in present.iter() {
-            if piece.changes.len() >= limits.transaction_ops {
+            if transaction.changes.len() >= limits.transaction_ops {
                 break;
             }
             if is_rebuilt(key) && !kept.contains(&**key) {
-                piece.changes.push((Change::Remove { key: key.to_string() }, value.mod_revision));
+                transaction
+                    .changes
+                    .push((Change::Remove { key: key.to_string() }, value.mod_revision));
             }
         }
-        (!piece.changes.is_empty()).then_some(piece)
+        (!transaction.changes.is_empty()).then_some(transaction)
     }
 
     /// How many values there are in all.
@@ -237,7 +243,7 @@
     }
 }
 
-impl Wanted {
+impl DesiredValue {
     fn holds_in(&self, present: &StoreImage) -> bool {
         let Some(value) = present.get(&self.key) else { return false };
         match &self.batch {
--- a/crates/mountgap-recovery/tests/laws.rs
+++ b/crates/mountgap-recovery/tests/laws.rs
@@ -9,14 +9,14 @@
     Bitmap, DoneTasksRecord, FlagReason, JobEndRecord, JobStage, PlacementsRecord, StoreIdRecord,
     StoredPlacement, TermRecord,
 };
-use mountgap_recovery::audit::{audit, Loss};
+use mountgap_recovery::audit::{audit, DataLoss};
 use mountgap_recovery::image::{StoreId, StoreImage};
-use mountgap_recovery::picture::Picture;
-use mountgap_recovery::write_back::{Change, Layout, Limits, Piece};
+use mountgap_recovery::merged_state::MergedState;
+use mountgap_recovery::write_back::{Change, DesiredState, RebuildTransaction, TransactionLimits};
 use serde::Serialize;
 
 const ITERATIONS: usize = 400;
-const LIMITS: Limits = Limits { value_bytes: 1_024, transaction_ops: 4 };
+const LIMITS: TransactionLimits = TransactionLimits { value_bytes: 1_024, transaction_ops: 4 };
 
 fn text<T: Serialize>(value: &T) -> String {
     serde_json::to_string(value).expect("records are JSON")
@@ -92,9 +92,9 @@
         }
     }
 
-    fn apply(&mut self, piece: &Piece) {
+    fn apply(&mut self, transaction: &RebuildTransaction) {
         self.revision += 1;
-        for (change, mod_revision) in &piece.changes {
+        for (change, mod_revision) in &transaction.changes {
             assert_eq!(
                 self.image.mod_revision(change.key()),
                 *mod_revision,
@@ -116,18 +116,18 @@
 }
 
 /// What a picture says, in a form that can be compared.
-fn said(picture: &Picture) -> String {
+fn said(merged: &MergedState) -> String {
     let batches: Vec<_> =
-        picture.batches.iter().map(|(key, b)| (key, text(&b.record.jobs), b.record.at)).collect();
+        merged.batches.iter().map(|(key, b)| (key, text(&b.record.jobs), b.record.at)).collect();
     format!(
         "{batches:?} {:?} {:?} {:?} {:?} {}",
-        picture.ends, picture.done, picture.placements, picture.flagged, picture.term
+        merged.ends, merged.done, merged.placements, merged.flagged, merged.term
     )
 }
 
-fn joined(pictures: &[&Picture]) -> Picture {
-    let mut all = Picture::default();
-    pictures.iter().for_each(|picture| all.join(picture));
+fn joined(pictures: &[&MergedState]) -> MergedState {
+    let mut all = MergedState::default();
+    pictures.iter().for_each(|merged| all.join(merged));
     all
 }
 
@@ -182,7 +182,7 @@
     shown.image.advance(shown.revision);
     assert_eq!(
         audit(&known.image, &shown.image),
-        Err(Loss::Contradiction { key: placements_key(0) })
+        Err(DataLoss::KeyMismatch { key: placements_key(0) })
     );
 }
 
@@ -190,9 +190,9 @@
 fn an_empty_store_and_another_one_are_told_apart() {
     let known = history(7, &[]).image;
     let empty = audit(&known, &StoreImage::new());
-    assert_eq!(empty, Err(Loss::IdentityGone { known: StoreId(7) }));
+    assert_eq!(empty, Err(DataLoss::IdentityMissing { known: StoreId(7) }));
     let other = audit(&known, &history(8, &[0; 9]).image);
-    assert_eq!(other, Err(Loss::OtherStore { known: StoreId(7), shown: StoreId(8) }));
+    assert_eq!(other, Err(DataLoss::IdentityChanged { known: StoreId(7), shown: StoreId(8) }));
     let other = history(8, &[]).image;
     assert!(known.join(&other).is_err());
 }
@@ -201,22 +201,22 @@
 fn joins_of_pictures_know_no_order_and_no_repetition() {
     check!().with_type::<(Vec<u8>, Vec<u8>, Vec<u8>)>().with_iterations(ITERATIONS).for_each(
         |(a, b, c)| {
-            let of = |id, changes: &Vec<u8>| Picture::of_image(&history(id, changes).image);
+            let of = |id, changes: &Vec<u8>| MergedState::from_image(&history(id, changes).image);
             let (a, b, c) = (of(1, a), of(2, b), of(3, c));
             let all = joined(&[&a, &b, &c]);
             assert_eq!(said(&all), said(&joined(&[&c, &a, &b])));
             assert_eq!(said(&all), said(&joined(&[&joined(&[&b, &c]), &a])));
             assert_eq!(said(&all), said(&joined(&[&all, &b, &all])));
-            for picture in [&a, &b, &c] {
-                assert!(picture.ends.keys().all(|job| all.ends.contains_key(job)), "an end stays");
-                for ((job, task), placed) in &picture.placements {
+            for merged in [&a, &b, &c] {
+                assert!(merged.ends.keys().all(|job| all.ends.contains_key(job)), "an end stays");
+                for ((job, task), placed) in &merged.placements {
                     let kept = &all.placements[&(job.clone(), *task)];
                     assert!(kept.attempt >= placed.attempt, "the later attempt counts");
                 }
                 for task in 0..256 {
                     let done =
-                        |p: &Picture| (0..6).any(|job| p.is_done(&format!("job-{job}"), task));
-                    assert!(!done(picture) || done(&all), "done tasks only grow");
+                        |p: &MergedState| (0..6).any(|job| p.is_done(&format!("job-{job}"), task));
+                    assert!(!done(merged) || done(&all), "done tasks only grow");
                 }
             }
         },
@@ -227,35 +227,35 @@
 fn a_rebuild_that_stops_anywhere_and_is_taken_over_ends_the_same() {
     check!().with_type::<(Vec<u8>, Vec<u8>, u8, bool)>().with_iterations(ITERATIONS).for_each(
         |(lost, left, stop, flags)| {
-            let mut picture = Picture::of_image(&history(7, lost).image);
+            let mut merged = MergedState::from_image(&history(7, lost).image);
             if *flags {
-                picture.flag_live_jobs(FlagReason::MayHaveEnded);
+                merged.flag_live_jobs(FlagReason::MayHaveEnded);
             }
             let mut store = history(7, left);
-            picture.join(&Picture::of_image(&store.image));
-            picture.tidy();
-            let layout = Layout::new(&picture, StoreId(9), &store.image, &LIMITS);
+            merged.join(&MergedState::from_image(&store.image));
+            merged.tidy();
+            let desired = DesiredState::new(&merged, StoreId(9), &store.image, &LIMITS);
             let mut pieces = 0;
-            while let Some(piece) = layout.next_piece(&store.image, &LIMITS) {
+            while let Some(transaction) = desired.next_transaction(&store.image, &LIMITS) {
                 if pieces == u32::from(*stop) {
                     break;
                 }
-                assert!(piece.changes.len() <= LIMITS.transaction_ops);
-                store.apply(&piece);
+                assert!(transaction.changes.len() <= LIMITS.transaction_ops);
+                store.apply(&transaction);
                 pieces += 1;
                 assert!(pieces < 10_000, "it comes to an end");
             }
             // Whoever takes over draws on the same sources and on what is written.
-            let mut again = picture.clone();
-            again.join(&Picture::of_image(&store.image));
+            let mut again = merged.clone();
+            again.join(&MergedState::from_image(&store.image));
             again.tidy();
-            let layout = Layout::new(&again, StoreId(9), &store.image, &LIMITS);
-            while let Some(piece) = layout.next_piece(&store.image, &LIMITS) {
-                store.apply(&piece);
+            let desired = DesiredState::new(&again, StoreId(9), &store.image, &LIMITS);
+            while let Some(transaction) = desired.next_transaction(&store.image, &LIMITS) {
+                store.apply(&transaction);
             }
-            let mut written = Picture::of_image(&store.image);
-            written.term = picture.term;
-            assert_eq!(said(&written).replace("at: ", ""), said(&picture).replace("at: ", ""));
+            let mut written = MergedState::from_image(&store.image);
+            written.term = merged.term;
+            assert_eq!(said(&written).replace("at: ", ""), said(&merged).replace("at: ", ""));
             assert_eq!(store.image.identity(), Some(StoreId(9)));
         },
     );
@@ -272,18 +272,18 @@
         let end = JobEndRecord { at: n, stage: JobStage::Done, tasks: 1, done: 1 };
         store.put(job_end_key(&format!("job-{}", 1_000 + n)), text(&end));
     }
-    let picture = Picture::of_image(&store.image);
+    let merged = MergedState::from_image(&store.image);
     let mut empty = Store { image: StoreImage::new(), revision: 0 };
-    let layout = Layout::new(&picture, StoreId(1), &empty.image, &LIMITS);
-    while let Some(piece) = layout.next_piece(&empty.image, &LIMITS) {
-        for (change, _) in &piece.changes {
+    let desired = DesiredState::new(&merged, StoreId(1), &empty.image, &LIMITS);
+    while let Some(transaction) = desired.next_transaction(&empty.image, &LIMITS) {
+        for (change, _) in &transaction.changes {
             let Change::Put { data, .. } = change else { panic!("nothing is there to remove") };
             assert!(data.len() <= LIMITS.value_bytes, "{} bytes", data.len());
         }
-        empty.apply(&piece);
+        empty.apply(&transaction);
     }
-    let written = Picture::of_image(&empty.image);
-    assert_eq!(written.ends, picture.ends);
+    let written = MergedState::from_image(&empty.image);
+    assert_eq!(written.ends, merged.ends);
     assert_eq!(written.jobs().len(), 40);
     assert!(empty.image.len() < 80, "ends are written together: {} keys", empty.image.len());
 }
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -23,7 +23,7 @@
     catalog_key, chunk_name, done_tasks_key, images_key, job_end_key, leader_key, placements_key,
     shares_key, DoneTasksRecord, ImagesRecord, JobEndRecord, JobStage, Name, SharesRecord,
 };
-use mountgap_recovery::audit::Loss;
+use mountgap_recovery::audit::DataLoss;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A placement that a commit stores or takes out.
@@ -290,7 +290,8 @@
                 Ok(done) => {
                     let (known, shown) = (leader.mod_revision, done.revision);
                     if shown <= known && self.recovery.notices_losses() {
-                        return self.suspect_store_loss(Some(Loss::RevisionFell { known, shown }));
+                        return self
+                            .suspect_data_loss(Some(DataLoss::RevisionRegressed { known, shown }));
                     }
                     self.apply_pending_transaction(shown)
                 }
@@ -303,7 +304,7 @@
                 log::debug!("commit refused: {failed:?}");
                 if !f.outcome_unknown && failed.contains(&leader_key()) {
                     self.step_down("the leader key has changed");
-                    return self.doubt_leader_key();
+                    return self.suspect_stale_leader_key();
                 }
                 f.awaiting_read_since = Some(now);
                 self.request_leader_read();
@@ -354,7 +355,7 @@
             self.discard_pending_transaction();
             if refused_for_nothing {
                 // The copy holds what the store denies: one of them is wrong.
-                self.suspect_store_loss(None);
+                self.suspect_data_loss(None);
             }
             return;
         }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,6 +1,6 @@
 //! Leadership: a leased key, and a term that only grows, taken in one commit.
 
-use super::recovery::SentAt;
+use super::sync::ReadPoint;
 use super::{CallPurpose, Controller, Leader};
 use crate::constants::{
     ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_REST_MS, LEADER_LIFE_MS,
@@ -32,7 +32,7 @@
         let now = self.now.monotonic_ms;
         if self.leader.is_some()
             || self.election.busy
-            || !self.may_stand()
+            || !self.may_campaign()
             || now < self.election.rest_until
         {
             return;
@@ -82,7 +82,7 @@
             Some(leader) if own(&leader.value) => leader.mod_revision,
             Some(_) => return,
         };
-        if self.recovery.holds() && !self.may_stand() {
+        if self.recovery.is_suspended() && !self.may_campaign() {
             return;
         }
         let term = self.next_term();
@@ -102,11 +102,11 @@
                 Mutation::put(term_key(), &TermRecord { term }),
             ],
         };
-        self.add_to_election(&mut commit, term);
+        self.add_recovery_writes(&mut commit, term);
         self.election.busy = true;
         self.write_budget.take(2.0, f64::MIN, self.now.monotonic_ms);
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = CallPurpose::Elect { lease_id: hold.lease_id, term, sent: self.sent_at() };
+        let purpose = CallPurpose::Elect { lease_id: hold.lease_id, term, sent: self.read_point() };
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
@@ -114,7 +114,7 @@
         &mut self,
         lease_id: u64,
         term: u64,
-        sent: SentAt,
+        sent: ReadPoint,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         self.election.busy = false;
@@ -127,7 +127,7 @@
         };
         let Some(won) = won else { return };
         self.election.refusals = 0;
-        if !self.won_in_present_store(sent, won.revision) {
+        if !self.applied_to_current_store(sent, won.revision) {
             return;
         }
         if self.leader_revision_was_used(won.revision) {
@@ -154,7 +154,7 @@
             self.replica.hash_keys(),
         ));
         self.set_state_rates();
-        self.begin_rebuild_if_lost();
+        self.start_rebuild_if_lost();
         self.request_leader_read();
     }
 
@@ -164,7 +164,7 @@
         self.election.refusals += 1;
         if self.election.refusals >= ELECTION_REFUSALS_MAX {
             self.election.refusals = 0;
-            self.suspect_store_loss(None);
+            self.suspect_data_loss(None);
         }
     }
 
@@ -210,7 +210,7 @@
             Some((200..=299, _)) => {}
             Some((404, _)) => {
                 self.step_down("the lease has ended");
-                self.doubt_leader_key();
+                self.suspect_stale_leader_key();
             }
             _ => leader.renew_at = now + STATE_RETRY_MS,
         }
@@ -230,7 +230,7 @@
 
     pub(super) fn step_down(&mut self, why: &str) {
         let Some(leader) = self.leader.take() else { return };
-        self.leave_rebuild();
+        self.abandon_rebuild();
         log::info!("no longer leads in term {}: {why}", leader.term);
         self.set_state_rates();
         let rps =
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -203,7 +203,7 @@
             self.move_services();
             // One that the state service does not serve may not lead any more: it must not
             // take machines away.
-            if self.store_is_usable() && !self.starts_are_held() {
+            if self.store_is_usable() && !self.starts_are_blocked() {
                 self.return_machines();
                 self.rent_machines();
             }
--- a/src/coordination/isolation.rs
+++ b/src/coordination/isolation.rs
@@ -22,8 +22,8 @@
     /// the begin of our last read, or of the earliest of the last questions that every peer
     /// has vouched in answer to.
     pub(super) fn confirmed_read_at(&self) -> Option<u64> {
-        if self.recovery.holds() {
-            return self.known_at_in_hold();
+        if self.recovery.is_suspended() {
+            return self.confirmed_read_while_suspended();
         }
         let read = self.store_sync.fresh_at?;
         let vouched = self.peers.iter().map(|p| p.ends_asked).min().flatten();
@@ -42,7 +42,7 @@
     /// most; one that is given in that time is as late as any that is on its way.
     pub(super) fn may_order_starts(&self) -> bool {
         let known = self.confirmed_read_at();
-        !self.starts_are_held()
+        !self.starts_are_blocked()
             && known.is_some_and(|t| self.now.monotonic_ms - t <= START_READ_AGE_MAX_MS)
     }
 
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -260,7 +260,7 @@
             return;
         }
         self.renew_due();
-        if self.rebuilds() {
+        if self.is_rebuilding() {
             return;
         }
         if !self.leader.as_ref().is_some_and(|leader| leader.ready) {
@@ -281,7 +281,7 @@
         }
         // What the last pass decided is stored first: to decide more would only queue it.
         let due = |leader: &Leader| leader.plan_at <= now && leader.cluster.proposals.is_empty();
-        let plans = self.store_is_usable() && !self.starts_are_held();
+        let plans = self.store_is_usable() && !self.starts_are_blocked();
         if self.leader.as_ref().is_some_and(due) && plans {
             self.plan_pass();
         }
@@ -296,7 +296,7 @@
             return;
         };
         if !leader.ready {
-            if self.recovery.holds() {
+            if self.recovery.is_suspended() {
                 // The store is written back first.
                 return;
             }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -42,6 +42,7 @@
 use crate::storage::replica::Replica;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::rc::Rc;
+use sync::ReadPoint;
 
 /// Two clocks in milliseconds: steady, and time of day.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -146,15 +147,15 @@
 #[derive(Debug)]
 enum CallPurpose {
     List { epoch: u32 },
-    Watch { asked: StoreQuestion },
-    Fresh { begun: u64, asked: StoreQuestion },
+    Watch { asked: ReadPoint },
+    Fresh { begun: u64, asked: ReadPoint },
     Lease,
-    Elect { lease_id: u64, term: u64, sent: recovery::SentAt },
+    Elect { lease_id: u64, term: u64, sent: ReadPoint },
     Renew { lease_id: u64 },
     StepDown,
     LeaderCommit { term: u64 },
     Submit { batch: u64, copy: usize },
-    Cancel { requester: Requester, uid: String, commit: Transaction, sent: recovery::SentAt },
+    Cancel { requester: Requester, uid: String, commit: Transaction, sent: ReadPoint },
     Rebuild(recovery::RebuildCall),
     Decision(recovery::DecisionCall),
     Image { peer: usize },
@@ -166,13 +167,6 @@
     Delete(Vec<Name>),
 }
 
-/// Which read of the store a question belongs to, and the revision that it asks beyond.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct StoreQuestion {
-    epoch: u32,
-    since: u64,
-}
-
 /// A controller.
 pub struct Controller {
     settings: Rc<Platform>,
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -39,7 +39,7 @@
             age_ms: now - self.started_at,
             served_ago_ms: if self.store_sync.refused
                 || !self.store_sync.loaded
-                || self.recovery.holds()
+                || self.recovery.is_suspended()
             {
                 None
             } else {
@@ -109,7 +109,7 @@
         if g.term > self.highest_term {
             self.highest_term = g.term;
         }
-        self.note_peer_store(&g);
+        self.check_peer_store(&g);
         self.peers[i].last_heard_at = self.now.monotonic_ms;
         self.peers[i].gossip = Some(g);
         self.check_term();
@@ -132,7 +132,7 @@
                     if let Some(since) = since {
                         // Revisions of another store than ours say nothing about what it lacks.
                         let asked_in = self.peers[peer].gossip.as_ref().and_then(|g| g.store);
-                        let same_store = asked_in == answer.store && !self.recovery.holds();
+                        let same_store = asked_in == answer.store && !self.recovery.is_suspended();
                         self.list_ended_jobs(since, &mut answer);
                         answer.ended_all &= same_store;
                     }
--- a/src/coordination/recovery/operator.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -128,7 +128,9 @@
 
     /// From now on a job that is not known was never accepted.
     fn add_closing(&self, commit: &mut Transaction) {
-        let Some(mark) = self.replica.rebuild.as_ref().filter(|_| self.has_gap()) else { return };
+        let Some(mark) = self.replica.rebuild.as_ref().filter(|_| self.has_history_gap()) else {
+            return;
+        };
         let closed = RebuildRecord { gap: Vec::new(), ..mark.value.clone() };
         commit
             .conditions
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -1,7 +1,7 @@
 //! The election of the controller that rebuilds the store, and what any election writes about the store.
 
-use super::rebuild::{mark, Rebuild};
-use super::Phase;
+use super::rebuild::{rebuild_record_write, Rebuild};
+use super::RecoveryPhase;
 use crate::coordination::Controller;
 use crate::protocol::state::{Condition, Mutation, Transaction};
 use crate::storage::records::{store_key, RebuildPhase, RebuildRecord, StoreIdRecord};
@@ -12,11 +12,11 @@
 
 impl Controller {
     /// Whether this controller may stand for election: to lead, or to rebuild the store.
-    pub(in crate::coordination) fn may_stand(&self) -> bool {
+    pub(in crate::coordination) fn may_campaign(&self) -> bool {
         match self.recovery.phase {
-            Phase::Following => self.store_is_usable(),
-            Phase::Lost { stand_at, .. } => {
-                self.store_is_reachable() && self.now.monotonic_ms >= stand_at
+            RecoveryPhase::Following => self.store_is_usable(),
+            RecoveryPhase::Lost { campaign_at, .. } => {
+                self.store_is_reachable() && self.now.monotonic_ms >= campaign_at
             }
             _ => false,
         }
@@ -26,7 +26,7 @@
     /// the history that is lost.
     pub(in crate::coordination) fn next_term(&self) -> u64 {
         let known = self.replica.term().max(self.highest_term);
-        if !self.recovery.is_lost() {
+        if !self.recovery.has_lost_store() {
             return known.saturating_add(1);
         }
         let lost = self.recovery.lost.as_ref().map_or(0, StoreImage::term);
@@ -35,12 +35,16 @@
 
     /// What an election commits beside leader key and term: the identity of a new store, or the mark
     /// that a rebuild has begun.
-    pub(in crate::coordination) fn add_to_election(&mut self, commit: &mut Transaction, term: u64) {
+    pub(in crate::coordination) fn add_recovery_writes(
+        &mut self,
+        commit: &mut Transaction,
+        term: u64,
+    ) {
         if !self.recovery.enabled {
             return;
         }
         let (key, write) = match &self.recovery.phase {
-            Phase::Lost { loss, .. } => {
+            RecoveryPhase::Lost { loss, .. } => {
                 let record = RebuildRecord {
                     phase: RebuildPhase::Writing,
                     owner: self.settings.label.clone(),
@@ -50,7 +54,7 @@
                     sources: Vec::new(),
                     gap: Vec::new(),
                 };
-                (REBUILD_KEY.to_string(), mark(&record))
+                (REBUILD_KEY.to_string(), rebuild_record_write(&record))
             }
             _ if self.replica.store.is_none() => {
                 let record = StoreIdRecord { id: self.rng.random() };
@@ -64,13 +68,13 @@
     }
 
     /// The election is won: if the store is lost, to rebuild it.
-    pub(in crate::coordination) fn begin_rebuild_if_lost(&mut self) {
-        if self.recovery.is_lost() {
+    pub(in crate::coordination) fn start_rebuild_if_lost(&mut self) {
+        if self.recovery.has_lost_store() {
             log::info!("rebuilds the store");
             self.recovery.rebuild = Some(Rebuild::new(self.peers.len(), self.now.monotonic_ms));
             // It may have been lost once more since we read it, and nothing written tells of that. What is
             // read from now on holds our election.
-            self.read_anew();
+            self.reload_store();
         }
     }
 }
--- a/src/coordination/recovery/gather.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -1,10 +1,10 @@
 //! Passing images of the lost store to the controller that rebuilds it.
 
-use super::Phase;
+use super::RecoveryPhase;
 use crate::constants::{IMAGE_CALL_MS, IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
-use mountgap_recovery::audit::Loss;
+use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::image::StoreImage;
 
 /// The image that a peer hands over.
@@ -19,7 +19,7 @@
     /// All pages are in.
     pub complete: bool,
     /// Its memory reaches back to before the loss.
-    pub remembers: bool,
+    pub history_complete: bool,
 }
 
 impl PeerImage {
@@ -38,7 +38,7 @@
         if let Some((key, _, _)) = page.values.last() {
             self.after = key.clone();
         }
-        self.remembers = page.remembers;
+        self.history_complete = page.remembers;
         self.complete = page.last;
         if page.last {
             self.image.advance(page.revision);
@@ -104,8 +104,8 @@
             Ok(request) if request.version == PEER_VERSION && self.recovery.enabled => request,
             _ => return self.respond(connection, 404, None, vec![]),
         };
-        if matches!(self.recovery.phase, Phase::Following) && self.store_sync.loaded {
-            self.suspect_store_loss(Some(Loss::RebuildBegun));
+        if matches!(self.recovery.phase, RecoveryPhase::Following) && self.store_sync.loaded {
+            self.suspect_data_loss(Some(DataLoss::RebuildStarted));
         }
         let page = self.image_page(&request.after);
         self.respond(connection, 200, None, encode(&page));
@@ -116,8 +116,8 @@
         let mut page = ImagePage {
             version: PEER_VERSION,
             label: self.settings.label.clone(),
-            holds: recovery.holds(),
-            remembers: recovery.remembers,
+            holds: recovery.is_suspended(),
+            remembers: recovery.history_complete,
             term: self.highest_term,
             revision: 0,
             values: Vec::new(),
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -5,8 +5,8 @@
 //! others hold, works out what the store should hold, and writes what is missing, piece by piece.
 //! Whoever takes over finds the pieces in the store and goes on with the rest.
 
-use super::gather::PeerImage;
-use super::{Phase, StoreId};
+use super::image_transfer::PeerImage;
+use super::{RecoveryPhase, StoreId};
 use crate::constants::{
     REBUILD_GATHER_MS, REBUILD_REFUSALS_MAX, REBUILD_STAND_MS, STATE_CALL_MS, STATE_RETRY_MS,
     WRITE_RESERVE,
@@ -20,10 +20,10 @@
 use crate::settings::GapPolicy;
 use crate::storage::records::{leader_key, FlagReason, RebuildPhase, RebuildRecord};
 use mountgap_records::constants::REBUILD_KEY;
-use mountgap_recovery::audit::{audit, Loss};
+use mountgap_recovery::audit::{audit, DataLoss};
 use mountgap_recovery::image::StoreImage;
-use mountgap_recovery::picture::Picture;
-use mountgap_recovery::write_back::{Change, Layout, Limits, Piece};
+use mountgap_recovery::merged_state::MergedState;
+use mountgap_recovery::write_back::{Change, DesiredState, RebuildTransaction, TransactionLimits};
 use rand::Rng;
 
 /// A rebuild that this controller does.
@@ -37,15 +37,15 @@
     sent: bool,
     not_before: u64,
     /// Transactions that were carried out.
-    pieces: u32,
+    transactions: u32,
     /// Transactions in a row that were refused.
     refusals: u32,
 }
 
 #[derive(Debug)]
 struct Plan {
-    picture: Picture,
-    layout: Layout,
+    merged: MergedState,
+    desired: DesiredState,
     identity: StoreId,
     sources: Vec<String>,
     gap: Vec<String>,
@@ -66,36 +66,36 @@
             plan: None,
             sent: false,
             not_before: now,
-            pieces: 0,
+            transactions: 0,
             refusals: 0,
         }
     }
 }
 
 /// The mark of a rebuild as it changes from one phase to the next.
-pub(super) fn mark(record: &RebuildRecord) -> Mutation {
+pub(super) fn rebuild_record_write(record: &RebuildRecord) -> Mutation {
     Mutation::put(REBUILD_KEY.into(), record)
 }
 
 impl Controller {
     /// Whether this controller leads only to rebuild the store.
-    pub(in crate::coordination) fn rebuilds(&self) -> bool {
+    pub(in crate::coordination) fn is_rebuilding(&self) -> bool {
         self.leader.is_some() && self.recovery.rebuild.is_some()
     }
 
     /// The lead is lost in the middle of a rebuild: what was gathered is kept for whoever goes on.
-    pub(in crate::coordination) fn leave_rebuild(&mut self) {
-        self.recovery.marking = false;
+    pub(in crate::coordination) fn abandon_rebuild(&mut self) {
+        self.recovery.phase_update_sent = false;
         if self.recovery.rebuild.take().is_none() {
             return;
         }
-        if let Phase::Lost { stand_at, .. } = &mut self.recovery.phase {
-            *stand_at = self.now.monotonic_ms + REBUILD_STAND_MS;
+        if let RecoveryPhase::Lost { campaign_at, .. } = &mut self.recovery.phase {
+            *campaign_at = self.now.monotonic_ms + REBUILD_STAND_MS;
         }
     }
 
     pub(super) fn rebuild_due(&mut self) {
-        if !self.rebuilds() {
+        if !self.is_rebuilding() {
             return;
         }
         let now = self.now.monotonic_ms;
@@ -122,9 +122,11 @@
         let mut sources = vec![self.settings.label.clone()];
         let mut gap = Vec::new();
         // All have started since a loss that only workers tell of.
-        let unexplained =
-            matches!(self.recovery.phase, Phase::Lost { loss: Loss::UnexplainedTask { .. }, .. });
-        if unexplained || !self.recovery.remembers {
+        let unexplained = matches!(
+            self.recovery.phase,
+            RecoveryPhase::Lost { loss: DataLoss::UnrecordedTask { .. }, .. }
+        );
+        if unexplained || !self.recovery.history_complete {
             gap.push(self.settings.label.clone());
         }
         let mut images: Vec<StoreImage> = own.into_iter().collect();
@@ -133,51 +135,51 @@
                 sources.push(peer.label.clone());
                 images.push(image.clone());
             }
-            if unexplained || !image.remembers {
+            if unexplained || !image.history_complete {
                 gap.push(peer.label.clone());
             }
         }
         let lines = joined_by_store(images);
-        let mut picture = Picture::default();
-        lines.iter().for_each(|image| picture.join(&Picture::of_image(image)));
-        picture.join(&Picture::of_image(&self.recovery.image));
+        let mut merged = MergedState::default();
+        lines.iter().for_each(|image| merged.join(&MergedState::from_image(image)));
+        merged.join(&MergedState::from_image(&self.recovery.image));
         // What an interrupted rebuild has written is no better known than what it was written from.
         if !gap.is_empty() && self.recovery.gap_policy == GapPolicy::Hold {
-            picture.flag_live_jobs(FlagReason::MayHaveEnded);
+            merged.flag_live_jobs(FlagReason::MayHaveEnded);
         }
         // A gap that no operator has closed yet stays one.
-        let open_gap = picture.open_gap.iter().filter(|label| !gap.contains(label));
+        let open_gap = merged.open_gap.iter().filter(|label| !gap.contains(label));
         let open_gap: Vec<String> = open_gap.cloned().collect();
         gap.extend(open_gap);
-        picture.tidy();
+        merged.tidy();
         let present = self.recovery.image.identity();
         let apart = |id: &StoreId| lines.iter().all(|line| line.identity() != Some(*id));
         let fresh = present.filter(|id| !lines.is_empty() && apart(id));
         let identity = fresh.unwrap_or_else(|| StoreId(self.rng.random()));
         // Kept for whoever has to go on: the image that knows most of the lost store.
         self.recovery.lost = lines.into_iter().max_by_key(StoreImage::revision);
-        if self.leader.as_ref().is_some_and(|leader| picture.term > leader.term) {
-            self.highest_term = self.highest_term.max(picture.term);
+        if self.leader.as_ref().is_some_and(|leader| merged.term > leader.term) {
+            self.highest_term = self.highest_term.max(merged.term);
             return self.check_term();
         }
         let limits = self.rebuild_limits();
-        let layout = Layout::new(&picture, identity, &self.recovery.image, &limits);
+        let desired = DesiredState::new(&merged, identity, &self.recovery.image, &limits);
         log::info!(
             "rebuilds the store from {}, {} values: {:?}",
             sources.join(", "),
-            layout.values(),
-            picture.account()
+            desired.values(),
+            merged.summary()
         );
         if !gap.is_empty() {
             log::warn!("no memory from before the loss: {}", gap.join(", "));
         }
         if let Some(rebuild) = &mut self.recovery.rebuild {
-            rebuild.plan = Some(Plan { picture, layout, identity, sources, gap });
+            rebuild.plan = Some(Plan { merged, desired, identity, sources, gap });
         }
     }
 
-    fn rebuild_limits(&self) -> Limits {
-        Limits {
+    fn rebuild_limits(&self) -> TransactionLimits {
+        TransactionLimits {
             value_bytes: self.limits.value_bytes,
             transaction_ops: self.limits.transaction_ops,
         }
@@ -192,9 +194,10 @@
         }
         // No more at a time than the bucket ever holds.
         let burst = (self.write_budget.burst() - WRITE_RESERVE).max(1.0) as usize;
-        let limits = Limits { transaction_ops: limits.transaction_ops.min(burst), ..limits };
-        let commit = match plan.layout.next_piece(&self.recovery.image, &limits) {
-            Some(piece) => commit_of(piece),
+        let limits =
+            TransactionLimits { transaction_ops: limits.transaction_ops.min(burst), ..limits };
+        let commit = match plan.desired.next_transaction(&self.recovery.image, &limits) {
+            Some(batch) => transaction_from(batch),
             None => {
                 let Some(before) = &self.replica.rebuild else { return };
                 let gap = match self.recovery.gap_policy {
@@ -207,7 +210,7 @@
                     gap,
                     ..before.value.clone()
                 };
-                Transaction { conditions: Vec::new(), writes: vec![mark(&record)] }
+                Transaction { conditions: Vec::new(), writes: vec![rebuild_record_write(&record)] }
             }
         };
         if self.send_fenced(commit) {
@@ -220,13 +223,13 @@
     /// Sends a transaction that depends on our lead and on the mark of the rebuild as we know it.
     pub(super) fn send_fenced(&mut self, mut commit: Transaction) -> bool {
         let Some(leader) = &self.leader else { return false };
-        let Some(mark) = &self.replica.rebuild else { return false };
+        let Some(record) = &self.replica.rebuild else { return false };
         let (term, mod_revision) = (leader.term, leader.mod_revision);
         let ops = commit.writes.len() as f64;
         commit.conditions.push(Condition { key: leader_key(), mod_revision });
         commit
             .conditions
-            .push(Condition { key: REBUILD_KEY.into(), mod_revision: mark.mod_revision });
+            .push(Condition { key: REBUILD_KEY.into(), mod_revision: record.mod_revision });
         if !self.write_budget.take(ops, 0.0, self.now.monotonic_ms) {
             return false;
         }
@@ -246,7 +249,7 @@
         if self.leader.as_ref().is_none_or(|leader| leader.term != call.term) {
             return;
         }
-        self.recovery.marking = false;
+        self.recovery.phase_update_sent = false;
         if let Some(rebuild) = &mut self.recovery.rebuild {
             rebuild.sent = false;
         }
@@ -254,11 +257,11 @@
             Some((200, body)) => {
                 let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) else { return };
                 if done.revision <= self.leader.as_ref().map_or(0, |leader| leader.mod_revision) {
-                    return self.suspect_store_loss(None);
+                    return self.suspect_data_loss(None);
                 }
                 self.apply_own_transaction(&call.commit, done.revision);
                 if let Some(rebuild) = &mut self.recovery.rebuild {
-                    rebuild.pieces += 1;
+                    rebuild.transactions += 1;
                     rebuild.refusals = 0;
                 }
                 self.rebuild_advanced();
@@ -269,13 +272,13 @@
                     .unwrap_or(TransactionConflict { failed: Vec::new(), revision: 0 });
                 if failed.failed.contains(&leader_key()) {
                     self.step_down("the leader key has changed");
-                    return self.doubt_leader_key();
+                    return self.suspect_stale_leader_key();
                 }
                 if let Some(rebuild) = &mut self.recovery.rebuild {
                     rebuild.refusals += 1;
                     if rebuild.refusals >= REBUILD_REFUSALS_MAX {
                         // Reads between them have shown no reason: what we read is not what is there.
-                        return self.suspect_store_loss(None);
+                        return self.suspect_data_loss(None);
                     }
                 }
                 self.pause_rebuild(now);
@@ -305,14 +308,17 @@
             self.replica.rebuild.as_ref().is_some_and(|r| r.value.phase != RebuildPhase::Writing);
         if let (true, Some(rebuild)) = (complete, &self.recovery.rebuild) {
             let seconds = (self.now.monotonic_ms - rebuild.begun) as f64 / 1000.0;
-            log::info!("all records are written: {} commits in {seconds:.1} s", rebuild.pieces);
+            log::info!(
+                "all records are written: {} commits in {seconds:.1} s",
+                rebuild.transactions
+            );
             self.end_hold_if_rebuilt();
         }
     }
 
     /// Answers a report while the store is rebuilt: the worker's lease goes on, what is known to be
     /// over is stopped, and nothing starts.
-    pub(in crate::coordination) fn answer_in_rebuild(
+    pub(in crate::coordination) fn answer_heartbeat_in_rebuild(
         &mut self,
         connection: ConnectionId,
         report: Heartbeat,
@@ -321,7 +327,7 @@
             return self.redirect(connection);
         };
         let plan = self.recovery.rebuild.as_ref().and_then(|rebuild| rebuild.plan.as_ref());
-        let over = |job: &str| plan.is_some_and(|plan| plan.picture.ends.contains_key(job));
+        let over = |job: &str| plan.is_some_and(|plan| plan.merged.ends.contains_key(job));
         let commands = halts_of_ended(&report, over);
         self.answer_without_starts(connection, token, commands);
     }
@@ -329,13 +335,13 @@
     /// Before when nobody was told of an end that we don't know, while we hold still: as of the loss,
     /// until every controller's memory is gathered. After that only what is written in the store
     /// that we read can have been told.
-    pub(in crate::coordination) fn known_at_in_hold(&self) -> Option<u64> {
+    pub(in crate::coordination) fn confirmed_read_while_suspended(&self) -> Option<u64> {
         let plan = self.recovery.rebuild.as_ref().and_then(|rebuild| rebuild.plan.as_ref());
         let without_gap =
             |plan: &Plan| plan.gap.is_empty() || self.recovery.gap_policy == GapPolicy::Release;
         match plan {
             Some(plan) if without_gap(plan) => self.store_sync.fresh_at,
-            _ => self.recovery.known_at,
+            _ => self.recovery.confirmed_read_at,
         }
     }
 
@@ -343,7 +349,7 @@
     pub(super) fn rebuild_progress(&self) -> Option<(u32, usize, StoreId)> {
         let rebuild = self.recovery.rebuild.as_ref()?;
         let plan = rebuild.plan.as_ref()?;
-        Some((rebuild.pieces, plan.layout.values(), plan.identity))
+        Some((rebuild.transactions, plan.desired.values(), plan.identity))
     }
 }
 
@@ -367,9 +373,9 @@
     lines
 }
 
-fn commit_of(piece: Piece) -> Transaction {
+fn transaction_from(batch: RebuildTransaction) -> Transaction {
     let mut commit = Transaction::default();
-    for (change, mod_revision) in piece.changes {
+    for (change, mod_revision) in batch.changes {
         commit.conditions.push(Condition { key: change.key().to_string(), mod_revision });
         commit.writes.push(match change {
             Change::Remove { key } => Mutation::Remove { key },
--- a/src/coordination/recovery/accounting.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -14,34 +14,34 @@
 use mountgap_records::constants::REBUILD_KEY;
 
 /// Whether a machine's tasks are known: its worker has shown our term, or nothing runs there.
-fn is_accounted_for(machine: &Machine) -> bool {
+fn is_reconciled(machine: &Machine) -> bool {
     machine.has_our_token || machine.failed || machine.state == MachineState::Terminated
 }
 
 impl Controller {
-    pub(super) fn accounting_due(&mut self) {
-        let held = self.starts_are_held();
-        if std::mem::replace(&mut self.recovery.starts_were_held, held) && !held {
-            self.starts_released();
+    pub(super) fn reconciliation_due(&mut self) {
+        let held = self.starts_are_blocked();
+        if std::mem::replace(&mut self.recovery.starts_were_blocked, held) && !held {
+            self.on_starts_unblocked();
         }
         let ready = self.leader.as_ref().is_some_and(|leader| leader.ready);
-        if !held || !ready || self.recovery.marking || !self.store_is_usable() {
+        if !held || !ready || self.recovery.phase_update_sent || !self.store_is_usable() {
             return;
         }
-        if !self.all_machines_are_accounted_for() {
+        if !self.all_machines_are_reconciled() {
             return;
         }
         if let Some(leader) = &mut self.leader {
             leader.machines_accounted = true;
         }
-        self.recovery.continuity_proved = true;
+        self.recovery.continuity_proven = true;
         let phase = self.replica.rebuild.as_ref().map(|record| record.value.phase);
         if phase == Some(RebuildPhase::Complete) {
-            self.mark_accounted();
+            self.record_reconciliation();
         }
     }
 
-    fn all_machines_are_accounted_for(&self) -> bool {
+    fn all_machines_are_reconciled(&self) -> bool {
         let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return false };
         // Whoever answered workers before our term may have done so for so long, as it could not
@@ -53,21 +53,21 @@
         // A list that was asked for early may lack machines that are up.
         let lag = (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
         let listed = leader.fleet.listed_begun().is_some_and(|begun| begun > leader.began_at + lag);
-        listed && leader.cluster.machines.values().all(is_accounted_for)
+        listed && leader.cluster.machines.values().all(is_reconciled)
     }
 
-    fn mark_accounted(&mut self) {
+    fn record_reconciliation(&mut self) {
         let Some(mark) = &self.replica.rebuild else { return };
         let record = RebuildRecord { phase: RebuildPhase::Accounted, ..mark.value.clone() };
         let writes = vec![Mutation::put(REBUILD_KEY.into(), &record)];
         let commit = Transaction { conditions: Vec::new(), writes };
         if self.send_fenced(commit) {
-            self.recovery.marking = true;
+            self.recovery.phase_update_sent = true;
         }
     }
 
     /// Every machine is accounted for: what is in part only is stopped, and planning begins.
-    fn starts_released(&mut self) {
+    fn on_starts_unblocked(&mut self) {
         let now = self.now.monotonic_ms;
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) {
             log::info!("every machine is accounted for, tasks may start");
--- a/src/coordination/recovery/view.rs
+++ b/src/coordination/recovery/report.rs
@@ -1,6 +1,6 @@
 //! What operators are told of losses and rebuilds.
 
-use super::Phase;
+use super::RecoveryPhase;
 use crate::coordination::Controller;
 use crate::protocol::recovery::{FlaggedJob, LastRebuild, RecoveryReport, UnknownTask};
 use crate::protocol::task_name;
@@ -44,11 +44,11 @@
     fn recovery_phase(&self) -> &'static str {
         match self.recovery.phase {
             _ if !self.recovery.enabled => "not enabled",
-            _ if self.rebuilds() => "rebuilding",
-            Phase::Following => "following",
-            Phase::FirstStart { .. } => "first start",
-            Phase::Verifying { .. } => "verifying",
-            Phase::Lost { .. } => "lost",
+            _ if self.is_rebuilding() => "rebuilding",
+            RecoveryPhase::Following => "following",
+            RecoveryPhase::FirstStart { .. } => "first start",
+            RecoveryPhase::Verifying { .. } => "verifying",
+            RecoveryPhase::Lost { .. } => "lost",
         }
     }
 
@@ -80,8 +80,8 @@
             image_keys: self.recovery.image.len(),
             flagged_jobs: self.flagged_jobs().len(),
             unknown_tasks: self.unknown_tasks().len(),
-            gap: self.has_gap(),
-            starts_held: self.starts_are_held(),
+            gap: self.has_history_gap(),
+            starts_held: self.starts_are_blocked(),
             snapshot: self.recovery.snapshot_status.clone(),
         })
     }
@@ -89,8 +89,10 @@
     /// All that this controller knows of losses and rebuilds.
     pub(super) fn recovery_report(&self) -> RecoveryReport {
         let loss = match &self.recovery.phase {
-            Phase::Lost { loss, .. } => Some(loss.to_string()),
-            Phase::Verifying { suspicion, .. } => suspicion.as_ref().map(|loss| loss.to_string()),
+            RecoveryPhase::Lost { loss, .. } => Some(loss.to_string()),
+            RecoveryPhase::Verifying { suspicion, .. } => {
+                suspicion.as_ref().map(|loss| loss.to_string())
+            }
             _ => None,
         };
         let last = self.replica.rebuild.as_ref().map(|record| &record.value);
@@ -101,7 +103,9 @@
             loss,
             store: self.recovery.identity().map(|id| id.to_string()),
             losses: self.recovery.losses,
-            written: self.rebuild_progress().map(|(pieces, values, _)| (pieces, values)),
+            written: self
+                .rebuild_progress()
+                .map(|(transactions, values, _)| (transactions, values)),
             last_rebuild: last.map(|record| LastRebuild {
                 phase: phase_name(record.phase).into(),
                 owner: record.owner.clone(),
--- a/src/coordination/submissions.rs
+++ b/src/coordination/submissions.rs
@@ -4,8 +4,8 @@
 //! batch is committed or known from a read.
 
 use super::gangs::{gang_tasks_max, zones_suffice};
-use super::recovery::SentAt;
 use super::sync::FreshReadWaiter;
+use super::sync::ReadPoint;
 use super::{CallPurpose, Controller, Requester};
 use crate::constants::{
     ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
@@ -67,7 +67,7 @@
     values: Vec<BatchValue>,
     sent_at: u64,
     /// Copies sent, with when each was, and how many are not answered yet.
-    copies: Vec<(Transaction, SentAt)>,
+    copies: Vec<(Transaction, ReadPoint)>,
     out: u32,
 }
 
@@ -182,7 +182,7 @@
     /// quick, it is passed on or refused then.
     pub(super) fn batches_due(&mut self) {
         let now = self.now.monotonic_ms;
-        if self.recovery.holds() {
+        if self.recovery.is_suspended() {
             let gathered = std::mem::take(&mut self.gathering_submissions);
             return gathered.into_iter().for_each(|p| self.pass_submission(p));
         }
@@ -221,7 +221,7 @@
         let mut bytes = 0;
         for p in std::mem::take(&mut self.gathering_submissions) {
             // A condition a job and one a value.
-            let conditions = jobs.len() + max_ops + self.conditions_kept();
+            let conditions = jobs.len() + max_ops + self.reserved_conditions();
             let fits = conditions < (txn * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_BITS)
                 && bytes + p.bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES;
             let open = values.iter().position(|value| value.takes(&p, cap));
@@ -267,9 +267,9 @@
     /// Sends a copy of a batch, if that leaves `keep` writes.
     fn send_batch(&mut self, id: u64, keep: f64) {
         let now = self.now.monotonic_ms;
-        let sent = self.sent_at();
+        let sent = self.read_point();
         let mut commit = Transaction::default();
-        self.depend_on_rebuild(&mut commit);
+        self.add_rebuild_condition(&mut commit);
         let Some(b) = self.submission_batches.get_mut(&id) else { return };
         if !self.write_budget.take(b.values.len() as f64, keep, now) {
             return;
@@ -322,7 +322,7 @@
             Some((200, body)) => {
                 if let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) {
                     let (commit, sent) = &batch.copies[copy];
-                    if !self.confirmed_in_store(*sent, done.revision) {
+                    if !self.applied_to_trusted_store(*sent, done.revision) {
                         // In a store that has lost data: nothing is accepted by that.
                         return batch.jobs.into_iter().for_each(|p| self.pass_submission(p));
                     }
@@ -399,7 +399,7 @@
             return self.answer_known(requester, &uid);
         }
         // It may have been accepted in the lost history, whatever is wrong with it now.
-        if verdict.is_some() && self.has_gap() {
+        if verdict.is_some() && self.has_history_gap() {
             return self.unavailable(requester);
         }
         match (verdict, spec) {
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -1,6 +1,6 @@
 //! Following the state service: the first load, the watch, and zero-wait reads.
 
-use super::{CallPurpose, Controller, Requester, Service, StoreQuestion};
+use super::{CallPurpose, Controller, Requester, Service};
 use crate::constants::{
     FRESH_GAP_MS, KEY_FAMILY, KEY_ROOT, READ_PERIOD_MS, STATE_CALL_MS, STATE_FOREIGN_MS,
     STATE_LIST_LIMIT, STATE_LIST_MS, STATE_LOST_MS, STATE_RETRY_MS, WATCH_BLOCK_MS, WATCH_CALL_MS,
@@ -33,6 +33,16 @@
     Leader,
 }
 
+/// How far the store had been read when a request went out. Its answer counts only in the same
+/// epoch, and must show a later revision if it names a commit.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct ReadPoint {
+    /// The read of the whole store that it belongs to, see [`Sync::epoch`].
+    pub epoch: u32,
+    /// The revision up to which all changes were in.
+    pub revision: u64,
+}
+
 /// How far this controller is with the store.
 #[derive(Debug, Default)]
 pub(crate) struct Sync {
@@ -124,7 +134,7 @@
 
     /// Whether the state service serves us, as far as we know, and its data is to be trusted.
     pub(super) fn store_is_usable(&self) -> bool {
-        self.store_is_reachable() && !self.recovery.holds()
+        self.store_is_reachable() && !self.recovery.is_suspended()
     }
 
     /// Whether the state service answers us, whatever it has lost.
@@ -173,7 +183,7 @@
         if !self.store_sync.watching && !self.store_sync.refused {
             self.store_sync.watching = true;
             let path = changes_path(KEY_FAMILY, self.replica.revision, WATCH_BLOCK_MS);
-            let purpose = CallPurpose::Watch { asked: self.store_question() };
+            let purpose = CallPurpose::Watch { asked: self.read_point() };
             self.state_call("GET", path, vec![], WATCH_CALL_MS, purpose);
         }
         let periodic = now >= self.store_sync.fresh_begun + READ_PERIOD_MS;
@@ -187,13 +197,14 @@
                 Some(std::mem::take(&mut self.store_sync.fresh_waiting));
             self.store_sync.fresh_begun = now;
             let path = changes_path(KEY_FAMILY, self.replica.revision, 0);
-            let purpose = CallPurpose::Fresh { begun: now, asked: self.store_question() };
+            let purpose = CallPurpose::Fresh { begun: now, asked: self.read_point() };
             self.state_call("GET", path, vec![], STATE_CALL_MS, purpose);
         }
     }
 
-    fn store_question(&self) -> StoreQuestion {
-        StoreQuestion { epoch: self.store_sync.epoch, since: self.replica.revision }
+    /// How far the store has been read: what a request that goes out now builds on.
+    pub(super) fn read_point(&self) -> ReadPoint {
+        ReadPoint { epoch: self.store_sync.epoch, revision: self.replica.revision }
     }
 
     pub(super) fn request_fresh_read(&mut self, w: FreshReadWaiter) {
@@ -229,7 +240,7 @@
         }
         for item in &page.items {
             self.replica.apply_item(item);
-            self.note_item(item);
+            self.record_item(item);
         }
         if let Some(key) = &self.replica.foreign {
             // Perhaps another version still runs: neither may touch what the other keeps.
@@ -238,7 +249,7 @@
                 KEY_ROOT
             );
             self.replica = Replica::new(self.replica.hash_keys());
-            self.recovery.forget_image();
+            self.recovery.clear_image();
             self.store_sync.list_rev = None;
             self.store_sync.list_since = None;
             self.store_sync.not_before = self.now.monotonic_ms + STATE_FOREIGN_MS;
@@ -259,7 +270,7 @@
         if self.catalog.is_none() {
             self.catalog = self.replica.catalog.as_ref().map(|c| Rc::new(c.value.clone()));
         }
-        self.note_listing_complete();
+        self.on_listing_complete();
         log::info!(
             "loaded: {} jobs at revision {}",
             self.replica.jobs.len(),
@@ -269,7 +280,7 @@
     }
 
     /// Puts an answer into the replica; false if it has to be read anew.
-    fn apply(&mut self, asked: StoreQuestion, reply: &Option<(u16, Vec<u8>)>) -> Option<bool> {
+    fn apply(&mut self, asked: ReadPoint, reply: &Option<(u16, Vec<u8>)>) -> Option<bool> {
         if asked.epoch != self.store_sync.epoch {
             return Some(false);
         }
@@ -279,7 +290,7 @@
                 let work = &mut self.metrics.work;
                 work.state_bytes_read += body.len() as u64;
                 work.state_reads_unchanged += u64::from(changes.events.is_empty());
-                if !self.note_changes(asked.since, &changes) {
+                if !self.check_changes(asked.revision, &changes) {
                     return Some(false);
                 }
                 self.store_sync.max_rev = self.store_sync.max_rev.max(changes.revision);
@@ -291,9 +302,9 @@
             Some((410, _)) => {
                 log::info!("too far behind, reading the store anew");
                 if self.recovery.notices_losses() {
-                    self.suspect_store_loss(None);
+                    self.suspect_data_loss(None);
                 } else {
-                    self.read_anew();
+                    self.reload_store();
                     self.step_down("lost track of the store");
                 }
                 Some(false)
@@ -314,11 +325,7 @@
         }
     }
 
-    pub(super) fn on_watch_response(
-        &mut self,
-        asked: StoreQuestion,
-        reply: Option<(u16, Vec<u8>)>,
-    ) {
+    pub(super) fn on_watch_response(&mut self, asked: ReadPoint, reply: Option<(u16, Vec<u8>)>) {
         if asked.epoch == self.store_sync.epoch {
             self.store_sync.watching = false;
         }
@@ -330,7 +337,7 @@
     pub(super) fn on_fresh_read_response(
         &mut self,
         begun: u64,
-        asked: StoreQuestion,
+        asked: ReadPoint,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         let waiters = self.store_sync.fresh_running.take().unwrap_or_default();
@@ -338,12 +345,12 @@
             Some(true) => {
                 self.store_sync.fresh_at = Some(begun);
                 self.forget_ended_by_peers();
-                self.note_fresh_read(begun);
+                self.on_fresh_read(begun);
                 for w in waiters {
                     // While we hold still nothing of users is judged by what the store shows.
                     match &w {
                         FreshReadWaiter::Leader => self.complete_waiter(w, begun),
-                        _ if self.recovery.holds() => self.fail_waiter(w),
+                        _ if self.recovery.is_suspended() => self.fail_waiter(w),
                         _ => self.complete_waiter(w, begun),
                     }
                 }
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -3,8 +3,8 @@
 //! Every answer that a job is accepted, cancelled or done rests on a commit or on a read
 //! that began after the request came; only final states come from memory.
 
-use super::recovery::SentAt;
 use super::sync::FreshReadWaiter;
+use super::sync::ReadPoint;
 use super::{CallPurpose, ConnectionId, Controller, Requester};
 use crate::constants::{
     PEER_VERSION, RETRY_AFTER_BUSY_S, RETRY_AFTER_S, STATE_CALL_MS, STATE_LOST_MS, USER_WAIT_MAX,
@@ -114,7 +114,7 @@
         path: &str,
         body: &[u8],
     ) -> bool {
-        if self.recovery.holds() {
+        if self.recovery.is_suspended() {
             self.unavailable(requester);
             return false;
         }
@@ -169,7 +169,7 @@
             return self.refuse(requester, 404, "no such job", None);
         }
         // While we hold still the copy is of a store that a late transaction may have ended the job in.
-        if self.replica.has_ended(uid) && !self.recovery.holds() {
+        if self.replica.has_ended(uid) && !self.recovery.is_suspended() {
             return self.answer_poll(requester, uid);
         }
         if self.admit(requester, "GET", &format!("/v1/jobs/{uid}"), &[]) {
@@ -222,7 +222,7 @@
 
     /// A job that is not known was never accepted, unless a part of the history is lost.
     fn unknown_job(&mut self, requester: Requester) {
-        match self.has_gap() {
+        match self.has_history_gap() {
             true => self.unavailable(requester),
             false => self.refuse(requester, 404, "no such job", None),
         }
@@ -246,13 +246,17 @@
             conditions: vec![Condition { key: key.clone(), mod_revision: 0 }],
             writes: vec![Mutation::put(key, &rec)],
         };
-        self.depend_on_rebuild(&mut commit);
+        self.add_rebuild_condition(&mut commit);
         if !self.write_budget.take(1.0, WRITE_KEEP_USERS, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose =
-            CallPurpose::Cancel { requester, uid: uid.to_string(), commit, sent: self.sent_at() };
+        let purpose = CallPurpose::Cancel {
+            requester,
+            uid: uid.to_string(),
+            commit,
+            sent: self.read_point(),
+        };
         self.metrics.work.state_writes += 1;
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
@@ -262,7 +266,7 @@
         requester: Requester,
         uid: String,
         commit: Transaction,
-        sent: SentAt,
+        sent: ReadPoint,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         match reply {
@@ -270,7 +274,7 @@
                 let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) else {
                     return self.unavailable(requester);
                 };
-                if !self.confirmed_in_store(sent, done.revision) {
+                if !self.applied_to_trusted_store(sent, done.revision) {
                     return self.unavailable(requester);
                 }
                 self.apply_own_transaction(&commit, done.revision);
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -88,7 +88,7 @@
         let now = self.now.monotonic_ms;
         self.metrics.work.reports += 1;
         self.worker_heartbeats.insert(report.machine.clone(), now);
-        self.note_worker_token(&report);
+        self.check_worker_token(&report);
         if report.fencing_token > self.highest_term {
             self.observe_fencing_token(report.fencing_token);
         }
@@ -99,8 +99,8 @@
         let ready = self.leader.as_ref().is_some_and(|leader| leader.ready);
         if ready && self.may_renew_worker_leases() {
             self.process_heartbeat(connection, report);
-        } else if self.rebuilds() && self.may_renew_worker_leases() {
-            self.answer_in_rebuild(connection, report);
+        } else if self.is_rebuilding() && self.may_renew_worker_leases() {
+            self.answer_heartbeat_in_rebuild(connection, report);
         } else if self.leader.is_none() && self.may_extend_lease(report.fencing_token) {
             self.extend_lease(connection, report);
         } else {
@@ -112,7 +112,7 @@
         let now = self.now.monotonic_ms;
         let catalog = self.catalog.clone();
         let rebuilt = self.replica.rebuild.is_some();
-        let history_is_doubtful = rebuilt || self.starts_are_held();
+        let history_is_doubtful = rebuilt || self.starts_are_blocked();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -215,7 +215,7 @@
             log::info!("{}: attempt {attempt} on {name} is not known", reported.task_id);
             if ours && !rebuilt && self.recovery.notices_losses() {
                 self.redirect(connection);
-                return self.note_unexplained_task(&name, &reported.task_id);
+                return self.on_unrecorded_task(&name, &reported.task_id);
             }
             held.unknown_tasks.push((reported.task_id.clone(), attempt));
             leader.cluster.add_untracked_task(&name, &id, attempt, now);
--- a/tests/measure_rebuild.rs
+++ b/tests/measure_rebuild.rs
@@ -5,9 +5,9 @@
 mod world;
 
 use mountgap_recovery::image::{StoreId, StoreImage};
-use mountgap_recovery::picture::Picture;
+use mountgap_recovery::merged_state::MergedState;
 use mountgap_recovery::snapshot::{encode, Header};
-use mountgap_recovery::write_back::{Layout, Limits};
+use mountgap_recovery::write_back::{DesiredState, TransactionLimits};
 use std::time::Instant;
 use world::*;
 
@@ -87,7 +87,7 @@
 #[ignore = "a measurement"]
 fn cost_of_a_snapshot_and_of_the_plan() {
     println!("ended jobs, tasks: copy for the loop in us; encoding in ms, bytes of plain; plan in ms, values");
-    let limits = Limits { value_bytes: 4_096, transaction_ops: 8 };
+    let limits = TransactionLimits { value_bytes: 4_096, transaction_ops: 8 };
     for (ended, tasks) in [(1_000, 1_000), (10_000, 10_000), (50_000, 100_000)] {
         let image = image_of(ended, tasks);
         let begun = Instant::now();
@@ -105,10 +105,10 @@
         let bytes = encode(&header, &frozen).expect("memory takes it").len();
         let encoded = begun.elapsed().as_secs_f64() * 1e3;
         let begun = Instant::now();
-        let picture = Picture::of_image(&frozen);
-        let layout = Layout::new(&picture, StoreId(1), &StoreImage::new(), &limits);
+        let merged = MergedState::from_image(&frozen);
+        let desired = DesiredState::new(&merged, StoreId(1), &StoreImage::new(), &limits);
         let planned = begun.elapsed().as_secs_f64() * 1e3;
-        let values = layout.values();
+        let values = desired.values();
         println!("{ended:6} {tasks:6}: {copied:.1}; {encoded:.1}, {bytes} of {plain}; {planned:.1}, {values}");
     }
 }
