--- a/crates/mountgap-recovery/tests/laws.rs
+++ b/crates/mountgap-recovery/tests/laws.rs
@@ -12,7 +12,9 @@
 use mountgap_recovery::audit::{audit, DataLoss};
 use mountgap_recovery::image::{StoreId, StoreImage};
 use mountgap_recovery::merged_state::MergedState;
-use mountgap_recovery::write_back::{Change, DesiredState, RebuildTransaction, TransactionLimits};
+use mountgap_recovery::write_back::{
+    Change, ConditionalChange, DesiredState, RebuildTransaction, TransactionLimits,
+};
 use serde::Serialize;
 
 const ITERATIONS: usize = 400;
@@ -94,10 +96,10 @@
 
     fn apply(&mut self, transaction: &RebuildTransaction) {
         self.revision += 1;
-        for (change, mod_revision) in &transaction.changes {
+        for ConditionalChange { change, expected_revision } in &transaction.changes {
             assert_eq!(
                 self.image.mod_revision(change.key()),
-                *mod_revision,
+                *expected_revision,
                 "it depends on what is there"
             );
             match change {
@@ -276,7 +278,7 @@
     let mut empty = Store { image: StoreImage::new(), revision: 0 };
     let desired = DesiredState::new(&merged, StoreId(1), &empty.image, &LIMITS);
     while let Some(transaction) = desired.next_transaction(&empty.image, &LIMITS) {
-        for (change, _) in &transaction.changes {
+        for ConditionalChange { change, .. } in &transaction.changes {
             let Change::Put { data, .. } = change else { panic!("nothing is there to remove") };
             assert!(data.len() <= LIMITS.value_bytes, "{} bytes", data.len());
         }
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -1,6 +1,7 @@
 //! What operators decide on jobs that a rebuild could not account for. Any controller takes a
 //! decision; it counts once it is committed.
 
+use super::put_rebuild_record;
 use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Requester};
 use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest, RECOVERY_PATH};
@@ -12,7 +13,7 @@
 use mountgap_records::constants::REBUILD_KEY;
 use std::collections::BTreeSet;
 
-/// An operator's decision on its way.
+/// An operator's decision that was sent to the state service.
 #[derive(Debug)]
 pub(in crate::coordination) struct DecisionCall {
     connection: ConnectionId,
@@ -21,6 +22,7 @@
 }
 
 impl Controller {
+    /// Answers an operator's request for the report, or for a decision.
     pub(in crate::coordination) fn recovery_request(
         &mut self,
         connection: ConnectionId,
@@ -41,7 +43,7 @@
         }
         let request: DecisionRequest = match serde_json::from_slice(body) {
             Ok(request) => request,
-            Err(e) => return self.refuse(requester, 400, &e.to_string(), None),
+            Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
         if let Some(job) = request.jobs.iter().find(|job| !valid_uid(job)) {
             return self.refuse(requester, 400, &format!("{job}: must look like job-000412"), None);
@@ -53,9 +55,26 @@
     }
 
     fn decide(&mut self, requester: Requester, decision: Decision, request: &DecisionRequest) {
+        let jobs = self.jobs_to_decide(decision, request);
+        // Each job may take a write of its own, and a group of flags another.
+        let jobs_max = (self.limits.transaction_ops / 2).max(1);
+        let decided: BTreeSet<String> = jobs.iter().take(jobs_max).cloned().collect();
+        let left = jobs.len() - decided.len();
+        let closes_gap =
+            decision == Decision::CloseGap || decision == Decision::Release && request.all;
+        let commit = self.decision_transaction(decision, &decided, closes_gap && left == 0);
+        let answer = DecisionAnswer { decided: decided.len(), left };
+        if commit.writes.is_empty() {
+            return self.answer_json(requester, 200, &answer);
+        }
+        self.send_decision(requester, commit, answer);
+    }
+
+    /// The jobs that a request is about.
+    fn jobs_to_decide(&self, decision: Decision, request: &DecisionRequest) -> Vec<String> {
         let groups = self.replica.flagged.values();
         let flagged = groups.flat_map(|group| group.value.jobs.keys()).cloned();
-        let jobs: Vec<String> = match (decision, request.all) {
+        match (decision, request.all) {
             (Decision::CloseGap, _) => Vec::new(),
             (Decision::Release, false) => {
                 flagged.filter(|job| request.jobs.contains(job)).collect()
@@ -66,40 +85,40 @@
                 let open = |job: &&String| !self.replica.has_ended(job);
                 request.jobs.iter().filter(open).cloned().collect()
             }
-        };
-        // Each job may take a write of its own, and a group of flags another.
-        let most = (self.limits.transaction_ops / 2).max(1);
-        let now_decided: BTreeSet<String> = jobs.iter().take(most).cloned().collect();
-        let left = jobs.len() - now_decided.len();
+        }
+    }
+
+    fn decision_transaction(
+        &self,
+        decision: Decision,
+        jobs: &BTreeSet<String>,
+        closes_gap: bool,
+    ) -> Transaction {
         let mut commit = Transaction::default();
         if decision == Decision::GiveUp {
-            now_decided.iter().for_each(|job| self.add_end_of(job, &mut commit));
+            jobs.iter().for_each(|job| self.add_cancellation(job, &mut commit));
         }
-        self.add_unflagging(&now_decided, &mut commit);
-        let closes = decision == Decision::CloseGap || decision == Decision::Release && request.all;
-        if closes && left == 0 {
-            self.add_closing(&mut commit);
+        self.add_flag_removals(jobs, &mut commit);
+        if closes_gap {
+            self.add_gap_closure(&mut commit);
         }
-        let answer = DecisionAnswer { decided: now_decided.len(), left };
-        if commit.writes.is_empty() {
-            return self.answer_json(requester, 200, &answer);
-        }
-        let ops = commit.writes.len() as f64;
-        if !self.write_budget.take(ops, WRITE_KEEP_USERS, self.now.monotonic_ms) {
+        commit
+    }
+
+    fn send_decision(&mut self, requester: Requester, commit: Transaction, answer: DecisionAnswer) {
+        let writes = commit.writes.len();
+        if !self.write_budget.take(writes as f64, WRITE_KEEP_USERS, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
-        self.metrics.work.state_writes += ops as u64;
+        self.metrics.work.state_writes += writes as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = CallPurpose::Decision(DecisionCall {
-            connection: requester.connection,
-            commit,
-            answer,
-        });
+        let connection = requester.connection;
+        let purpose = CallPurpose::Decision(DecisionCall { connection, commit, answer });
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
     /// Ends a job as cancelled.
-    fn add_end_of(&self, job: &str, commit: &mut Transaction) {
+    fn add_cancellation(&self, job: &str, commit: &mut Transaction) {
         let known = self.replica.jobs.get(job).map(|known| &known.value);
         let end = JobEndRecord {
             at: known.map_or(self.now.wall_ms, |known| known.at),
@@ -111,31 +130,30 @@
         commit.writes.push(Mutation::put(job_end_key(job), &end));
     }
 
-    fn add_unflagging(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
-        for (n, group) in &self.replica.flagged {
+    /// Takes the flags off jobs.
+    fn add_flag_removals(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
+        for (group_number, group) in &self.replica.flagged {
             if !group.value.jobs.keys().any(|job| jobs.contains(job)) {
                 continue;
             }
-            let kept = group.value.jobs.iter().filter(|(job, _)| !jobs.contains(*job));
-            let kept =
-                FlaggedJobsRecord { jobs: kept.map(|(job, why)| (job.clone(), *why)).collect() };
-            commit
-                .conditions
-                .push(Condition { key: flagged_jobs_key(*n), mod_revision: group.mod_revision });
-            commit.writes.push(Mutation::put(flagged_jobs_key(*n), &kept));
+            let mut kept = FlaggedJobsRecord { jobs: group.value.jobs.clone() };
+            kept.jobs.retain(|job, _| !jobs.contains(job));
+            let key = flagged_jobs_key(*group_number);
+            commit.writes.push(Mutation::put(key.clone(), &kept));
+            commit.conditions.push(Condition { key, mod_revision: group.mod_revision });
         }
     }
 
     /// From now on a job that is not known was never accepted.
-    fn add_closing(&self, commit: &mut Transaction) {
-        let Some(mark) = self.replica.rebuild.as_ref().filter(|_| self.has_history_gap()) else {
+    fn add_gap_closure(&self, commit: &mut Transaction) {
+        if !self.has_history_gap() {
             return;
-        };
-        let closed = RebuildRecord { gap: Vec::new(), ..mark.value.clone() };
-        commit
-            .conditions
-            .push(Condition { key: REBUILD_KEY.into(), mod_revision: mark.mod_revision });
-        commit.writes.push(Mutation::put(REBUILD_KEY.into(), &closed));
+        }
+        let Some(known) = &self.replica.rebuild else { return };
+        let closed = RebuildRecord { gap: Vec::new(), ..known.value.clone() };
+        let mod_revision = known.mod_revision;
+        commit.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
+        commit.writes.push(put_rebuild_record(&closed));
     }
 
     pub(in crate::coordination) fn on_decision_response(
@@ -147,8 +165,8 @@
             Requester { connection: call.connection, relayed: false, since: self.now.monotonic_ms };
         match reply {
             Some((200, body)) => {
-                if let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) {
-                    self.apply_own_transaction(&call.commit, done.revision);
+                if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) {
+                    self.apply_own_transaction(&call.commit, applied.revision);
                 }
                 log::info!("an operator has decided on {} jobs", call.answer.decided);
                 self.answer_json(requester, 200, &call.answer);
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -1,11 +1,12 @@
 //! The election of the controller that rebuilds the store, and what any election writes about the store.
 
-use super::rebuild::{rebuild_record_write, Rebuild};
-use super::RecoveryPhase;
+use super::put_rebuild_record;
+use super::rebuild::Rebuild;
+use super::state::RecoveryPhase;
 use crate::coordination::Controller;
 use crate::protocol::state::{Condition, Mutation, Transaction};
 use crate::storage::records::{store_key, RebuildPhase, RebuildRecord, StoreIdRecord};
-use mountgap_records::constants::REBUILD_KEY;
+use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::constants::TERM_GAP;
 use mountgap_recovery::image::StoreImage;
 use rand::Rng;
@@ -13,12 +14,12 @@
 impl Controller {
     /// Whether this controller may stand for election: to lead, or to rebuild the store.
     pub(in crate::coordination) fn may_campaign(&self) -> bool {
-        match self.recovery.phase {
+        match self.recovery.phase() {
             RecoveryPhase::Following => self.store_is_usable(),
             RecoveryPhase::Lost { campaign_at, .. } => {
-                self.store_is_reachable() && self.now.monotonic_ms >= campaign_at
+                self.store_is_reachable() && self.now.monotonic_ms >= *campaign_at
             }
-            _ => false,
+            RecoveryPhase::FirstStart { .. } | RecoveryPhase::Verifying { .. } => false,
         }
     }
 
@@ -29,49 +30,52 @@
         if !self.recovery.has_lost_store() {
             return known.saturating_add(1);
         }
-        let lost = self.recovery.lost.as_ref().map_or(0, StoreImage::term);
+        let lost = self.recovery.lost_image().map_or(0, StoreImage::term);
         known.max(lost).saturating_add(1).saturating_add(TERM_GAP)
     }
 
-    /// What an election commits beside leader key and term: the identity of a new store, or the mark
+    /// What an election commits beside leader key and term: the identity of a new store, or the record
     /// that a rebuild has begun.
     pub(in crate::coordination) fn add_recovery_writes(
         &mut self,
         commit: &mut Transaction,
         term: u64,
     ) {
-        if !self.recovery.enabled {
+        if !self.recovery.notices_losses() {
             return;
         }
-        let (key, write) = match &self.recovery.phase {
+        let write = match self.recovery.phase() {
             RecoveryPhase::Lost { loss, .. } => {
-                let record = RebuildRecord {
-                    phase: RebuildPhase::Writing,
-                    owner: self.settings.label.clone(),
-                    term,
-                    at: self.now.wall_ms,
-                    loss: loss.to_string(),
-                    sources: Vec::new(),
-                    gap: Vec::new(),
-                };
-                (REBUILD_KEY.to_string(), rebuild_record_write(&record))
+                put_rebuild_record(&self.new_rebuild_record(loss, term))
             }
             _ if self.replica.store.is_none() => {
-                let record = StoreIdRecord { id: self.rng.random() };
-                let key = store_key();
-                (key.clone(), Mutation::put(key, &record))
+                Mutation::put(store_key(), &StoreIdRecord { id: self.rng.random() })
             }
             _ => return,
         };
+        let key = write.key().to_string();
         commit.conditions.push(Condition { mod_revision: self.replica.mod_revision(&key), key });
         commit.writes.push(write);
     }
 
+    fn new_rebuild_record(&self, loss: &DataLoss, term: u64) -> RebuildRecord {
+        RebuildRecord {
+            phase: RebuildPhase::Writing,
+            owner: self.settings.label.clone(),
+            term,
+            at: self.now.wall_ms,
+            loss: loss.to_string(),
+            sources: Vec::new(),
+            gap: Vec::new(),
+        }
+    }
+
     /// The election is won: if the store is lost, to rebuild it.
     pub(in crate::coordination) fn start_rebuild_if_lost(&mut self) {
         if self.recovery.has_lost_store() {
             log::info!("rebuilds the store");
-            self.recovery.rebuild = Some(Rebuild::new(self.peers.len(), self.now.monotonic_ms));
+            let rebuild = Rebuild::new(self.peers.len(), self.now.monotonic_ms);
+            self.recovery.start_rebuild(rebuild);
             // It may have been lost once more since we read it, and nothing written tells of that. What is
             // read from now on holds our election.
             self.reload_store();
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -4,16 +4,16 @@
 //! An empty store is a new one unless somebody knows better: a worker that shows a token was once answered by a leader,
 //! and a peer may have read an earlier store.
 
-use super::{RecoveryPhase, StoreId};
+use super::state::RecoveryPhase;
 use crate::constants::{
-    DOUBT_REST_MS, FIRST_START_MAX_MS, FIRST_START_REPORTS, HOLD_REREAD_MS, MS_PER_S,
-    WORKER_RETRY_S,
+    FIRST_START_MAX_MS, FIRST_START_REPORTS, HOLD_REREAD_MS, MS_PER_S, WORKER_RETRY_S,
 };
 use crate::coordination::Controller;
 use crate::protocol::peers::{Gossip, RecoveryState};
 use crate::protocol::workers::Heartbeat;
 use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::constants::TERM_BELIEVED_MAX;
+use mountgap_recovery::image::StoreId;
 
 impl Controller {
     /// A worker that shows a token has been answered by a leader, so there was a store.
@@ -24,48 +24,48 @@
         }
         self.highest_term = self.highest_term.max(report.fencing_token);
         let (machine, token) = (&report.machine, report.fencing_token);
-        self.evidence(|| format!("the worker of {machine} shows token {token}"));
+        let now = self.now.monotonic_ms;
+        self.recovery.add_evidence(now, || format!("the worker of {machine} shows token {token}"));
     }
 
-    /// What a peer says of the store.
+    /// Compares what a peer says of the store with what we know of it.
     pub(in crate::coordination) fn check_peer_store(&mut self, gossip: &Gossip) {
-        if !self.recovery.enabled {
+        if !self.recovery.notices_losses() {
             return;
         }
-        let ours = gossip.store.is_some() && gossip.store == self.recovery_state().0;
-        let following =
-            matches!(self.recovery.phase, RecoveryPhase::Following) && self.store_sync.loaded;
-        if following && ours && gossip.recovery == Some(RecoveryState::Following) {
-            self.recovery.continuity_proven = true;
-        }
-        let rebuilt_in = self.replica.rebuild.as_ref().map_or(0, |record| record.value.term);
-        if following && gossip.lost_term.is_some_and(|term| term >= rebuilt_in) {
-            // Not rebuilt since. It remembers more than we do: what it holds contradicts what is there.
-            return self
-                .declare_lost_and_reload(DataLoss::ReportedByPeer { peer: gossip.label.clone() });
+        if self.recovery.is_following() && self.store_sync.loaded {
+            self.check_followed_store(gossip);
         }
+        let label = &gossip.label;
         let now = self.now.monotonic_ms;
-        let long = self
-            .recovery
-            .history_complete_from
-            .is_some_and(|from| now >= from + 2 * HOLD_REREAD_MS);
-        let holds = gossip.lost_term.is_some();
-        if following && holds && long && now >= self.recovery.stale_leader_check_paused_until {
-            // It should have seen by now that the store is rebuilt: perhaps it is not any more.
-            self.recovery.stale_leader_check_paused_until = now + DOUBT_REST_MS;
-            return self.suspect_data_loss(None);
-        }
         if let Some(id) = gossip.store {
-            self.evidence(|| format!("controller {} knows store {}", gossip.label, StoreId(id)));
+            let id = StoreId(id);
+            self.recovery.add_evidence(now, || format!("controller {label} knows store {id}"));
         } else if gossip.recovery == Some(RecoveryState::Lost) {
-            self.evidence(|| format!("controller {} says that it is lost", gossip.label));
+            self.recovery.add_evidence(now, || format!("controller {label} says that it is lost"));
         }
     }
 
-    fn evidence(&mut self, text: impl Fn() -> String) {
+    /// Judges the store that we follow by a peer's word: it may vouch for it, or say that it has
+    /// lost data.
+    fn check_followed_store(&mut self, gossip: &Gossip) {
+        let (our_store, _) = self.recovery.peer_view();
+        let same_store = gossip.store.is_some() && gossip.store == our_store;
+        if same_store && gossip.recovery == Some(RecoveryState::Following) {
+            self.recovery.prove_continuity();
+        }
+        let Some(lost_term) = gossip.lost_term else { return };
+        if lost_term >= self.replica.rebuild_term() {
+            // Not rebuilt since. It remembers more than we do: what it holds contradicts what is there.
+            let peer = gossip.label.clone();
+            return self.declare_lost_and_reload(DataLoss::ReportedByPeer { peer });
+        }
         let now = self.now.monotonic_ms;
-        if let RecoveryPhase::FirstStart { evidence, .. } = &mut self.recovery.phase {
-            evidence.get_or_insert_with(|| (text(), now));
+        let long_followed = self.recovery.has_followed_for(2 * HOLD_REREAD_MS, now);
+        if long_followed && self.recovery.stale_leader().is_allowed(now) {
+            // It should have seen by now that the store is rebuilt: perhaps it is not any more.
+            self.recovery.stale_leader_mut().pause(now);
+            self.suspect_data_loss(None);
         }
     }
 
@@ -73,16 +73,16 @@
     /// said that it knows of no store, or has not been heard for long.
     pub(super) fn first_start_due(&mut self) {
         let now = self.now.monotonic_ms;
-        let RecoveryPhase::FirstStart { since, evidence } = &self.recovery.phase else { return };
+        let RecoveryPhase::FirstStart { since, evidence: None } = self.recovery.phase() else {
+            return;
+        };
         let reports = self.settings.params.workers.report_s * FIRST_START_REPORTS + WORKER_RETRY_S;
-        let waited = now >= since + (reports * MS_PER_S) as u64;
-        let heard_all = self.fresh_gossip().count() == self.peers.len();
-        let long = now >= since + FIRST_START_MAX_MS;
-        if evidence.is_none() && waited && (heard_all || long) {
+        let workers_had_time = now >= since + (reports * MS_PER_S) as u64;
+        let heard_all_peers = self.fresh_gossip().count() == self.peers.len();
+        let waited_long = now >= since + FIRST_START_MAX_MS;
+        if workers_had_time && (heard_all_peers || waited_long) {
             log::info!("the store is empty and nobody knows of an earlier one: a first start");
-            self.recovery.continuity_proven = true;
-            self.recovery.history_complete_from = Some(now);
-            self.recovery.phase = RecoveryPhase::Following;
+            self.recovery.follow_new_store(now);
         }
     }
 }
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -1,6 +1,5 @@
 //! Passing images of the lost store to the controller that rebuilds it.
 
-use super::RecoveryPhase;
 use crate::constants::{IMAGE_CALL_MS, IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
@@ -12,14 +11,16 @@
 pub(super) struct PeerImage {
     /// Pages so far.
     image: StoreImage,
-    /// Last key of these.
-    after: String,
-    asking: bool,
-    next_at: u64,
+    /// Last key of these pages.
+    last_key: String,
+    /// A page was asked for and is not answered yet.
+    request_sent: bool,
+    /// When the next page may be asked for.
+    next_request_at: u64,
     /// All pages are in.
-    pub complete: bool,
-    /// Its memory reaches back to before the loss.
-    pub history_complete: bool,
+    complete: bool,
+    /// What the peer knows reaches back to before the loss.
+    history_complete: bool,
 }
 
 impl PeerImage {
@@ -28,7 +29,17 @@
         Some(&self.image).filter(|_| self.complete)
     }
 
-    fn take(&mut self, page: ImagePage) {
+    /// Whether all pages are in.
+    pub(super) fn is_complete(&self) -> bool {
+        self.complete
+    }
+
+    /// Whether what the peer knows reaches back to before the loss.
+    pub(super) fn is_history_complete(&self) -> bool {
+        self.history_complete
+    }
+
+    fn add_page(&mut self, page: ImagePage) {
         for (key, mod_revision) in &page.removed {
             self.image.remove(key, *mod_revision);
         }
@@ -36,7 +47,7 @@
             self.image.put(key, *mod_revision, data);
         }
         if let Some((key, _, _)) = page.values.last() {
-            self.after = key.clone();
+            self.last_key = key.clone();
         }
         self.history_complete = page.remembers;
         self.complete = page.last;
@@ -48,20 +59,20 @@
 
 impl Controller {
     /// Asks peers for what is missing of their images.
-    pub(super) fn gather_due(&mut self) {
+    pub(super) fn request_peer_images(&mut self) {
         let now = self.now.monotonic_ms;
         for peer in 0..self.peers.len() {
-            let Some(rebuild) = self.recovery.rebuild.as_mut() else { return };
+            let Some(rebuild) = self.recovery.rebuild_mut() else { return };
             let image = &mut rebuild.peers[peer];
-            if image.complete || image.asking || now < image.next_at {
+            if image.complete || image.request_sent || now < image.next_request_at {
                 continue;
             }
-            image.asking = true;
-            image.next_at = now + IMAGE_RETRY_MS;
+            image.request_sent = true;
+            image.next_request_at = now + IMAGE_RETRY_MS;
             let request = ImageRequest {
                 version: PEER_VERSION,
                 label: self.settings.label.clone(),
-                after: image.after.clone(),
+                after: image.last_key.clone(),
             };
             let purpose = CallPurpose::Image { peer };
             let body = encode(&request);
@@ -75,9 +86,9 @@
         peer: usize,
         reply: Option<(u16, Vec<u8>)>,
     ) {
-        let Some(rebuild) = self.recovery.rebuild.as_mut() else { return };
+        let Some(rebuild) = self.recovery.rebuild_mut() else { return };
         let image = &mut rebuild.peers[peer];
-        image.asking = false;
+        image.request_sent = false;
         let page = match reply {
             Some((200, body)) => decode::<ImagePage>(&body).ok(),
             _ => None,
@@ -87,8 +98,8 @@
         let Some(page) = page.filter(valid) else { return };
         self.highest_term = self.highest_term.max(page.term);
         if page.holds {
-            image.next_at = 0;
-            image.take(page);
+            image.next_request_at = 0;
+            image.add_page(page);
         }
         self.check_term();
     }
@@ -101,10 +112,12 @@
         body: &[u8],
     ) {
         let request = match decode::<ImageRequest>(body) {
-            Ok(request) if request.version == PEER_VERSION && self.recovery.enabled => request,
+            Ok(request) if request.version == PEER_VERSION && self.recovery.notices_losses() => {
+                request
+            }
             _ => return self.respond(connection, 404, None, vec![]),
         };
-        if matches!(self.recovery.phase, RecoveryPhase::Following) && self.store_sync.loaded {
+        if self.recovery.is_following() && self.store_sync.loaded {
             self.suspect_data_loss(Some(DataLoss::RebuildStarted));
         }
         let page = self.image_page(&request.after);
@@ -117,7 +130,7 @@
             version: PEER_VERSION,
             label: self.settings.label.clone(),
             holds: recovery.is_suspended(),
-            remembers: recovery.history_complete,
+            remembers: recovery.was_history_complete(),
             term: self.highest_term,
             revision: 0,
             values: Vec::new(),
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -1,6 +1,7 @@
-//! Holding starts after a rebuild until every machine that may run a task is accounted for.
+//! Blocking starts after a rebuild until every machine that may run a task is reconciled: what it
+//! runs is known.
 //!
-//! The same holds where all controllers have started anew and nobody can vouch for the store.
+//! The same applies where all controllers have started anew and nobody can vouch for the store.
 //!
 //! A task may have been placed in the part of the history that is lost, and run on a machine that
 //! has not reported since. It must not start elsewhere before its worker has shown the term of the
@@ -8,10 +9,8 @@
 
 use crate::constants::{LIST_MARGIN_MS, MS_PER_S};
 use crate::coordination::Controller;
-use crate::protocol::state::{Mutation, Transaction};
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::{RebuildPhase, RebuildRecord};
-use mountgap_records::constants::REBUILD_KEY;
 
 /// Whether a machine's tasks are known: its worker has shown our term, or nothing runs there.
 fn is_reconciled(machine: &Machine) -> bool {
@@ -19,24 +18,22 @@
 }
 
 impl Controller {
+    /// Notes when the last machine is reconciled, and lets tasks start again.
     pub(super) fn reconciliation_due(&mut self) {
-        let held = self.starts_are_blocked();
-        if std::mem::replace(&mut self.recovery.starts_were_blocked, held) && !held {
+        let blocked = self.starts_are_blocked();
+        if self.recovery.update_starts_blocked(blocked) {
             self.on_starts_unblocked();
         }
         let ready = self.leader.as_ref().is_some_and(|leader| leader.ready);
-        if !held || !ready || self.recovery.phase_update_sent || !self.store_is_usable() {
-            return;
-        }
-        if !self.all_machines_are_reconciled() {
+        let may_record = !self.recovery.is_phase_update_sent() && self.store_is_usable();
+        if !blocked || !ready || !may_record || !self.all_machines_are_reconciled() {
             return;
         }
         if let Some(leader) = &mut self.leader {
             leader.machines_accounted = true;
         }
-        self.recovery.continuity_proven = true;
-        let phase = self.replica.rebuild.as_ref().map(|record| record.value.phase);
-        if phase == Some(RebuildPhase::Complete) {
+        self.recovery.prove_continuity();
+        if self.replica.rebuild_phase() == Some(RebuildPhase::Complete) {
             self.record_reconciliation();
         }
     }
@@ -57,12 +54,10 @@
     }
 
     fn record_reconciliation(&mut self) {
-        let Some(mark) = &self.replica.rebuild else { return };
-        let record = RebuildRecord { phase: RebuildPhase::Accounted, ..mark.value.clone() };
-        let writes = vec![Mutation::put(REBUILD_KEY.into(), &record)];
-        let commit = Transaction { conditions: Vec::new(), writes };
-        if self.send_fenced(commit) {
-            self.recovery.phase_update_sent = true;
+        let Some(known) = &self.replica.rebuild else { return };
+        let record = RebuildRecord { phase: RebuildPhase::Accounted, ..known.value.clone() };
+        if self.send_rebuild_record(&record) {
+            self.recovery.set_phase_update_sent(true);
         }
     }
 
--- a/src/coordination/recovery/report.rs
+++ b/src/coordination/recovery/report.rs
@@ -1,6 +1,7 @@
 //! What operators are told of losses and rebuilds.
 
-use super::RecoveryPhase;
+use super::rebuild::Rebuild;
+use super::state::RecoveryPhase;
 use crate::coordination::Controller;
 use crate::protocol::recovery::{FlaggedJob, LastRebuild, RecoveryReport, UnknownTask};
 use crate::protocol::task_name;
@@ -26,13 +27,13 @@
     snapshot: Option<SnapshotStatus>,
 }
 
-fn reason(reason: FlagReason) -> &'static str {
+fn flag_reason_text(reason: FlagReason) -> &'static str {
     match reason {
         FlagReason::MayHaveEnded => "may have been cancelled or completed in the lost history",
     }
 }
 
-fn phase_name(phase: RebuildPhase) -> &'static str {
+fn rebuild_phase_text(phase: RebuildPhase) -> &'static str {
     match phase {
         RebuildPhase::Writing => "writing",
         RebuildPhase::Complete => "complete, machines are being accounted for",
@@ -41,9 +42,9 @@
 }
 
 impl Controller {
-    fn recovery_phase(&self) -> &'static str {
-        match self.recovery.phase {
-            _ if !self.recovery.enabled => "not enabled",
+    fn recovery_phase_text(&self) -> &'static str {
+        match self.recovery.phase() {
+            _ if !self.recovery.notices_losses() => "not enabled",
             _ if self.is_rebuilding() => "rebuilding",
             RecoveryPhase::Following => "following",
             RecoveryPhase::FirstStart { .. } => "first start",
@@ -54,8 +55,10 @@
 
     fn flagged_jobs(&self) -> Vec<FlaggedJob> {
         let groups = self.replica.flagged.values().flat_map(|group| &group.value.jobs);
-        let jobs =
-            groups.map(|(job, why)| FlaggedJob { job: job.clone(), reason: reason(*why).into() });
+        let jobs = groups.map(|(job, reason)| FlaggedJob {
+            job: job.clone(),
+            reason: flag_reason_text(*reason).into(),
+        });
         jobs.collect()
     }
 
@@ -73,22 +76,22 @@
 
     /// The part of the status that is about losses; none where they are not noticed.
     pub(in crate::coordination) fn recovery_view(&self) -> Option<RecoveryView> {
-        self.recovery.enabled.then(|| RecoveryView {
-            phase: self.recovery_phase(),
+        self.recovery.notices_losses().then(|| RecoveryView {
+            phase: self.recovery_phase_text(),
             store: self.recovery.identity().map(|id| id.to_string()),
-            losses: self.recovery.losses,
-            image_keys: self.recovery.image.len(),
+            losses: self.recovery.losses(),
+            image_keys: self.recovery.image().len(),
             flagged_jobs: self.flagged_jobs().len(),
             unknown_tasks: self.unknown_tasks().len(),
             gap: self.has_history_gap(),
             starts_held: self.starts_are_blocked(),
-            snapshot: self.recovery.snapshot_status.clone(),
+            snapshot: self.recovery.snapshot_status().cloned(),
         })
     }
 
     /// All that this controller knows of losses and rebuilds.
     pub(super) fn recovery_report(&self) -> RecoveryReport {
-        let loss = match &self.recovery.phase {
+        let loss = match self.recovery.phase() {
             RecoveryPhase::Lost { loss, .. } => Some(loss.to_string()),
             RecoveryPhase::Verifying { suspicion, .. } => {
                 suspicion.as_ref().map(|loss| loss.to_string())
@@ -98,16 +101,14 @@
         let last = self.replica.rebuild.as_ref().map(|record| &record.value);
         RecoveryReport {
             controller: self.settings.label.clone(),
-            enabled: self.recovery.enabled,
-            phase: self.recovery_phase().into(),
+            enabled: self.recovery.notices_losses(),
+            phase: self.recovery_phase_text().into(),
             loss,
             store: self.recovery.identity().map(|id| id.to_string()),
-            losses: self.recovery.losses,
-            written: self
-                .rebuild_progress()
-                .map(|(transactions, values, _)| (transactions, values)),
+            losses: self.recovery.losses(),
+            written: self.recovery.rebuild().and_then(Rebuild::progress),
             last_rebuild: last.map(|record| LastRebuild {
-                phase: phase_name(record.phase).into(),
+                phase: rebuild_phase_text(record.phase).into(),
                 owner: record.owner.clone(),
                 at: record.at,
                 loss: record.loss.clone(),
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -262,7 +262,7 @@
             return self.redirect(h.connection);
         }
         let may_order_starts = self.may_order_starts();
-        let rebuilt_in = self.replica.rebuild.as_ref().map_or(0, |record| record.value.term);
+        let rebuilt_in = self.replica.rebuild_term();
         let Some(leader) = self.leader.as_mut() else {
             return self.redirect(h.connection);
         };
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -9,7 +9,7 @@
 use super::records::{
     chunk_name, foreign_layout, parse_key, BatchRecord, Bitmap, DoneTasksRecord, FlaggedJobsRecord,
     ImagesRecord, JobEndGroupRecord, JobEndRecord, JobRecord, JobStage, Key, LeaderRecord, Name,
-    PlacementsRecord, RebuildRecord, SharesRecord, StoreIdRecord, TermRecord,
+    PlacementsRecord, RebuildPhase, RebuildRecord, SharesRecord, StoreIdRecord, TermRecord,
 };
 use crate::constants::{ARRIVAL_BITS, DONE_CHUNK_TASKS};
 use crate::protocol::cloud::Catalog;
@@ -403,6 +403,16 @@
         bits
     }
 
+    /// How far the last rebuild of the store has come, if there was one.
+    pub fn rebuild_phase(&self) -> Option<RebuildPhase> {
+        self.rebuild.as_ref().map(|record| record.value.phase)
+    }
+
+    /// The term in which the last rebuild of the store was begun; 0 if there was none.
+    pub fn rebuild_term(&self) -> u64 {
+        self.rebuild.as_ref().map_or(0, |record| record.value.term)
+    }
+
     /// The highest term known from the store.
     pub fn term(&self) -> u64 {
         self.term.as_ref().map_or(0, |t| t.value.term)
--- a/tests/measure_rebuild.rs
+++ b/tests/measure_rebuild.rs
@@ -108,7 +108,7 @@
         let merged = MergedState::from_image(&frozen);
         let desired = DesiredState::new(&merged, StoreId(1), &StoreImage::new(), &limits);
         let planned = begun.elapsed().as_secs_f64() * 1e3;
-        let values = desired.values();
+        let values = desired.len();
         println!("{ended:6} {tasks:6}: {copied:.1}; {encoded:.1}, {bytes} of {plain}; {planned:.1}, {values}");
     }
 }
