--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -10,8 +10,7 @@
 use super::{CallPurpose, Controller};
 use crate::constants::{
     COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, DONE_BATCH_MS, GARBAGE_PERIOD_MS,
-    GROUP_FRAME_BYTES, IMAGES_PERIOD_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITES_SHORT_SHARE,
-    WRITE_RESERVE,
+    GROUP_FRAME_BYTES, IMAGES_PERIOD_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITE_RESERVE,
 };
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
@@ -120,7 +119,7 @@
         let urgent = !leader.cluster.proposals.is_empty()
             || !leader.cluster.completed_jobs.is_empty()
             || leader.cluster.groups.values().any(|g| g.urgent);
-        let oversized = leader.cluster.has_oversized_group(self.limits.value_bytes);
+        let oversized = leader.cluster.has_oversized_group(self.store.limits().value_bytes);
         // Every second commit divides until no group is too large. Such a commit, and one for a gang that
         // did not fit beside other changes, holds nothing else that can wait, and waits itself for
         // as many writes as a transaction may have.
@@ -130,9 +129,9 @@
             (false, false) => TransactionScope::Everything,
         };
         if (urgent || batch) && self.store_is_usable() {
-            let left = (self.write_budget.left(now) - WRITE_RESERVE).max(0.0) as usize;
-            let most = self.limits.transaction_ops;
-            let burst = (self.write_budget.burst() - WRITE_RESERVE).max(1.0) as usize;
+            let left = (self.store.writes_left(now) - WRITE_RESERVE).max(0.0) as usize;
+            let most = self.store.limits().transaction_ops;
+            let burst = (self.store.write_budget().burst() - WRITE_RESERVE).max(1.0) as usize;
             let least = if focus == TransactionScope::Everything { 1 } else { most.min(burst) };
             if left >= least {
                 self.build_commit(batch, focus, left.min(most));
@@ -144,7 +143,7 @@
     /// Packs what is to be written into one commit, the most urgent first.
     fn build_commit(&mut self, batch: bool, focus: TransactionScope, max_ops: usize) {
         let now = self.now.monotonic_ms;
-        let cap = self.limits.value_bytes;
+        let cap = self.store.limits().value_bytes;
         let Some(leader) = self.leader.as_mut() else { return };
         leader.divided_last = focus == TransactionScope::DivideGroup;
         let mut p = TransactionBuilder {
@@ -152,7 +151,7 @@
             writes: Vec::new(),
             bytes: 0,
             max_ops,
-            max_ifs: self.limits.transaction_ops * CONDITIONS_PER_CHANGE,
+            max_ifs: self.store.limits().transaction_ops * CONDITIONS_PER_CHANGE,
             value_bytes_max: cap,
         };
         let mut f = PendingTransaction::default();
@@ -183,8 +182,7 @@
         leader.cluster.pack_places(&mut p, &mut f, batch, focus);
         if batch && focus == TransactionScope::Everything {
             // Hints and tidying up only with writes to spare.
-            let plenty =
-                self.write_budget.left(now) >= self.write_budget.burst() * WRITES_SHORT_SHARE;
+            let plenty = !self.store.writes_are_short(now);
             if plenty {
                 self.pack_rest(&mut p, &mut f);
             }
@@ -208,8 +206,8 @@
     fn pack_rest(&mut self, p: &mut TransactionBuilder, f: &mut PendingTransaction) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
-        if let Some(catalog) = self.catalog.as_ref().filter(|_| !leader.catalog_written) {
-            let known = self.replica.catalog.as_ref();
+        if let Some(catalog) = self.cloud.catalog().filter(|_| !leader.catalog_written) {
+            let known = self.store.replica().catalog.as_ref();
             let alike = known.is_some_and(|k| {
                 k.value
                     .machine_types
@@ -226,14 +224,14 @@
                 term: leader.term,
                 teams: names.zip(leader.shares.clone()).collect(),
             };
-            let mod_revision = self.replica.shares.as_ref().map_or(0, |s| s.mod_revision);
+            let mod_revision = self.store.replica().shares.as_ref().map_or(0, |s| s.mod_revision);
             leader.shares_written = p.put(shares_key(), raw(&rec), mod_revision);
         }
         if now >= leader.images_at {
             let mut all = true;
             for (n, rec) in leader.cluster.image_records(p.value_bytes_max).into_iter().enumerate()
             {
-                let known = self.replica.images.get(&(n as u32));
+                let known = self.store.replica().images.get(&(n as u32));
                 if known.is_none_or(|k| k.value != rec) {
                     let mod_revision = known.map_or(0, |k| k.mod_revision);
                     all &= p.put(images_key(n as u32), raw(&rec), mod_revision);
@@ -246,9 +244,10 @@
         if now >= leader.garbage_at && leader.cluster.stale_keys.is_empty() {
             leader.garbage_at = now + GARBAGE_PERIOD_MS;
             // Batches whose jobs are all over, with nothing left on machines.
-            let over =
-                |uid: &Name| self.replica.has_ended(uid) && !leader.cluster.jobs.contains_key(uid);
-            for (key, batch) in &self.replica.batches {
+            let over = |uid: &Name| {
+                self.store.replica().has_ended(uid) && !leader.cluster.jobs.contains_key(uid)
+            };
+            for (key, batch) in &self.store.replica().batches {
                 if batch.value.iter().all(over) {
                     leader.cluster.stale_keys.push((key.to_string(), batch.mod_revision));
                 }
@@ -267,7 +266,7 @@
         let Some(leader) = self.leader.as_mut() else { return };
         let Some(f) = leader.pending_transaction.as_mut() else { return };
         let n = f.commit.writes.len() as f64;
-        if !self.write_budget.take(n, 0.0, now) {
+        if !self.store.take_writes(n, 0.0, now) {
             return;
         }
         f.in_flight = true;
@@ -320,7 +319,7 @@
                 f.not_before = now + STATE_RETRY_MS;
                 let unclear = f.outcome_unknown;
                 if status == 400 {
-                    self.limits.halve_sizes();
+                    self.store.halve_size_limits();
                 }
                 match unclear {
                     // Sent again it would be refused for ever, and built anew it might be stored
@@ -348,7 +347,7 @@
         f.awaiting_read_since = None;
         if !f.outcome_unknown {
             let agrees = |condition: &Condition| {
-                self.replica.mod_revision(&condition.key) == condition.mod_revision
+                self.store.replica().mod_revision(&condition.key) == condition.mod_revision
             };
             let refused_for_nothing = f.commit.conditions.iter().all(agrees);
             self.discard_pending_transaction();
@@ -364,11 +363,11 @@
                 return None;
             };
             let before = f.commit.conditions.iter().find(|i| i.key == *key)?.mod_revision;
-            let mod_revision = self.replica.mod_revision(key);
+            let mod_revision = self.store.replica().mod_revision(key);
             if mod_revision <= before {
                 return None;
             }
-            self.replica.holds(key, value).then_some(mod_revision)
+            self.store.replica().holds(key, value).then_some(mod_revision)
         });
         match applied {
             Some(rev) => self.apply_pending_transaction(rev),
@@ -411,18 +410,18 @@
         // earlier commits and users' requests write, so nothing is lost by that.
         for n in f.groups {
             if let Some(g) = leader.cluster.groups.get_mut(&n) {
-                g.mod_revision = self.replica.mod_revision(&placements_key(n));
+                g.mod_revision = self.store.replica().mod_revision(&placements_key(n));
                 g.urgent |= !g.settled.is_empty();
             }
         }
         for n in f.done_groups {
             if let Some(g) = leader.cluster.done_groups.get_mut(&n) {
-                g.mod_revision = self.replica.mod_revision(&done_tasks_key(n));
+                g.mod_revision = self.store.replica().mod_revision(&done_tasks_key(n));
             }
         }
         for (key, before) in f.stale_keys {
             // Only what is still as it was: it may have come into use again.
-            if self.replica.mod_revision(&key) == before && before != 0 {
+            if self.store.replica().mod_revision(&key) == before && before != 0 {
                 leader.cluster.stale_keys.push((key, before));
             }
         }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -4,8 +4,7 @@
 use super::{CallPurpose, Controller, Leader};
 use crate::constants::{
     ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_REST_MS, LEADER_LIFE_MS,
-    LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS, STATE_RPS_SHARE,
-    WRITE_SHARE_LEADER,
+    LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITE_SHARE_LEADER,
 };
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
@@ -37,7 +36,7 @@
         {
             return;
         }
-        let vacant = match &self.replica.leader {
+        let vacant = match &self.store.replica().leader {
             None => true,
             // An earlier life of this very controller: it is surely over.
             Some(leader) => {
@@ -77,7 +76,7 @@
         let own = |leader: &LeaderRecord| {
             leader.label == self.settings.label && leader.incarnation != self.process_id
         };
-        let leader_key_revision = match &self.replica.leader {
+        let leader_key_revision = match &self.store.replica().leader {
             None => 0,
             Some(leader) if own(&leader.value) => leader.mod_revision,
             Some(_) => return,
@@ -91,7 +90,10 @@
         let mut commit = Transaction {
             conditions: vec![
                 Condition { key: leader_key(), mod_revision: leader_key_revision },
-                Condition { key: term_key(), mod_revision: self.replica.mod_revision(&term_key()) },
+                Condition {
+                    key: term_key(),
+                    mod_revision: self.store.replica().mod_revision(&term_key()),
+                },
             ],
             writes: vec![
                 Mutation::Put {
@@ -104,7 +106,7 @@
         };
         self.add_to_election(&mut commit, term);
         self.election.busy = true;
-        self.write_budget.take(2.0, f64::MIN, self.now.monotonic_ms);
+        self.store.take_writes(2.0, f64::MIN, self.now.monotonic_ms);
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let purpose = CallPurpose::Elect { lease_id: hold.lease_id, term, sent: self.sent_at() };
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
@@ -137,21 +139,20 @@
         }
         // The watch may have told of our own term before this answer came: only a higher one
         // counts. Taking an equal one for someone else's once cost three terms in a row.
-        if self.highest_term > term {
+        if self.membership.highest_term() > term {
             return;
         }
         log::info!("leads in term {term}");
-        self.highest_term = term;
-        self.store_sync.max_rev = self.store_sync.max_rev.max(won.revision);
-        let all = self.settings.params.cloud.rps * STATE_RPS_SHARE;
-        self.cloud_budget.set_rate(all, self.now.monotonic_ms);
+        self.membership.note_term(term);
+        self.store.note_revision(won.revision);
+        self.cloud.set_leader_rate(self.now.monotonic_ms);
         self.leader = Some(Leader::new(
             term,
             won.revision,
             lease_id,
-            self.peers.len(),
+            self.membership.peer_count(),
             self.now.monotonic_ms,
-            self.replica.hash_keys(),
+            self.store.replica().hash_keys(),
         ));
         self.set_state_rates();
         self.begin_rebuild_if_lost();
@@ -171,13 +172,11 @@
     /// Sets this controller's part of what the state service allows all of them.
     pub(super) fn set_state_rates(&mut self) {
         let controllers = self.settings.controllers();
-        let share = match self.leader.is_some() {
+        let write_share = match self.leader.is_some() {
             true => leader_write_share(controllers),
             false => follower_write_share(controllers),
         };
-        self.write_budget.set_rate(self.limits.writes_per_s * share, self.now.monotonic_ms);
-        let reads = self.limits.requests_per_s * STATE_RPS_SHARE / controllers as f64;
-        self.read_budget.set_rate(reads, self.now.monotonic_ms);
+        self.store.set_rates(controllers, write_share, self.now.monotonic_ms);
     }
 
     pub(super) fn renew_due(&mut self) {
@@ -219,11 +218,11 @@
     /// Steps down when someone has a higher term, or our key is not ours any more.
     pub(super) fn check_term(&mut self) {
         let Some(leader) = &self.leader else { return };
-        if self.highest_term > leader.term {
+        if self.membership.highest_term() > leader.term {
             return self.step_down("there is a higher term");
         }
-        let known = self.replica.revision >= leader.mod_revision;
-        if known && self.replica.mod_revision(&leader_key()) != leader.mod_revision {
+        let known = self.store.replica().revision >= leader.mod_revision;
+        if known && self.store.replica().mod_revision(&leader_key()) != leader.mod_revision {
             self.step_down("the leader key is not ours");
         }
     }
@@ -233,9 +232,7 @@
         self.leave_rebuild();
         log::info!("no longer leads in term {}: {why}", leader.term);
         self.set_state_rates();
-        let rps =
-            self.settings.params.cloud.rps * STATE_RPS_SHARE / self.settings.controllers() as f64;
-        self.cloud_budget.set_rate(rps, self.now.monotonic_ms);
+        self.cloud.set_follower_rate(self.settings.controllers(), self.now.monotonic_ms);
         for held in leader.deferred_heartbeats {
             self.redirect(held.connection);
         }
--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/fleet/consolidation.rs
@@ -14,7 +14,7 @@
     pub(super) fn consolidate(&mut self) {
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
-        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(catalog) = self.cloud.catalog().cloned() else { return };
         let Some(leader) = self.leader.as_mut() else { return };
         let spare = leader.spare_slots(now, &catalog);
         let cluster = &leader.cluster;
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/fleet/listing.rs
@@ -1,38 +1,23 @@
 //! What the cloud lists: machine types, machines that are there, failed or gone.
 
 use super::*;
-use crate::constants::{
-    CATALOG_PERIOD_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, MS_PER_S,
-};
+use crate::constants::{CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, MS_PER_S};
 use crate::storage::machine::PlacementPhase;
 
 impl Controller {
     pub(in crate::coordination) fn catalog_due(&mut self) {
         let now = self.now.monotonic_ms;
-        let period = if self.leader.is_some() { CATALOG_PERIOD_MS } else { CATALOG_PERIOD_MS * 10 };
-        let wait = if self.catalog.is_some() { period } else { CLOUD_RETRY_MS };
-        if self.catalog_asked || self.catalog_at.is_some_and(|t| now < t + wait) {
-            return;
-        }
-        if self.cloud_budget.take(1.0, 0.0, now) {
-            self.catalog_asked = true;
-            self.catalog_at = Some(now);
-            self.call(
-                Service::Cloud,
-                "GET",
-                "/catalog".into(),
-                vec![],
-                CLOUD_CALL_MS,
-                CallPurpose::Catalog,
-            );
+        if self.cloud.begin_catalog_request(self.leader.is_some(), now) {
+            let (path, purpose) = ("/catalog".into(), CallPurpose::Catalog);
+            self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
     }
 
     pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<(u16, Vec<u8>)>) {
-        self.catalog_asked = false;
+        self.cloud.end_catalog_request();
         let Some((200, body)) = reply else { return };
         match serde_json::from_slice::<Catalog>(&body) {
-            Ok(catalog) => self.catalog = Some(Rc::new(catalog)),
+            Ok(catalog) => self.cloud.set_catalog(catalog),
             Err(e) => log::error!("catalogue can't be read: {e}"),
         }
     }
@@ -61,7 +46,7 @@
         let last = hosts.machines.last().map(|h| h.uid.clone());
         leader.fleet.pages.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
-            self.cloud_budget.take(1.0, f64::MIN, now);
+            self.cloud.take_request(f64::MIN, now);
             let path = hosts_path(Some(&last), LIST_LIMIT);
             let purpose = CallPurpose::Hosts { begun };
             return self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -11,11 +11,14 @@
 use crate::constants::{
     CLOUD_CALL_MS, DRAIN_TARGET_S, LIST_LIMIT, LIST_PERIOD_MS, MS_PER_S, RENT_PATIENCE_BOOTS,
 };
-use crate::protocol::cloud::{hosts_path, Host, HostStatus, Hosts, MachineType, Names, Rent};
+use crate::protocol::cloud::{
+    hosts_path, Catalog, Host, HostStatus, Hosts, MachineType, Names, Rent,
+};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::EndCause;
 use crate::protocol::Resources;
 use crate::storage::cluster::ClusterState;
+use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::machine::{Machine, MachineState, Placement, TaskId};
 use crate::storage::records::Name;
 use std::collections::VecDeque;
@@ -177,9 +180,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !leader.fleet.listing
-            && now >= leader.fleet.list_at
-            && self.cloud_budget.take(1.0, 0.0, now)
+        if !leader.fleet.listing && now >= leader.fleet.list_at && self.cloud.take_request(0.0, now)
         {
             leader.fleet.listing = true;
             leader.fleet.list_begun = now;
@@ -195,7 +196,7 @@
         if now >= leader.fleet.look_at {
             leader.fleet.look_at = now + leader.fleet_period();
             self.metrics.work.fleet_scans += 1;
-            if let Some(catalog) = &self.catalog {
+            if let Some(catalog) = self.cloud.catalog() {
                 leader.note_arrivals(self.now, catalog);
             }
             self.forget_gone();
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/fleet/renting.rs
@@ -9,7 +9,7 @@
 impl Controller {
     pub(super) fn rent_machines(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.cloud.catalog().cloned() else {
             return;
         };
         let rent_spot = self.operator.rent_spot;
@@ -173,7 +173,7 @@
                 if number == 0 {
                     continue;
                 }
-                if !self.cloud_budget.take(1.0, 1.0, now) {
+                if !self.cloud.take_request(1.0, now) {
                     *left = 0;
                     continue;
                 }
@@ -219,7 +219,7 @@
         reply: Option<(u16, Vec<u8>)>,
     ) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.cloud.catalog().cloned() else {
             return;
         };
         let Some(leader) = self.leader.as_mut() else {
--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/returning.rs
@@ -11,7 +11,7 @@
     pub(super) fn return_machines(&mut self) {
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.cloud.catalog().cloned() else {
             return;
         };
         // Leases may be kept in our place for so long after we were last heard.
@@ -104,7 +104,7 @@
             return;
         }
         names.truncate(DELETE_MAX);
-        if !self.cloud_budget.take(1.0, 0.0, now) {
+        if !self.cloud.take_request(0.0, now) {
             return;
         }
         for n in &names {
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -300,13 +300,13 @@
                 // The store is written back first.
                 return;
             }
-            if self.replica.revision < leader.mod_revision {
+            if self.store.replica().revision < leader.mod_revision {
                 return self.request_leader_read();
             }
-            leader.cluster = ClusterState::from_replica(&self.replica, now);
+            leader.cluster = ClusterState::from_replica(self.store.replica(), now);
             leader.ready = true;
             leader.ready_at = now;
-            if let Some(rec) = &self.replica.shares {
+            if let Some(rec) = &self.store.replica().shares {
                 let of = |t: &str| rec.value.teams.iter().find(|(n, _)| n == t).map(|(_, s)| *s);
                 leader.shares =
                     self.settings.params.teams.iter().map(|t| of(&t.name).unwrap_or(0)).collect();
@@ -335,7 +335,7 @@
             return;
         }
         self.metrics.work.lease_scans += 1;
-        let alone_since = self.nobody_else_answered_before();
+        let alone_since = self.leases_not_extended_before();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -378,8 +378,10 @@
         let Some(leader) = &self.leader else { return };
         let quiet = now > leader.last_heartbeat_at + LEADER_UNHEARD_MS
             && now > leader.began_at + LEADER_UNHEARD_MS;
-        let peers_hear =
-            self.fresh_gossip().any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
+        let peers_hear = self
+            .membership
+            .fresh_gossip(self.now.monotonic_ms)
+            .any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
         if quiet && peers_hear {
             self.hand_over("no worker reports here, but to others they do");
         }
@@ -389,7 +391,7 @@
 
     fn plan_pass(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.cloud.catalog().cloned() else {
             return;
         };
         let wall_ms = self.now.wall_ms;
--- /dev/null
+++ b/src/coordination/membership/gossip.rs
@@ -0,0 +1,126 @@
+//! Gossip: what controllers tell each other about themselves, twice a second.
+
+use super::NoExtensionSince;
+use crate::constants::{GOSSIP_CALL_MS, GOSSIP_MS, MS_PER_S, PEER_VERSION};
+use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
+use crate::protocol::peers::{decode, encode, Gossip};
+
+/// Heartbeat periods within which a worker counts as seen.
+const SEEN_PERIODS: f64 = 2.0;
+
+impl Controller {
+    fn gossip(&self) -> Gossip {
+        let now = self.now.monotonic_ms;
+        let seen_ms = (self.settings.params.workers.report_s * MS_PER_S * SEEN_PERIODS) as u64;
+        let is_served =
+            !self.store.is_refused() && self.store.is_loaded() && !self.recovery.holds();
+        let last_served_at = self.store.last_served_at().filter(|_| is_served);
+        let (store, recovery) = self.recovery_state();
+        Gossip {
+            version: PEER_VERSION,
+            label: self.settings.label.clone(),
+            incarnation: self.process_id,
+            term: self.membership.highest_term,
+            leads: self.leader.is_some(),
+            max_rev: self.store.max_revision(),
+            age_ms: now - self.started_at,
+            served_ago_ms: last_served_at.map(|t| now - t),
+            workers_seen: self.membership.workers_seen(seen_ms, now),
+            extended_lease_ago_ms: now - self.membership.lease_extension.last_at(),
+            since: self.ended_jobs_query(),
+            ended: Vec::new(),
+            ended_all: false,
+            store,
+            lost_term: self.recovery.lost_term(),
+            recovery,
+        }
+    }
+
+    /// Sends gossip to the peers whose turn it is.
+    pub(in crate::coordination) fn gossip_due(&mut self) {
+        let now = self.now.monotonic_ms;
+        for index in 0..self.membership.peers.len() {
+            let peer = &mut self.membership.peers[index];
+            if peer.gossip_in_flight || now < peer.next_gossip_at {
+                continue;
+            }
+            peer.gossip_in_flight = true;
+            peer.next_gossip_at = now + GOSSIP_MS;
+            let body = encode(&self.gossip());
+            let purpose = CallPurpose::Gossip { peer: index, begun: now };
+            let service = Service::Peer(index);
+            self.call(service, "POST", "/gossip".into(), body, GOSSIP_CALL_MS, purpose);
+        }
+    }
+
+    pub(in crate::coordination) fn on_gossip_response(
+        &mut self,
+        peer: usize,
+        asked_at: u64,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        self.membership.peers[peer].gossip_in_flight = false;
+        let Some((200, body)) = reply else { return };
+        if self.receive_gossip(&body) != Some(peer) {
+            return;
+        }
+        let now = self.now.monotonic_ms;
+        let member = &mut self.membership.peers[peer];
+        let Some(gossip) = &member.gossip else { return };
+        let since = now.saturating_sub(gossip.extended_lease_ago_ms);
+        member.no_extension = Some(NoExtensionSince { asked_at, since });
+        if gossip.leads {
+            self.membership.lease_extension.permit(gossip.term, asked_at);
+        }
+        self.record_ended_jobs(peer, asked_at);
+    }
+
+    /// Takes note of what a peer says; tells which one it is.
+    fn receive_gossip(&mut self, body: &[u8]) -> Option<usize> {
+        let gossip: Gossip = match decode(body) {
+            Ok(gossip) => gossip,
+            Err(error) => {
+                log::info!("message of a peer can't be read: {error}");
+                return None;
+            }
+        };
+        if gossip.version != PEER_VERSION {
+            log::info!("message of {} has version {}", gossip.label, gossip.version);
+            return None;
+        }
+        let index = self.settings.peers.iter().position(|peer| peer.label == gossip.label)?;
+        self.membership.note_term(gossip.term);
+        self.note_peer_store(&gossip);
+        let peer = &mut self.membership.peers[index];
+        peer.last_heard_at = self.now.monotonic_ms;
+        peer.gossip = Some(gossip);
+        self.check_term();
+        Some(index)
+    }
+
+    /// Answers gossip with our own, and with the ends that the peer asks for.
+    pub(in crate::coordination) fn answer_gossip(&mut self, connection: ConnectionId, body: &[u8]) {
+        let Some(peer) = self.receive_gossip(body) else {
+            return self.respond(connection, 400, None, vec![]);
+        };
+        let answer = encode(&self.gossip_for(peer));
+        if let Some(leader) = self.leader.as_mut() {
+            // Hearing that we lead permits the peer to extend workers' leases for a while.
+            leader.lease_extension_permits[peer] = Some(self.now.monotonic_ms);
+        }
+        self.respond(connection, 200, None, answer);
+    }
+
+    fn gossip_for(&self, peer: usize) -> Gossip {
+        let mut answer = self.gossip();
+        let asked = self.membership.peers[peer].gossip.as_ref();
+        if let Some(since) = asked.and_then(|gossip| gossip.since) {
+            // Revisions of another store than ours say nothing about what it lacks.
+            let asked_in = asked.and_then(|gossip| gossip.store);
+            let same_store = asked_in == answer.store && !self.recovery.holds();
+            self.list_ended_jobs(since, &mut answer);
+            answer.ended_all &= same_store;
+        }
+        answer
+    }
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,214 +1,81 @@
-//! Leadership, planning, machines, workers' commands and users' requests.
+//! The core of a controller: leadership, planning, machines, workers' commands and users' requests.
 //!
-//! [`Controller`] owns all state of a controller. It takes commands in batches, in the
-//! order of their rank (workers' reports, then answers and timers, then users' requests),
-//! and gives effects. It does no I/O; the clock and the seed of its randomness are passed in.
+//! [`Controller`] takes commands in batches, in the order of their priority, and gives effects. It does no
+//! I/O; the clock and the seed of its randomness are passed in. It hands each command to the part that it
+//! concerns; each part owns its state in private fields of a module of its own:
+//!
+//! * [`store_client`]: the copy of the state service's store, reads and request rates;
+//! * [`cloud_client`]: the rate of the cloud's requests, the catalogue of machine types;
+//! * [`membership`]: what peers say, the highest term heard of, lease extension;
+//! * [`election`]: taking and giving up leadership;
+//! * [`leader`]: the state of a term, planning passes, transactions, [`fleet`] and [`gangs`];
+//! * [`requests`]: users' submissions, polls and cancellations;
+//! * [`recovery`]: noticing that the store has lost data, and rebuilding it;
+//! * [`outbox`]: effects, and calls that are not answered yet;
+//! * [`metrics`] and [`status`]: what operators are told.
 
+mod cloud_client;
 mod commit_places;
 mod commits;
 mod election;
 mod fleet;
 mod gangs;
-mod isolation;
+mod interface;
 mod lateness;
 mod leader;
-mod lease_extension;
+mod membership;
 pub mod metrics;
-mod peers;
+mod outbox;
 pub mod planner;
 mod recovery;
 mod report_evidence;
+mod requests;
 mod snapshot;
 pub mod status;
-mod submissions;
-mod sync;
-mod users;
+mod store_client;
+mod store_isolation;
 mod wait_reason;
 mod workers;
 
+pub use interface::{CallId, Clock, Command, ConnectionId, Effect, Service};
 pub use leader::Leader;
 
-use crate::constants::{
-    BATCH_USER_MAX, POLL_MAX_MS, POLL_SOON_MS, RETRY_AFTER_BUSY_S, STATE_RPS_SHARE,
-};
-use crate::protocol::cloud::Catalog;
+use crate::constants::{BATCH_USER_MAX, POLL_MAX_MS, POLL_SOON_MS};
 use crate::protocol::recovery::RECOVERY_PATH;
-use crate::protocol::state::Transaction;
 use crate::settings::{Operator, Platform};
-use crate::storage::budget::Bucket;
-use crate::storage::hashing::{HashKeys, HashMap, HashSet};
-use crate::storage::limits::StoreLimits;
-use crate::storage::records::Name;
+use crate::storage::hashing::HashKeys;
 use crate::storage::replica::Replica;
+use cloud_client::CloudClient;
+use election::Election;
+use interface::CommandPriority;
+use membership::Membership;
+use metrics::Metrics;
+use outbox::{CallPurpose, Outbox};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
+use recovery::Recovery;
+use requests::{Requester, Submissions};
 use std::rc::Rc;
-
-/// Two clocks in milliseconds: steady, and time of day.
-#[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Clock {
-    /// Steady clock: only differences mean anything.
-    pub monotonic_ms: u64,
-    /// Time of day, which may be off and step.
-    pub wall_ms: u64,
-}
-
-/// Names an inbound connection.
-pub type ConnectionId = u64;
-/// Names a call.
-pub type CallId = u64;
-
-/// Where a call goes.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Service {
-    /// The state service.
-    State,
-    /// The cloud.
-    Cloud,
-    /// Another controller, by its place in the settings.
-    Peer(usize),
-}
-
-/// What comes in.
-#[derive(Debug)]
-pub enum Command {
-    /// A request from users, workers or health checks.
-    Public {
-        /// The connection to answer on.
-        connection: ConnectionId,
-        /// HTTP method.
-        method: String,
-        /// Path with its query.
-        path: String,
-        /// Body; may be empty.
-        body: Vec<u8>,
-    },
-    /// A request from another controller.
-    Peer {
-        /// The connection to answer on.
-        connection: ConnectionId,
-        /// HTTP method.
-        method: String,
-        /// Path with its query.
-        path: String,
-        /// Body; may be empty.
-        body: Vec<u8>,
-    },
-    /// The answer to a call; `None`: no answer, it may have been carried out or may be later.
-    Reply {
-        /// The call that it answers.
-        call: CallId,
-        /// Status and body, or none.
-        reply: Option<(u16, Vec<u8>)>,
-    },
-}
-
-/// What goes out.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Effect {
-    /// Answers a request.
-    Respond {
-        /// The connection it came on.
-        connection: ConnectionId,
-        /// HTTP status.
-        status: u16,
-        /// Seconds after which the client may come back.
-        retry_after_s: Option<u64>,
-        /// Body.
-        body: Vec<u8>,
-    },
-    /// Sends a request; its reply comes back as [`Command::Reply`].
-    Call {
-        /// Name of the call.
-        id: CallId,
-        /// Where it goes.
-        service: Service,
-        /// HTTP method.
-        method: &'static str,
-        /// Path with its query.
-        path: String,
-        /// Body; may be empty.
-        body: Vec<u8>,
-        /// Milliseconds after which it counts as unanswered.
-        timeout_ms: u64,
-    },
-}
-
-/// Who waits for the answer to a user's request.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Requester {
-    connection: ConnectionId,
-    /// A peer that passes the answer on.
-    relayed: bool,
-    since: u64,
-}
-
-/// What a call was made for.
-#[derive(Debug)]
-enum CallPurpose {
-    List { epoch: u32 },
-    Watch { asked: StoreQuestion },
-    Fresh { begun: u64, asked: StoreQuestion },
-    Lease,
-    Elect { lease_id: u64, term: u64, sent: recovery::SentAt },
-    Renew { lease_id: u64 },
-    StepDown,
-    LeaderCommit { term: u64 },
-    Submit { batch: u64, copy: usize },
-    Cancel { requester: Requester, uid: String, commit: Transaction, sent: recovery::SentAt },
-    Rebuild(recovery::RebuildCall),
-    Decision(recovery::DecisionCall),
-    Image { peer: usize },
-    Gossip { peer: usize, begun: u64 },
-    Relay { requester: Requester },
-    Catalog,
-    Hosts { begun: u64 },
-    Rent(fleet::Rental),
-    Delete(Vec<Name>),
-}
-
-/// Which read of the store a question belongs to, and the revision that it asks beyond.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct StoreQuestion {
-    epoch: u32,
-    since: u64,
-}
+use store_client::StoreClient;
 
 /// A controller.
 pub struct Controller {
     settings: Rc<Platform>,
     operator: Rc<Operator>,
     rng: SmallRng,
+    /// Random number that tells this process from earlier ones of the same controller.
     process_id: u64,
     now: Clock,
     started_at: u64,
-    effects: Vec<Effect>,
-    next_call: CallId,
-    calls: HashMap<CallId, CallPurpose>,
-    replica: Replica,
-    store_sync: sync::Sync,
-    limits: StoreLimits,
-    read_budget: Bucket,
-    write_budget: Bucket,
-    cloud_budget: Bucket,
-    catalog: Option<Rc<Catalog>>,
-    catalog_at: Option<u64>,
-    catalog_asked: bool,
-    election: election::Election,
+    outbox: Outbox,
+    store: StoreClient,
+    cloud: CloudClient,
+    membership: Membership,
+    election: Election,
+    /// The state of the term that this controller leads in.
     leader: Option<Leader>,
-    peers: Vec<peers::PeerView>,
-    /// Highest term heard of from anyone.
-    highest_term: u64,
-    /// When each worker last reported here.
-    worker_heartbeats: HashMap<String, u64>,
-    lease_extension: lease_extension::LeaseExtension,
-    /// Jobs that are over by the word of peers, ahead of our copy of the store.
-    ended_by_peers: HashSet<Name>,
-    metrics: metrics::Metrics,
-    /// Submissions that gather for a batch, and batches on their way.
-    gathering_submissions: Vec<submissions::Pending>,
-    submission_batches: HashMap<u64, submissions::Batch>,
-    batches_made: u64,
-    recovery: recovery::Recovery,
+    submissions: Submissions,
+    recovery: Recovery,
+    metrics: Metrics,
 }
 
 impl Controller {
@@ -216,45 +83,24 @@
     pub fn new(settings: Platform, operator: Operator, clock: Clock, seed: u64) -> Controller {
         let mut rng = SmallRng::seed_from_u64(seed);
         let keys = HashKeys::from_seed(seed);
-        let n = settings.controllers() as f64;
-        let limits = StoreLimits::new(&settings.params.state);
-        let peers = settings.peers.iter().map(|_| peers::PeerView::default()).collect();
-        let share = election::follower_write_share(settings.controllers());
+        let now = clock.monotonic_ms;
+        let controllers = settings.controllers();
+        let write_share = election::follower_write_share(controllers);
+        let state_limits = &settings.params.state;
         Controller {
             process_id: rng.random(),
-            read_budget: Bucket::new(
-                limits.requests_per_s * STATE_RPS_SHARE / n,
-                clock.monotonic_ms,
-            ),
-            write_budget: Bucket::new(limits.writes_per_s * share, clock.monotonic_ms),
-            cloud_budget: Bucket::new(
-                settings.params.cloud.rps * STATE_RPS_SHARE / n,
-                clock.monotonic_ms,
-            ),
-            limits,
             rng,
             now: clock,
-            started_at: clock.monotonic_ms,
-            effects: Vec::new(),
-            next_call: 1,
-            calls: keys.map(),
-            replica: Replica::new(keys),
-            store_sync: sync::Sync::default(),
-            catalog: None,
-            catalog_at: None,
-            catalog_asked: false,
-            election: election::Election::default(),
+            started_at: now,
+            outbox: Outbox::new(keys),
+            store: StoreClient::new(state_limits, controllers, write_share, keys, now),
+            cloud: CloudClient::new(settings.params.cloud.rps, controllers, now),
+            membership: Membership::new(settings.peers.len(), keys, now),
+            election: Election::default(),
             leader: None,
-            peers,
-            highest_term: 0,
-            worker_heartbeats: keys.map(),
-            lease_extension: lease_extension::LeaseExtension::new(clock.monotonic_ms),
-            ended_by_peers: keys.set(),
-            metrics: metrics::Metrics::new(clock.monotonic_ms),
-            gathering_submissions: Vec::new(),
-            submission_batches: keys.map(),
-            batches_made: 0,
-            recovery: recovery::Recovery::new(&operator.recovery),
+            submissions: Submissions::new(keys),
+            recovery: Recovery::new(&operator.recovery),
+            metrics: Metrics::new(now),
             settings: Rc::new(settings),
             operator: Rc::new(operator),
         }
@@ -266,29 +112,27 @@
         self.now = clock;
         self.metrics.work.batches += 1;
         self.metrics.work.batches_empty += u64::from(commands.is_empty());
-        commands.sort_by_key(rank_of);
-        let mut users = 0;
+        commands.sort_by_key(Command::priority);
+        let mut user_requests = 0;
         for command in commands {
-            let user = rank_of(&command) == 2;
-            if user {
-                users += 1;
-            }
-            if user && users > BATCH_USER_MAX {
+            user_requests += usize::from(command.priority() == CommandPriority::User);
+            if user_requests > BATCH_USER_MAX {
                 self.shed(command);
             } else {
                 self.command(command);
             }
         }
-        self.due();
-        std::mem::take(&mut self.effects)
+        self.do_what_is_due();
+        self.outbox.take_effects()
     }
 
-    /// When the next batch is due at the latest.
+    /// When the next batch is due at the latest, on the steady clock in milliseconds.
     pub fn next_wake(&self) -> u64 {
         let now = self.now.monotonic_ms;
+        let writes = self.store.write_budget();
         let leader = self.leader.as_ref().filter(|_| self.store_is_usable());
-        let leader = leader.and_then(|leader| leader.next_wake(now, &self.write_budget));
-        let times = [leader, self.batches_wake()].into_iter().flatten();
+        let leader = leader.and_then(|leader| leader.next_wake(now, writes));
+        let times = [leader, self.submissions.next_wake(writes)].into_iter().flatten();
         // What is due already waits for something that no time tells, and is looked at now and then.
         let times = times.map(|t| if t > now { t } else { now + POLL_SOON_MS });
         times.fold(now + POLL_MAX_MS, u64::min)
@@ -297,63 +141,69 @@
     fn command(&mut self, command: Command) {
         match command {
             Command::Public { connection, method, path, body } => {
-                self.public(connection, &method, &path, body)
+                self.public_request(connection, &method, &path, &body);
             }
             Command::Peer { connection, method, path, body } => {
-                self.peer_request(connection, &method, &path, &body)
+                self.peer_request(connection, &method, &path, &body);
             }
             Command::Reply { call, reply } => self.reply(call, reply),
         }
     }
 
-    fn public(&mut self, connection: ConnectionId, method: &str, path: &str, body: Vec<u8>) {
+    fn public_request(&mut self, connection: ConnectionId, method: &str, path: &str, body: &[u8]) {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
-        let requester = Requester { connection, relayed: false, since: self.now.monotonic_ms };
+        let requester = Requester::direct(connection, self.now.monotonic_ms);
         match (method, path) {
-            ("POST", "/checkin") => self.on_heartbeat(connection, &body),
-            ("GET", "/up") => {
-                self.metrics.work.health_checks += 1;
-                self.up(connection)
-            }
+            ("POST", "/checkin") => self.on_heartbeat(connection, body),
+            ("GET", "/up") => self.health_check(connection),
             ("GET", "/v1/status") => self.status(connection, query),
             (_, path) if path.starts_with(RECOVERY_PATH) => {
-                self.recovery_request(connection, method, path, &body)
+                self.recovery_request(connection, method, path, body);
             }
             (_, "/checkin" | "/up" | "/v1/status") => {
-                self.refuse(requester, 405, "wrong method", None)
+                self.refuse(requester, 405, "wrong method", None);
             }
-            _ => self.user_request(requester, method, path, &body),
+            _ => self.user_request(requester, method, path, body),
+        }
+    }
+
+    fn peer_request(&mut self, connection: ConnectionId, method: &str, path: &str, body: &[u8]) {
+        self.metrics.work.peer_requests_received += 1;
+        match (method, path) {
+            ("POST", "/gossip") => self.answer_gossip(connection, body),
+            ("POST", "/relay") => self.answer_relayed_request(connection, body),
+            ("POST", "/image") => self.answer_image_request(connection, body),
+            _ => self.respond(connection, 404, None, vec![]),
         }
     }
 
+    /// Refuses a user's request that came in one batch with too many others.
     fn shed(&mut self, command: Command) {
         if let Command::Public { connection, .. } = command {
-            let requester = Requester { connection, relayed: false, since: self.now.monotonic_ms };
-            self.refuse(requester, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
+            self.refuse_overloaded(Requester::direct(connection, self.now.monotonic_ms));
         }
     }
 
+    /// Hands the answer of a call to the part that made it.
     fn reply(&mut self, call: CallId, reply: Option<(u16, Vec<u8>)>) {
-        let Some(purpose) = self.calls.remove(&call) else {
+        let Some(purpose) = self.outbox.take_purpose(call) else {
             return;
         };
-        if self.is_store_call(&purpose) {
-            self.note_store_response(&purpose, reply.as_ref().map(|r| r.0));
-        }
+        self.note_store_response(&purpose, reply.as_ref().map(|(status, _)| *status));
         match purpose {
             CallPurpose::List { epoch } => self.on_list_response(epoch, reply),
             CallPurpose::Watch { asked } => self.on_watch_response(asked, reply),
             CallPurpose::Fresh { begun, asked } => self.on_fresh_read_response(begun, asked, reply),
             CallPurpose::Lease => self.on_lease_granted(reply),
             CallPurpose::Elect { lease_id, term, sent } => {
-                self.on_election_response(lease_id, term, sent, reply)
+                self.on_election_response(lease_id, term, sent, reply);
             }
             CallPurpose::Renew { lease_id } => self.on_lease_renewal_response(lease_id, reply),
             CallPurpose::StepDown => {}
             CallPurpose::LeaderCommit { term } => self.on_leader_commit_response(term, reply),
             CallPurpose::Submit { batch, copy } => self.on_batch_response(batch, copy, reply),
             CallPurpose::Cancel { requester, uid, commit, sent } => {
-                self.on_cancellation_response(requester, uid, commit, sent, reply)
+                self.on_cancellation_response(requester, uid, commit, sent, reply);
             }
             CallPurpose::Rebuild(call) => self.on_rebuild_response(call, reply),
             CallPurpose::Decision(call) => self.on_decision_response(call, reply),
@@ -367,8 +217,8 @@
         }
     }
 
-    fn due(&mut self) {
-        self.sync_due();
+    fn do_what_is_due(&mut self) {
+        self.store_reads_due();
         self.recovery_due();
         self.batches_due();
         self.catalog_due();
@@ -387,11 +237,8 @@
         timeout_ms: u64,
         purpose: CallPurpose,
     ) {
-        let id = self.next_call;
-        self.next_call += 1;
         self.metrics.work.peer_requests_sent += u64::from(matches!(service, Service::Peer(_)));
-        self.calls.insert(id, purpose);
-        self.effects.push(Effect::Call { id, service, method, path, body, timeout_ms });
+        self.outbox.call(service, method, path, body, timeout_ms, purpose);
     }
 
     fn respond(
@@ -401,7 +248,7 @@
         retry_after_s: Option<u64>,
         body: Vec<u8>,
     ) {
-        self.effects.push(Effect::Respond { connection, status, retry_after_s, body });
+        self.outbox.respond(connection, status, retry_after_s, body);
     }
 
     /// The term this controller leads in.
@@ -416,15 +263,6 @@
 
     /// The copy of the store.
     pub fn replica(&self) -> &Replica {
-        &self.replica
-    }
-}
-
-/// Ranks of work: workers' reports, then decisions, then users' requests.
-fn rank_of(c: &Command) -> u8 {
-    match c {
-        Command::Public { path, .. } if path == "/checkin" || path == "/up" => 0,
-        Command::Reply { .. } | Command::Peer { .. } => 1,
-        Command::Public { .. } => 2,
+        self.store.replica()
     }
 }
--- a/src/coordination/recovery/accounting.rs
+++ b/src/coordination/recovery/accounting.rs
@@ -35,7 +35,7 @@
             leader.machines_accounted = true;
         }
         self.recovery.continuity_proved = true;
-        let phase = self.replica.rebuild.as_ref().map(|record| record.value.phase);
+        let phase = self.store.replica().rebuild.as_ref().map(|record| record.value.phase);
         if phase == Some(RebuildPhase::Complete) {
             self.mark_accounted();
         }
@@ -57,7 +57,7 @@
     }
 
     fn mark_accounted(&mut self) {
-        let Some(mark) = &self.replica.rebuild else { return };
+        let Some(mark) = &self.store.replica().rebuild else { return };
         let record = RebuildRecord { phase: RebuildPhase::Accounted, ..mark.value.clone() };
         let writes = vec![Mutation::put(REBUILD_KEY.into(), &record)];
         let commit = Transaction { conditions: Vec::new(), writes };
--- a/src/coordination/recovery/detect.rs
+++ b/src/coordination/recovery/detect.rs
@@ -13,7 +13,6 @@
 use crate::coordination::Controller;
 use crate::protocol::state::{Changes, Event, Item};
 use crate::storage::records::{leader_key, RebuildPhase, RebuildRecord};
-use crate::storage::replica::Replica;
 use mountgap_records::constants::REBUILD_KEY;
 use mountgap_recovery::audit::{audit, Loss};
 use mountgap_recovery::image::StoreImage;
@@ -29,11 +28,10 @@
     /// Forgets the copy of the store and reads all of it anew. Answers to what was asked before
     /// count for nothing.
     pub(in crate::coordination) fn read_anew(&mut self) {
-        self.replica = Replica::new(self.replica.hash_keys());
+        self.store.forget();
         self.recovery.image = StoreImage::new();
-        self.store_sync.begin_anew();
         // What we knew is gone, and with it the ends that peers need not have named.
-        self.peers.iter_mut().for_each(|p| p.ends_asked = None);
+        self.membership.forget_complete_ends();
     }
 
     /// Something suggests that the store has lost data, or that we only have lost track of it: it is
@@ -54,7 +52,7 @@
         if let Some(loss) = &suspicion {
             log::warn!("the store may have lost data: {loss}; holding still");
         }
-        self.recovery.known_at = self.store_sync.fresh_at;
+        self.recovery.known_at = self.store.last_read_at();
         self.recovery.remembers = self.recovery.memory_counts(self.now.monotonic_ms);
         let known = std::mem::take(&mut self.recovery.image);
         self.step_down("the store may have lost data");
@@ -120,7 +118,7 @@
         if !self.recovery.enabled {
             return;
         }
-        self.recovery.image.advance(self.replica.revision);
+        self.recovery.image.advance(self.store.replica().revision);
         self.recovery.read_complete = self.rebuild_is_complete();
         if !matches!(self.recovery.phase, Phase::Following) {
             return;
@@ -130,7 +128,7 @@
             self.recovery.phase = Phase::Verifying { known, suspicion: None };
         } else if self.rebuild_phase() == Some(RebuildPhase::Writing) {
             self.lose(Loss::RebuildBegun, None);
-        } else if self.replica.store.is_none() && self.replica.term.is_none() {
+        } else if self.store.replica().store.is_none() && self.store.replica().term.is_none() {
             self.recovery.phase = Phase::FirstStart { since: self.now.monotonic_ms, witness: None };
         }
     }
@@ -149,7 +147,7 @@
 
     fn record_leader_revision(&mut self, key: &str, mod_revision: u64) {
         if key == leader_key() {
-            self.recovery.leader_revisions.entry(mod_revision).or_insert(self.store_sync.epoch);
+            self.recovery.leader_revisions.entry(mod_revision).or_insert(self.store.epoch());
         }
     }
 
@@ -159,7 +157,7 @@
         self.recovery
             .leader_revisions
             .get(&mod_revision)
-            .is_some_and(|epoch| *epoch != self.store_sync.epoch)
+            .is_some_and(|epoch| *epoch != self.store.epoch())
     }
 
     fn rebuild_is_complete(&self) -> bool {
@@ -167,7 +165,7 @@
     }
 
     fn rebuild_phase(&self) -> Option<RebuildPhase> {
-        self.replica.rebuild.as_ref().map(|record| record.value.phase)
+        self.store.replica().rebuild.as_ref().map(|record| record.value.phase)
     }
 
     /// A read begun at `begun` is in: what was to be judged by it is judged.
@@ -178,7 +176,7 @@
             Phase::FirstStart { witness, .. } => {
                 let heard = witness.as_ref().filter(|(_, at)| begun > *at);
                 let heard = heard.map(|(witness, _)| witness.clone());
-                if self.replica.store.is_some() {
+                if self.store.replica().store.is_some() {
                     self.recovery.phase = Phase::Following;
                     self.recovery.memory_from = Some(self.now.monotonic_ms);
                 } else if let Some(witness) = heard {
@@ -218,7 +216,7 @@
     /// Goes on once the store is rebuilt: its records are complete, and the rebuild has taken a term above
     /// all that we know of the lost store. A backup may hold an earlier rebuild.
     pub(super) fn end_hold_if_rebuilt(&mut self) {
-        let term = self.replica.rebuild.as_ref().map_or(0, |record| record.value.term);
+        let term = self.store.replica().rebuild.as_ref().map_or(0, |record| record.value.term);
         if self.rebuild_phase() == Some(RebuildPhase::Writing) {
             // Whoever completes it does so in this term or a later one; a backup of before does not count.
             self.recovery.lost_term = self.recovery.lost_term.max(term.saturating_sub(1));
@@ -231,7 +229,7 @@
             // What was read in pieces while others wrote may hold what a further loss has undone.
             return self.read_anew();
         }
-        log::info!("the store is rebuilt: {} jobs", self.replica.jobs.len());
+        log::info!("the store is rebuilt: {} jobs", self.store.replica().jobs.len());
         self.recovery.phase = Phase::Following;
         self.recovery.continuity_proved = true;
         self.recovery.memory_from = Some(self.now.monotonic_ms);
@@ -255,10 +253,13 @@
     pub(super) fn doubt_due(&mut self) {
         let now = self.now.monotonic_ms;
         let looks = matches!(self.recovery.phase, Phase::Following | Phase::Lost { .. });
-        let named = self.replica.leader.as_ref().map(|leader| &leader.value);
+        let named = self.store.replica().leader.as_ref().map(|leader| &leader.value);
         let leads = |label: &str| match label == self.settings.label {
             true => self.leader.is_some(),
-            false => self.fresh_gossip().any(|g| g.leads && g.label == label),
+            false => self
+                .membership
+                .fresh_gossip(self.now.monotonic_ms)
+                .any(|g| g.leads && g.label == label),
         };
         let doubtful = named.is_some_and(|leader| !leads(&leader.label));
         if !looks || !doubtful || now < self.recovery.doubt_rest_until {
@@ -292,7 +293,7 @@
     /// The store that we follow has lost data, though nothing that we read ourselves shows it.
     pub(super) fn lose_unread(&mut self, loss: Loss) {
         self.step_down("the store has lost data");
-        self.recovery.known_at = self.store_sync.fresh_at;
+        self.recovery.known_at = self.store.last_read_at();
         self.recovery.remembers = self.recovery.memory_counts(self.now.monotonic_ms);
         let image = std::mem::take(&mut self.recovery.image);
         self.lose(loss, Some(image));
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -25,7 +25,7 @@
     /// The term to stand with. A rebuild leaves those free that may have been taken in the part of
     /// the history that is lost.
     pub(in crate::coordination) fn next_term(&self) -> u64 {
-        let known = self.replica.term().max(self.highest_term);
+        let known = self.store.replica().term().max(self.membership.highest_term());
         if !self.recovery.is_lost() {
             return known.saturating_add(1);
         }
@@ -52,14 +52,16 @@
                 };
                 (REBUILD_KEY.to_string(), mark(&record))
             }
-            _ if self.replica.store.is_none() => {
+            _ if self.store.replica().store.is_none() => {
                 let record = StoreIdRecord { id: self.rng.random() };
                 let key = store_key();
                 (key.clone(), Mutation::put(key, &record))
             }
             _ => return,
         };
-        commit.conditions.push(Condition { mod_revision: self.replica.mod_revision(&key), key });
+        commit
+            .conditions
+            .push(Condition { mod_revision: self.store.replica().mod_revision(&key), key });
         commit.writes.push(write);
     }
 
@@ -67,7 +69,8 @@
     pub(in crate::coordination) fn begin_rebuild_if_lost(&mut self) {
         if self.recovery.is_lost() {
             log::info!("rebuilds the store");
-            self.recovery.rebuild = Some(Rebuild::new(self.peers.len(), self.now.monotonic_ms));
+            self.recovery.rebuild =
+                Some(Rebuild::new(self.membership.peer_count(), self.now.monotonic_ms));
             // It may have been lost once more since we read it, and nothing written tells of that. What is
             // read from now on holds our election.
             self.read_anew();
--- a/src/coordination/recovery/gather.rs
+++ b/src/coordination/recovery/gather.rs
@@ -50,7 +50,7 @@
     /// Asks peers for what is missing of their images.
     pub(super) fn gather_due(&mut self) {
         let now = self.now.monotonic_ms;
-        for peer in 0..self.peers.len() {
+        for peer in 0..self.membership.peer_count() {
             let Some(rebuild) = self.recovery.rebuild.as_mut() else { return };
             let image = &mut rebuild.peers[peer];
             if image.complete || image.asking || now < image.next_at {
@@ -85,7 +85,7 @@
         let label = &self.settings.peers[peer].label;
         let valid = |page: &ImagePage| page.version == PEER_VERSION && page.label == *label;
         let Some(page) = page.filter(valid) else { return };
-        self.highest_term = self.highest_term.max(page.term);
+        self.membership.note_term(page.term);
         if page.holds {
             image.next_at = 0;
             image.take(page);
@@ -104,7 +104,7 @@
             Ok(request) if request.version == PEER_VERSION && self.recovery.enabled => request,
             _ => return self.respond(connection, 404, None, vec![]),
         };
-        if matches!(self.recovery.phase, Phase::Following) && self.store_sync.loaded {
+        if matches!(self.recovery.phase, Phase::Following) && self.store.is_loaded() {
             self.suspect_store_loss(Some(Loss::RebuildBegun));
         }
         let page = self.image_page(&request.after);
@@ -118,7 +118,7 @@
             label: self.settings.label.clone(),
             holds: recovery.holds(),
             remembers: recovery.remembers,
-            term: self.highest_term,
+            term: self.membership.highest_term(),
             revision: 0,
             values: Vec::new(),
             removed: Vec::new(),
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -204,7 +204,7 @@
     /// The image of the store for a snapshot; none while there is nothing to keep. A copy costs the
     /// same whatever its size.
     pub fn image_for_snapshot(&self) -> Option<StoreImage> {
-        let ready = self.recovery.enabled && self.store_sync.loaded && !self.recovery.holds();
+        let ready = self.recovery.enabled && self.store.is_loaded() && !self.recovery.holds();
         (ready && self.recovery.image.identity().is_some()).then(|| self.recovery.image.clone())
     }
 
@@ -224,7 +224,7 @@
 
     /// When a transaction goes out.
     pub(super) fn sent_at(&self) -> SentAt {
-        SentAt { epoch: self.store_sync.epoch, revision: self.replica.revision }
+        SentAt { epoch: self.store.epoch(), revision: self.store.replica().revision }
     }
 
     /// Whether a transaction that was answered with a revision has gone into the store that we
@@ -238,13 +238,13 @@
         if !self.recovery.enabled {
             return true;
         }
-        if sent.epoch == self.store_sync.epoch && revision <= sent.revision {
+        if sent.epoch == self.store.epoch() && revision <= sent.revision {
             self.suspect_store_loss(Some(Loss::RevisionFell {
                 known: sent.revision,
                 shown: revision,
             }));
         }
-        sent.epoch == self.store_sync.epoch
+        sent.epoch == self.store.epoch()
     }
 
     /// Makes a user's transaction depend on the last rebuild that we know: one that goes into a store that is rebuilt
@@ -254,7 +254,7 @@
             let key = REBUILD_KEY.to_string();
             commit
                 .conditions
-                .push(Condition { mod_revision: self.replica.mod_revision(&key), key });
+                .push(Condition { mod_revision: self.store.replica().mod_revision(&key), key });
         }
     }
 
@@ -281,7 +281,7 @@
     /// Whether the store is being written back, or has been without every machine accounted for: no
     /// task may start.
     pub(super) fn starts_are_held(&self) -> bool {
-        let phase = self.replica.rebuild.as_ref().map(|r| r.value.phase);
+        let phase = self.store.replica().rebuild.as_ref().map(|r| r.value.phase);
         if matches!(phase, Some(RebuildPhase::Writing | RebuildPhase::Complete)) {
             return true;
         }
@@ -295,7 +295,7 @@
     /// Whether a rebuild could not draw on the memory of every controller, and no operator has closed
     /// the gap: a job that is not known may have been accepted.
     pub(super) fn has_gap(&self) -> bool {
-        self.replica.rebuild.as_ref().is_some_and(|r| !r.value.gap.is_empty())
+        self.store.replica().rebuild.as_ref().is_some_and(|r| !r.value.gap.is_empty())
     }
 
     pub(super) fn recovery_due(&mut self) {
--- a/src/coordination/recovery/operator.rs
+++ b/src/coordination/recovery/operator.rs
@@ -28,7 +28,7 @@
         path: &str,
         body: &[u8],
     ) {
-        let requester = Requester { connection, relayed: false, since: self.now.monotonic_ms };
+        let requester = Requester::direct(connection, self.now.monotonic_ms);
         if (method, path) == ("GET", RECOVERY_PATH) {
             let body = serde_json::to_vec_pretty(&self.recovery_report()).unwrap_or_default();
             return self.respond(connection, 200, None, body);
@@ -53,7 +53,7 @@
     }
 
     fn decide(&mut self, requester: Requester, decision: Decision, request: &DecisionRequest) {
-        let groups = self.replica.flagged.values();
+        let groups = self.store.replica().flagged.values();
         let flagged = groups.flat_map(|group| group.value.jobs.keys()).cloned();
         let jobs: Vec<String> = match (decision, request.all) {
             (Decision::CloseGap, _) => Vec::new(),
@@ -63,12 +63,12 @@
             (_, true) => flagged.collect(),
             // Also a job of which nothing is known but that its tasks run.
             (Decision::GiveUp, false) => {
-                let open = |job: &&String| !self.replica.has_ended(job);
+                let open = |job: &&String| !self.store.replica().has_ended(job);
                 request.jobs.iter().filter(open).cloned().collect()
             }
         };
         // Each job may take a write of its own, and a group of flags another.
-        let most = (self.limits.transaction_ops / 2).max(1);
+        let most = (self.store.limits().transaction_ops / 2).max(1);
         let now_decided: BTreeSet<String> = jobs.iter().take(most).cloned().collect();
         let left = jobs.len() - now_decided.len();
         let mut commit = Transaction::default();
@@ -85,13 +85,13 @@
             return self.answer_json(requester, 200, &answer);
         }
         let ops = commit.writes.len() as f64;
-        if !self.write_budget.take(ops, WRITE_KEEP_USERS, self.now.monotonic_ms) {
+        if !self.store.take_writes(ops, WRITE_KEEP_USERS, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         self.metrics.work.state_writes += ops as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let purpose = CallPurpose::Decision(DecisionCall {
-            connection: requester.connection,
+            connection: requester.connection(),
             commit,
             answer,
         });
@@ -100,19 +100,19 @@
 
     /// Ends a job as cancelled.
     fn add_end_of(&self, job: &str, commit: &mut Transaction) {
-        let known = self.replica.jobs.get(job).map(|known| &known.value);
+        let known = self.store.replica().jobs.get(job).map(|known| &known.value);
         let end = JobEndRecord {
             at: known.map_or(self.now.wall_ms, |known| known.at),
             stage: JobStage::Cancelled,
             tasks: known.map_or(0, |known| known.tasks),
-            done: self.replica.done_bitmap(job).count(),
+            done: self.store.replica().done_bitmap(job).count(),
         };
         commit.conditions.push(Condition { key: job_end_key(job), mod_revision: 0 });
         commit.writes.push(Mutation::put(job_end_key(job), &end));
     }
 
     fn add_unflagging(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
-        for (n, group) in &self.replica.flagged {
+        for (n, group) in &self.store.replica().flagged {
             if !group.value.jobs.keys().any(|job| jobs.contains(job)) {
                 continue;
             }
@@ -128,7 +128,9 @@
 
     /// From now on a job that is not known was never accepted.
     fn add_closing(&self, commit: &mut Transaction) {
-        let Some(mark) = self.replica.rebuild.as_ref().filter(|_| self.has_gap()) else { return };
+        let Some(mark) = self.store.replica().rebuild.as_ref().filter(|_| self.has_gap()) else {
+            return;
+        };
         let closed = RebuildRecord { gap: Vec::new(), ..mark.value.clone() };
         commit
             .conditions
@@ -141,8 +143,7 @@
         call: DecisionCall,
         reply: Option<(u16, Vec<u8>)>,
     ) {
-        let requester =
-            Requester { connection: call.connection, relayed: false, since: self.now.monotonic_ms };
+        let requester = Requester::direct(call.connection, self.now.monotonic_ms);
         match reply {
             Some((200, body)) => {
                 if let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) {
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -11,7 +11,7 @@
     REBUILD_GATHER_MS, REBUILD_REFUSALS_MAX, REBUILD_STAND_MS, STATE_CALL_MS, STATE_RETRY_MS,
     WRITE_RESERVE,
 };
-use crate::coordination::lease_extension::halts_of_ended;
+use crate::coordination::membership::stop_commands_of_ended_jobs;
 use crate::coordination::{CallPurpose, ConnectionId, Controller};
 use crate::protocol::state::{
     Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
@@ -108,7 +108,10 @@
         // The present store is read up to our own election first: an earlier rebuild may have
         // written a part of it.
         let mod_revision = self.leader.as_ref().map_or(0, |leader| leader.mod_revision);
-        if (all || waited) && self.store_sync.loaded && self.replica.revision >= mod_revision {
+        if (all || waited)
+            && self.store.is_loaded()
+            && self.store.replica().revision >= mod_revision
+        {
             self.plan_rebuild();
         } else {
             self.gather_due();
@@ -157,7 +160,7 @@
         // Kept for whoever has to go on: the image that knows most of the lost store.
         self.recovery.lost = lines.into_iter().max_by_key(StoreImage::revision);
         if self.leader.as_ref().is_some_and(|leader| picture.term > leader.term) {
-            self.highest_term = self.highest_term.max(picture.term);
+            self.membership.note_term(picture.term);
             return self.check_term();
         }
         let limits = self.rebuild_limits();
@@ -178,8 +181,8 @@
 
     fn rebuild_limits(&self) -> Limits {
         Limits {
-            value_bytes: self.limits.value_bytes,
-            transaction_ops: self.limits.transaction_ops,
+            value_bytes: self.store.limits().value_bytes,
+            transaction_ops: self.store.limits().transaction_ops,
         }
     }
 
@@ -191,12 +194,12 @@
             return;
         }
         // No more at a time than the bucket ever holds.
-        let burst = (self.write_budget.burst() - WRITE_RESERVE).max(1.0) as usize;
+        let burst = (self.store.write_budget().burst() - WRITE_RESERVE).max(1.0) as usize;
         let limits = Limits { transaction_ops: limits.transaction_ops.min(burst), ..limits };
         let commit = match plan.layout.next_piece(&self.recovery.image, &limits) {
             Some(piece) => commit_of(piece),
             None => {
-                let Some(before) = &self.replica.rebuild else { return };
+                let Some(before) = &self.store.replica().rebuild else { return };
                 let gap = match self.recovery.gap_policy {
                     GapPolicy::Hold => plan.gap.clone(),
                     GapPolicy::Release => Vec::new(),
@@ -220,14 +223,14 @@
     /// Sends a transaction that depends on our lead and on the mark of the rebuild as we know it.
     pub(super) fn send_fenced(&mut self, mut commit: Transaction) -> bool {
         let Some(leader) = &self.leader else { return false };
-        let Some(mark) = &self.replica.rebuild else { return false };
+        let Some(mark) = &self.store.replica().rebuild else { return false };
         let (term, mod_revision) = (leader.term, leader.mod_revision);
         let ops = commit.writes.len() as f64;
         commit.conditions.push(Condition { key: leader_key(), mod_revision });
         commit
             .conditions
             .push(Condition { key: REBUILD_KEY.into(), mod_revision: mark.mod_revision });
-        if !self.write_budget.take(ops, 0.0, self.now.monotonic_ms) {
+        if !self.store.take_writes(ops, 0.0, self.now.monotonic_ms) {
             return false;
         }
         self.metrics.work.state_writes += ops as u64;
@@ -282,7 +285,7 @@
             }
             Some((400, body)) => {
                 log::error!("rebuild answered 400: {}", String::from_utf8_lossy(&body));
-                self.limits.halve_sizes();
+                self.store.halve_size_limits();
                 if let Some(rebuild) = &mut self.recovery.rebuild {
                     rebuild.plan = None;
                 }
@@ -301,8 +304,12 @@
 
     /// A piece is in, or the mark has changed.
     fn rebuild_advanced(&mut self) {
-        let complete =
-            self.replica.rebuild.as_ref().is_some_and(|r| r.value.phase != RebuildPhase::Writing);
+        let complete = self
+            .store
+            .replica()
+            .rebuild
+            .as_ref()
+            .is_some_and(|r| r.value.phase != RebuildPhase::Writing);
         if let (true, Some(rebuild)) = (complete, &self.recovery.rebuild) {
             let seconds = (self.now.monotonic_ms - rebuild.begun) as f64 / 1000.0;
             log::info!("all records are written: {} commits in {seconds:.1} s", rebuild.pieces);
@@ -322,7 +329,7 @@
         };
         let plan = self.recovery.rebuild.as_ref().and_then(|rebuild| rebuild.plan.as_ref());
         let over = |job: &str| plan.is_some_and(|plan| plan.picture.ends.contains_key(job));
-        let commands = halts_of_ended(&report, over);
+        let commands = stop_commands_of_ended_jobs(&report, over);
         self.answer_without_starts(connection, token, commands);
     }
 
@@ -334,7 +341,7 @@
         let without_gap =
             |plan: &Plan| plan.gap.is_empty() || self.recovery.gap_policy == GapPolicy::Release;
         match plan {
-            Some(plan) if without_gap(plan) => self.store_sync.fresh_at,
+            Some(plan) if without_gap(plan) => self.store.last_read_at(),
             _ => self.recovery.known_at,
         }
     }
--- a/src/coordination/recovery/view.rs
+++ b/src/coordination/recovery/view.rs
@@ -53,7 +53,7 @@
     }
 
     fn flagged_jobs(&self) -> Vec<FlaggedJob> {
-        let groups = self.replica.flagged.values().flat_map(|group| &group.value.jobs);
+        let groups = self.store.replica().flagged.values().flat_map(|group| &group.value.jobs);
         let jobs =
             groups.map(|(job, why)| FlaggedJob { job: job.clone(), reason: reason(*why).into() });
         jobs.collect()
@@ -93,7 +93,7 @@
             Phase::Verifying { suspicion, .. } => suspicion.as_ref().map(|loss| loss.to_string()),
             _ => None,
         };
-        let last = self.replica.rebuild.as_ref().map(|record| &record.value);
+        let last = self.store.replica().rebuild.as_ref().map(|record| &record.value);
         RecoveryReport {
             controller: self.settings.label.clone(),
             enabled: self.recovery.enabled,
--- a/src/coordination/recovery/witnesses.rs
+++ b/src/coordination/recovery/witnesses.rs
@@ -22,7 +22,7 @@
         if !believed || !self.recovery.holds() {
             return;
         }
-        self.highest_term = self.highest_term.max(report.fencing_token);
+        self.membership.note_term(report.fencing_token);
         let (machine, token) = (&report.machine, report.fencing_token);
         self.witness(|| format!("the worker of {machine} shows token {token}"));
     }
@@ -33,11 +33,12 @@
             return;
         }
         let ours = gossip.store.is_some() && gossip.store == self.recovery_state().0;
-        let following = matches!(self.recovery.phase, Phase::Following) && self.store_sync.loaded;
+        let following = matches!(self.recovery.phase, Phase::Following) && self.store.is_loaded();
         if following && ours && gossip.recovery == Some(RecoveryState::Following) {
             self.recovery.continuity_proved = true;
         }
-        let rebuilt_in = self.replica.rebuild.as_ref().map_or(0, |record| record.value.term);
+        let rebuilt_in =
+            self.store.replica().rebuild.as_ref().map_or(0, |record| record.value.term);
         if following && gossip.lost_term.is_some_and(|term| term >= rebuilt_in) {
             // Not rebuilt since. It remembers more than we do: what it holds contradicts what is there.
             return self.lose_unread(Loss::PeerSays { peer: gossip.label.clone() });
@@ -71,7 +72,8 @@
         let Phase::FirstStart { since, witness } = &self.recovery.phase else { return };
         let reports = self.settings.params.workers.report_s * FIRST_START_REPORTS + WORKER_RETRY_S;
         let waited = now >= since + (reports * MS_PER_S) as u64;
-        let heard_all = self.fresh_gossip().count() == self.peers.len();
+        let heard_all = self.membership.fresh_gossip(self.now.monotonic_ms).count()
+            == self.membership.peer_count();
         let long = now >= since + FIRST_START_MAX_MS;
         if witness.is_none() && waited && (heard_all || long) {
             log::info!("the store is empty and nobody knows of an earlier one: a first start");
--- /dev/null
+++ b/src/coordination/requests/batches.rs
@@ -0,0 +1,393 @@
+//! Batches: submissions that come together are accepted with one write.
+//!
+//! [`Submissions`] owns those that gather for a batch and the batches that are being committed.
+
+use super::Requester;
+use crate::constants::{
+    ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
+    BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, RETRY_AFTER_S,
+    STATE_CALL_MS, USER_WAIT_MAX, WRITES_SHORT_SHARE, WRITE_KEEP_USERS,
+};
+use crate::coordination::recovery::SentAt;
+use crate::coordination::{CallPurpose, Controller};
+use crate::protocol::state::{
+    raw, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
+};
+use crate::protocol::users::{Accepted, JobSpec, Status};
+use crate::storage::budget::Bucket;
+use crate::storage::hashing::{HashKeys, HashMap};
+use crate::storage::limits::StoreLimits;
+use crate::storage::records::{batch_key, gang_batch_key, job_end_key, BatchRecord};
+use std::rc::Rc;
+
+/// A submission that gathers for a batch, with everyone who asked for it.
+#[derive(Debug)]
+struct PendingSubmission {
+    requesters: Vec<Requester>,
+    spec: Rc<JobSpec>,
+    /// Bytes that it takes in a stored value.
+    bytes: usize,
+    received_at: u64,
+}
+
+/// Jobs that are stored in one value: all of them gangs, or none.
+#[derive(Debug)]
+struct BatchValue {
+    gangs: bool,
+    bytes: usize,
+    jobs: Vec<Rc<JobSpec>>,
+}
+
+impl BatchValue {
+    fn new(submission: &PendingSubmission) -> BatchValue {
+        BatchValue {
+            gangs: submission.spec.is_gang(),
+            bytes: submission.bytes,
+            jobs: vec![submission.spec.clone()],
+        }
+    }
+
+    /// Whether a job may stand in this value, of which `bytes_max` are for jobs.
+    fn has_room_for(&self, submission: &PendingSubmission, bytes_max: usize) -> bool {
+        self.gangs == submission.spec.is_gang() && self.bytes + submission.bytes <= bytes_max
+    }
+
+    fn add(&mut self, submission: &PendingSubmission) {
+        self.bytes += submission.bytes;
+        self.jobs.push(submission.spec.clone());
+    }
+
+    /// The key that this value is stored under.
+    fn key(&self, id: &str) -> String {
+        match self.gangs {
+            true => gang_batch_key(id),
+            false => batch_key(id),
+        }
+    }
+}
+
+/// A copy of a batch that was sent.
+#[derive(Debug)]
+struct BatchCopy {
+    transaction: Transaction,
+    sent: SentAt,
+}
+
+/// A batch of submissions that is being committed.
+#[derive(Debug)]
+struct Batch {
+    submissions: Vec<PendingSubmission>,
+    /// The jobs as divided into values.
+    values: Vec<BatchValue>,
+    first_sent_at: u64,
+    copies: Vec<BatchCopy>,
+    /// Copies that are not answered yet.
+    unanswered: u32,
+}
+
+impl Batch {
+    /// The transaction that accepts the batch, under keys that no other copy has.
+    fn transaction(
+        &self,
+        id: u64,
+        process_id: u64,
+        accepted_at_wall_ms: u64,
+        mut transaction: Transaction,
+    ) -> Transaction {
+        for submission in &self.submissions {
+            let key = job_end_key(&submission.spec.uid);
+            transaction.conditions.push(Condition { key, mod_revision: 0 });
+        }
+        let copy = self.copies.len();
+        let mut first = 0;
+        for (index, value) in self.values.iter().enumerate() {
+            let key = value.key(&format!("{process_id:016x}-{id}-{copy}-{index}"));
+            let jobs = value.jobs.clone();
+            let record = BatchRecord { at: accepted_at_wall_ms, first, jobs };
+            transaction.conditions.push(Condition { key: key.clone(), mod_revision: 0 });
+            transaction.writes.push(Mutation::put(key, &record));
+            first += value.jobs.len() as u64;
+        }
+        transaction
+    }
+}
+
+/// What bounds a batch.
+struct BatchLimits {
+    /// Bytes of jobs in one value.
+    value_bytes: usize,
+    /// Values, one write each.
+    values: usize,
+    /// Conditions of the transaction.
+    conditions: usize,
+    /// Of these, those that are taken already: the values' own, and what else the transaction
+    /// depends on.
+    conditions_taken: usize,
+}
+
+/// Submissions on their way to being accepted.
+#[derive(Debug)]
+pub(in crate::coordination) struct Submissions {
+    /// Those that wait for the next batch.
+    gathering: Vec<PendingSubmission>,
+    /// Batches that are being committed, by number.
+    in_flight: HashMap<u64, Batch>,
+    batches_made: u64,
+}
+
+impl Submissions {
+    pub(in crate::coordination) fn new(keys: HashKeys) -> Submissions {
+        Submissions { gathering: Vec::new(), in_flight: keys.map(), batches_made: 0 }
+    }
+
+    /// When they have to be looked at again if nothing comes in before.
+    pub(in crate::coordination) fn next_wake(&self, writes: &Bucket) -> Option<u64> {
+        let gathered = self.gathering.first().map(|first| {
+            let plenty = writes.available_at(writes.burst() * WRITES_SHORT_SHARE);
+            let one = writes.available_at(WRITE_KEEP_USERS + 1.0);
+            let sent_at = (first.received_at + BATCH_GATHER_MS).min(plenty).max(one);
+            sent_at.min(first.received_at + BATCH_WAIT_MS + 1)
+        });
+        let hedges = self.in_flight.values().filter(|batch| batch.copies.len() == 1);
+        let hedge = hedges.map(|batch| batch.first_sent_at + BATCH_HEDGE_MS + 1).min();
+        [gathered, hedge].into_iter().flatten().min()
+    }
+
+    /// Submissions that have waited for longer than their users would call quick.
+    fn take_overdue(&mut self, now: u64) -> Vec<PendingSubmission> {
+        let is_overdue = |s: &mut PendingSubmission| now > s.received_at + BATCH_WAIT_MS;
+        self.gathering.extract_if(.., is_overdue).collect()
+    }
+
+    /// Batches of which one copy was sent, and has not been answered for long.
+    fn slow_batches(&self, now: u64) -> Vec<u64> {
+        let is_slow =
+            |batch: &Batch| batch.copies.len() == 1 && now > batch.first_sent_at + BATCH_HEDGE_MS;
+        self.in_flight.iter().filter(|(_, batch)| is_slow(batch)).map(|(id, _)| *id).collect()
+    }
+
+    /// Makes a batch of what has gathered and fits; gives its number.
+    fn begin_batch(&mut self, limits: &BatchLimits, now: u64) -> Option<u64> {
+        let mut values: Vec<BatchValue> = Vec::new();
+        let mut taken: Vec<PendingSubmission> = Vec::new();
+        let mut left: Vec<PendingSubmission> = Vec::new();
+        let mut bytes = 0;
+        for submission in std::mem::take(&mut self.gathering) {
+            // A condition a job and one a value.
+            let conditions = taken.len() + limits.conditions_taken;
+            let fits = conditions < limits.conditions
+                && bytes + submission.bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES;
+            let has_room = |value: &BatchValue| value.has_room_for(&submission, limits.value_bytes);
+            match values.iter().position(has_room) {
+                Some(index) if fits => values[index].add(&submission),
+                None if fits && values.len() < limits.values => {
+                    values.push(BatchValue::new(&submission));
+                }
+                _ => {
+                    left.push(submission);
+                    continue;
+                }
+            }
+            bytes += submission.bytes;
+            taken.push(submission);
+        }
+        self.gathering = left;
+        if taken.is_empty() {
+            return None;
+        }
+        self.batches_made += 1;
+        let batch = Batch {
+            submissions: taken,
+            values,
+            first_sent_at: now,
+            copies: Vec::new(),
+            unanswered: 0,
+        };
+        self.in_flight.insert(self.batches_made, batch);
+        Some(self.batches_made)
+    }
+}
+
+impl Controller {
+    /// Takes a job that is to be accepted into the next batch. A repeat joins the first.
+    pub(super) fn add_to_batch(&mut self, requester: Requester, spec: Rc<JobSpec>) {
+        let bytes = raw(&spec).get().len() + BATCH_FRAME_BYTES;
+        if bytes + BATCH_FRAME_BYTES > self.store.limits().value_bytes {
+            let reason = "the submission is too large to be kept";
+            return self.refuse(requester, 422, reason, None);
+        }
+        let gathering = &mut self.submissions.gathering;
+        if gathering.len() >= USER_WAIT_MAX {
+            return self.refuse_overloaded(requester);
+        }
+        match gathering.iter_mut().find(|submission| submission.spec.uid == spec.uid) {
+            Some(submission) => submission.requesters.push(requester),
+            None => gathering.push(PendingSubmission {
+                requesters: vec![requester],
+                spec,
+                bytes,
+                received_at: self.now.monotonic_ms,
+            }),
+        }
+    }
+
+    /// Writes submissions that have gathered. While writes are short they gather for longer, so
+    /// that one write accepts more of them; none waits for longer than its user would call
+    /// quick, it is passed on or refused then.
+    pub(in crate::coordination) fn batches_due(&mut self) {
+        let now = self.now.monotonic_ms;
+        if self.recovery.holds() {
+            let gathered = std::mem::take(&mut self.submissions.gathering);
+            return gathered.into_iter().for_each(|submission| self.relay_submission(submission));
+        }
+        for submission in self.submissions.take_overdue(now) {
+            self.relay_submission(submission);
+        }
+        // The state service takes a few hundred milliseconds now and then. A second copy, under
+        // keys of its own, is mostly answered at once; whichever comes first counts, as with
+        // any job that stands in two batches.
+        for id in self.submissions.slow_batches(now) {
+            self.send_batch(id, 0.0);
+        }
+        let Some(first) = self.submissions.gathering.first() else { return };
+        let gathers_on = now < first.received_at + BATCH_GATHER_MS;
+        if self.store.writes_are_short(now) && gathers_on {
+            return;
+        }
+        if self.submissions.in_flight.len() >= BATCHES_IN_FLIGHT {
+            return;
+        }
+        let limits = self.batch_limits(now);
+        if let Some(id) = self.submissions.begin_batch(&limits, now) {
+            self.send_batch(id, f64::MIN);
+        }
+    }
+
+    fn batch_limits(&mut self, now: u64) -> BatchLimits {
+        let writes_left = self.store.writes_left(now) - WRITE_KEEP_USERS;
+        let StoreLimits { value_bytes, transaction_ops, .. } = *self.store.limits();
+        // As many values as there are writes for.
+        let values = (writes_left.max(0.0) as usize).min(transaction_ops);
+        BatchLimits {
+            value_bytes: value_bytes - BATCH_FRAME_BYTES,
+            values,
+            conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_BITS),
+            conditions_taken: values + self.conditions_kept(),
+        }
+    }
+
+    /// Sends a copy of a batch, if that leaves `keep` writes.
+    fn send_batch(&mut self, id: u64, keep: f64) {
+        let now = self.now.monotonic_ms;
+        let sent = self.sent_at();
+        let mut depending_on_rebuild = Transaction::default();
+        self.depend_on_rebuild(&mut depending_on_rebuild);
+        let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
+        let writes = batch.values.len();
+        if !self.store.take_writes(writes as f64, keep, now) {
+            return;
+        }
+        let transaction =
+            batch.transaction(id, self.process_id, self.now.wall_ms, depending_on_rebuild);
+        let body = serde_json::to_vec(&transaction).unwrap_or_default();
+        let copy = batch.copies.len();
+        batch.copies.push(BatchCopy { transaction, sent });
+        batch.unanswered += 1;
+        self.metrics.work.state_writes += writes as u64;
+        let purpose = CallPurpose::Submit { batch: id, copy };
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+    }
+
+    /// A peer may be able to take a submission that we can't.
+    fn relay_submission(&mut self, submission: PendingSubmission) {
+        let body = serde_json::to_vec(&*submission.spec).unwrap_or_default();
+        for requester in submission.requesters {
+            self.relay_or_refuse(requester, "POST", "/v1/jobs".into(), body.clone());
+        }
+    }
+
+    pub(in crate::coordination) fn on_batch_response(
+        &mut self,
+        id: u64,
+        copy: usize,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        // Another copy may have been answered already.
+        let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
+        batch.unanswered -= 1;
+        let is_decided = matches!(reply, Some((200 | 409, _)));
+        if !is_decided && batch.unanswered > 0 {
+            return;
+        }
+        let Some(batch) = self.submissions.in_flight.remove(&id) else { return };
+        match reply {
+            Some((200, body)) => self.accept_batch(batch, copy, &body),
+            Some((409, body)) => self.split_refused_batch(batch, &body),
+            Some((429, _)) => self.refuse_batch(batch),
+            _ => batch.submissions.into_iter().for_each(|s| self.relay_submission(s)),
+        }
+    }
+
+    /// The batch is committed.
+    ///
+    /// It is not put into the replica ahead of the watch: of a job that stands in two batches
+    /// the earlier counts, and the watch tells them in their order.
+    fn accept_batch(&mut self, batch: Batch, copy: usize, body: &[u8]) {
+        if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(body) {
+            let BatchCopy { transaction, sent } = &batch.copies[copy];
+            if !self.confirmed_in_store(*sent, applied.revision) {
+                // In a store that has lost data: nothing is accepted by that.
+                return batch.submissions.into_iter().for_each(|s| self.relay_submission(s));
+            }
+            self.record_own_transaction(transaction, applied.revision);
+            self.store.note_revision(applied.revision);
+        }
+        for submission in batch.submissions {
+            self.confirm_submission(submission);
+        }
+    }
+
+    fn confirm_submission(&mut self, submission: PendingSubmission) {
+        let PendingSubmission { requesters, spec, received_at, .. } = submission;
+        let waited_ms = self.now.monotonic_ms - received_at;
+        self.metrics.work.accepted += 1;
+        let _ = self.metrics.submit_ms.record(waited_ms);
+        log::debug!(
+            "{}: accepted in {waited_ms} ms, {} tasks of {} for {}, {} of {} GB, due after {:?} s",
+            spec.uid,
+            spec.tasks,
+            spec.class,
+            spec.team,
+            spec.image,
+            spec.size_gb,
+            spec.deadline_s
+        );
+        for requester in requesters {
+            let accepted = Accepted { uid: &spec.uid, status: Status::Queued };
+            self.answer_json(requester, 201, &accepted);
+        }
+    }
+
+    /// One of the jobs has ended in the meantime: that one is answered as it is, the others
+    /// gather again.
+    fn split_refused_batch(&mut self, batch: Batch, body: &[u8]) {
+        let conflict = serde_json::from_slice::<TransactionConflict>(body);
+        let failed_keys = conflict.map(|conflict| conflict.failed).unwrap_or_default();
+        for submission in batch.submissions {
+            if !failed_keys.contains(&job_end_key(&submission.spec.uid)) {
+                self.submissions.gathering.push(submission);
+                continue;
+            }
+            for requester in submission.requesters {
+                let uid = submission.spec.uid.clone();
+                self.request_read_for_submission(requester, uid, None);
+            }
+        }
+    }
+
+    fn refuse_batch(&mut self, batch: Batch) {
+        for requester in batch.submissions.into_iter().flat_map(|s| s.requesters) {
+            self.refuse(requester, 503, "too many submissions", Some(RETRY_AFTER_S));
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/requests/cancellations.rs
@@ -0,0 +1,113 @@
+//! Cancellations: a job's end is committed before its user is told of it.
+
+use super::Requester;
+use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
+use crate::coordination::recovery::SentAt;
+use crate::coordination::store_client::FreshReadWaiter;
+use crate::coordination::{CallPurpose, Controller};
+use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
+use crate::protocol::users::{valid_uid, Accepted, Status};
+use crate::storage::records::{job_end_key, JobEndRecord, JobRecord, JobStage};
+
+impl Controller {
+    pub(super) fn cancel(&mut self, requester: Requester, uid: &str) {
+        self.metrics.work.cancellations += 1;
+        if !valid_uid(uid) {
+            return self.refuse(requester, 404, "no such job", None);
+        }
+        if !self.admit(requester, "POST", &format!("/v1/jobs/{uid}/withdraw"), &[]) {
+            return;
+        }
+        match self.known_stage(uid) {
+            Some(JobStage::Live) => self.commit_cancellation(requester, uid),
+            Some(_) => self.answer_known(requester, uid),
+            None => {
+                let uid = uid.to_string();
+                self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid });
+            }
+        }
+    }
+
+    /// A cancellation after a fresh read.
+    pub(in crate::coordination) fn cancel_known(&mut self, requester: Requester, uid: String) {
+        match self.known_stage(&uid) {
+            Some(JobStage::Live) => self.commit_cancellation(requester, &uid),
+            Some(_) => self.answer_known(requester, &uid),
+            None => self.unknown_job(requester),
+        }
+    }
+
+    fn known_stage(&self, uid: &str) -> Option<JobStage> {
+        self.store.replica().jobs.get(uid).map(|job| job.value.stage)
+    }
+
+    fn commit_cancellation(&mut self, requester: Requester, uid: &str) {
+        if self.store.replica().is_flagged(uid) {
+            return self.unavailable(requester);
+        }
+        let Some(job) = self.store.replica().jobs.get(uid) else {
+            return;
+        };
+        let commit = self.cancellation(uid, &job.value);
+        if !self.store.take_writes(1.0, WRITE_KEEP_USERS, self.now.monotonic_ms) {
+            return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
+        }
+        let body = serde_json::to_vec(&commit).unwrap_or_default();
+        let sent = self.sent_at();
+        let purpose = CallPurpose::Cancel { requester, uid: uid.to_string(), commit, sent };
+        self.metrics.work.state_writes += 1;
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+    }
+
+    /// Ends the job unless it has ended otherwise meanwhile.
+    fn cancellation(&self, uid: &str, job: &JobRecord) -> Transaction {
+        let record = JobEndRecord {
+            at: job.at,
+            stage: JobStage::Cancelled,
+            tasks: job.tasks,
+            done: self.store.replica().done_bitmap(uid).count(),
+        };
+        let key = job_end_key(uid);
+        let mut transaction = Transaction {
+            conditions: vec![Condition { key: key.clone(), mod_revision: 0 }],
+            writes: vec![Mutation::put(key, &record)],
+        };
+        self.depend_on_rebuild(&mut transaction);
+        transaction
+    }
+
+    pub(in crate::coordination) fn on_cancellation_response(
+        &mut self,
+        requester: Requester,
+        uid: String,
+        commit: Transaction,
+        sent: SentAt,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        match reply {
+            Some((200, body)) => {
+                let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) else {
+                    return self.unavailable(requester);
+                };
+                if !self.confirmed_in_store(sent, applied.revision) {
+                    return self.unavailable(requester);
+                }
+                self.apply_own_transaction(&commit, applied.revision);
+                log::debug!("{uid}: withdrawn");
+                let answer = Accepted { uid: &uid, status: Status::Cancelled };
+                self.answer_json(requester, 200, &answer);
+            }
+            // Done in the meantime, or cancelled already.
+            Some((409, _)) => {
+                self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid });
+            }
+            Some((429, _)) => {
+                self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
+            }
+            _ => {
+                let path = format!("/v1/jobs/{uid}/withdraw");
+                self.relay_or_refuse(requester, "POST", path, vec![]);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/requests/mod.rs
@@ -0,0 +1,185 @@
+//! Users' requests: submissions, polls and cancellations, and whether this controller takes any.
+//!
+//! Every answer that a job is accepted, cancelled or done rests on a commit or on a read
+//! that began after the request came; only final states come from memory.
+
+mod batches;
+mod cancellations;
+mod health;
+mod polls;
+mod rejection;
+mod relay;
+mod submissions;
+
+pub(super) use batches::Submissions;
+pub(super) use rejection::Rejection;
+
+use super::interface::ConnectionId;
+use super::Controller;
+use crate::constants::{PEER_VERSION, RETRY_AFTER_BUSY_S, RETRY_AFTER_S, USER_WAIT_MAX};
+use crate::protocol::peers::{encode, Relayed};
+use crate::protocol::users::{Accepted, Refusal, Status};
+use crate::storage::records::{JobRecord, JobStage};
+use crate::storage::replica::Versioned;
+
+/// Who waits for the answer to a user's request.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) struct Requester {
+    /// The connection to answer on.
+    connection: ConnectionId,
+    /// A peer that passes the answer on.
+    relayed: bool,
+    /// When the request came.
+    since: u64,
+}
+
+impl Requester {
+    /// A client that is connected to this controller.
+    pub(super) fn direct(connection: ConnectionId, now: u64) -> Requester {
+        Requester { connection, relayed: false, since: now }
+    }
+
+    /// The connection to answer on.
+    pub(super) fn connection(self) -> ConnectionId {
+        self.connection
+    }
+
+    /// A client of a peer that has passed the request on.
+    fn relayed(connection: ConnectionId, now: u64) -> Requester {
+        Requester { connection, relayed: true, since: now }
+    }
+}
+
+impl Controller {
+    fn answer(
+        &mut self,
+        requester: Requester,
+        status: u16,
+        retry_after_s: Option<u64>,
+        body: Vec<u8>,
+    ) {
+        if requester.relayed {
+            let answer = Relayed { version: PEER_VERSION, status, retry_after_s, body };
+            self.respond(requester.connection, 200, None, encode(&answer));
+        } else {
+            self.respond(requester.connection, status, retry_after_s, body);
+        }
+    }
+
+    pub(super) fn answer_json<T: serde::Serialize>(
+        &mut self,
+        requester: Requester,
+        status: u16,
+        value: &T,
+    ) {
+        let body = serde_json::to_vec(value).unwrap_or_default();
+        self.answer(requester, status, None, body);
+    }
+
+    /// Answers with an error, and the seconds after which the user may come back.
+    pub(super) fn refuse(
+        &mut self,
+        requester: Requester,
+        status: u16,
+        error: &str,
+        retry_after_s: Option<u64>,
+    ) {
+        if status >= 429 {
+            self.metrics.work.refused += 1;
+        }
+        let body = serde_json::to_vec(&Refusal { error }).unwrap_or_default();
+        self.answer(requester, status, retry_after_s, body);
+    }
+
+    /// Refuses a request because there is too much to do.
+    pub(super) fn refuse_overloaded(&mut self, requester: Requester) {
+        self.refuse(requester, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
+    }
+
+    /// Refuses a request that only the state service could answer.
+    pub(super) fn unavailable(&mut self, requester: Requester) {
+        self.refuse(requester, 503, "the state service can't be reached", Some(RETRY_AFTER_S));
+    }
+
+    /// Takes a user's request, from the user or from a peer that passes it on.
+    pub(super) fn user_request(
+        &mut self,
+        requester: Requester,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) {
+        let Some(resource) = path.strip_prefix("/v1/jobs") else {
+            return self.refuse(requester, 404, "no such path", None);
+        };
+        if resource.is_empty() {
+            return match method {
+                "POST" => self.submit(requester, body),
+                _ => self.refuse(requester, 405, "wrong method", None),
+            };
+        }
+        let Some(resource) = resource.strip_prefix('/') else {
+            return self.refuse(requester, 404, "no such path", None);
+        };
+        match (method, resource.strip_suffix("/withdraw")) {
+            ("POST", Some(uid)) => self.cancel(requester, uid),
+            (_, Some(_)) => self.refuse(requester, 405, "wrong method", None),
+            (_, None) if resource.contains('/') => {
+                self.refuse(requester, 404, "no such path", None);
+            }
+            ("GET", None) => self.poll_job(requester, resource),
+            (_, None) => self.refuse(requester, 405, "wrong method", None),
+        }
+    }
+
+    /// Whether a request that needs the store can be taken; answers it otherwise.
+    fn admit(
+        &mut self,
+        requester: Requester,
+        method: &'static str,
+        path: &str,
+        body: &[u8],
+    ) -> bool {
+        if self.recovery.holds() {
+            self.unavailable(requester);
+            return false;
+        }
+        if self.store.waiting_requests() >= USER_WAIT_MAX {
+            self.refuse_overloaded(requester);
+            return false;
+        }
+        if !self.store.is_loaded() || self.store.is_refused() {
+            self.relay_or_refuse(requester, method, path.to_string(), body.to_vec());
+            return false;
+        }
+        true
+    }
+
+    fn status_of(&self, uid: &str, job: &Versioned<JobRecord>) -> Status {
+        match job.value.stage {
+            JobStage::Done => Status::Done,
+            JobStage::Cancelled => Status::Cancelled,
+            JobStage::Live if self.store.replica().placed(uid) > 0 => Status::Running,
+            JobStage::Live => Status::Queued,
+        }
+    }
+
+    /// Answers a submission or cancellation of a job that the replica holds with its state.
+    fn answer_known(&mut self, requester: Requester, uid: &str) {
+        if self.store.replica().is_flagged(uid) {
+            return self.unavailable(requester);
+        }
+        if let Some(job) = self.store.replica().jobs.get(uid) {
+            let status = self.status_of(uid, job);
+            self.answer_json(requester, 200, &Accepted { uid, status });
+        }
+    }
+
+    /// A job that is not known was never accepted, unless a part of the history is lost.
+    fn unknown_job(&mut self, requester: Requester) {
+        match self.has_gap() {
+            true => self.unavailable(requester),
+            false => self.refuse(requester, 404, "no such job", None),
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/requests/polls.rs
@@ -0,0 +1,41 @@
+//! Polls of a job's state.
+
+use super::Requester;
+use crate::coordination::store_client::FreshReadWaiter;
+use crate::coordination::Controller;
+use crate::protocol::users::{valid_uid, Status, View};
+
+impl Controller {
+    pub(super) fn poll_job(&mut self, requester: Requester, uid: &str) {
+        self.metrics.work.polls += 1;
+        if !valid_uid(uid) {
+            return self.refuse(requester, 404, "no such job", None);
+        }
+        // After a suspected loss a late transaction may have ended the job in a store that is lost.
+        if self.store.replica().has_ended(uid) && !self.recovery.holds() {
+            return self.answer_poll(requester, uid);
+        }
+        if self.admit(requester, "GET", &format!("/v1/jobs/{uid}"), &[]) {
+            self.request_fresh_read(FreshReadWaiter::Poll { requester, uid: uid.to_string() });
+        }
+    }
+
+    /// Answers a poll from the replica, which is fresh enough by now.
+    pub(in crate::coordination) fn answer_poll(&mut self, requester: Requester, uid: &str) {
+        let _ = self.metrics.poll_ms.record(self.now.monotonic_ms - requester.since);
+        let replica = self.store.replica();
+        let Some(job) = replica.jobs.get(uid) else {
+            return self.unknown_job(requester);
+        };
+        if replica.is_flagged(uid) {
+            return self.unavailable(requester);
+        }
+        let status = self.status_of(uid, job);
+        let (done, running) = match status {
+            Status::Done => (job.value.tasks, 0),
+            Status::Cancelled => (job.value.done, 0),
+            _ => (replica.done_bitmap(uid).count(), replica.placed(uid)),
+        };
+        self.answer_json(requester, 200, &View { uid, status, done, running });
+    }
+}
--- /dev/null
+++ b/src/coordination/requests/relay.rs
@@ -0,0 +1,63 @@
+//! Users' requests that a peer answers for us, or we for a peer.
+
+use super::Requester;
+use crate::constants::{PEER_VERSION, RELAY_CALL_MS};
+use crate::coordination::interface::{ConnectionId, Service};
+use crate::coordination::{CallPurpose, Controller};
+use crate::protocol::peers::{decode, encode, Relay, Relayed};
+
+impl Controller {
+    /// We can't answer: a served peer does it for us, or the user comes back later.
+    pub(in crate::coordination) fn relay_or_refuse(
+        &mut self,
+        requester: Requester,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+    ) {
+        let peer = match requester.relayed {
+            true => None,
+            false => self.membership.served_peer(self.now.monotonic_ms),
+        };
+        let Some(peer) = peer else {
+            return self.unavailable(requester);
+        };
+        let request = Relay { version: PEER_VERSION, method: method.into(), path, body };
+        let purpose = CallPurpose::Relay { requester };
+        let body = encode(&request);
+        self.call(Service::Peer(peer), "POST", "/relay".into(), body, RELAY_CALL_MS, purpose);
+    }
+
+    pub(in crate::coordination) fn on_relay_response(
+        &mut self,
+        requester: Requester,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        let answer = match reply {
+            Some((200, body)) => decode::<Relayed>(&body).ok(),
+            _ => None,
+        };
+        match answer.filter(|answer| answer.version == PEER_VERSION) {
+            Some(answer) => {
+                self.record_relayed_status(&answer.body);
+                self.answer(requester, answer.status, answer.retry_after_s, answer.body);
+            }
+            None => self.unavailable(requester),
+        }
+    }
+
+    /// A peer passes a user's request on.
+    pub(in crate::coordination) fn answer_relayed_request(
+        &mut self,
+        connection: ConnectionId,
+        body: &[u8],
+    ) {
+        match decode::<Relay>(body) {
+            Ok(request) if request.version == PEER_VERSION => {
+                let requester = Requester::relayed(connection, self.now.monotonic_ms);
+                self.user_request(requester, &request.method, &request.path, &request.body);
+            }
+            _ => self.respond(connection, 400, None, vec![]),
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/requests/submissions.rs
@@ -0,0 +1,137 @@
+//! Submissions: which can be accepted.
+//!
+//! None is answered before its batch is committed or known from a read.
+
+use super::{Rejection, Requester};
+use crate::constants::RETRY_AFTER_S;
+use crate::coordination::gangs::{gang_tasks_max, zones_suffice};
+use crate::coordination::store_client::FreshReadWaiter;
+use crate::coordination::Controller;
+use crate::protocol::cloud::{Catalog, MachineType};
+use crate::protocol::users::{parse_submission, submitted_uid, JobSpec};
+use crate::protocol::Resources;
+use crate::storage::records::JobStage;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+impl Controller {
+    pub(super) fn submit(&mut self, requester: Requester, body: &[u8]) {
+        self.metrics.work.submissions += 1;
+        let (uid, value) = match submitted_uid(body) {
+            Ok(submission) => submission,
+            Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
+        };
+        if !self.admit(requester, "POST", "/v1/jobs", body) {
+            return;
+        }
+        if let Some(job) = self.store.replica().jobs.get(uid.as_str()) {
+            if job.value.stage != JobStage::Live {
+                return self.answer_known(requester, &uid);
+            }
+            return self.request_read_for_submission(requester, uid, None);
+        }
+        match self.validate(value) {
+            Ok(spec) => self.add_to_batch(requester, spec),
+            // It may have been accepted elsewhere a moment ago, with another body.
+            Err(rejection) => self.request_read_for_submission(requester, uid, Some(rejection)),
+        }
+    }
+
+    /// Has a submission wait for a read that shows whether its job is known.
+    pub(super) fn request_read_for_submission(
+        &mut self,
+        requester: Requester,
+        uid: String,
+        rejection: Option<Rejection>,
+    ) {
+        let waiter = FreshReadWaiter::Submit { requester, uid, rejection };
+        self.request_fresh_read(waiter);
+    }
+
+    /// Whether the job can ever run.
+    fn validate(&self, value: serde_json::Value) -> Result<Rc<JobSpec>, Rejection> {
+        let spec =
+            parse_submission(value).map_err(|error| Rejection::Malformed(error.to_string()))?;
+        let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
+        let team = team.ok_or_else(|| Rejection::UnknownTeam(spec.team.clone()))?;
+        let catalog = self.cloud.catalog().ok_or(Rejection::MachineTypesUnknown)?;
+        let need = spec.need();
+        if !usable_types(&spec, catalog).any(|machine_type| is_in_allowed_zone(&spec, machine_type))
+        {
+            return Err(Rejection::FitsNoMachineType);
+        }
+        let at_once = need * i64::from(spec.tasks_at_once());
+        let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
+        if !at_once.under(&limit) {
+            return Err(Rejection::OverTeamLimit);
+        }
+        if spec.is_gang() {
+            self.validate_gang(&spec, catalog)?;
+        }
+        Ok(Rc::new(spec))
+    }
+
+    /// What only a gang can fail at: all of its tasks have to be placed at once.
+    fn validate_gang(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), Rejection> {
+        let tasks_max = gang_tasks_max(self.store.limits(), self.settings.controllers());
+        if spec.tasks as usize > tasks_max {
+            return Err(Rejection::GangTooLarge { tasks_max });
+        }
+        let zones: BTreeSet<&String> = usable_types(spec, catalog)
+            .flat_map(|machine_type| &machine_type.zones)
+            .filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone))
+            .collect();
+        match zones_suffice(spec, zones.len()) {
+            true => Ok(()),
+            false => Err(Rejection::TooFewZones),
+        }
+    }
+
+    /// A submission after a fresh read: of a known job, or of one that is not accepted.
+    pub(in crate::coordination) fn submit_known(
+        &mut self,
+        requester: Requester,
+        uid: &str,
+        rejection: Option<Rejection>,
+    ) {
+        if self.store.replica().jobs.contains_key(uid) {
+            return self.answer_known(requester, uid);
+        }
+        match rejection {
+            // It may have been accepted in the lost history, whatever is wrong with it now.
+            Some(rejection) if !self.has_gap() => self.reject(requester, &rejection),
+            _ => self.unavailable(requester),
+        }
+    }
+
+    fn reject(&mut self, requester: Requester, rejection: &Rejection) {
+        let status = rejection.status();
+        let retry_after_s = (status == 503).then_some(RETRY_AFTER_S);
+        self.refuse(requester, status, &rejection.to_string(), retry_after_s);
+    }
+}
+
+/// Machine types that the job allows and that have room for a task of it.
+fn usable_types<'a>(
+    spec: &'a JobSpec,
+    catalog: &'a Catalog,
+) -> impl Iterator<Item = &'a MachineType> {
+    let need = spec.need();
+    let is_allowed = |machine_type: &MachineType| {
+        let allowed_types = spec.machine_types.as_ref();
+        allowed_types.is_none_or(|allowed| allowed.contains(&machine_type.type_name))
+    };
+    let has_room = move |machine_type: &MachineType| {
+        let MachineType { cores, gpus, ram_gb, .. } = *machine_type;
+        Resources::new(cores, gpus, ram_gb).fits(&need)
+    };
+    catalog
+        .machine_types
+        .iter()
+        .filter(move |machine_type| is_allowed(machine_type) && has_room(machine_type))
+}
+
+/// Whether machines of the type can be rented in a zone that the job allows.
+fn is_in_allowed_zone(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
+}
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -159,9 +159,9 @@
             version: env!("CARGO_PKG_VERSION"),
             up_s: (self.now.monotonic_ms - self.started_at) / 1000,
             served_by_state_service: self.store_is_usable(),
-            leader: self.replica.leader.as_ref().map(|leader| leader.value.label.clone()),
-            term: self.replica.term(),
-            revision: self.replica.revision,
+            leader: self.store.replica().leader.as_ref().map(|leader| leader.value.label.clone()),
+            term: self.store.replica().term(),
+            revision: self.store.replica().revision,
             jobs: self.job_sums(),
             fleet: leader.map(Leader::fleet_sums),
             held: self.held_sums(),
@@ -180,7 +180,7 @@
     }
 
     fn job_sums(&self) -> JobSums {
-        let count = |s| self.replica.jobs.values().filter(|j| j.value.stage == s).count();
+        let count = |s| self.store.replica().jobs.values().filter(|j| j.value.stage == s).count();
         JobSums {
             live: count(JobStage::Live),
             done: count(JobStage::Done),
@@ -202,9 +202,9 @@
 
     fn held_sums(&self) -> HeldSums {
         let copy = HeldSums {
-            jobs: self.replica.jobs.len(),
-            batches: self.replica.batches.len(),
-            placement_groups: self.replica.places.len(),
+            jobs: self.store.replica().jobs.len(),
+            batches: self.store.replica().batches.len(),
+            placement_groups: self.store.replica().places.len(),
             ..HeldSums::default()
         };
         match &self.leader {
--- /dev/null
+++ b/src/coordination/store_client/reads.rs
@@ -0,0 +1,324 @@
+//! Reading the store: the first listing, the watch, and zero-wait reads.
+
+use super::{is_store_call, Listing, StoreQuestion};
+use crate::constants::{
+    FRESH_GAP_MS, KEY_FAMILY, KEY_ROOT, READ_PERIOD_MS, STATE_CALL_MS, STATE_FOREIGN_MS,
+    STATE_LIST_LIMIT, STATE_LIST_MS, WATCH_BLOCK_MS, WATCH_CALL_MS,
+};
+use crate::coordination::{CallPurpose, Controller, Service};
+use crate::protocol::state::{changes_path, list_path, Changes, Page, Transaction, COMMIT_PATH};
+use crate::storage::records::Name;
+use crate::storage::replica::Replica;
+
+/// What became of an answer that should hold changes of the store.
+enum ReadOutcome {
+    /// The changes are in the replica.
+    Applied,
+    /// The store is read anew, or the question belonged to an earlier read of it.
+    Superseded,
+    /// There was no answer that can be used.
+    Failed,
+}
+
+impl Controller {
+    /// Takes note of how the state service answered a call; `status` is none without an answer.
+    pub(in crate::coordination) fn note_store_response(
+        &mut self,
+        purpose: &CallPurpose,
+        status: Option<u16>,
+    ) {
+        if !is_store_call(purpose) {
+            return;
+        }
+        match status {
+            // A watch may stay open for as long as it likes.
+            Some(503) | None if matches!(purpose, CallPurpose::Watch { .. }) => {}
+            Some(429) => self.note_rate_limit(purpose),
+            Some(503) | None => {
+                if !self.store.refused {
+                    log::info!("state service does not serve us");
+                }
+                self.store.refused = true;
+            }
+            Some(_) => {
+                if self.store.refused {
+                    log::info!("state service serves us");
+                }
+                self.store.refused = false;
+                self.store.last_served_at = Some(self.now.monotonic_ms);
+            }
+        }
+    }
+
+    /// The state service was asked too often: the budget that the call came from is empty.
+    fn note_rate_limit(&mut self, purpose: &CallPurpose) {
+        log::debug!("state service: too many requests");
+        if self.store.limits.lower_rates() {
+            log::info!("state service: the lower rates of the settings are in force");
+            self.set_state_rates();
+        }
+        let is_write = matches!(
+            purpose,
+            CallPurpose::LeaderCommit { .. }
+                | CallPurpose::Submit { .. }
+                | CallPurpose::Cancel { .. }
+        );
+        let now = self.now.monotonic_ms;
+        match is_write {
+            true => self.store.write_budget.drain(now),
+            false => self.store.read_budget.drain(now),
+        }
+    }
+
+    /// Whether the state service serves us, as far as we know, and its data is to be trusted.
+    pub(in crate::coordination) fn store_is_usable(&self) -> bool {
+        self.store_is_reachable() && !self.recovery.holds()
+    }
+
+    /// Whether the state service answers us, whatever it has lost.
+    pub(in crate::coordination) fn store_is_reachable(&self) -> bool {
+        self.store.is_reachable(self.now.monotonic_ms)
+    }
+
+    /// Sends a request to the state service.
+    pub(in crate::coordination) fn state_call(
+        &mut self,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+        timeout_ms: u64,
+        purpose: CallPurpose,
+    ) {
+        let work = &mut self.metrics.work;
+        work.state_calls += 1;
+        match purpose {
+            CallPurpose::List { .. } | CallPurpose::Watch { .. } | CallPurpose::Fresh { .. } => {
+                work.state_reads += 1;
+            }
+            _ if path == COMMIT_PATH => work.state_commits += 1,
+            _ => {}
+        }
+        self.store.read_budget.take(1.0, f64::MIN, self.now.monotonic_ms);
+        self.call(Service::State, method, path, body, timeout_ms, purpose);
+    }
+
+    /// Sends the reads that are due.
+    pub(in crate::coordination) fn store_reads_due(&mut self) {
+        if self.now.monotonic_ms < self.store.retry_at {
+            return;
+        }
+        if !self.store.loaded {
+            return self.list_next_page();
+        }
+        if !self.store.watching && !self.store.refused {
+            self.open_watch();
+        }
+        self.fresh_read_due();
+    }
+
+    fn list_next_page(&mut self) {
+        if self.store.listing.in_flight {
+            return;
+        }
+        self.store.listing.in_flight = true;
+        let path = list_path(KEY_FAMILY, self.store.listing.last_key.as_deref(), STATE_LIST_LIMIT);
+        let purpose = CallPurpose::List { epoch: self.store.epoch };
+        self.state_call("GET", path, vec![], STATE_LIST_MS, purpose);
+    }
+
+    fn open_watch(&mut self) {
+        self.store.watching = true;
+        let path = changes_path(KEY_FAMILY, self.store.replica.revision, WATCH_BLOCK_MS);
+        let purpose = CallPurpose::Watch { asked: self.store.question() };
+        self.state_call("GET", path, vec![], WATCH_CALL_MS, purpose);
+    }
+
+    /// Begins a zero-wait read if one is wanted, or the last one was long ago.
+    fn fresh_read_due(&mut self) {
+        let now = self.now.monotonic_ms;
+        let reads = &mut self.store.fresh_reads;
+        let periodic = now >= reads.begun_at + READ_PERIOD_MS;
+        let wanted = !reads.waiting.is_empty() && now >= reads.begun_at + FRESH_GAP_MS;
+        if reads.running.is_some() || !(periodic || wanted) {
+            return;
+        }
+        if !self.store.read_budget.take(0.0, 1.0, now) && !periodic {
+            return;
+        }
+        reads.running = Some(std::mem::take(&mut reads.waiting));
+        reads.begun_at = now;
+        let path = changes_path(KEY_FAMILY, self.store.replica.revision, 0);
+        let purpose = CallPurpose::Fresh { begun: now, asked: self.store.question() };
+        self.state_call("GET", path, vec![], STATE_CALL_MS, purpose);
+    }
+
+    pub(in crate::coordination) fn on_list_response(
+        &mut self,
+        epoch: u32,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        if epoch != self.store.epoch {
+            return;
+        }
+        self.store.listing.in_flight = false;
+        let Some((200, body)) = reply else {
+            return self.store.retry_later(self.now.monotonic_ms);
+        };
+        let Ok(page) = serde_json::from_slice::<Page>(&body) else {
+            return self.store.retry_later(self.now.monotonic_ms);
+        };
+        self.metrics.work.state_bytes_read += body.len() as u64;
+        self.store.listing.first_revision.get_or_insert(page.revision);
+        for item in &page.items {
+            self.store.replica.apply_item(item);
+            self.note_item(item);
+        }
+        if self.store.replica.foreign.is_some() {
+            return self.reject_foreign_layout();
+        }
+        if page.has_next {
+            self.store.listing.last_key = page.items.last().map(|item| item.key.clone());
+            return self.store_reads_due();
+        }
+        self.complete_listing(page.revision);
+    }
+
+    /// Another version may still run on this store: neither may touch what the other keeps.
+    fn reject_foreign_layout(&mut self) {
+        let replica = &mut self.store.replica;
+        let key = replica.foreign.as_deref().unwrap_or_default();
+        log::error!(
+            "the store has keys of another layout than {KEY_ROOT}, like {key}: serving nobody"
+        );
+        *replica = Replica::new(replica.hash_keys());
+        self.recovery.forget_image();
+        self.store.listing = Listing::default();
+        self.store.retry_at = self.now.monotonic_ms + STATE_FOREIGN_MS;
+    }
+
+    /// The last page is in, which showed `revision`.
+    fn complete_listing(&mut self, revision: u64) {
+        // Pages are of different moments: changes since the first one follow by reads.
+        let first_revision = self.store.listing.first_revision.take();
+        self.store.replica.revision = first_revision.unwrap_or(revision);
+        self.store.note_revision(revision);
+        self.store.listing.last_key = None;
+        self.store.loaded = true;
+        let replica = &self.store.replica;
+        if let Some(term) = replica.term.as_ref().map(|record| record.value.term) {
+            self.membership.note_term(term);
+        }
+        self.cloud.restore_catalog(replica.catalog.as_ref().map(|record| &record.value));
+        self.note_listing_complete();
+        let replica = &self.store.replica;
+        log::info!("loaded: {} jobs at revision {}", replica.jobs.len(), replica.revision);
+        self.store_reads_due();
+    }
+
+    /// Puts an answer into the replica.
+    fn apply_changes(
+        &mut self,
+        asked: StoreQuestion,
+        reply: &Option<(u16, Vec<u8>)>,
+    ) -> ReadOutcome {
+        if asked.epoch != self.store.epoch {
+            return ReadOutcome::Superseded;
+        }
+        match reply {
+            Some((200, body)) => self.apply_changes_body(asked, body),
+            Some((410, _)) => {
+                self.on_watch_too_old();
+                ReadOutcome::Superseded
+            }
+            _ => ReadOutcome::Failed,
+        }
+    }
+
+    fn apply_changes_body(&mut self, asked: StoreQuestion, body: &[u8]) -> ReadOutcome {
+        let Ok(changes) = serde_json::from_slice::<Changes>(body) else {
+            return ReadOutcome::Failed;
+        };
+        let work = &mut self.metrics.work;
+        work.state_bytes_read += body.len() as u64;
+        work.state_reads_unchanged += u64::from(changes.events.is_empty());
+        if !self.note_changes(asked.since, &changes) {
+            return ReadOutcome::Superseded;
+        }
+        self.store.note_revision(changes.revision);
+        let changed_jobs = self.store.replica.apply(&changes);
+        self.on_jobs_changed(&changed_jobs);
+        self.membership.note_term(self.store.replica.term());
+        ReadOutcome::Applied
+    }
+
+    /// The service keeps no changes from so long ago.
+    fn on_watch_too_old(&mut self) {
+        log::info!("too far behind, reading the store anew");
+        if self.recovery.notices_losses() {
+            return self.suspect_store_loss(None);
+        }
+        self.read_anew();
+        self.step_down("lost track of the store");
+    }
+
+    /// A transaction of ours was applied: puts it into the replica ahead of the watch.
+    pub(in crate::coordination) fn apply_own_transaction(
+        &mut self,
+        transaction: &Transaction,
+        revision: u64,
+    ) {
+        let changed_jobs = self.store.apply_own_transaction(transaction, revision);
+        self.record_own_transaction(transaction, revision);
+        self.on_jobs_changed(&changed_jobs);
+    }
+
+    /// Jobs have changed in the replica: the leader's state follows.
+    pub(in crate::coordination) fn on_jobs_changed(&mut self, changed_jobs: &[Name]) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) else { return };
+        for uid in changed_jobs {
+            leader.cluster.job_changed(&self.store.replica, uid, now);
+        }
+        if !changed_jobs.is_empty() {
+            leader.plan_soon(now);
+        }
+    }
+
+    pub(in crate::coordination) fn on_watch_response(
+        &mut self,
+        asked: StoreQuestion,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        if asked.epoch == self.store.epoch {
+            self.store.watching = false;
+        }
+        if matches!(self.apply_changes(asked, &reply), ReadOutcome::Failed) {
+            self.store.retry_later(self.now.monotonic_ms);
+        }
+    }
+
+    pub(in crate::coordination) fn on_fresh_read_response(
+        &mut self,
+        begun: u64,
+        asked: StoreQuestion,
+        reply: Option<(u16, Vec<u8>)>,
+    ) {
+        let waiters = self.store.fresh_reads.running.take().unwrap_or_default();
+        match self.apply_changes(asked, &reply) {
+            ReadOutcome::Applied => {
+                self.store.last_read_at = Some(begun);
+                self.forget_ended_by_peers();
+                self.note_fresh_read(begun);
+                self.complete_waiters(waiters, begun);
+            }
+            outcome => {
+                let rate_limited = matches!(reply, Some((429, _)));
+                if matches!(outcome, ReadOutcome::Failed) && !rate_limited {
+                    self.store.retry_later(self.now.monotonic_ms);
+                }
+                waiters.into_iter().for_each(|waiter| self.fail_waiter(waiter));
+            }
+        }
+        self.store_reads_due();
+    }
+}
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -91,7 +91,7 @@
         match leader.cluster.gang_phase(job) {
             GangPhase::Running => None,
             GangPhase::Unplaced => {
-                let most = gang_tasks_max(&self.limits, self.settings.controllers());
+                let most = gang_tasks_max(self.store.limits(), self.settings.controllers());
                 (job.tasks as usize > most).then_some(WaitReason::TooLargeToStore { most })
             }
             GangPhase::Storing => Some(WaitReason::Storing),
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -40,19 +40,23 @@
 impl Controller {
     /// Answers a report with the leader to turn to, if it is known.
     pub(super) fn redirect(&mut self, connection: ConnectionId) {
-        self.redirect_past(connection, self.highest_term);
+        self.redirect_past(connection, self.membership.highest_term());
     }
 
     /// The same, where only a leader of this term or a later one will do.
     fn redirect_past(&mut self, connection: ConnectionId, term: u64) {
         self.metrics.work.reports_redirected += 1;
-        let leader = match &self.replica.leader {
+        let leader = match &self.store.replica().leader {
             Some(leader)
                 if leader.value.label != self.settings.label && leader.value.term >= term =>
             {
                 Some(leader.value.label.clone())
             }
-            _ => self.fresh_gossip().find(|g| g.leads && g.term >= term).map(|g| g.label.clone()),
+            _ => self
+                .membership
+                .fresh_gossip(self.now.monotonic_ms)
+                .find(|g| g.leads && g.term >= term)
+                .map(|g| g.label.clone()),
         };
         let body = serde_json::to_vec(&LeaderRedirect { leader }).unwrap_or_default();
         self.respond(connection, 421, None, body);
@@ -68,10 +72,10 @@
         if self.store_is_usable() {
             return self.request_leader_read();
         }
-        let read_at = self.store_sync.fresh_at.unwrap_or(self.started_at);
+        let read_at = self.store.last_read_at().unwrap_or(self.started_at);
         let elections = (self.now.monotonic_ms - read_at) / ELECTION_LEAST_MS + 1;
-        if token - self.highest_term <= elections {
-            self.highest_term = token;
+        if token - self.membership.highest_term() <= elections {
+            self.membership.note_term(token);
             self.check_term();
         }
     }
@@ -80,19 +84,18 @@
         let report: Heartbeat = match serde_json::from_slice(body) {
             Ok(r) => r,
             Err(e) => {
-                let requester =
-                    Requester { connection, relayed: false, since: self.now.monotonic_ms };
+                let requester = Requester::direct(connection, self.now.monotonic_ms);
                 return self.refuse(requester, 400, &e.to_string(), None);
             }
         };
         let now = self.now.monotonic_ms;
         self.metrics.work.reports += 1;
-        self.worker_heartbeats.insert(report.machine.clone(), now);
+        self.membership.note_worker_heartbeat(&report.machine, now);
         self.note_worker_token(&report);
-        if report.fencing_token > self.highest_term {
+        if report.fencing_token > self.membership.highest_term() {
             self.observe_fencing_token(report.fencing_token);
         }
-        if report.fencing_token > self.highest_term {
+        if report.fencing_token > self.membership.highest_term() {
             // It would drop our answer. Whoever gave it that token, it is not the leader that we know.
             return self.redirect_past(connection, report.fencing_token);
         }
@@ -102,7 +105,7 @@
         } else if self.rebuilds() && self.may_renew_worker_leases() {
             self.answer_in_rebuild(connection, report);
         } else if self.leader.is_none() && self.may_extend_lease(report.fencing_token) {
-            self.extend_lease(connection, report);
+            self.extend_lease(connection, &report);
         } else {
             self.redirect(connection);
         }
@@ -110,8 +113,8 @@
 
     fn process_heartbeat(&mut self, connection: ConnectionId, report: Heartbeat) {
         let now = self.now.monotonic_ms;
-        let catalog = self.catalog.clone();
-        let rebuilt = self.replica.rebuild.is_some();
+        let catalog = self.cloud.catalog().cloned();
+        let rebuilt = self.store.replica().rebuild.is_some();
         let history_is_doubtful = rebuilt || self.starts_are_held();
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -204,7 +207,7 @@
                 // Perhaps a late copy. What really runs there a report with our token shows.
                 continue;
             }
-            if rebuilt && !self.replica.jobs.contains_key(&id.0) {
+            if rebuilt && !self.store.replica().jobs.contains_key(&id.0) {
                 // Accepted in the lost history, as far as anyone can tell: it is left alone.
                 unknown_tasks.insert((id, attempt));
                 continue;
@@ -262,7 +265,8 @@
             return self.redirect(h.connection);
         }
         let may_order_starts = self.may_order_starts();
-        let rebuilt_in = self.replica.rebuild.as_ref().map_or(0, |record| record.value.term);
+        let rebuilt_in =
+            self.store.replica().rebuild.as_ref().map_or(0, |record| record.value.term);
         let Some(leader) = self.leader.as_mut() else {
             return self.redirect(h.connection);
         };
@@ -300,7 +304,7 @@
             let job = jobs.get(&id.0);
             let live = job.is_some_and(|j| j.stage == JobStage::Live && !j.done.get(id.1));
             // Peers' word stops a task, but settles nothing: see `blind`.
-            let told = self.ended_by_peers.contains(&id.0);
+            let told = self.membership.has_heard_end_of(&id.0);
             let halt = if live && !told { p.stop_reason } else { Some(StopReason::NotNeeded) };
             let task_id = task_name(&id.0, id.1);
             let inherited = p.attempt >> ATTEMPT_BITS != term;
