--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,8 +1,10 @@
 //! The messages of every interface. Nothing outside this module knows wire names.
 
 pub mod cloud;
+pub mod http;
 pub mod peers;
 pub mod recovery;
+pub mod routes;
 pub mod state;
 pub mod users;
 pub mod workers;
