--- a/src/coordination/report_evidence.rs
+++ b/src/coordination/report_evidence.rs
@@ -6,12 +6,9 @@
 use crate::protocol::workers::{EndCause, Heartbeat, ReportedTask};
 use crate::protocol::{parse_task, Resources};
 use crate::storage::hashing::{HashKeys, HashMap};
-use crate::storage::machine::{Machine, MachineState, TaskId};
+use crate::storage::machine::{HeartbeatId, Machine, MachineState, TaskId};
 use crate::storage::records::Name;
 
-/// Session and sequence: of two reports of a machine the larger is the newer one.
-pub(super) type HeartbeatId = (u64, u64);
-
 /// Tasks of a report by task and attempt.
 pub(super) type ReportedTasks<'a> = HashMap<(TaskId, u64), &'a ReportedTask>;
 
@@ -46,14 +43,14 @@
             (machine.newest_heartbeat, machine.last_response_at, machine.last_heartbeat_at);
         let answered_last = received.is_some_and(|r| answered.is_some_and(|a| a >= r));
         let wait = (WORKER_WAIT_S * MS_PER_S) as u64;
-        let follows = id == (before.0, before.1.saturating_add(1));
+        let follows = id == before.next();
         let prompt = answered_last && follows && received.is_some_and(|r| now < r + wait);
         let mut signs = u32::from(!ours && answered.is_some());
-        if answered_last && id.0 > before.0 {
+        if answered_last && id.incarnation > before.incarnation {
             // A worker that an answer reaches keeps its session.
             signs += UNREACHABLE_SESSION_SIGNS;
         }
-        signs += u32::from(answered_last && id.1 > before.1.saturating_add(1));
+        signs += u32::from(answered_last && id.sequence > before.next().sequence);
         ResponseDelivery {
             delivered: prompt || ours && !machine.has_our_token,
             undelivered_signs: signs,
@@ -69,7 +66,7 @@
     ours: bool,
     now: u64,
 ) {
-    machine.newest_heartbeat = (report.incarnation, report.sequence);
+    machine.newest_heartbeat = HeartbeatId::of(report);
     machine.last_heartbeat_at = Some(now);
     machine.type_name.clone_from(&report.machine_type);
     machine.zone.clone_from(&report.zone);
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -6,7 +6,7 @@
 
 use super::gangs::saves_when_stopped;
 use super::leader::is_failure;
-use super::report_evidence::{note_machine, shown, Evidence, HeartbeatId, ResponseDelivery};
+use super::report_evidence::{note_machine, shown, Evidence, ResponseDelivery};
 use super::{ConnectionId, Controller, Leader, Requester};
 use crate::constants::{
     ATTEMPT_BITS, COMMANDS_MAX, ELECTION_LEAST_MS, FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS,
@@ -20,7 +20,9 @@
 use crate::storage::adoption::{make_returned_up_to, Adoption};
 use crate::storage::cluster::ClusterState;
 use crate::storage::gangs::GangState;
-use crate::storage::machine::{MachineState, Placement, PlacementPhase, StopReason, TaskId};
+use crate::storage::machine::{
+    HeartbeatId, MachineState, Placement, PlacementPhase, StopReason, TaskId,
+};
 use crate::storage::records::{JobStage, Name};
 use std::collections::BTreeSet;
 
@@ -29,7 +31,7 @@
 pub(super) struct DeferredHeartbeat {
     pub connection: ConnectionId,
     pub machine: Name,
-    newest: (u64, u64),
+    newest: HeartbeatId,
     pub since: u64,
     ours: bool,
     /// Tasks shown as ended, and tasks shown that nothing explains.
@@ -125,12 +127,12 @@
         let ours = report.fencing_token == leader.term;
         let keys = leader.cluster.hash_keys();
         let m = leader.cluster.machine_entry(&name, now);
-        let id = (report.incarnation, report.sequence);
+        let id = HeartbeatId::of(&report);
         if id <= m.newest_heartbeat {
             // Late or repeated: the worker has given it up.
             return self.redirect(connection);
         }
-        if m.lease_expired && report.incarnation <= m.newest_heartbeat.0 {
+        if m.lease_expired && report.incarnation <= m.newest_heartbeat.incarnation {
             // Sent before its lease ran out and held on the way: what it shows is over, and
             // the worker has begun another session since. Such reports once brought back
             // machines that were still cut off, with tasks long started elsewhere.
@@ -361,7 +363,7 @@
     newest: HeartbeatId,
 ) -> bool {
     let session_ended =
-        placement.start_sent_after.is_some_and(|(incarnation, _)| incarnation < newest.0);
+        placement.start_sent_after.is_some_and(|sent| sent.incarnation < newest.incarnation);
     inherited || session_ended || gang.running
 }
 
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -2,7 +2,7 @@
 
 use super::records::Name;
 use crate::constants::{IMAGES_KEPT, UNREACHABLE_SIGNS};
-use crate::protocol::workers::{EndCause, TaskStatus};
+use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,6 +24,29 @@
     NotNeeded,
 }
 
+/// Identifies a heartbeat of a machine. Of two heartbeats the greater is the newer one.
+///
+/// The order of the fields matters: a worker's sequence numbers start again with each incarnation.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeartbeatId {
+    /// The session of the worker that sent it.
+    pub incarnation: u64,
+    /// Its number within the session.
+    pub sequence: u64,
+}
+
+impl HeartbeatId {
+    /// The id of a worker's heartbeat.
+    pub fn of(heartbeat: &Heartbeat) -> HeartbeatId {
+        HeartbeatId { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence }
+    }
+
+    /// The id that the same session's next heartbeat has.
+    pub fn next(self) -> HeartbeatId {
+        HeartbeatId { sequence: self.sequence.saturating_add(1), ..self }
+    }
+}
+
 /// A task on a machine.
 #[derive(Debug, Clone)]
 pub struct Placement {
@@ -32,7 +55,7 @@
     /// Whether it is in the store.
     pub phase: PlacementPhase,
     /// The report in whose answer the start went out last.
-    pub start_sent_after: Option<(u64, u64)>,
+    pub start_sent_after: Option<HeartbeatId>,
     /// As last shown by the worker.
     pub reported_status: Option<TaskStatus>,
     /// When it was first shown running.
@@ -106,8 +129,8 @@
     pub up_at: Option<u64>,
     /// When a list first named it.
     pub listed_at: Option<u64>,
-    /// The newest report: session and sequence.
-    pub newest_heartbeat: (u64, u64),
+    /// The newest heartbeat.
+    pub newest_heartbeat: HeartbeatId,
     /// The worker has shown our token.
     pub has_our_token: bool,
     /// When it last gave a sign of life, see [`Machine::received_at`] for the difference.
@@ -164,7 +187,7 @@
             first_known_at: now,
             up_at: None,
             listed_at: None,
-            newest_heartbeat: (0, 0),
+            newest_heartbeat: HeartbeatId::default(),
             has_our_token: false,
             last_alive_at: None,
             last_heartbeat_at: None,
