--- a/src/coordination/commit_places.rs
+++ b/src/coordination/commit_places.rs
@@ -93,12 +93,12 @@
     /// Whether a settled placement may be taken out of the store: what it did must be there.
     fn may_leave(&self, machine: &Name, id: &TaskId, f: &PendingTransaction) -> bool {
         let cause = self.machines.get(machine).and_then(|m| m.placements.get(id)?.settled);
-        if cause != Some(EndCause::Done) || f.finished_jobs.contains(&id.0) {
+        if cause != Some(EndCause::Done) || f.finished_jobs.contains(&id.job) {
             return true;
         }
-        let chunk = id.1 / DONE_CHUNK_TASKS;
+        let chunk = id.index / DONE_CHUNK_TASKS;
         self.jobs
-            .get(&id.0)
+            .get(&id.job)
             .is_none_or(|j| j.stage != JobStage::Live || !j.dirty_chunks.contains(&chunk))
     }
 
@@ -144,8 +144,8 @@
             f.removals.extend(out);
         }
         for entry in &adds {
-            if self.jobs.get(&entry.id.0).is_some_and(|job| job.stage == JobStage::Live) {
-                p.conditions.insert(job_end_key(&entry.id.0), 0);
+            if self.jobs.get(&entry.id.job).is_some_and(|job| job.stage == JobStage::Live) {
+                p.conditions.insert(job_end_key(&entry.id.job), 0);
             }
         }
         f.additions = adds;
@@ -261,7 +261,7 @@
                 })
                 .collect();
             let Some(first) = entries.first() else { continue };
-            let uid = first.id.0.clone();
+            let uid = first.id.job.clone();
             let live = self.jobs.get(&uid).is_some_and(|job| job.stage == JobStage::Live);
             let new_job = live && !jobs.contains(&uid);
             let mut with = fill.clone();
@@ -293,10 +293,10 @@
     fn take_units(&mut self) -> Vec<Unit> {
         let mut units: Vec<Unit> = Vec::new();
         for (machine, id) in std::mem::take(&mut self.proposals) {
-            let gang = self.jobs.get(&id.0).is_some_and(|job| job.is_gang());
+            let gang = self.jobs.get(&id.job).is_some_and(|job| job.is_gang());
             let proposed = self.machines.get(&machine).and_then(|m| m.placements.get(&id));
             let gang = gang && proposed.is_some_and(|p| p.phase == PlacementPhase::Proposed);
-            let uid = gang.then(|| id.0.clone());
+            let uid = gang.then(|| id.job.clone());
             match units.last_mut() {
                 Some(last) if uid.is_some() && last.uid == uid => {
                     last.placements.push((machine, id));
@@ -311,13 +311,13 @@
         let Some(m) = self.machines.get(machine) else { return Verdict::Over };
         let held = m.placements.get(id).filter(|p| p.settled.is_none());
         let Some(held) = held else { return Verdict::Over };
-        let live = self.jobs.get(&id.0).is_some_and(|j| j.stage == JobStage::Live);
+        let live = self.jobs.get(&id.job).is_some_and(|j| j.stage == JobStage::Live);
         let there = m.state == MachineState::Up && !m.lease_expired && m.reclaim_at.is_none();
         if held.phase == PlacementPhase::Proposed && (!live || !there || held.stop_reason.is_some())
         {
             return Verdict::Retract;
         }
-        let Some(text) = StoredPlacement::text(&id.0, id.1, machine, held.attempt) else {
+        let Some(text) = StoredPlacement::text(&id.job, id.index, machine, held.attempt) else {
             return Verdict::Retract;
         };
         Verdict::Store(PlacementEntry {
@@ -344,12 +344,12 @@
             out.iter().chain(moved).map(|e| (&e.id, e.attempt)).collect();
         let stay = group.placements.iter().filter(|((id, a), _)| !gone.contains(&(id, *a)));
         let mut texts: Vec<String> = stay
-            .filter_map(|((id, a), (m, _))| StoredPlacement::text(&id.0, id.1, m, *a))
+            .filter_map(|((id, a), (m, _))| StoredPlacement::text(&id.job, id.index, m, *a))
             .collect();
         let moved_here = f.moves.iter().map(|m| &m.entry);
         let new = adds.iter().chain(moved_here).filter(|e| e.group == n);
         texts.extend(
-            new.filter_map(|e| StoredPlacement::text(&e.id.0, e.id.1, &e.machine, e.attempt)),
+            new.filter_map(|e| StoredPlacement::text(&e.id.job, e.id.index, &e.machine, e.attempt)),
         );
         let rec = PlacementsRecord { tasks: texts.join(" ") };
         if !p.put(placements_key(n), raw(&rec), group.mod_revision) {
--- a/src/coordination/commit_places/tests.rs
+++ b/src/coordination/commit_places/tests.rs
@@ -102,7 +102,7 @@
     let mut cluster = proposed(6);
     cluster.proposals.clear();
     for task in 0..60 {
-        let (machine, id): (Name, TaskId) = ("n-000001".into(), ("job-9".into(), task));
+        let (machine, id): (Name, TaskId) = ("n-000001".into(), TaskId::new("job-9".into(), task));
         let bytes = StoredPlacement::text("job-9", task, &machine, 9).expect("a text").len() + 1;
         let group = cluster.groups.entry(0).or_default();
         group.bytes += bytes;
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -400,7 +400,7 @@
                 false => leader.cluster.retract(&e.machine, &e.id),
             }
         }
-        let gangs: BTreeSet<&Name> = f.additions.iter().map(|e| &e.id.0).collect();
+        let gangs: BTreeSet<&Name> = f.additions.iter().map(|e| &e.id.job).collect();
         for uid in gangs {
             let gang = leader.cluster.jobs.get_mut(uid).and_then(|job| job.gang.as_mut());
             if let Some(gang) = gang {
--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/fleet/consolidation.rs
@@ -137,7 +137,7 @@
             if chosen.len() >= most {
                 break;
             }
-            let Some(job) = cluster.jobs.get(&id.0) else { continue };
+            let Some(job) = cluster.jobs.get(&id.job) else { continue };
             let Some(spec) = job.spec.as_ref().filter(|s| s.kind == JobKind::Service) else {
                 continue;
             };
@@ -164,7 +164,7 @@
             if let Some(p) =
                 leader.cluster.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
             {
-                log::debug!("{}/{}: moves off {name}", id.0, id.1);
+                log::debug!("{id}: moves off {name}");
                 p.stop_reason = Some(StopReason::Eviction);
             }
         }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -213,18 +213,18 @@
 
 /// Tasks of services on a machine.
 fn services(cluster: &ClusterState, m: &Machine) -> f64 {
-    let on = |((uid, _), p): &(&TaskId, &Placement)| p.settled.is_none() && cluster.is_service(uid);
+    let on = |(id, p): &(&TaskId, &Placement)| p.settled.is_none() && cluster.is_service(&id.job);
     m.placements.iter().filter(on).count() as f64
 }
 
 /// The part of a machine's load that services make up.
 fn service_share(cluster: &ClusterState, m: &Machine) -> f64 {
     let (mut service, mut all) = (0.0, 0.0);
-    for ((uid, _), p) in &m.placements {
-        if let (None, Some(j)) = (p.settled, cluster.jobs.get(uid)) {
+    for (id, p) in &m.placements {
+        if let (None, Some(j)) = (p.settled, cluster.jobs.get(&id.job)) {
             let share = j.need.share_of(&m.total);
             all += share;
-            if cluster.is_service(uid) {
+            if cluster.is_service(&id.job) {
                 service += share;
             }
         }
--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/returning.rs
@@ -187,8 +187,8 @@
                 let services: Vec<Resources> = m
                     .placements
                     .iter()
-                    .filter(|((uid, _), p)| p.settled.is_none() && cluster.is_service(uid))
-                    .filter_map(|((uid, _), _)| cluster.jobs.get(uid).map(|j| j.need))
+                    .filter(|(id, p)| p.settled.is_none() && cluster.is_service(&id.job))
+                    .filter_map(|(id, _)| cluster.jobs.get(&id.job).map(|j| j.need))
                     .collect();
                 let Some(need) = services.first() else { return false };
                 let mut room = 0;
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -11,7 +11,9 @@
 use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
 use crate::storage::limits::StoreLimits;
-use crate::storage::machine::{Machine, MachineState, Placement, PlacementPhase, StopReason};
+use crate::storage::machine::{
+    Machine, MachineState, Placement, PlacementPhase, StopReason, TaskId,
+};
 use crate::storage::records::Name;
 use std::collections::BTreeSet;
 
@@ -63,13 +65,14 @@
             .iter()
             .filter(|(task, machine)| {
                 let machine = self.cluster.machines.get(*machine);
-                let held = machine.and_then(|m| m.placements.get(&(uid.clone(), **task)));
+                let held =
+                    machine.and_then(|m| m.placements.get(&TaskId::new(uid.clone(), **task)));
                 held.is_some_and(|p| p.settled.is_none() && never_ordered(p, self.term))
             })
             .map(|(task, machine)| (machine.clone(), *task))
             .collect();
         for (machine, task) in nowhere {
-            self.cluster.settle(&machine, &(uid.clone(), task), EndCause::Lost);
+            self.cluster.settle(&machine, &TaskId::new(uid.clone(), task), EndCause::Lost);
         }
         self.plan_soon(now);
     }
@@ -94,7 +97,7 @@
             }
             let missing = job.placed_on.iter().any(|(task, machine)| {
                 let Some(m) = cluster.machines.get(machine) else { return false };
-                let held = m.placements.get(&(uid.clone(), *task));
+                let held = m.placements.get(&TaskId::new(uid.clone(), *task));
                 // What an earlier leader has placed may run there.
                 let heard = m.has_our_token || now > self.began_at + silent * 2;
                 held.is_some_and(|p| p.reported_status.is_none() && p.stop_reason.is_none())
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -453,15 +453,15 @@
         for (m, handle) in &plan.halts {
             let id = view.handles[*m][*handle].clone();
             let machine = &view.machines[*m];
-            if leader.cluster.jobs.get(&id.0).is_some_and(|job| job.is_gang()) {
-                log::debug!("{}: gang stopped to make room", id.0);
-                leader.stop_gang(&id.0, StopReason::Eviction, now);
+            if leader.cluster.jobs.get(&id.job).is_some_and(|job| job.is_gang()) {
+                log::debug!("{}: gang stopped to make room", id.job);
+                leader.stop_gang(&id.job, StopReason::Eviction, now);
                 continue;
             }
             let held =
                 leader.cluster.machines.get_mut(machine).and_then(|m| m.placements.get_mut(&id));
             let Some(p) = held else { continue };
-            log::debug!("{}/{}: stopped on {machine} to make room", id.0, id.1);
+            log::debug!("{id}: stopped on {machine} to make room");
             p.stop_reason = p.stop_reason.max(Some(StopReason::Eviction));
             // Stored but never ordered by us: it can't be there, so its place is free at once.
             let ours = p.attempt >> ATTEMPT_BITS == leader.term;
--- a/src/coordination/recovery/view.rs
+++ b/src/coordination/recovery/view.rs
@@ -3,7 +3,6 @@
 use super::Phase;
 use crate::coordination::Controller;
 use crate::protocol::recovery::{FlaggedJob, LastRebuild, RecoveryReport, UnknownTask};
-use crate::protocol::task_name;
 use crate::snapshots::SnapshotStatus;
 use crate::storage::records::{FlagReason, RebuildPhase};
 use serde::Serialize;
@@ -62,9 +61,9 @@
     fn unknown_tasks(&self) -> Vec<UnknownTask> {
         let machines = self.leader.iter().flat_map(|leader| leader.cluster.machines.values());
         let tasks = machines.flat_map(|machine| {
-            machine.unknown_tasks.iter().map(|((job, task), attempt)| UnknownTask {
+            machine.unknown_tasks.iter().map(|(id, attempt)| UnknownTask {
                 machine: machine.name.to_string(),
-                task: task_name(job, *task),
+                task: id.to_string(),
                 attempt: *attempt,
             })
         });
--- a/src/coordination/report_evidence.rs
+++ b/src/coordination/report_evidence.rs
@@ -7,7 +7,6 @@
 use crate::protocol::{parse_task, Resources};
 use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::machine::{HeartbeatId, Machine, MachineState, TaskId};
-use crate::storage::records::Name;
 
 /// Tasks of a report by task and attempt.
 pub(super) type ReportedTasks<'a> = HashMap<(TaskId, u64), &'a ReportedTask>;
@@ -17,7 +16,7 @@
     let mut shown = keys.map();
     for reported in &report.tasks {
         if let Some((job, task)) = parse_task(&reported.task_id) {
-            shown.insert(((Name::from(job), task), reported.attempt), reported);
+            shown.insert((TaskId::new(job.into(), task), reported.attempt), reported);
         }
     }
     shown
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -142,8 +142,8 @@
                 if p.settled.is_some() {
                     continue;
                 }
-                let fact = facts.entry(&id.0).or_insert_with(|| {
-                    let job = cluster.jobs.get(&id.0)?;
+                let fact = facts.entry(&id.job).or_insert_with(|| {
+                    let job = cluster.jobs.get(&id.job)?;
                     let spec = job.spec.as_ref()?;
                     Some(Facts {
                         priority: spec.priority,
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -13,9 +13,9 @@
     FAULTY_FAILURES, FAULTY_WINDOW_MS, GRACE_EXTRA_S, MS_PER_S, RECLAIM_MARGIN_S, REPORT_HOLD_MS,
     UNREACHABLE_CALM_LEASES,
 };
+use crate::protocol::parse_task;
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::*;
-use crate::protocol::{parse_task, task_name};
 use crate::settings::Platform;
 use crate::storage::adoption::{make_returned_up_to, Adoption};
 use crate::storage::cluster::ClusterState;
@@ -166,8 +166,8 @@
             ended: ended.map(|task| (task.task_id.clone(), task.attempt)).collect(),
             unknown_tasks: Vec::new(),
         };
-        for ((job, task), placed_at) in evidence.running {
-            let Some(j) = leader.cluster.jobs.get_mut(&job) else { continue };
+        for (id, placed_at) in evidence.running {
+            let Some(j) = leader.cluster.jobs.get_mut(&id.job) else { continue };
             j.has_started = true;
             if let Some(gang) = &mut j.gang {
                 gang.note_running();
@@ -180,7 +180,7 @@
                 m.note_image(&spec.image, spec.size_gb, room);
             }
             let _ = self.metrics.start_ms.record(now - placed_at);
-            log::debug!("{job}/{task}: runs on {name}, {} ms after it was placed", now - placed_at);
+            log::debug!("{id}: runs on {name}, {} ms after it was placed", now - placed_at);
         }
         for (task, cause) in evidence.settled {
             leader.record_task_end(&name, &task, cause, now);
@@ -193,7 +193,7 @@
             let Some((job, task)) = parse_task(&reported.task_id) else {
                 continue;
             };
-            let id: TaskId = (job.into(), task);
+            let id = TaskId::new(job.into(), task);
             let known = leader.cluster.machines[&name]
                 .placements
                 .get(&id)
@@ -206,7 +206,7 @@
                 // Perhaps a late copy. What really runs there a report with our token shows.
                 continue;
             }
-            if rebuilt && !self.replica.jobs.contains_key(&id.0) {
+            if rebuilt && !self.replica.jobs.contains_key(&id.job) {
                 // Accepted in the lost history, as far as anyone can tell: it is left alone.
                 unknown_tasks.insert((id, attempt));
                 continue;
@@ -286,7 +286,9 @@
         for (task_id, attempt) in h.ended {
             // Only once what it said is committed, which takes the placement out.
             let open = parse_task(&task_id).is_some_and(|(job, task)| {
-                m.placements.get(&(job.into(), task)).is_some_and(|p| p.attempt == attempt)
+                m.placements
+                    .get(&TaskId::new(job.into(), task))
+                    .is_some_and(|p| p.attempt == attempt)
             });
             if !open && commands.len() < COMMANDS_MAX {
                 commands.push(WorkerCommand::Clear { task_id, attempt });
@@ -299,12 +301,12 @@
             if commands.len() + starts.len() >= COMMANDS_MAX {
                 break;
             }
-            let job = jobs.get(&id.0);
-            let live = job.is_some_and(|j| j.stage == JobStage::Live && !j.done.get(id.1));
+            let job = jobs.get(&id.job);
+            let live = job.is_some_and(|j| j.stage == JobStage::Live && !j.done.get(id.index));
             // Peers' word stops a task, but settles nothing: see `blind`.
-            let told = self.ended_by_peers.contains(&id.0);
+            let told = self.ended_by_peers.contains(&id.job);
             let halt = if live && !told { p.stop_reason } else { Some(StopReason::NotNeeded) };
-            let task_id = task_name(&id.0, id.1);
+            let task_id = id.to_string();
             let inherited = p.attempt >> ATTEMPT_BITS != term;
             if let Some(halt) = halt {
                 if p.reported_status.is_none() && p.start_sent_after.is_none() && !inherited {
@@ -371,7 +373,7 @@
     /// Draws conclusions from how a task ended: run times, sick machines, bad jobs.
     fn record_task_end(&mut self, machine: &Name, id: &TaskId, cause: EndCause, now: u64) {
         let cluster = &mut self.cluster;
-        let Some(job) = cluster.jobs.get_mut(&id.0) else {
+        let Some(job) = cluster.jobs.get_mut(&id.job) else {
             return;
         };
         let spec = job.spec.clone();
@@ -388,7 +390,7 @@
                     if o.failures.iter().any(|(t, _)| now - t < FAULTY_WINDOW_MS) {
                         log::info!(
                             "{other}: set aside, {} failed there and not on {machine}",
-                            id.0
+                            id.job
                         );
                         o.cordoned = true;
                     }
@@ -408,11 +410,11 @@
         if job.fails_everywhere() {
             job.fail_pause_ms = (job.fail_pause_ms * 2).clamp(FAIL_PAUSE_MS, FAIL_PAUSE_MAX_MS);
             job.paused_until = now + job.fail_pause_ms;
-            log::debug!("{}: failed on several machines, paused {} ms", id.0, job.fail_pause_ms);
+            log::debug!("{}: failed on several machines, paused {} ms", id.job, job.fail_pause_ms);
             return;
         }
         m.failures.retain(|(t, _)| now - t < FAULTY_WINDOW_MS);
-        m.failures.push((now, id.0.clone()));
+        m.failures.push((now, id.job.clone()));
         let mut jobs: Vec<&Name> = m.failures.iter().map(|(_, j)| j).collect();
         jobs.sort_unstable();
         jobs.dedup();
@@ -434,8 +436,8 @@
         let left = at.saturating_sub(now);
         let report = (settings.params.workers.report_s * MS_PER_S) as u64;
         let mut gangs: BTreeSet<Name> = BTreeSet::new();
-        for ((uid, _), p) in &mut m.placements {
-            let Some(spec) = jobs.get(uid).and_then(|j| j.spec.as_ref()) else {
+        for (id, p) in &mut m.placements {
+            let Some(spec) = jobs.get(&id.job).and_then(|j| j.spec.as_ref()) else {
                 continue;
             };
             if p.settled.is_some() || p.stop_reason.is_some() {
@@ -452,7 +454,7 @@
                 run.saturating_sub(ran) > left
             };
             if stop && spec.is_gang() {
-                gangs.insert(uid.clone());
+                gangs.insert(id.job.clone());
             } else if stop {
                 p.stop_reason = Some(StopReason::Eviction);
             }
@@ -467,19 +469,19 @@
     /// A task that runs with no placement: counted where it is, so that it is not started
     /// elsewhere, and halted.
     fn add_untracked_task(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) {
-        let Some(job) = self.jobs.get_mut(&id.0) else {
+        let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
         let free = job.stage == JobStage::Live
-            && !job.done.get(id.1)
-            && !job.placed_on.contains_key(&id.1)
-            && !job.settling.contains(&id.1)
-            && id.1 < job.tasks;
+            && !job.done.get(id.index)
+            && !job.placed_on.contains_key(&id.index)
+            && !job.settling.contains(&id.index)
+            && id.index < job.tasks;
         if !free {
             return;
         }
-        make_returned_up_to(job, id.1);
-        self.propose(&id.0, id.1, machine, attempt, now);
+        make_returned_up_to(job, id.index);
+        self.propose(&id.job, id.index, machine, attempt, now);
         if let Some(p) = self.machines.get_mut(machine).and_then(|m| m.placements.get_mut(id)) {
             p.phase = PlacementPhase::Committed;
             p.reported_status = Some(TaskStatus::Running);
--- a/src/storage/adoption.rs
+++ b/src/storage/adoption.rs
@@ -23,11 +23,11 @@
 impl ClusterState {
     /// Placements of a job that is not known yet, by task and machine.
     pub(super) fn placed_tasks_of(&self, uid: &Name) -> Vec<(u32, Name)> {
-        let tasks = (uid.clone(), 0)..=(uid.clone(), u32::MAX);
+        let tasks = TaskId::new(uid.clone(), 0)..=TaskId::new(uid.clone(), u32::MAX);
         let mut placed = Vec::new();
         for machine in self.machines.values() {
             let open = machine.placements.range(tasks.clone()).filter(|(_, p)| p.settled.is_none());
-            placed.extend(open.map(|((_, task), _)| (*task, machine.name.clone())));
+            placed.extend(open.map(|(id, _)| (id.index, machine.name.clone())));
         }
         placed
     }
@@ -36,9 +36,9 @@
     pub(super) fn adopt_tasks_of(&mut self, uid: &Name, now: u64) {
         let mut found: Vec<(Name, TaskId, u64)> = Vec::new();
         for machine in self.machines.values_mut() {
-            let tasks = machine.unknown_tasks.iter().filter(|((job, _), _)| job == uid);
+            let tasks = machine.unknown_tasks.iter().filter(|(id, _)| id.job == *uid);
             found.extend(tasks.map(|(id, attempt)| (machine.name.clone(), id.clone(), *attempt)));
-            machine.unknown_tasks.retain(|((job, _), _)| job != uid);
+            machine.unknown_tasks.retain(|(id, _)| id.job != *uid);
         }
         for (machine, id, attempt) in found {
             self.adopt(&machine, &id, attempt, now);
@@ -48,21 +48,21 @@
     /// A task runs with no placement that we know of, as a report with our token shows. After a
     /// rebuild it may have been placed in the part of the history that is lost.
     pub fn adopt(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) -> Adoption {
-        let Some(job) = self.jobs.get(&id.0) else { return Adoption::Refused };
-        if job.stage != JobStage::Live || id.1 >= job.tasks || job.done.get(id.1) {
+        let Some(job) = self.jobs.get(&id.job) else { return Adoption::Refused };
+        if job.stage != JobStage::Live || id.index >= job.tasks || job.done.get(id.index) {
             return Adoption::Refused;
         }
-        if job.settling.contains(&id.1) {
+        if job.settling.contains(&id.index) {
             return Adoption::Waits;
         }
-        if let Some(other) = job.placed_on.get(&id.1).cloned() {
+        if let Some(other) = job.placed_on.get(&id.index).cloned() {
             return self.settle_earlier(&other, id, attempt);
         }
         let withheld = job.quarantined;
-        if let Some(job) = self.jobs.get_mut(&id.0) {
-            make_returned_up_to(job, id.1);
+        if let Some(job) = self.jobs.get_mut(&id.job) {
+            make_returned_up_to(job, id.index);
         }
-        self.propose(&id.0, id.1, machine, attempt, now);
+        self.propose(&id.job, id.index, machine, attempt, now);
         let placements = self.machines.get_mut(machine).map(|m| &mut m.placements);
         if let Some(placement) = placements.and_then(|p| p.get_mut(id)) {
             placement.phase = PlacementPhase::Committed;
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -114,23 +114,23 @@
         for (n, rec) in &r.places {
             let mut group = Group { mod_revision: rec.mod_revision, ..Group::default() };
             for p in rec.value.placed() {
-                let id: TaskId = (p.uid(), p.task);
+                let id = TaskId::new(p.uid(), p.task);
                 let name: Name = p.machine.into();
-                let text =
-                    StoredPlacement::text(&id.0, p.task, p.machine, p.attempt).unwrap_or_default();
+                let text = StoredPlacement::text(&id.job, p.task, p.machine, p.attempt)
+                    .unwrap_or_default();
                 group.bytes += text.len() + 1;
                 group.placements.insert((id.clone(), p.attempt), (name.clone(), text.len() + 1));
                 let m = b.machine_entry(&name, now);
                 m.state = MachineState::AwaitingHeartbeat;
                 if m.placements.contains_key(&id) {
-                    log::error!("{}/{}: stored twice on {name}", id.0, id.1);
+                    log::error!("{id}: stored twice on {name}");
                     group.settled.insert((id, p.attempt));
                     continue;
                 }
                 let mut held = Placement::new(p.attempt, PlacementPhase::Committed, now);
                 held.group = Some(*n);
                 m.placements.insert(id.clone(), held);
-                placed.entry(id.0).or_default().push((id.1, name));
+                placed.entry(id.job).or_default().push((id.index, name));
             }
             b.groups.insert(*n, group);
         }
@@ -206,7 +206,7 @@
         for (task, machine) in on {
             job.placed_on.insert(*task, machine.clone());
             let held = self.machines.get_mut(machine).map(|m| &mut m.placements);
-            if let Some(p) = held.and_then(|p| p.get_mut(&(uid.clone(), *task))) {
+            if let Some(p) = held.and_then(|p| p.get_mut(&TaskId::new(uid.clone(), *task))) {
                 if job.stage != JobStage::Live || job.done.get(*task) {
                     p.stop_reason = Some(StopReason::NotNeeded);
                 } else if job.quarantined {
@@ -281,7 +281,7 @@
         }
         let placed: Vec<(u32, Name)> = job.placed_on.iter().map(|(t, m)| (*t, m.clone())).collect();
         for (task, machine) in placed {
-            let id = (uid.clone(), task);
+            let id = TaskId::new(uid.clone(), task);
             // A placement that is only proposed is halted too: if the commit under way stores
             // it, it must not be ordered any more.
             let Some(m) = self.machines.get_mut(&machine) else { continue };
@@ -312,10 +312,11 @@
             *self.usage.entry(spec.team.clone()).or_default() += job.need;
         }
         let p = Placement::new(attempt, PlacementPhase::Proposed, now);
-        m.placements.insert((uid.clone(), task), p);
+        let id = TaskId::new(uid.clone(), task);
+        m.placements.insert(id.clone(), p);
         m.idle_since = None;
         m.uncommitted_placements += 1;
-        self.proposals.push_back((machine.clone(), (uid.clone(), task)));
+        self.proposals.push_back((machine.clone(), id));
     }
 
     /// Takes back a proposal that never reached the store.
@@ -327,15 +328,15 @@
             return;
         }
         m.placements.remove(id);
-        let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        job.placed_on.remove(&id.1);
+        let Some(job) = self.jobs.get_mut(&id.job) else { return };
+        job.placed_on.remove(&id.index);
         if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.team)) {
             *u -= job.need;
         }
-        if job.stage == JobStage::Live && !job.done.get(id.1) {
-            job.requeued.insert(id.1);
+        if job.stage == JobStage::Live && !job.done.get(id.index) {
+            job.requeued.insert(id.index);
         }
-        self.forget_if_finished(&id.0);
+        self.forget_if_finished(&id.job);
     }
 
     /// A placement is in the store.
@@ -366,7 +367,7 @@
         }
         p.settled = Some(cause);
         let attempt = p.attempt;
-        let job = self.jobs.get_mut(&id.0);
+        let job = self.jobs.get_mut(&id.job);
         match p.group.and_then(|g| self.groups.get_mut(&g)) {
             Some(g) => {
                 g.settled.insert((id.clone(), attempt));
@@ -377,17 +378,17 @@
             None => self.unstored_settlements.push((machine.clone(), id.clone())),
         }
         let Some(job) = job else { return };
-        if job.placed_on.get(&id.1) == Some(machine) {
-            job.placed_on.remove(&id.1);
+        if job.placed_on.get(&id.index) == Some(machine) {
+            job.placed_on.remove(&id.index);
         }
-        job.settling.insert(id.1);
+        job.settling.insert(id.index);
         if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.team)) {
             *u -= job.need;
         }
         if cause == EndCause::Done && job.stage == JobStage::Live {
-            if job.done.set(id.1) {
+            if job.done.set(id.index) {
                 job.done_count += 1;
-                job.dirty_chunks.insert(id.1 / DONE_CHUNK_TASKS);
+                job.dirty_chunks.insert(id.index / DONE_CHUNK_TASKS);
             }
             job.successes += 1;
             job.failed_on.clear();
@@ -398,7 +399,7 @@
             }
         }
         if job.is_gang() {
-            self.gang_task_settled(&id.0, cause);
+            self.gang_task_settled(&id.job, cause);
         }
     }
 
@@ -414,13 +415,13 @@
             return;
         }
         m.placements.remove(id);
-        if let Some(job) = self.jobs.get_mut(&id.0) {
-            let waits = job.settling.remove(&id.1) && !job.placed_on.contains_key(&id.1);
-            if waits && job.stage == JobStage::Live && !job.done.get(id.1) {
-                job.requeued.insert(id.1);
+        if let Some(job) = self.jobs.get_mut(&id.job) {
+            let waits = job.settling.remove(&id.index) && !job.placed_on.contains_key(&id.index);
+            if waits && job.stage == JobStage::Live && !job.done.get(id.index) {
+                job.requeued.insert(id.index);
             }
         }
-        self.forget_if_finished(&id.0);
+        self.forget_if_finished(&id.job);
     }
 
     /// Takes out placements that ended without ever being in the store.
@@ -455,9 +456,9 @@
     /// What is free on a machine, all unsettled placements counted.
     pub fn free(&self, m: &Machine) -> Resources {
         let mut free = m.total;
-        for ((job, _), p) in &m.placements {
+        for (id, p) in &m.placements {
             if p.settled.is_none() {
-                if let Some(j) = self.jobs.get(job) {
+                if let Some(j) = self.jobs.get(&id.job) {
                     free -= j.need;
                 }
             }
@@ -479,9 +480,9 @@
     /// for them.
     pub fn room_for_services(&self, m: &Machine) -> Resources {
         let mut room = self.free(m);
-        for ((uid, _), p) in &m.placements {
-            if p.settled.is_none() && !self.is_service(uid) {
-                if let Some(j) = self.jobs.get(uid) {
+        for (id, p) in &m.placements {
+            if p.settled.is_none() && !self.is_service(&id.job) {
+                if let Some(j) = self.jobs.get(&id.job) {
                     room += j.need;
                 }
             }
@@ -492,7 +493,7 @@
     /// A job's tasks on machines.
     pub fn placements_of<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a Placement> {
         job.placed_on.iter().filter_map(|(task, machine)| {
-            self.machines.get(machine)?.placements.get(&(job.uid.clone(), *task))
+            self.machines.get(machine)?.placements.get(&TaskId::new(job.uid.clone(), *task))
         })
     }
 
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -31,7 +31,7 @@
     let (uid, a, z): (Name, Name, Name) = ("job-1".into(), "n-a".into(), "n-z".into());
     b.machine_entry(&a, 0);
     b.machine_entry(&z, 0);
-    let id = (uid.clone(), 0);
+    let id = TaskId::new(uid.clone(), 0);
     b.propose(&uid, 0, &a, 7, 0);
     b.proposals.clear();
     b.settle(&a, &id, EndCause::Lost);
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -7,7 +7,7 @@
 
 use super::cluster::ClusterState;
 use super::job::Job;
-use super::machine::{Placement, StopReason};
+use super::machine::{Placement, StopReason, TaskId};
 use super::records::{JobStage, Name};
 use crate::constants::{DONE_CHUNK_TASKS, GANG_RETRY_MAX_MS, GANG_RETRY_MS};
 use crate::protocol::workers::EndCause;
@@ -123,7 +123,7 @@
         let Some(job) = self.jobs.get(uid) else { return };
         for (task, machine) in &job.placed_on {
             let machine = self.machines.get_mut(machine);
-            let held = machine.and_then(|m| m.placements.get_mut(&(uid.clone(), *task)));
+            let held = machine.and_then(|m| m.placements.get_mut(&TaskId::new(uid.clone(), *task)));
             if let Some(placement) = held.filter(|p| p.settled.is_none()) {
                 placement.stop_reason.get_or_insert(halt);
             }
--- a/src/storage/gangs/tests.rs
+++ b/src/storage/gangs/tests.rs
@@ -38,10 +38,11 @@
 /// Settles a task and, if `stored`, takes it out of the store.
 fn settle(cluster: &mut ClusterState, task: u32, cause: EndCause, stored: bool) {
     let machine = cluster.jobs[&uid()].placed_on[&task].clone();
-    let attempt = cluster.machines[&machine].placements[&(uid(), task)].attempt;
-    cluster.settle(&machine, &(uid(), task), cause);
+    let id = TaskId::new(uid(), task);
+    let attempt = cluster.machines[&machine].placements[&id].attempt;
+    cluster.settle(&machine, &id, cause);
     if stored {
-        cluster.settlement_committed(&machine, &(uid(), task), attempt);
+        cluster.settlement_committed(&machine, &id, attempt);
     }
 }
 
@@ -65,7 +66,7 @@
     let machines: Vec<Name> = vec!["n-a".into(), "n-b".into()];
     assert!(!cluster.propose_gang(&uid(), &machines, 8, 0));
     let on: Name = "n-b".into();
-    cluster.settlement_committed(&on, &(uid(), 1), 7);
+    cluster.settlement_committed(&on, &TaskId::new(uid(), 1), 7);
     assert_eq!(cluster.jobs[&uid()].waiting(), 2);
     assert!(!cluster.propose_gang(&uid(), &machines[..1], 8, 0), "not a part of it");
     assert!(cluster.propose_gang(&uid(), &machines, 8, 0));
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -5,6 +5,7 @@
 use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
 /// How far a placement has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,8 +88,27 @@
     }
 }
 
-/// Names a task: its job and its number.
-pub type TaskId = (Name, u32);
+/// Identifies a task. Ordered by job, then by number.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskId {
+    /// The job that it belongs to.
+    pub job: Name,
+    /// Its number within the job, from 0.
+    pub index: u32,
+}
+
+impl TaskId {
+    /// The task `index` of a job.
+    pub fn new(job: Name, index: u32) -> TaskId {
+        TaskId { job, index }
+    }
+}
+
+impl fmt::Display for TaskId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}", self.job, self.index)
+    }
+}
 
 /// Life of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
