--- a/crates/mountgap-records/src/records.rs
+++ b/crates/mountgap-records/src/records.rs
@@ -6,8 +6,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A machine, a job: shared names.
-pub type Name = Rc<str>;
+mod ids;
+
+pub use ids::{JobId, MachineName};
 
 /// The leased key that names the leader.
 pub fn leader_key() -> String {
@@ -363,7 +364,7 @@
     }
 
     /// The job's id.
-    pub fn uid(&self) -> Name {
+    pub fn uid(&self) -> JobId {
         format!("{UID_PREFIX}{}", self.digits).into()
     }
 }
--- a/src/coordination/commit_places.rs
+++ b/src/coordination/commit_places.rs
@@ -15,7 +15,7 @@
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
 use crate::storage::records::{
-    job_end_key, placements_key, JobStage, Name, PlacementsRecord, StoredPlacement,
+    job_end_key, placements_key, JobId, JobStage, MachineName, PlacementsRecord, StoredPlacement,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -75,8 +75,8 @@
 /// Placements that are stored together or not at all: one, or all those of a gang's attempt.
 #[derive(Debug, Default)]
 struct Unit {
-    uid: Option<Name>,
-    placements: Vec<(Name, TaskId)>,
+    uid: Option<JobId>,
+    placements: Vec<(MachineName, TaskId)>,
 }
 
 /// What becomes of a proposed placement.
@@ -91,7 +91,7 @@
 
 impl ClusterState {
     /// Whether a settled placement may be taken out of the store: what it did must be there.
-    fn may_leave(&self, machine: &Name, id: &TaskId, f: &PendingTransaction) -> bool {
+    fn may_leave(&self, machine: &MachineName, id: &TaskId, f: &PendingTransaction) -> bool {
         let cause = self.machines.get(machine).and_then(|m| m.placements.get(id)?.settled);
         if cause != Some(EndCause::Done) || f.finished_jobs.contains(&id.job) {
             return true;
@@ -238,8 +238,8 @@
     ) -> Vec<PlacementEntry> {
         self.gang_is_deferred = false;
         let mut adds: Vec<PlacementEntry> = Vec::new();
-        let mut jobs: BTreeSet<Name> = BTreeSet::new();
-        let mut wait: VecDeque<(Name, TaskId)> = VecDeque::new();
+        let mut jobs: BTreeSet<JobId> = BTreeSet::new();
+        let mut wait: VecDeque<(MachineName, TaskId)> = VecDeque::new();
         for unit in self.take_units() {
             let verdicts = unit.placements.iter().map(|(m, id)| self.verdict(m, id));
             let verdicts: Vec<Verdict> = verdicts.collect();
@@ -307,7 +307,7 @@
         units
     }
 
-    fn verdict(&self, machine: &Name, id: &TaskId) -> Verdict {
+    fn verdict(&self, machine: &MachineName, id: &TaskId) -> Verdict {
         let Some(m) = self.machines.get(machine) else { return Verdict::Over };
         let held = m.placements.get(id).filter(|p| p.settled.is_none());
         let Some(held) = held else { return Verdict::Over };
--- a/src/coordination/commit_places/tests.rs
+++ b/src/coordination/commit_places/tests.rs
@@ -30,11 +30,11 @@
     let mut replica = Replica::new(HashKeys::from_seed(1));
     replica.write(&gang_batch_key("a"), &raw(&batch), 3);
     let mut cluster = ClusterState::from_replica(&replica, 0);
-    let names: Vec<Name> = vec!["n-000001".into(), "n-000002".into()];
+    let names: Vec<MachineName> = vec!["n-000001".into(), "n-000002".into()];
     for name in &names {
         cluster.machine_entry(name, 0).state = MachineState::Up;
     }
-    let machines: Vec<Name> = (0..tasks).map(|n| names[n as usize % 2].clone()).collect();
+    let machines: Vec<MachineName> = (0..tasks).map(|n| names[n as usize % 2].clone()).collect();
     assert!(cluster.propose_gang(&"job-1".into(), &machines, 7, 0));
     cluster
 }
@@ -102,7 +102,8 @@
     let mut cluster = proposed(6);
     cluster.proposals.clear();
     for task in 0..60 {
-        let (machine, id): (Name, TaskId) = ("n-000001".into(), TaskId::new("job-9".into(), task));
+        let (machine, id): (MachineName, TaskId) =
+            ("n-000001".into(), TaskId::new("job-9".into(), task));
         let bytes = StoredPlacement::text("job-9", task, &machine, 9).expect("a text").len() + 1;
         let group = cluster.groups.entry(0).or_default();
         group.bytes += bytes;
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -21,7 +21,8 @@
 use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
 use crate::storage::records::{
     catalog_key, chunk_name, done_tasks_key, images_key, job_end_key, leader_key, placements_key,
-    shares_key, DoneTasksRecord, ImagesRecord, JobEndRecord, JobStage, Name, SharesRecord,
+    shares_key, DoneTasksRecord, ImagesRecord, JobEndRecord, JobId, JobStage, MachineName,
+    SharesRecord,
 };
 use mountgap_recovery::audit::Loss;
 use std::collections::{BTreeMap, BTreeSet};
@@ -32,7 +33,7 @@
     /// The group of placements that it is stored in.
     pub group: u32,
     /// The machine it is on.
-    pub machine: Name,
+    pub machine: MachineName,
     /// The task.
     pub id: TaskId,
     /// Its attempt.
@@ -247,7 +248,7 @@
             leader.garbage_at = now + GARBAGE_PERIOD_MS;
             // Batches whose jobs are all over, with nothing left on machines.
             let over =
-                |uid: &Name| self.replica.has_ended(uid) && !leader.cluster.jobs.contains_key(uid);
+                |uid: &JobId| self.replica.has_ended(uid) && !leader.cluster.jobs.contains_key(uid);
             for (key, batch) in &self.replica.batches {
                 if batch.value.iter().all(over) {
                     leader.cluster.stale_keys.push((key.to_string(), batch.mod_revision));
@@ -400,7 +401,7 @@
                 false => leader.cluster.retract(&e.machine, &e.id),
             }
         }
-        let gangs: BTreeSet<&Name> = f.additions.iter().map(|e| &e.id.job).collect();
+        let gangs: BTreeSet<&JobId> = f.additions.iter().map(|e| &e.id.job).collect();
         for uid in gangs {
             let gang = leader.cluster.jobs.get_mut(uid).and_then(|job| job.gang.as_mut());
             if let Some(gang) = gang {
@@ -473,7 +474,7 @@
     /// Bitmaps that changed, as far as they fit beside `keep` other writes.
     fn pack_done(&mut self, p: &mut TransactionBuilder, f: &mut PendingTransaction, keep: usize) {
         let cap = p.value_bytes_max - GROUP_FRAME_BYTES;
-        let dirty: Vec<(Name, u32)> = self
+        let dirty: Vec<(JobId, u32)> = self
             .queue
             .values()
             .filter_map(|uid| self.jobs.get(uid))
@@ -546,7 +547,7 @@
     ) -> bool {
         let cap = p.value_bytes_max - GROUP_FRAME_BYTES;
         let Some(group) = self.done_groups.get(&n).filter(|g| g.bytes > cap) else { return true };
-        let mut parts: Vec<Vec<((Name, u32), usize)>> = Vec::new();
+        let mut parts: Vec<Vec<((JobId, u32), usize)>> = Vec::new();
         let (mut kept, mut filled) = (0, cap);
         for (chunk, bytes) in &group.chunks {
             if kept + bytes <= cap {
--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/fleet/consolidation.rs
@@ -44,7 +44,7 @@
         if short {
             leader.fleet.excess_since = None;
             // The fullest first: they have the most work that need not move.
-            let mut again: Vec<(f64, Name)> = cluster
+            let mut again: Vec<(f64, MachineName)> = cluster
                 .machines
                 .values()
                 .filter(|m| m.draining && m.state == MachineState::Up && !m.cordoned)
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/fleet/listing.rs
@@ -83,12 +83,12 @@
         leader.fleet.listed_begun = Some(begun);
         let mut listed: HashSet<&str> = leader.cluster.hash_keys().set();
         listed.extend(hosts.iter().map(|h| h.uid.as_str()));
-        let mut dead: Vec<Name> = Vec::new();
+        let mut dead: Vec<MachineName> = Vec::new();
         for h in &hosts {
             if leader.fleet.is_gone(&h.uid) {
                 continue;
             }
-            let name: Name = h.uid.as_str().into();
+            let name: MachineName = h.uid.as_str().into();
             let new = !leader.cluster.machines.contains_key(&name);
             let m = leader.cluster.machine_entry(&name, now);
             if m.type_name.is_empty() {
@@ -143,7 +143,7 @@
     }
 
     /// A machine and everything on it has surely ceased to be.
-    pub(super) fn machine_gone(&mut self, name: &Name) {
+    pub(super) fn machine_gone(&mut self, name: &MachineName) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -161,7 +161,7 @@
         let Some(leader) = self.leader.as_mut() else { return };
         // A placement whose commit was under way when its machine was found gone or silent was
         // never ordered; it once stayed for ever, and its task with it.
-        let mut over: Vec<(Name, TaskId)> = Vec::new();
+        let mut over: Vec<(MachineName, TaskId)> = Vec::new();
         for m in leader
             .cluster
             .machines
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -17,7 +17,7 @@
 use crate::protocol::Resources;
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{Machine, MachineState, Placement, TaskId};
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 use std::collections::VecDeque;
 
 /// A rental under way. Its name is never used for another one.
@@ -64,7 +64,7 @@
     look_at: u64,
     rentals: Vec<Rental>,
     no_capacity: HashMap<Kind, u64>,
-    gone: HashSet<Name>,
+    gone: HashSet<MachineName>,
     unplaced: Vec<UnplacedTasks>,
     /// Arrivals of service tasks: when, how many.
     arrivals: VecDeque<(u64, u32)>,
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/fleet/renting.rs
@@ -239,7 +239,7 @@
                     leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
                 }
                 for n in names.machines {
-                    let name: Name = n.as_str().into();
+                    let name: MachineName = n.as_str().into();
                     if leader.fleet.is_gone(&n) {
                         continue;
                     }
--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/returning.rs
@@ -121,7 +121,7 @@
 
     pub(in crate::coordination) fn on_deletion_response(
         &mut self,
-        names: Vec<Name>,
+        names: Vec<MachineName>,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         if matches!(reply, Some((200, _))) {
@@ -154,7 +154,7 @@
     /// others report, and whose services have a place elsewhere: deleting them is evidence
     /// at once, where a lease or the list take twice as long. If they were only cut off, their
     /// tasks would have ended with the lease all the same.
-    pub(super) fn silent_services(&self, now: u64, settings: &Platform) -> Vec<Name> {
+    pub(super) fn silent_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
         let w = &settings.params.workers;
         // A report that fails, the worker's wait for it, one at a wrong controller, and back.
         let round = w.report_s * 2.5 + WORKER_WAIT_S + WORKER_RETRY_S * 2.0;
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -14,7 +14,7 @@
 use crate::storage::machine::{
     Machine, MachineState, Placement, PlacementPhase, StopReason, TaskId,
 };
-use crate::storage::records::Name;
+use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeSet;
 
 /// Most tasks of a gang: the placements of an attempt go into one commit, which can have no more
@@ -57,10 +57,10 @@
 
 impl Leader {
     /// Stops all tasks of a gang; those that were never ordered are settled at once.
-    pub(super) fn stop_gang(&mut self, uid: &Name, halt: StopReason, now: u64) {
+    pub(super) fn stop_gang(&mut self, uid: &JobId, halt: StopReason, now: u64) {
         self.cluster.stop_gang(uid, halt);
         let Some(job) = self.cluster.jobs.get(uid) else { return };
-        let nowhere: Vec<(Name, u32)> = job
+        let nowhere: Vec<(MachineName, u32)> = job
             .placed_on
             .iter()
             .filter(|(task, machine)| {
@@ -88,7 +88,7 @@
                 || m.last_alive_at.is_none_or(|t| now > t + silent)
         };
         let cluster = &self.cluster;
-        let mut hopeless: BTreeSet<Name> = BTreeSet::new();
+        let mut hopeless: BTreeSet<JobId> = BTreeSet::new();
         for uid in cluster.queue.values() {
             let Some(job) = cluster.jobs.get(uid) else { continue };
             // One that has run goes on if the machine is only cut off, and ends by itself if not.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -21,7 +21,7 @@
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Machine, MachineState, PlacementPhase, StopReason};
-use crate::storage::records::Name;
+use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeMap;
 
 /// A commit that is under way.
@@ -37,8 +37,8 @@
     pub moves: Vec<PlacementMove>,
     /// Groups of bitmaps that it writes, and the chunks that changed.
     pub done_groups: Vec<u32>,
-    pub chunks: Vec<(Name, u32)>,
-    pub finished_jobs: Vec<Name>,
+    pub chunks: Vec<(JobId, u32)>,
+    pub finished_jobs: Vec<JobId>,
     pub stale_keys: Vec<(String, u64)>,
     /// It was sent at least once with no answer: it may have been applied.
     pub outcome_unknown: bool,
@@ -98,7 +98,7 @@
     pub(super) images_at: u64,
     pub(super) garbage_at: u64,
     pub(super) runs: BTreeMap<String, RunStats>,
-    pub(super) reservation: Option<(Name, Name)>,
+    pub(super) reservation: Option<(JobId, MachineName)>,
     /// The teams' shares, in thousandths of the fleet, and whether they are in the store.
     pub(super) shares: Vec<i64>,
     pub(super) shares_written: bool,
@@ -428,7 +428,7 @@
         self.metrics.work.planner_places += plan.places_examined;
         leader.reservation =
             plan.reservation.map(|(j, m, _)| (view.jobs[j].clone(), view.machines[m].clone()));
-        let mut gangs: BTreeMap<usize, Vec<Name>> = BTreeMap::new();
+        let mut gangs: BTreeMap<usize, Vec<MachineName>> = BTreeMap::new();
         for (j, m) in &plan.places {
             if view.snapshot.jobs[*j].gang {
                 gangs.entry(*j).or_default().push(view.machines[*m].clone());
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -38,7 +38,7 @@
 use crate::storage::budget::Bucket;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::limits::StoreLimits;
-use crate::storage::records::Name;
+use crate::storage::records::{JobId, MachineName};
 use crate::storage::replica::Replica;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::rc::Rc;
@@ -163,7 +163,7 @@
     Catalog,
     Hosts { begun: u64 },
     Rent(fleet::Rental),
-    Delete(Vec<Name>),
+    Delete(Vec<MachineName>),
 }
 
 /// Which read of the store a question belongs to, and the revision that it asks beyond.
@@ -202,7 +202,7 @@
     worker_heartbeats: HashMap<String, u64>,
     lease_extension: lease_extension::LeaseExtension,
     /// Jobs that are over by the word of peers, ahead of our copy of the store.
-    ended_by_peers: HashSet<Name>,
+    ended_by_peers: HashSet<JobId>,
     metrics: metrics::Metrics,
     /// Submissions that gather for a batch, and batches on their way.
     gathering_submissions: Vec<submissions::Pending>,
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/snapshot.rs
@@ -13,7 +13,7 @@
 use crate::settings::{Operator, Platform};
 use crate::storage::hashing::{HashMap, HashSet};
 use crate::storage::machine::{Machine, MachineState, TaskId};
-use crate::storage::records::Name;
+use crate::storage::records::{JobId, MachineName};
 
 /// What a pass needs to know of a job for each of its placements.
 struct Facts {
@@ -33,8 +33,8 @@
 /// A snapshot with the names behind its indices.
 pub(crate) struct View {
     pub snapshot: Snapshot,
-    pub jobs: Vec<Name>,
-    pub machines: Vec<Name>,
+    pub jobs: Vec<JobId>,
+    pub machines: Vec<MachineName>,
     pub handles: Vec<Vec<TaskId>>,
     pub zones: Vec<String>,
 }
@@ -67,7 +67,7 @@
             *images.entry(k).or_insert(n)
         };
         // What all placements of a job share is worked out once a job, not once a placement.
-        let mut facts: HashMap<&Name, Option<Facts>> = keys.map();
+        let mut facts: HashMap<&JobId, Option<Facts>> = keys.map();
         let silent = (settings.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let slots = HTTP_BODY_MAX / REPORT_TASK_BYTES;
 
@@ -103,7 +103,7 @@
             v.snapshot.arriving.extend(coming);
         }
         v.snapshot.gang_wait_ms = (settings.params.workers.gang_wait_s * MS_PER_S) as u64;
-        let mut held_reports: HashSet<&Name> = keys.set();
+        let mut held_reports: HashSet<&MachineName> = keys.set();
         held_reports.extend(leader.deferred_heartbeats.iter().map(|held| &held.machine));
         v.snapshot.thresholds = operator.thresholds.clone();
         for m in cluster.machines.values() {
@@ -215,7 +215,7 @@
             v.machines.push(m.name.clone());
             v.handles.push(handles);
         }
-        let mut index: HashMap<&Name, usize> = keys.map();
+        let mut index: HashMap<&MachineName, usize> = keys.map();
         index.extend(v.machines.iter().enumerate().map(|(i, m)| (m, i)));
         // What each team's unfinished jobs take together, up to the one looked at.
         let mut claimed = vec![Resources::default(); settings.params.teams.len()];
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -7,7 +7,7 @@
 };
 use crate::protocol::state::{changes_path, list_path, Changes, Page, COMMIT_PATH};
 use crate::protocol::users::JobSpec;
-use crate::storage::records::Name;
+use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
 use std::rc::Rc;
 
@@ -302,7 +302,7 @@
         }
     }
 
-    pub(super) fn on_jobs_changed(&mut self, touched: &[Name]) {
+    pub(super) fn on_jobs_changed(&mut self, touched: &[JobId]) {
         let now = self.now.monotonic_ms;
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) {
             for uid in touched {
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -6,14 +6,14 @@
 use crate::protocol::Resources;
 use crate::storage::gangs::GangPhase;
 use crate::storage::job::Job;
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 use std::fmt;
 
 /// What a job waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum WaitReason {
     /// A place that is reserved for it.
-    Reserved(Name),
+    Reserved(MachineName),
     /// The end of a pause after failures.
     Paused,
     /// Its team uses as much as it may.
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -23,14 +23,14 @@
 use crate::storage::machine::{
     HeartbeatId, MachineState, Placement, PlacementPhase, StopReason, TaskId,
 };
-use crate::storage::records::{JobStage, Name};
+use crate::storage::records::{JobId, JobStage, MachineName};
 use std::collections::BTreeSet;
 
 /// A report whose answer waits for a commit that may bring commands.
 #[derive(Debug)]
 pub(super) struct DeferredHeartbeat {
     pub connection: ConnectionId,
-    pub machine: Name,
+    pub machine: MachineName,
     newest: HeartbeatId,
     pub since: u64,
     ours: bool,
@@ -123,7 +123,7 @@
             // A late report of a machine that was deleted.
             return self.redirect(connection);
         }
-        let name: Name = report.machine.as_str().into();
+        let name: MachineName = report.machine.as_str().into();
         let ours = report.fencing_token == leader.term;
         let keys = leader.cluster.hash_keys();
         let m = leader.cluster.machine_entry(&name, now);
@@ -371,7 +371,7 @@
 
 impl Leader {
     /// Draws conclusions from how a task ended: run times, sick machines, bad jobs.
-    fn record_task_end(&mut self, machine: &Name, id: &TaskId, cause: EndCause, now: u64) {
+    fn record_task_end(&mut self, machine: &MachineName, id: &TaskId, cause: EndCause, now: u64) {
         let cluster = &mut self.cluster;
         let Some(job) = cluster.jobs.get_mut(&id.job) else {
             return;
@@ -383,7 +383,7 @@
         let ran = m.placements.get(id).and_then(|p| p.running_since).map(|t| now - t);
         if cause == EndCause::Done {
             // It works here: the machines where it failed before are to blame.
-            let blamed: Vec<Name> = job.failed_on.drain().collect();
+            let blamed: Vec<MachineName> = job.failed_on.drain().collect();
             m.failures.clear();
             for other in blamed {
                 if let Some(o) = cluster.machines.get_mut(&other) {
@@ -415,7 +415,7 @@
         }
         m.failures.retain(|(t, _)| now - t < FAULTY_WINDOW_MS);
         m.failures.push((now, id.job.clone()));
-        let mut jobs: Vec<&Name> = m.failures.iter().map(|(_, j)| j).collect();
+        let mut jobs: Vec<&JobId> = m.failures.iter().map(|(_, j)| j).collect();
         jobs.sort_unstable();
         jobs.dedup();
         let works_elsewhere = job.successes > 0 && m.failures.len() as u32 >= FAULTY_FAILURES;
@@ -427,7 +427,7 @@
 
     /// A machine that the cloud will take: tasks that can't end in time are stopped while
     /// they can still save, and those that can't save at once, so that they start elsewhere.
-    fn reclaim(&mut self, name: &Name, now: u64, settings: &Platform) {
+    fn reclaim(&mut self, name: &MachineName, now: u64, settings: &Platform) {
         let jobs = &self.cluster.jobs;
         let Some(m) = self.cluster.machines.get_mut(name) else {
             return;
@@ -435,7 +435,7 @@
         let Some(at) = m.reclaim_at else { return };
         let left = at.saturating_sub(now);
         let report = (settings.params.workers.report_s * MS_PER_S) as u64;
-        let mut gangs: BTreeSet<Name> = BTreeSet::new();
+        let mut gangs: BTreeSet<JobId> = BTreeSet::new();
         for (id, p) in &mut m.placements {
             let Some(spec) = jobs.get(&id.job).and_then(|j| j.spec.as_ref()) else {
                 continue;
@@ -468,7 +468,7 @@
 impl ClusterState {
     /// A task that runs with no placement: counted where it is, so that it is not started
     /// elsewhere, and halted.
-    fn add_untracked_task(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) {
+    fn add_untracked_task(&mut self, machine: &MachineName, id: &TaskId, attempt: u64, now: u64) {
         let Some(job) = self.jobs.get_mut(&id.job) else {
             return;
         };
--- a/src/storage/adoption.rs
+++ b/src/storage/adoption.rs
@@ -6,7 +6,7 @@
 use super::cluster::ClusterState;
 use super::job::Job;
 use super::machine::{PlacementPhase, StopReason, TaskId};
-use super::records::{JobStage, Name};
+use super::records::{JobId, JobStage, MachineName};
 use crate::protocol::workers::{EndCause, TaskStatus};
 
 /// What becomes of a task that runs and has no placement that we know of.
@@ -22,7 +22,7 @@
 
 impl ClusterState {
     /// Placements of a job that is not known yet, by task and machine.
-    pub(super) fn placed_tasks_of(&self, uid: &Name) -> Vec<(u32, Name)> {
+    pub(super) fn placed_tasks_of(&self, uid: &JobId) -> Vec<(u32, MachineName)> {
         let tasks = TaskId::new(uid.clone(), 0)..=TaskId::new(uid.clone(), u32::MAX);
         let mut placed = Vec::new();
         for machine in self.machines.values() {
@@ -33,8 +33,8 @@
     }
 
     /// A job is known by now whose tasks were found running before.
-    pub(super) fn adopt_tasks_of(&mut self, uid: &Name, now: u64) {
-        let mut found: Vec<(Name, TaskId, u64)> = Vec::new();
+    pub(super) fn adopt_tasks_of(&mut self, uid: &JobId, now: u64) {
+        let mut found: Vec<(MachineName, TaskId, u64)> = Vec::new();
         for machine in self.machines.values_mut() {
             let tasks = machine.unknown_tasks.iter().filter(|(id, _)| id.job == *uid);
             found.extend(tasks.map(|(id, attempt)| (machine.name.clone(), id.clone(), *attempt)));
@@ -47,7 +47,13 @@
 
     /// A task runs with no placement that we know of, as a report with our token shows. After a
     /// rebuild it may have been placed in the part of the history that is lost.
-    pub fn adopt(&mut self, machine: &Name, id: &TaskId, attempt: u64, now: u64) -> Adoption {
+    pub fn adopt(
+        &mut self,
+        machine: &MachineName,
+        id: &TaskId,
+        attempt: u64,
+        now: u64,
+    ) -> Adoption {
         let Some(job) = self.jobs.get(&id.job) else { return Adoption::Refused };
         if job.stage != JobStage::Live || id.index >= job.tasks || job.done.get(id.index) {
             return Adoption::Refused;
@@ -74,7 +80,7 @@
 
     /// A task that is placed runs with another attempt. Attempts rise, and the next is placed only once the
     /// last is settled and that is committed: a higher one proves that ours is over.
-    fn settle_earlier(&mut self, machine: &Name, id: &TaskId, attempt: u64) -> Adoption {
+    fn settle_earlier(&mut self, machine: &MachineName, id: &TaskId, attempt: u64) -> Adoption {
         let known = self.machines.get(machine).and_then(|m| m.placements.get(id));
         let earlier =
             known.is_some_and(|p| p.attempt < attempt && p.phase == PlacementPhase::Committed);
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -8,7 +8,7 @@
 use super::hashing::{HashKeys, HashMap};
 use super::job::Job;
 use super::machine::{Machine, MachineState, Placement, PlacementPhase, StopReason, TaskId};
-use super::records::{parse_chunk, JobStage, Name, StoredPlacement};
+use super::records::{parse_chunk, JobId, JobStage, MachineName, StoredPlacement};
 use super::replica::Replica;
 use crate::constants::DONE_CHUNK_TASKS;
 use crate::protocol::users::JobKind;
@@ -25,7 +25,7 @@
     /// Revision of its key.
     pub mod_revision: u64,
     /// What the store has, with the machine and the length of the text.
-    pub placements: BTreeMap<(TaskId, u64), (Name, usize)>,
+    pub placements: BTreeMap<(TaskId, u64), (MachineName, usize)>,
     /// Bytes of the value.
     pub bytes: usize,
     /// Settled placements to take out.
@@ -40,7 +40,7 @@
     /// Revision of its key.
     pub mod_revision: u64,
     /// Job and chunk, with the bytes that it takes at the most.
-    pub chunks: BTreeMap<(Name, u32), usize>,
+    pub chunks: BTreeMap<(JobId, u32), usize>,
     /// Bytes of the value at the most.
     pub bytes: usize,
     /// It has changed since it was stored.
@@ -51,11 +51,11 @@
 #[derive(Debug)]
 pub struct ClusterState {
     /// Jobs that are live, or still have tasks on machines.
-    pub jobs: HashMap<Name, Job>,
+    pub jobs: HashMap<JobId, Job>,
     /// Live jobs by arrival.
-    pub queue: BTreeMap<u64, Name>,
+    pub queue: BTreeMap<u64, JobId>,
     /// Machines that are known.
-    pub machines: BTreeMap<Name, Machine>,
+    pub machines: BTreeMap<MachineName, Machine>,
     /// What each team uses.
     pub usage: Usage,
     /// Stored groups of placements, by number.
@@ -63,15 +63,15 @@
     /// Stored groups of bitmaps, by number.
     pub done_groups: BTreeMap<u32, DoneGroup>,
     /// Placements that wait to be stored, in the order decided.
-    pub proposals: VecDeque<(Name, TaskId)>,
+    pub proposals: VecDeque<(MachineName, TaskId)>,
     /// A gang among the proposals did not fit into the last commit beside other changes.
     pub gang_is_deferred: bool,
     /// Placements that ended without being in any group.
-    pub unstored_settlements: Vec<(Name, TaskId)>,
+    pub unstored_settlements: Vec<(MachineName, TaskId)>,
     /// Live jobs whose tasks are all done.
-    pub completed_jobs: BTreeSet<Name>,
+    pub completed_jobs: BTreeSet<JobId>,
     /// Images on machines that are not known yet in this term.
-    pub stored_images: HashMap<Name, Vec<(String, f64)>>,
+    pub stored_images: HashMap<MachineName, Vec<(String, f64)>>,
     /// Keys to remove when there is room in a commit: key, stamp.
     pub stale_keys: Vec<(String, u64)>,
 }
@@ -110,12 +110,12 @@
                 b.stored_images.insert(machine.as_str().into(), images);
             }
         }
-        let mut placed: HashMap<Name, Vec<(u32, Name)>> = r.hash_keys().map();
+        let mut placed: HashMap<JobId, Vec<(u32, MachineName)>> = r.hash_keys().map();
         for (n, rec) in &r.places {
             let mut group = Group { mod_revision: rec.mod_revision, ..Group::default() };
             for p in rec.value.placed() {
                 let id = TaskId::new(p.uid(), p.task);
-                let name: Name = p.machine.into();
+                let name: MachineName = p.machine.into();
                 let text = StoredPlacement::text(&id.job, p.task, p.machine, p.attempt)
                     .unwrap_or_default();
                 group.bytes += text.len() + 1;
@@ -163,7 +163,7 @@
     }
 
     /// A machine by name, made if it is new.
-    pub fn machine_entry(&mut self, name: &Name, now: u64) -> &mut Machine {
+    pub fn machine_entry(&mut self, name: &MachineName, now: u64) -> &mut Machine {
         if !self.machines.contains_key(name) {
             let mut m = Machine::new(name.clone(), now);
             m.images = self.stored_images.remove(name).unwrap_or_default();
@@ -173,7 +173,7 @@
     }
 
     /// Adds a job of the replica; `on` are its tasks on machines.
-    pub fn add_job(&mut self, r: &Replica, uid: &Name, on: &[(u32, Name)]) {
+    pub fn add_job(&mut self, r: &Replica, uid: &JobId, on: &[(u32, MachineName)]) {
         let Some(rec) = r.jobs.get(uid) else { return };
         let spec = rec.value.spec.clone();
         let done = r.done_bitmap(uid);
@@ -235,7 +235,7 @@
     }
 
     /// A job changed in the store: a new one, or one that is over.
-    pub fn job_changed(&mut self, r: &Replica, uid: &Name, now: u64) {
+    pub fn job_changed(&mut self, r: &Replica, uid: &JobId, now: u64) {
         let Some(rec) = r.jobs.get(uid) else { return };
         if !self.jobs.contains_key(uid) {
             if rec.value.stage == JobStage::Live {
@@ -261,7 +261,7 @@
     }
 
     /// A job is over: what waits is dropped, what runs is halted.
-    pub fn end_job(&mut self, uid: &Name, stage: JobStage) {
+    pub fn end_job(&mut self, uid: &JobId, stage: JobStage) {
         let Some(job) = self.jobs.get_mut(uid) else {
             return;
         };
@@ -279,7 +279,8 @@
                 g.bytes -= g.chunks.remove(&(uid.clone(), chunk)).unwrap_or(0);
             }
         }
-        let placed: Vec<(u32, Name)> = job.placed_on.iter().map(|(t, m)| (*t, m.clone())).collect();
+        let placed: Vec<(u32, MachineName)> =
+            job.placed_on.iter().map(|(t, m)| (*t, m.clone())).collect();
         for (task, machine) in placed {
             let id = TaskId::new(uid.clone(), task);
             // A placement that is only proposed is halted too: if the commit under way stores
@@ -293,7 +294,7 @@
     }
 
     /// Forgets a job that is over and has nothing on machines.
-    pub fn forget_if_finished(&mut self, uid: &Name) {
+    pub fn forget_if_finished(&mut self, uid: &JobId) {
         if self.jobs.get(uid).is_some_and(|j| {
             j.stage != JobStage::Live && j.placed_on.is_empty() && j.settling.is_empty()
         }) {
@@ -302,7 +303,14 @@
     }
 
     /// Proposes a placement.
-    pub fn propose(&mut self, uid: &Name, task: u32, machine: &Name, attempt: u64, now: u64) {
+    pub fn propose(
+        &mut self,
+        uid: &JobId,
+        task: u32,
+        machine: &MachineName,
+        attempt: u64,
+        now: u64,
+    ) {
         let (Some(job), Some(m)) = (self.jobs.get_mut(uid), self.machines.get_mut(machine)) else {
             return;
         };
@@ -320,7 +328,7 @@
     }
 
     /// Takes back a proposal that never reached the store.
-    pub fn retract(&mut self, machine: &Name, id: &TaskId) {
+    pub fn retract(&mut self, machine: &MachineName, id: &TaskId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.uncommitted_placements = m.uncommitted_placements.saturating_sub(1);
         let open = |p: &Placement| p.phase == PlacementPhase::Proposed && p.settled.is_none();
@@ -340,7 +348,7 @@
     }
 
     /// A placement is in the store.
-    pub fn committed(&mut self, machine: &Name, id: &TaskId, attempt: u64, group: u32) {
+    pub fn committed(&mut self, machine: &MachineName, id: &TaskId, attempt: u64, group: u32) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.uncommitted_placements = m.uncommitted_placements.saturating_sub(1);
         let Some(p) = m.placements.get_mut(id).filter(|p| p.attempt == attempt) else { return };
@@ -355,7 +363,7 @@
 
     /// Evidence has settled a placement: it no longer counts for place and quota, and its
     /// task is free again once the settlement is committed.
-    pub fn settle(&mut self, machine: &Name, id: &TaskId, cause: EndCause) {
+    pub fn settle(&mut self, machine: &MachineName, id: &TaskId, cause: EndCause) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -408,7 +416,7 @@
     ///
     /// Only the attempt that was settled: its task may have been placed again since, even on
     /// the same machine. Settling one attempt twice once let a task wait that was placed.
-    pub fn settlement_committed(&mut self, machine: &Name, id: &TaskId, attempt: u64) {
+    pub fn settlement_committed(&mut self, machine: &MachineName, id: &TaskId, attempt: u64) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let over = |p: &Placement| p.attempt == attempt && p.settled.is_some();
         if !m.placements.get(id).is_some_and(over) {
@@ -439,7 +447,7 @@
     }
 
     /// Settles all placements of a machine: they are surely gone.
-    pub fn settle_machine(&mut self, machine: &Name) {
+    pub fn settle_machine(&mut self, machine: &MachineName) {
         let ids: Vec<TaskId> = self
             .machines
             .get(machine)
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -28,7 +28,8 @@
     let mut r = Replica::new(HashKeys::from_seed(1));
     r.write(&batch_key("a"), &raw(&batch_of("job-1", 1)), 3);
     let mut b = ClusterState::from_replica(&r, 0);
-    let (uid, a, z): (Name, Name, Name) = ("job-1".into(), "n-a".into(), "n-z".into());
+    let (uid, a, z): (JobId, MachineName, MachineName) =
+        ("job-1".into(), "n-a".into(), "n-z".into());
     b.machine_entry(&a, 0);
     b.machine_entry(&z, 0);
     let id = TaskId::new(uid.clone(), 0);
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -8,7 +8,7 @@
 use super::cluster::ClusterState;
 use super::job::Job;
 use super::machine::{Placement, StopReason, TaskId};
-use super::records::{JobStage, Name};
+use super::records::{JobId, JobStage, MachineName};
 use crate::constants::{DONE_CHUNK_TASKS, GANG_RETRY_MAX_MS, GANG_RETRY_MS};
 use crate::protocol::workers::EndCause;
 
@@ -106,7 +106,13 @@
 
     /// Proposes an attempt of a gang: task by task on the machines given. Nothing is proposed
     /// unless all its tasks wait and each gets a machine.
-    pub fn propose_gang(&mut self, uid: &Name, machines: &[Name], attempt: u64, now: u64) -> bool {
+    pub fn propose_gang(
+        &mut self,
+        uid: &JobId,
+        machines: &[MachineName],
+        attempt: u64,
+        now: u64,
+    ) -> bool {
         let Some(job) = self.jobs.get_mut(uid) else { return false };
         let whole = job.waiting() == job.tasks && machines.len() == job.tasks as usize;
         let known = machines.iter().all(|name| self.machines.contains_key(name));
@@ -119,7 +125,7 @@
     }
 
     /// Stops all tasks of a gang. Those that have been told to save are left to it.
-    pub fn stop_gang(&mut self, uid: &Name, halt: StopReason) {
+    pub fn stop_gang(&mut self, uid: &JobId, halt: StopReason) {
         let Some(job) = self.jobs.get(uid) else { return };
         for (task, machine) in &job.placed_on {
             let machine = self.machines.get_mut(machine);
@@ -132,7 +138,7 @@
 
     /// Evidence has settled a task of a gang. One that is done shows that all are; with any other
     /// end the attempt is over.
-    pub(super) fn gang_task_settled(&mut self, uid: &Name, cause: EndCause) {
+    pub(super) fn gang_task_settled(&mut self, uid: &JobId, cause: EndCause) {
         let Some(job) = self.jobs.get_mut(uid).filter(|job| job.stage == JobStage::Live) else {
             return;
         };
@@ -158,7 +164,7 @@
         let incomplete = |job: &&Job| {
             job.is_gang() && !job.attempt_is_over() && job.placed_on.len() < job.tasks as usize
         };
-        let gangs: Vec<Name> =
+        let gangs: Vec<JobId> =
             self.jobs.values().filter(incomplete).map(|job| job.uid.clone()).collect();
         for uid in gangs {
             self.stop_gang(&uid, StopReason::NotNeeded);
--- a/src/storage/gangs/tests.rs
+++ b/src/storage/gangs/tests.rs
@@ -26,7 +26,7 @@
     replica
 }
 
-fn uid() -> Name {
+fn uid() -> JobId {
     "job-1".into()
 }
 
@@ -63,9 +63,9 @@
     assert_eq!(halts(&cluster), vec![Some(StopReason::NotNeeded)]);
     settle(&mut cluster, 1, EndCause::MatesGone, false);
     assert_eq!(cluster.jobs[&uid()].waiting(), 0, "and stands in the store");
-    let machines: Vec<Name> = vec!["n-a".into(), "n-b".into()];
+    let machines: Vec<MachineName> = vec!["n-a".into(), "n-b".into()];
     assert!(!cluster.propose_gang(&uid(), &machines, 8, 0));
-    let on: Name = "n-b".into();
+    let on: MachineName = "n-b".into();
     cluster.settlement_committed(&on, &TaskId::new(uid(), 1), 7);
     assert_eq!(cluster.jobs[&uid()].waiting(), 2);
     assert!(!cluster.propose_gang(&uid(), &machines[..1], 8, 0), "not a part of it");
@@ -122,7 +122,7 @@
     settle(&mut cluster, 0, EndCause::Halted, true);
     settle(&mut cluster, 1, EndCause::Halted, true);
     assert!(!cluster.jobs.contains_key(&uid()));
-    let held = |m: &Name| {
+    let held = |m: &MachineName| {
         cluster.machines[m].placements.values().any(|p| p.phase != PlacementPhase::Proposed)
     };
     assert!(!held(&"n-a".into()) && !held(&"n-b".into()));
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -2,7 +2,7 @@
 
 use super::gangs::GangState;
 use super::hashing::{HashMap, HashSet};
-use super::records::{chunk_name, Bitmap, JobStage, Name};
+use super::records::{chunk_name, Bitmap, JobId, JobStage, MachineName};
 use crate::constants::{BAD_JOB_MACHINES, DONE_CHUNK_TASKS};
 use crate::protocol::users::JobSpec;
 use crate::protocol::Resources;
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Job {
     /// Its id.
-    pub uid: Name,
+    pub uid: JobId,
     /// None only for a job whose record was reduced at its end.
     pub spec: Option<Rc<JobSpec>>,
     /// What each task takes.
@@ -39,11 +39,11 @@
     /// Tasks below that wait again.
     pub requeued: BTreeSet<u32>,
     /// Unsettled placements: task to machine.
-    pub placed_on: BTreeMap<u32, Name>,
+    pub placed_on: BTreeMap<u32, MachineName>,
     /// Tasks whose end is settled but not committed.
     pub settling: HashSet<u32>,
     /// Machines on which a task failed since the last success.
-    pub failed_on: HashSet<Name>,
+    pub failed_on: HashSet<MachineName>,
     /// How long the next pause after a failure lasts.
     pub fail_pause_ms: u64,
     /// Until when none of its tasks is started.
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -1,6 +1,6 @@
 //! Machines, and tasks placed on them, as the leader of a term knows them.
 
-use super::records::Name;
+use super::records::{JobId, MachineName};
 use crate::constants::{IMAGES_KEPT, UNREACHABLE_SIGNS};
 use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
@@ -92,14 +92,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job that it belongs to.
-    pub job: Name,
+    pub job: JobId,
     /// Its number within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
     /// The task `index` of a job.
-    pub fn new(job: Name, index: u32) -> TaskId {
+    pub fn new(job: JobId, index: u32) -> TaskId {
         TaskId { job, index }
     }
 }
@@ -130,7 +130,7 @@
 #[derive(Debug, Clone)]
 pub struct Machine {
     /// Its name.
-    pub name: Name,
+    pub name: MachineName,
     /// Name of its type.
     pub type_name: String,
     /// Its zone.
@@ -186,7 +186,7 @@
     /// have not.
     pub draining: bool,
     /// Recent failures: when, job.
-    pub failures: Vec<(u64, Name)>,
+    pub failures: Vec<(u64, JobId)>,
     /// Since when nothing is on it.
     pub idle_since: Option<u64>,
     /// Tasks that ended well on it.
@@ -195,7 +195,7 @@
 
 impl Machine {
     /// A machine of which only the name is known.
-    pub fn new(name: Name, now: u64) -> Machine {
+    pub fn new(name: MachineName, now: u64) -> Machine {
         Machine {
             name,
             type_name: String::new(),
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -8,7 +8,7 @@
 use super::hashing::{HashKeys, HashMap};
 use super::records::{
     chunk_name, foreign_layout, parse_key, BatchRecord, Bitmap, DoneTasksRecord, FlaggedJobsRecord,
-    ImagesRecord, JobEndGroupRecord, JobEndRecord, JobRecord, JobStage, Key, LeaderRecord, Name,
+    ImagesRecord, JobEndGroupRecord, JobEndRecord, JobId, JobRecord, JobStage, Key, LeaderRecord,
     PlacementsRecord, RebuildRecord, SharesRecord, StoreIdRecord, TermRecord,
 };
 use crate::constants::{ARRIVAL_BITS, DONE_CHUNK_TASKS};
@@ -41,9 +41,9 @@
     /// The teams' shares.
     pub shares: Option<Versioned<SharesRecord>>,
     /// Every job that was ever accepted. Its stamp is its arrival number.
-    pub jobs: HashMap<Name, Versioned<JobRecord>>,
+    pub jobs: HashMap<JobId, Versioned<JobRecord>>,
     /// Batches that are still kept, by key, with their jobs.
-    pub batches: HashMap<Name, Versioned<Vec<Name>>>,
+    pub batches: HashMap<String, Versioned<Vec<JobId>>>,
     /// Groups of bitmaps of done tasks.
     pub done: BTreeMap<u32, Versioned<DoneTasksRecord>>,
     /// Groups of placements.
@@ -59,7 +59,7 @@
     /// Images on machines, in parts.
     pub images: BTreeMap<u32, Versioned<ImagesRecord>>,
     /// Tasks placed per job, for users' polls.
-    placed: HashMap<Name, u32>,
+    placed: HashMap<JobId, u32>,
     /// Keys removed ahead of the watch.
     removed: HashMap<String, u64>,
     /// A key of a layout that this program can't read was seen.
@@ -111,7 +111,7 @@
     }
 
     /// Puts in an answer of a watch or a read; gives the jobs that changed.
-    pub fn apply(&mut self, changes: &Changes) -> Vec<Name> {
+    pub fn apply(&mut self, changes: &Changes) -> Vec<JobId> {
         let mut touched = Vec::new();
         let from = self.revision;
         for ev in changes.events.iter().filter(|e| e.mod_revision > from) {
@@ -123,7 +123,7 @@
         touched
     }
 
-    fn event(&mut self, ev: &Event) -> Vec<Name> {
+    fn event(&mut self, ev: &Event) -> Vec<JobId> {
         if let (Some(key), Some(data)) = (&ev.put_key, &ev.value) {
             if self.removed.get(key).is_some_and(|r| *r >= ev.mod_revision) {
                 return Vec::new();
@@ -189,7 +189,7 @@
     }
 
     /// Puts in one value; older ones than what is held are skipped. Gives the jobs that changed.
-    pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<Name> {
+    pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<JobId> {
         if foreign_layout(key) && self.foreign.is_none() {
             self.foreign = Some(key.to_string());
         }
@@ -267,11 +267,11 @@
     }
 
     /// A batch of accepted jobs. Of a job that stands in two batches the earlier one counts.
-    fn batch(&mut self, key: &str, rec: BatchRecord, mod_revision: u64) -> Vec<Name> {
+    fn batch(&mut self, key: &str, rec: BatchRecord, mod_revision: u64) -> Vec<JobId> {
         let mut names = Vec::new();
         let mut touched = Vec::new();
         for (i, spec) in rec.jobs.into_iter().enumerate() {
-            let uid: Name = match self.jobs.get_key_value(spec.uid.as_str()) {
+            let uid: JobId = match self.jobs.get_key_value(spec.uid.as_str()) {
                 Some((k, _)) => k.clone(),
                 None => spec.uid.as_str().into(),
             };
@@ -307,8 +307,8 @@
         touched
     }
 
-    fn end(&mut self, uid: &str, rec: JobEndRecord, mod_revision: u64) -> Name {
-        let name: Name = match self.jobs.get_key_value(uid) {
+    fn end(&mut self, uid: &str, rec: JobEndRecord, mod_revision: u64) -> JobId {
+        let name: JobId = match self.jobs.get_key_value(uid) {
             Some((k, _)) => k.clone(),
             None => uid.into(),
         };
@@ -409,7 +409,7 @@
     }
 }
 
-fn flagged_jobs(rec: &FlaggedJobsRecord) -> Vec<Name> {
+fn flagged_jobs(rec: &FlaggedJobsRecord) -> Vec<JobId> {
     rec.jobs.keys().map(|uid| uid.as_str().into()).collect()
 }
 
