--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -20,7 +20,7 @@
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::machine::{Machine, MachineState, Placement, TaskId};
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 use std::collections::VecDeque;
 
 /// A rental under way. Its name is never used for another one.
@@ -67,7 +67,7 @@
     look_at: u64,
     rentals: Vec<Rental>,
     no_capacity: HashMap<Kind, u64>,
-    gone: HashSet<Name>,
+    gone: HashSet<MachineName>,
     unplaced: Vec<UnplacedTasks>,
     /// Arrivals of service tasks: when, how many.
     arrivals: VecDeque<(u64, u32)>,
@@ -214,18 +214,18 @@
 
 /// Tasks of services on a machine.
 fn services(cluster: &ClusterState, m: &Machine) -> f64 {
-    let on = |((uid, _), p): &(&TaskId, &Placement)| p.settled.is_none() && cluster.is_service(uid);
+    let on = |(id, p): &(&TaskId, &Placement)| p.settled.is_none() && cluster.is_service(&id.job);
     m.placements.iter().filter(on).count() as f64
 }
 
 /// The part of a machine's load that services make up.
 fn service_share(cluster: &ClusterState, m: &Machine) -> f64 {
     let (mut service, mut all) = (0.0, 0.0);
-    for ((uid, _), p) in &m.placements {
-        if let (None, Some(j)) = (p.settled, cluster.jobs.get(uid)) {
+    for (id, p) in &m.placements {
+        if let (None, Some(j)) = (p.settled, cluster.jobs.get(&id.job)) {
             let share = j.need.share_of(&m.total);
             all += share;
-            if cluster.is_service(uid) {
+            if cluster.is_service(&id.job) {
                 service += share;
             }
         }
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -13,7 +13,7 @@
 use crate::constants::{GOSSIP_FRESH_MS, STATE_LOST_MS};
 use crate::protocol::peers::Gossip;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
-use crate::storage::records::Name;
+use crate::storage::records::JobId;
 use lease_extension::LeaseExtension;
 
 /// A peer's statement that it has not extended workers' leases in the leader's place.
@@ -48,7 +48,7 @@
     worker_heartbeats: HashMap<String, u64>,
     lease_extension: LeaseExtension,
     /// Jobs that have ended according to peers, ahead of our copy of the store.
-    ended_jobs: HashSet<Name>,
+    ended_jobs: HashSet<JobId>,
 }
 
 impl Membership {
--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -7,7 +7,7 @@
 use super::store_client::StoreQuestion;
 use crate::protocol::state::Transaction;
 use crate::storage::hashing::{HashKeys, HashMap};
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 
 /// What a call was made for, with what its answer is judged by.
 #[derive(Debug)]
@@ -49,7 +49,7 @@
     /// A rental.
     Rent(Rental),
     /// A deletion of machines.
-    Delete(Vec<Name>),
+    Delete(Vec<MachineName>),
 }
 
 /// Collects the effects of a batch and remembers what each call was made for.
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -17,7 +17,7 @@
 use crate::storage::budget::Bucket;
 use crate::storage::hashing::HashKeys;
 use crate::storage::limits::StoreLimits;
-use crate::storage::records::Name;
+use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
 
 /// Which read of the whole store a request belongs to, and the revision that it asks beyond.
@@ -193,7 +193,7 @@
         &mut self,
         transaction: &Transaction,
         revision: u64,
-    ) -> Vec<Name> {
+    ) -> Vec<JobId> {
         self.note_revision(revision);
         let mut changed_jobs = Vec::new();
         for mutation in &transaction.writes {
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -7,7 +7,7 @@
 };
 use crate::coordination::{CallPurpose, Controller, Service};
 use crate::protocol::state::{changes_path, list_path, Changes, Page, Transaction, COMMIT_PATH};
-use crate::storage::records::Name;
+use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
 
 /// What became of an answer that should hold changes of the store.
@@ -273,7 +273,7 @@
     }
 
     /// Jobs have changed in the replica: the leader's state follows.
-    pub(in crate::coordination) fn on_jobs_changed(&mut self, changed_jobs: &[Name]) {
+    pub(in crate::coordination) fn on_jobs_changed(&mut self, changed_jobs: &[JobId]) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) else { return };
         for uid in changed_jobs {
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -8,7 +8,7 @@
 use super::hashing::{HashKeys, HashMap};
 use super::job::Job;
 use super::machine::{Machine, MachineState, Placement, PlacementPhase, StopReason, TaskId};
-use super::records::{parse_chunk, JobStage, Name, StoredPlacement};
+use super::records::{parse_chunk, JobId, JobStage, MachineName, StoredPlacement};
 use super::replica::Replica;
 use crate::constants::DONE_CHUNK_TASKS;
 use crate::protocol::users::JobKind;
@@ -25,7 +25,7 @@
     /// Revision of its key.
     pub mod_revision: u64,
     /// What the store has, with the machine and the length of the text.
-    pub placements: BTreeMap<(TaskId, u64), (Name, usize)>,
+    pub placements: BTreeMap<(TaskId, u64), (MachineName, usize)>,
     /// Bytes of the value.
     pub bytes: usize,
     /// Settled placements to take out.
@@ -40,7 +40,7 @@
     /// Revision of its key.
     pub mod_revision: u64,
     /// Job and chunk, with the bytes that it takes at the most.
-    pub chunks: BTreeMap<(Name, u32), usize>,
+    pub chunks: BTreeMap<(JobId, u32), usize>,
     /// Bytes of the value at the most.
     pub bytes: usize,
     /// It has changed since it was stored.
@@ -51,11 +51,11 @@
 #[derive(Debug)]
 pub struct ClusterState {
     /// Jobs that are live, or still have tasks on machines.
-    pub jobs: HashMap<Name, Job>,
+    pub jobs: HashMap<JobId, Job>,
     /// Live jobs by arrival.
-    pub queue: BTreeMap<u64, Name>,
+    pub queue: BTreeMap<u64, JobId>,
     /// Machines that are known.
-    pub machines: BTreeMap<Name, Machine>,
+    pub machines: BTreeMap<MachineName, Machine>,
     /// What each team uses.
     pub usage: Usage,
     /// Stored groups of placements, by number.
@@ -63,15 +63,15 @@
     /// Stored groups of bitmaps, by number.
     pub done_groups: BTreeMap<u32, DoneGroup>,
     /// Placements that wait to be stored, in the order decided.
-    pub proposals: VecDeque<(Name, TaskId)>,
+    pub proposals: VecDeque<(MachineName, TaskId)>,
     /// A gang among the proposals did not fit into the last commit beside other changes.
     pub gang_is_deferred: bool,
     /// Placements that ended without being in any group.
-    pub unstored_settlements: Vec<(Name, TaskId)>,
+    pub unstored_settlements: Vec<(MachineName, TaskId)>,
     /// Live jobs whose tasks are all done.
-    pub completed_jobs: BTreeSet<Name>,
+    pub completed_jobs: BTreeSet<JobId>,
     /// Images on machines that are not known yet in this term.
-    pub stored_images: HashMap<Name, Vec<(String, f64)>>,
+    pub stored_images: HashMap<MachineName, Vec<(String, f64)>>,
     /// Keys to remove when there is room in a commit: key, stamp.
     pub stale_keys: Vec<(String, u64)>,
 }
@@ -110,27 +110,27 @@
                 b.stored_images.insert(machine.as_str().into(), images);
             }
         }
-        let mut placed: HashMap<Name, Vec<(u32, Name)>> = r.hash_keys().map();
+        let mut placed: HashMap<JobId, Vec<(u32, MachineName)>> = r.hash_keys().map();
         for (n, rec) in &r.places {
             let mut group = Group { mod_revision: rec.mod_revision, ..Group::default() };
             for p in rec.value.placed() {
-                let id: TaskId = (p.uid(), p.task);
-                let name: Name = p.machine.into();
-                let text =
-                    StoredPlacement::text(&id.0, p.task, p.machine, p.attempt).unwrap_or_default();
+                let id = TaskId::new(p.uid(), p.task);
+                let name: MachineName = p.machine.into();
+                let text = StoredPlacement::text(&id.job, p.task, p.machine, p.attempt)
+                    .unwrap_or_default();
                 group.bytes += text.len() + 1;
                 group.placements.insert((id.clone(), p.attempt), (name.clone(), text.len() + 1));
                 let m = b.machine_entry(&name, now);
                 m.state = MachineState::AwaitingHeartbeat;
                 if m.placements.contains_key(&id) {
-                    log::error!("{}/{}: stored twice on {name}", id.0, id.1);
+                    log::error!("{id}: stored twice on {name}");
                     group.settled.insert((id, p.attempt));
                     continue;
                 }
                 let mut held = Placement::new(p.attempt, PlacementPhase::Committed, now);
                 held.group = Some(*n);
                 m.placements.insert(id.clone(), held);
-                placed.entry(id.0).or_default().push((id.1, name));
+                placed.entry(id.job).or_default().push((id.index, name));
             }
             b.groups.insert(*n, group);
         }
@@ -163,7 +163,7 @@
     }
 
     /// A machine by name, made if it is new.
-    pub fn machine_entry(&mut self, name: &Name, now: u64) -> &mut Machine {
+    pub fn machine_entry(&mut self, name: &MachineName, now: u64) -> &mut Machine {
         if !self.machines.contains_key(name) {
             let mut m = Machine::new(name.clone(), now);
             m.images = self.stored_images.remove(name).unwrap_or_default();
@@ -173,7 +173,7 @@
     }
 
     /// Adds a job of the replica; `on` are its tasks on machines.
-    pub fn add_job(&mut self, r: &Replica, uid: &Name, on: &[(u32, Name)]) {
+    pub fn add_job(&mut self, r: &Replica, uid: &JobId, on: &[(u32, MachineName)]) {
         let Some(rec) = r.jobs.get(uid) else { return };
         let spec = rec.value.spec.clone();
         let done = r.done_bitmap(uid);
@@ -206,7 +206,7 @@
         for (task, machine) in on {
             job.placed_on.insert(*task, machine.clone());
             let held = self.machines.get_mut(machine).map(|m| &mut m.placements);
-            if let Some(p) = held.and_then(|p| p.get_mut(&(uid.clone(), *task))) {
+            if let Some(p) = held.and_then(|p| p.get_mut(&TaskId::new(uid.clone(), *task))) {
                 if job.stage != JobStage::Live || job.done.get(*task) {
                     p.stop_reason = Some(StopReason::NotNeeded);
                 } else if job.quarantined {
@@ -235,7 +235,7 @@
     }
 
     /// A job changed in the store: a new one, or one that is over.
-    pub fn job_changed(&mut self, r: &Replica, uid: &Name, now: u64) {
+    pub fn job_changed(&mut self, r: &Replica, uid: &JobId, now: u64) {
         let Some(rec) = r.jobs.get(uid) else { return };
         if !self.jobs.contains_key(uid) {
             if rec.value.stage == JobStage::Live {
@@ -261,7 +261,7 @@
     }
 
     /// A job is over: what waits is dropped, what runs is halted.
-    pub fn end_job(&mut self, uid: &Name, stage: JobStage) {
+    pub fn end_job(&mut self, uid: &JobId, stage: JobStage) {
         let Some(job) = self.jobs.get_mut(uid) else {
             return;
         };
@@ -279,9 +279,10 @@
                 g.bytes -= g.chunks.remove(&(uid.clone(), chunk)).unwrap_or(0);
             }
         }
-        let placed: Vec<(u32, Name)> = job.placed_on.iter().map(|(t, m)| (*t, m.clone())).collect();
+        let placed: Vec<(u32, MachineName)> =
+            job.placed_on.iter().map(|(t, m)| (*t, m.clone())).collect();
         for (task, machine) in placed {
-            let id = (uid.clone(), task);
+            let id = TaskId::new(uid.clone(), task);
             // A placement that is only proposed is halted too: if the commit under way stores
             // it, it must not be ordered any more.
             let Some(m) = self.machines.get_mut(&machine) else { continue };
@@ -293,7 +294,7 @@
     }
 
     /// Forgets a job that is over and has nothing on machines.
-    pub fn forget_if_finished(&mut self, uid: &Name) {
+    pub fn forget_if_finished(&mut self, uid: &JobId) {
         if self.jobs.get(uid).is_some_and(|j| {
             j.stage != JobStage::Live && j.placed_on.is_empty() && j.settling.is_empty()
         }) {
@@ -302,7 +303,14 @@
     }
 
     /// Proposes a placement.
-    pub fn propose(&mut self, uid: &Name, task: u32, machine: &Name, attempt: u64, now: u64) {
+    pub fn propose(
+        &mut self,
+        uid: &JobId,
+        task: u32,
+        machine: &MachineName,
+        attempt: u64,
+        now: u64,
+    ) {
         let (Some(job), Some(m)) = (self.jobs.get_mut(uid), self.machines.get_mut(machine)) else {
             return;
         };
@@ -312,14 +320,15 @@
             *self.usage.entry(spec.team.clone()).or_default() += job.need;
         }
         let p = Placement::new(attempt, PlacementPhase::Proposed, now);
-        m.placements.insert((uid.clone(), task), p);
+        let id = TaskId::new(uid.clone(), task);
+        m.placements.insert(id.clone(), p);
         m.idle_since = None;
         m.uncommitted_placements += 1;
-        self.proposals.push_back((machine.clone(), (uid.clone(), task)));
+        self.proposals.push_back((machine.clone(), id));
     }
 
     /// Takes back a proposal that never reached the store.
-    pub fn retract(&mut self, machine: &Name, id: &TaskId) {
+    pub fn retract(&mut self, machine: &MachineName, id: &TaskId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.uncommitted_placements = m.uncommitted_placements.saturating_sub(1);
         let open = |p: &Placement| p.phase == PlacementPhase::Proposed && p.settled.is_none();
@@ -327,19 +336,19 @@
             return;
         }
         m.placements.remove(id);
-        let Some(job) = self.jobs.get_mut(&id.0) else { return };
-        job.placed_on.remove(&id.1);
+        let Some(job) = self.jobs.get_mut(&id.job) else { return };
+        job.placed_on.remove(&id.index);
         if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.team)) {
             *u -= job.need;
         }
-        if job.stage == JobStage::Live && !job.done.get(id.1) {
-            job.requeued.insert(id.1);
+        if job.stage == JobStage::Live && !job.done.get(id.index) {
+            job.requeued.insert(id.index);
         }
-        self.forget_if_finished(&id.0);
+        self.forget_if_finished(&id.job);
     }
 
     /// A placement is in the store.
-    pub fn committed(&mut self, machine: &Name, id: &TaskId, attempt: u64, group: u32) {
+    pub fn committed(&mut self, machine: &MachineName, id: &TaskId, attempt: u64, group: u32) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.uncommitted_placements = m.uncommitted_placements.saturating_sub(1);
         let Some(p) = m.placements.get_mut(id).filter(|p| p.attempt == attempt) else { return };
@@ -354,7 +363,7 @@
 
     /// Evidence has settled a placement: it no longer counts for place and quota, and its
     /// task is free again once the settlement is committed.
-    pub fn settle(&mut self, machine: &Name, id: &TaskId, cause: EndCause) {
+    pub fn settle(&mut self, machine: &MachineName, id: &TaskId, cause: EndCause) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -366,7 +375,7 @@
         }
         p.settled = Some(cause);
         let attempt = p.attempt;
-        let job = self.jobs.get_mut(&id.0);
+        let job = self.jobs.get_mut(&id.job);
         match p.group.and_then(|g| self.groups.get_mut(&g)) {
             Some(g) => {
                 g.settled.insert((id.clone(), attempt));
@@ -377,17 +386,17 @@
             None => self.unstored_settlements.push((machine.clone(), id.clone())),
         }
         let Some(job) = job else { return };
-        if job.placed_on.get(&id.1) == Some(machine) {
-            job.placed_on.remove(&id.1);
+        if job.placed_on.get(&id.index) == Some(machine) {
+            job.placed_on.remove(&id.index);
         }
-        job.settling.insert(id.1);
+        job.settling.insert(id.index);
         if let Some(u) = job.spec.as_ref().and_then(|s| self.usage.get_mut(&s.team)) {
             *u -= job.need;
         }
         if cause == EndCause::Done && job.stage == JobStage::Live {
-            if job.done.set(id.1) {
+            if job.done.set(id.index) {
                 job.done_count += 1;
-                job.dirty_chunks.insert(id.1 / DONE_CHUNK_TASKS);
+                job.dirty_chunks.insert(id.index / DONE_CHUNK_TASKS);
             }
             job.successes += 1;
             job.failed_on.clear();
@@ -398,7 +407,7 @@
             }
         }
         if job.is_gang() {
-            self.gang_task_settled(&id.0, cause);
+            self.gang_task_settled(&id.job, cause);
         }
     }
 
@@ -407,20 +416,20 @@
     ///
     /// Only the attempt that was settled: its task may have been placed again since, even on
     /// the same machine. Settling one attempt twice once let a task wait that was placed.
-    pub fn settlement_committed(&mut self, machine: &Name, id: &TaskId, attempt: u64) {
+    pub fn settlement_committed(&mut self, machine: &MachineName, id: &TaskId, attempt: u64) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let over = |p: &Placement| p.attempt == attempt && p.settled.is_some();
         if !m.placements.get(id).is_some_and(over) {
             return;
         }
         m.placements.remove(id);
-        if let Some(job) = self.jobs.get_mut(&id.0) {
-            let waits = job.settling.remove(&id.1) && !job.placed_on.contains_key(&id.1);
-            if waits && job.stage == JobStage::Live && !job.done.get(id.1) {
-                job.requeued.insert(id.1);
+        if let Some(job) = self.jobs.get_mut(&id.job) {
+            let waits = job.settling.remove(&id.index) && !job.placed_on.contains_key(&id.index);
+            if waits && job.stage == JobStage::Live && !job.done.get(id.index) {
+                job.requeued.insert(id.index);
             }
         }
-        self.forget_if_finished(&id.0);
+        self.forget_if_finished(&id.job);
     }
 
     /// Takes out placements that ended without ever being in the store.
@@ -438,7 +447,7 @@
     }
 
     /// Settles all placements of a machine: they are surely gone.
-    pub fn settle_machine(&mut self, machine: &Name) {
+    pub fn settle_machine(&mut self, machine: &MachineName) {
         let ids: Vec<TaskId> = self
             .machines
             .get(machine)
@@ -455,9 +464,9 @@
     /// What is free on a machine, all unsettled placements counted.
     pub fn free(&self, m: &Machine) -> Resources {
         let mut free = m.total;
-        for ((job, _), p) in &m.placements {
+        for (id, p) in &m.placements {
             if p.settled.is_none() {
-                if let Some(j) = self.jobs.get(job) {
+                if let Some(j) = self.jobs.get(&id.job) {
                     free -= j.need;
                 }
             }
@@ -479,9 +488,9 @@
     /// for them.
     pub fn room_for_services(&self, m: &Machine) -> Resources {
         let mut room = self.free(m);
-        for ((uid, _), p) in &m.placements {
-            if p.settled.is_none() && !self.is_service(uid) {
-                if let Some(j) = self.jobs.get(uid) {
+        for (id, p) in &m.placements {
+            if p.settled.is_none() && !self.is_service(&id.job) {
+                if let Some(j) = self.jobs.get(&id.job) {
                     room += j.need;
                 }
             }
@@ -492,7 +501,7 @@
     /// A job's tasks on machines.
     pub fn placements_of<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a Placement> {
         job.placed_on.iter().filter_map(|(task, machine)| {
-            self.machines.get(machine)?.placements.get(&(job.uid.clone(), *task))
+            self.machines.get(machine)?.placements.get(&TaskId::new(job.uid.clone(), *task))
         })
     }
 
