--- a/src/coordination/lateness.rs
+++ b/src/coordination/deadline_triage.rs
@@ -12,21 +12,21 @@
 
 /// For each job, how many of the times by which it should be complete it is not expected to
 /// meet. `order` are the jobs as they would be served if none were late.
-pub fn missed(s: &Snapshot, order: &[usize], total: &Resources) -> Vec<usize> {
-    let times = |j: &JobView| if j.service { 0 } else { j.times.len() };
+pub fn missed_deadlines(s: &Snapshot, order: &[usize], total: &Resources) -> Vec<usize> {
+    let times = |j: &JobView| if j.is_service { 0 } else { j.due_in_ms.len() };
     let mut missed: Vec<usize> = s.jobs.iter().map(times).collect();
     let room = Room::new(s, total);
     let levels = missed.iter().copied().max().unwrap_or(0);
     // Work that goes before, of jobs that meet more of their times.
     let mut ahead = 0.0;
-    let mut open: Vec<usize> = order.iter().copied().filter(|j| !s.jobs[*j].service).collect();
+    let mut open: Vec<usize> = order.iter().copied().filter(|j| !s.jobs[*j].is_service).collect();
     for level in 0..=levels {
         let mut kept: BinaryHeap<(u64, usize)> = BinaryHeap::new();
         let mut late = Vec::new();
         let mut work = ahead;
         for (n, &j) in open.iter().enumerate() {
             let job = &s.jobs[j];
-            let Some(left) = job.times.get(level) else {
+            let Some(left) = job.due_in_ms.get(level) else {
                 // None of its times is left to be missed: it has its turn, and is never late.
                 work += room.work(job, total);
                 missed[j] = missed[j].min(level);
@@ -72,16 +72,16 @@
         let (mut ran, mut fetched) = (0.0, 0.0);
         for r in s.machines.iter().flat_map(|m| &m.running) {
             let share = r.need.share_of(total);
-            match (r.service, r.ran_ms) {
+            match (r.is_service, r.ran_ms) {
                 (true, _) => rate -= share,
                 (false, Some(_)) => ran += share,
                 (false, None) => fetched += share,
             }
         }
-        for j in s.jobs.iter().filter(|j| j.service) {
-            rate -= j.need.share_of(total) * f64::from(j.waiting);
+        for j in s.jobs.iter().filter(|j| j.is_service) {
+            rate -= j.need.share_of(total) * f64::from(j.waiting_tasks);
         }
-        let mut coming = s.arriving.clone();
+        let mut coming = s.booting.clone();
         coming.sort_unstable_by_key(|(ms, _)| *ms);
         let (mut at, mut done) = (0.0, 0.0);
         let mut steps = vec![(at, done, f64::max(rate, 0.0))];
@@ -99,7 +99,7 @@
     /// What a job's waiting tasks take: milliseconds of all machines.
     fn work(&self, job: &JobView, total: &Resources) -> f64 {
         let each = job.need.share_of(total) * job.run_ms as f64 * self.fetching;
-        f64::from(job.waiting) * each
+        f64::from(job.waiting_tasks) * each
     }
 
     /// Milliseconds after which so much work has been begun.
--- a/src/coordination/lateness/tests.rs
+++ b/src/coordination/deadline_triage/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of [`super`], the module `lateness`.
+//! Tests of [`super`], the module `deadline_triage`.
 
 use super::super::planner::tests::{gpus, job, machine, running, snapshot};
 use super::*;
@@ -7,13 +7,13 @@
 fn missed_by(sizes: &[u32], times: &[u64]) -> Vec<usize> {
     let jobs = sizes.iter().enumerate().map(|(n, size)| {
         let mut j = job(n as u64, 1, 10_000);
-        j.waiting = *size;
-        j.times = times.to_vec();
+        j.waiting_tasks = *size;
+        j.due_in_ms = times.to_vec();
         j
     });
     let s = snapshot(vec![machine(4)], jobs.collect());
     let order: Vec<usize> = (0..sizes.len()).collect();
-    missed(&s, &order, &gpus(4))
+    missed_deadlines(&s, &order, &gpus(4))
 }
 
 #[test]
@@ -30,13 +30,13 @@
 #[test]
 fn services_take_their_part_and_machines_on_their_way_add_theirs() {
     let mut j = job(1, 1, 10_000);
-    j.waiting = 8;
-    j.times = vec![35_000];
+    j.waiting_tasks = 8;
+    j.due_in_ms = vec![35_000];
     let mut m = machine(4);
     m.running = vec![running(90_000), running(90_000)];
-    m.running.iter_mut().for_each(|r| r.service = true);
+    m.running.iter_mut().for_each(|r| r.is_service = true);
     let mut s = snapshot(vec![m], vec![j]);
-    assert_eq!(missed(&s, &[0], &gpus(4)), vec![1], "eight tasks on two slots take 40 s");
-    s.arriving = vec![(5_000, gpus(4))];
-    assert_eq!(missed(&s, &[0], &gpus(4)), vec![0]);
+    assert_eq!(missed_deadlines(&s, &[0], &gpus(4)), vec![1], "eight tasks on two slots take 40 s");
+    s.booting = vec![(5_000, gpus(4))];
+    assert_eq!(missed_deadlines(&s, &[0], &gpus(4)), vec![0]);
 }
--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -113,7 +113,7 @@
     pub(super) fn move_services(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
-        if now < leader.fleet.move_at {
+        if now < leader.fleet.next_move_at {
             return;
         }
         let cluster = &leader.cluster;
@@ -159,7 +159,7 @@
         if chosen.is_empty() {
             return;
         }
-        leader.fleet.move_at = now + MOVE_GAP_MS;
+        leader.fleet.next_move_at = now + MOVE_GAP_MS;
         for (name, id) in chosen {
             if let Some(p) =
                 leader.cluster.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -46,7 +46,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if leader.fleet.list_begun != begun {
+        if leader.fleet.list_started_at != begun {
             return;
         }
         let hosts: Option<Hosts> = match reply {
@@ -54,19 +54,19 @@
             _ => None,
         };
         let Some(hosts) = hosts else {
-            leader.fleet.listing = false;
-            leader.fleet.list_at = now + CLOUD_RETRY_MS;
+            leader.fleet.list_in_progress = false;
+            leader.fleet.next_list_at = now + CLOUD_RETRY_MS;
             return;
         };
         let last = hosts.machines.last().map(|h| h.uid.clone());
-        leader.fleet.pages.extend(hosts.machines);
+        leader.fleet.listed_hosts.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
             self.cloud_budget.take(1.0, f64::MIN, now);
             let path = hosts_path(Some(&last), LIST_LIMIT);
             let purpose = CallPurpose::Hosts { begun };
             return self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
-        leader.fleet.listing = false;
+        leader.fleet.list_in_progress = false;
         self.list_complete(begun);
     }
 
@@ -78,9 +78,9 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let hosts = std::mem::take(&mut leader.fleet.pages);
-        leader.fleet.listed_once = true;
-        leader.fleet.listed_begun = Some(begun);
+        let hosts = std::mem::take(&mut leader.fleet.listed_hosts);
+        leader.fleet.has_complete_list = true;
+        leader.fleet.complete_list_started_at = Some(begun);
         let mut listed: HashSet<&str> = leader.cluster.hash_keys().set();
         listed.extend(hosts.iter().map(|h| h.uid.as_str()));
         let mut dead: Vec<Name> = Vec::new();
@@ -148,7 +148,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        leader.fleet.gone.insert(name.clone());
+        leader.fleet.terminated_machines.insert(name.clone());
         leader.cluster.settle_machine(name);
         if let Some(m) = leader.cluster.machines.get_mut(name) {
             m.state = MachineState::Terminated;
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,12 +1,12 @@
 //! The machines: what is there, what to rent, what to return.
 
-mod consolidation;
-mod listing;
-mod renting;
-mod returning;
+mod defragmentation;
+mod inventory;
+mod scale_in;
+mod scale_out;
 
 use super::planner::Plan;
-use super::snapshot::View;
+use super::planner_input::PlannerInput;
 use super::*;
 use crate::constants::{
     CLOUD_CALL_MS, DRAIN_TARGET_S, LIST_LIMIT, LIST_PERIOD_MS, MS_PER_S, RENT_PATIENCE_BOOTS,
@@ -37,77 +37,77 @@
 #[derive(Debug, Clone)]
 struct UnplacedTasks {
     need: Resources,
-    spot_ok: bool,
-    service: bool,
+    spot_allowed: bool,
+    is_service: bool,
     allowed_types: Vec<bool>,
     zone: Option<String>,
     /// Tasks, and slots that are wanted for them.
     slots: f64,
     /// Of these, the slots worth an ordinary machine.
-    dear: f64,
-    in_zone: Vec<(String, u32)>,
-    zone_cap: u32,
+    ordinary_slots: f64,
+    tasks_per_zone: Vec<(String, u32)>,
+    max_tasks_per_zone: u32,
     /// A gang whose tasks have to be in one zone: what is rented for it is too.
-    whole_in_zone: bool,
+    whole_in_one_zone: bool,
 }
 
 /// The leader's view of the fleet.
 #[derive(Debug)]
 pub(super) struct Fleet {
-    list_at: u64,
-    listing: bool,
-    list_begun: u64,
-    pages: Vec<Host>,
-    listed_once: bool,
+    next_list_at: u64,
+    list_in_progress: bool,
+    list_started_at: u64,
+    listed_hosts: Vec<Host>,
+    has_complete_list: bool,
     /// When the last complete list was asked for.
-    listed_begun: Option<u64>,
-    look_at: u64,
-    rentals: Vec<Rental>,
+    complete_list_started_at: Option<u64>,
+    next_scan_at: u64,
+    pending_rentals: Vec<Rental>,
     no_capacity: HashMap<Kind, u64>,
-    gone: HashSet<Name>,
+    terminated_machines: HashSet<Name>,
     unplaced: Vec<UnplacedTasks>,
     /// Arrivals of service tasks: when, how many.
-    arrivals: VecDeque<(u64, u32)>,
+    service_arrivals: VecDeque<(u64, u32)>,
     /// Arrivals of batch work: when, milliseconds times the share of a machine it takes.
-    work: VecDeque<(u64, f64)>,
-    seen_arrival: u64,
+    batch_arrivals: VecDeque<(u64, f64)>,
+    last_seen_arrival: u64,
     /// Since when there has been more room than is wanted.
     excess_since: Option<u64>,
     /// When the next service may be moved.
-    move_at: u64,
-    cloud_at: u64,
+    next_move_at: u64,
+    next_rental_at: u64,
 }
 
 impl Fleet {
     pub(super) fn new(now: u64, keys: HashKeys) -> Fleet {
         Fleet {
-            list_at: now,
-            listing: false,
-            list_begun: 0,
-            pages: Vec::new(),
-            listed_once: false,
-            listed_begun: None,
-            look_at: now,
-            rentals: Vec::new(),
+            next_list_at: now,
+            list_in_progress: false,
+            list_started_at: 0,
+            listed_hosts: Vec::new(),
+            has_complete_list: false,
+            complete_list_started_at: None,
+            next_scan_at: now,
+            pending_rentals: Vec::new(),
             no_capacity: keys.map(),
-            gone: keys.set(),
+            terminated_machines: keys.set(),
             unplaced: Vec::new(),
-            arrivals: VecDeque::new(),
-            work: VecDeque::new(),
-            seen_arrival: 0,
+            service_arrivals: VecDeque::new(),
+            batch_arrivals: VecDeque::new(),
+            last_seen_arrival: 0,
             excess_since: None,
-            move_at: 0,
-            cloud_at: now,
+            next_move_at: 0,
+            next_rental_at: now,
         }
     }
 
     pub(super) fn is_gone(&self, name: &str) -> bool {
-        self.gone.contains(name)
+        self.terminated_machines.contains(name)
     }
 
     /// When the last complete list of machines was asked for.
     pub(super) fn listed_begun(&self) -> Option<u64> {
-        self.listed_begun
+        self.complete_list_started_at
     }
 
     /// A pass found nothing waiting.
@@ -116,7 +116,7 @@
     }
 
     /// Remembers what a pass found no room for.
-    pub(super) fn note_unplaced(&mut self, view: &View, plan: &Plan, catalog: &Catalog) {
+    pub(super) fn note_unplaced(&mut self, view: &PlannerInput, plan: &Plan, catalog: &Catalog) {
         let boot_ms = catalog.longest_boot_s() * MS_PER_S;
         let s = &view.snapshot;
         self.unplaced.clear();
@@ -130,8 +130,9 @@
         for (j, n) in plan.unplaced.iter().enumerate() {
             let job = &s.jobs[j];
             // What will soon find a place on what we have needs no new machine.
-            let within =
-                |p: f64| plan.expected[j].iter().filter(|ms| **ms as f64 <= p).count() as u32;
+            let within = |p: f64| {
+                plan.expected_wait_ms[j].iter().filter(|ms| **ms as f64 <= p).count() as u32
+            };
             // Work that may use spot machines waits the longer for ordinary ones, the more
             // those cost beyond them.
             let dear = n.saturating_sub(within(patience * dearer));
@@ -148,24 +149,29 @@
             if team.limit.cpu > 0 && job.need.cpu > 0 {
                 left = left.min((team.limit.cpu - team.used.cpu) / job.need.cpu);
             }
-            if left <= 0 || job.gang && left < i64::from(*n) {
+            if left <= 0 || job.is_gang && left < i64::from(*n) {
                 continue;
             }
             // A slot serves short tasks one after the other.
             let run_s = job.run_ms as f64 / MS_PER_S;
-            let one_by_one = !job.service && !job.gang;
+            let one_by_one = !job.is_service && !job.is_gang;
             let per_task = if one_by_one { (run_s / DRAIN_TARGET_S).min(1.0) } else { 1.0 };
             self.unplaced.push(UnplacedTasks {
                 need: job.need,
-                spot_ok: job.spot_ok,
-                service: job.service,
+                spot_allowed: job.spot_allowed,
+                is_service: job.is_service,
                 allowed_types: job.allowed_types.clone(),
                 zone: job.zone.map(|z| view.zones[z].clone()),
                 slots: left as f64 * per_task,
-                dear: left.min(i64::from(dear)) as f64 * per_task,
-                in_zone: view.zones.iter().cloned().zip(job.in_zone.iter().copied()).collect(),
-                zone_cap: job.zone_cap,
-                whole_in_zone: job.gang && job.one_zone,
+                ordinary_slots: left.min(i64::from(dear)) as f64 * per_task,
+                tasks_per_zone: view
+                    .zones
+                    .iter()
+                    .cloned()
+                    .zip(job.tasks_per_zone.iter().copied())
+                    .collect(),
+                max_tasks_per_zone: job.max_tasks_per_zone,
+                whole_in_one_zone: job.is_gang && job.one_zone,
             });
         }
     }
@@ -177,14 +183,14 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !leader.fleet.listing
-            && now >= leader.fleet.list_at
+        if !leader.fleet.list_in_progress
+            && now >= leader.fleet.next_list_at
             && self.cloud_budget.take(1.0, 0.0, now)
         {
-            leader.fleet.listing = true;
-            leader.fleet.list_begun = now;
-            leader.fleet.pages.clear();
-            leader.fleet.list_at = now + LIST_PERIOD_MS;
+            leader.fleet.list_in_progress = true;
+            leader.fleet.list_started_at = now;
+            leader.fleet.listed_hosts.clear();
+            leader.fleet.next_list_at = now + LIST_PERIOD_MS;
             let purpose = CallPurpose::Hosts { begun: now };
             let path = hosts_path(None, LIST_LIMIT);
             self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
@@ -192,8 +198,8 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if now >= leader.fleet.look_at {
-            leader.fleet.look_at = now + leader.fleet_period();
+        if now >= leader.fleet.next_scan_at {
+            leader.fleet.next_scan_at = now + leader.fleet_period();
             self.metrics.work.fleet_scans += 1;
             if let Some(catalog) = &self.catalog {
                 leader.note_arrivals(self.now, catalog);
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -16,7 +16,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if !leader.fleet.listed_once || now < leader.fleet.cloud_at {
+        if !leader.fleet.has_complete_list || now < leader.fleet.next_rental_at {
             return;
         }
         // Room that is on its way.
@@ -43,7 +43,7 @@
                 });
             }
         }
-        for r in &leader.fleet.rentals {
+        for r in &leader.fleet.pending_rentals {
             for _ in 0..r.number {
                 let total = total(&catalog.machine_types[r.machine_type]);
                 coming.push(Coming {
@@ -66,15 +66,15 @@
             if missing > 0.0 {
                 unplaced.push(UnplacedTasks {
                     need,
-                    spot_ok: false,
-                    service: true,
+                    spot_allowed: false,
+                    is_service: true,
                     allowed_types: vec![true; catalog.machine_types.len()],
                     zone: None,
                     slots: missing,
-                    dear: missing,
-                    in_zone: vec![],
-                    zone_cap: u32::MAX,
-                    whole_in_zone: false,
+                    ordinary_slots: missing,
+                    tasks_per_zone: vec![],
+                    max_tasks_per_zone: u32::MAX,
+                    whole_in_one_zone: false,
                 });
             }
         }
@@ -86,23 +86,23 @@
         }
         let mut wanted: HashMap<(usize, String, bool), usize> = keys.map();
         // Services first: they may not be able to use what the others get.
-        unplaced.sort_by_key(|u| (!u.service, u.spot_ok));
+        unplaced.sort_by_key(|u| (!u.is_service, u.spot_allowed));
         for u in &unplaced {
             let mut slots = u.slots;
             // Those before this one have no room for such a task any more.
             let mut from = 0;
             let mut in_zone: HashMap<String, u32> = keys.map();
-            in_zone.extend(u.in_zone.iter().cloned());
+            in_zone.extend(u.tasks_per_zone.iter().cloned());
             // The zone of a gang that must be in one: that of its first place.
             let mut only_zone: Option<String> = None;
             while slots > SLOT_EPSILON {
                 let open = |zone: &str| {
                     u.zone.as_ref().is_none_or(|y| y == zone)
                         && only_zone.as_ref().is_none_or(|only| only == zone)
-                        && in_zone.get(zone).copied().unwrap_or(0) < u.zone_cap
+                        && in_zone.get(zone).copied().unwrap_or(0) < u.max_tasks_per_zone
                 };
                 let on_way = coming.iter().skip(from).position(|x| {
-                    (u.spot_ok || !x.spot)
+                    (u.spot_allowed || !x.spot)
                         && u.allowed_types[x.machine_type]
                         && open(&x.zone)
                         && x.total.fits(&u.need)
@@ -110,7 +110,7 @@
                 from = on_way.map_or(coming.len(), |n| from + n);
                 if let Some(x) = coming.get_mut(from) {
                     x.total -= u.need;
-                    if u.whole_in_zone {
+                    if u.whole_in_one_zone {
                         only_zone = Some(x.zone.clone());
                     }
                     *in_zone.entry(x.zone.clone()).or_default() += 1;
@@ -126,10 +126,10 @@
                     let per = total(b).times(&u.need).max(1) as f64;
                     for zone in b.zones.iter().filter(|y| open(y)) {
                         for spot in [true, false] {
-                            if spot && !(u.spot_ok && rent_spot) {
+                            if spot && !(u.spot_allowed && rent_spot) {
                                 continue;
                             }
-                            if !spot && u.spot_ok && slots <= u.slots - u.dear {
+                            if !spot && u.spot_allowed && slots <= u.slots - u.ordinary_slots {
                                 continue;
                             }
                             let kind = (b.type_name.clone(), zone.clone(), spot);
@@ -151,7 +151,7 @@
                 let Some((_, _, kind)) = best else { break };
                 *wanted.entry(kind.clone()).or_default() += 1;
                 let (machine_type, zone, spot) = kind;
-                if u.whole_in_zone {
+                if u.whole_in_one_zone {
                     only_zone = Some(zone.clone());
                     from = 0;
                 }
@@ -200,7 +200,7 @@
             };
             let body = serde_json::to_vec(&body).unwrap_or_default();
             if let Some(leader) = self.leader.as_mut() {
-                leader.fleet.rentals.push(r.clone());
+                leader.fleet.pending_rentals.push(r.clone());
             }
             self.call(
                 Service::Cloud,
@@ -225,7 +225,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        leader.fleet.rentals.retain(|r| r.request_id != rental.request_id);
+        leader.fleet.pending_rentals.retain(|r| r.request_id != rental.request_id);
         let Some(machine_type) = catalog.machine_types.get(rental.machine_type) else {
             return;
         };
@@ -257,7 +257,7 @@
                 leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
             }
             // Perhaps carried out, perhaps later: what comes of it shows up in the list.
-            _ => leader.fleet.cloud_at = now + CLOUD_RETRY_MS,
+            _ => leader.fleet.next_rental_at = now + CLOUD_RETRY_MS,
         }
     }
 }
@@ -270,7 +270,7 @@
         else {
             return;
         };
-        let from = self.fleet.seen_arrival;
+        let from = self.fleet.last_seen_arrival;
         let mut services = Vec::new();
         let mut work = Vec::new();
         let mut last = from;
@@ -292,11 +292,11 @@
             }
         }
         let f = &mut self.fleet;
-        f.seen_arrival = last;
-        f.arrivals.extend(services);
-        f.work.extend(work);
-        f.arrivals.retain(|(t, _)| now.monotonic_ms <= t + ARRIVAL_WINDOW_MS);
-        f.work.retain(|(t, _)| now.monotonic_ms <= t + WORK_WINDOW_MS);
+        f.last_seen_arrival = last;
+        f.service_arrivals.extend(services);
+        f.batch_arrivals.extend(work);
+        f.service_arrivals.retain(|(t, _)| now.monotonic_ms <= t + ARRIVAL_WINDOW_MS);
+        f.batch_arrivals.retain(|(t, _)| now.monotonic_ms <= t + WORK_WINDOW_MS);
     }
 
     /// Over how long arrivals have been watched, in milliseconds.
@@ -306,7 +306,7 @@
 
     /// Machines that batch work keeps busy at the rate at which it has been coming.
     pub(super) fn batch_machines(&self, now: u64) -> f64 {
-        let work: f64 = self.fleet.work.iter().map(|(_, w)| w).sum();
+        let work: f64 = self.fleet.batch_arrivals.iter().map(|(_, w)| w).sum();
         work / self.watched_ms(now, WORK_WINDOW_MS)
     }
 
@@ -316,7 +316,7 @@
         let cluster = &self.cluster;
         let newest = cluster.queue.values().rev().find(|uid| cluster.is_service(uid))?;
         let need = cluster.jobs.get(newest)?.need;
-        let tasks: u32 = self.fleet.arrivals.iter().map(|(_, n)| n).sum();
+        let tasks: u32 = self.fleet.service_arrivals.iter().map(|(_, n)| n).sum();
         let ready = catalog.longest_boot_s() * MS_PER_S;
         let expected = (f64::from(tasks) / self.watched_ms(now, ARRIVAL_WINDOW_MS) * ready).ceil();
         Some((need, expected + SPARE_SERVICE_SLOTS))
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -3,7 +3,7 @@
 use super::commits::{PlacementEntry, PlacementMove};
 use super::fleet::Fleet;
 use super::planner;
-use super::snapshot::View;
+use super::planner_input::PlannerInput;
 use super::workers::DeferredHeartbeat;
 use super::{Clock, Controller};
 use crate::constants::{
@@ -409,7 +409,7 @@
         }
         self.metrics.work.planner_passes += 1;
         self.metrics.work.planner_machines += leader.cluster.machines.len() as u64;
-        let mut view = View::of_cluster(
+        let mut view = PlannerInput::of_cluster(
             leader,
             &settings,
             &operator,
@@ -422,15 +422,15 @@
             leader.shares_written = false;
         }
         for (team, share) in view.snapshot.teams.iter_mut().zip(&leader.shares) {
-            team.share = *share;
+            team.share_permille = *share;
         }
         let plan = planner::plan(&view.snapshot);
-        self.metrics.work.planner_places += plan.places_examined;
+        self.metrics.work.planner_places += plan.candidates_examined;
         leader.reservation =
             plan.reservation.map(|(j, m, _)| (view.jobs[j].clone(), view.machines[m].clone()));
         let mut gangs: BTreeMap<usize, Vec<Name>> = BTreeMap::new();
-        for (j, m) in &plan.places {
-            if view.snapshot.jobs[*j].gang {
+        for (j, m) in &plan.placements {
+            if view.snapshot.jobs[*j].is_gang {
                 gangs.entry(*j).or_default().push(view.machines[*m].clone());
                 continue;
             }
@@ -450,7 +450,7 @@
                 log::error!("{uid}: a part of a gang is not placed");
             }
         }
-        for (m, handle) in &plan.halts {
+        for (m, handle) in &plan.preemptions {
             let id = view.handles[*m][*handle].clone();
             let machine = &view.machines[*m];
             if leader.cluster.jobs.get(&id.0).is_some_and(|job| job.is_gang()) {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -6,19 +6,19 @@
 
 mod commit_places;
 mod commits;
+mod deadline_triage;
 mod election;
 mod fleet;
 mod gangs;
 mod isolation;
-mod lateness;
 mod leader;
 mod lease_extension;
 pub mod metrics;
 mod peers;
 pub mod planner;
+mod planner_input;
 mod recovery;
 mod report_evidence;
-mod snapshot;
 pub mod status;
 mod submissions;
 mod sync;
--- a/src/coordination/planner/gang/tests.rs
+++ b/src/coordination/planner/gang/tests.rs
@@ -6,7 +6,7 @@
 
 /// A gang of tasks of one GPU each.
 fn gang(arrival: u64, tasks: u32, run_ms: u64) -> JobView {
-    JobView { gang: true, waiting: tasks, ..job(arrival, 1, run_ms) }
+    JobView { is_gang: true, waiting_tasks: tasks, ..job(arrival, 1, run_ms) }
 }
 
 /// A machine whose GPUs are all taken until then.
@@ -18,7 +18,7 @@
 
 /// Tasks of the job that each machine gets.
 fn shares(plan: &Plan, job: usize, machines: usize) -> Vec<usize> {
-    let on = |m| plan.places.iter().filter(|place| **place == (job, m)).count();
+    let on = |m| plan.placements.iter().filter(|place| **place == (job, m)).count();
     (0..machines).map(on).collect()
 }
 
@@ -27,7 +27,7 @@
     let fits = snapshot(vec![machine(2), machine(2)], vec![gang(1, 4, 5_000)]);
     assert_eq!(shares(&plan(&fits), 0, 2), vec![2, 2]);
     let wide = snapshot(vec![machine(2), machine(2)], vec![gang(1, 5, 5_000)]);
-    assert!(plan(&wide).places.is_empty());
+    assert!(plan(&wide).placements.is_empty());
     assert_eq!(plan(&wide).unplaced, vec![5]);
 }
 
@@ -53,7 +53,7 @@
         let mut s = snapshot(vec![machine(8)], vec![gang(1, 4, 5_000)]);
         s.teams[0].used = gpus(2);
         s.teams[0].limit = gpus(limit);
-        plan(&s).places.len()
+        plan(&s).placements.len()
     };
     assert_eq!((with_limit(5), with_limit(6)), (0, 4));
 }
@@ -64,7 +64,7 @@
     machines[1].zone = 1;
     machines[3].zone = 1;
     let mut wide = gang(1, 4, 5_000);
-    wide.in_zone = vec![0, 0];
+    wide.tasks_per_zone = vec![0, 0];
     change(&mut wide);
     snapshot(machines, vec![wide])
 }
@@ -73,13 +73,13 @@
 fn a_gang_keeps_to_one_zone_or_spreads_as_it_must() {
     let one = plan(&two_zones(|gang| gang.one_zone = true));
     assert!([vec![2, 0, 2, 0], vec![0, 2, 0, 2]].contains(&shares(&one, 0, 4)));
-    let spread = shares(&plan(&two_zones(|gang| gang.zone_cap = 2)), 0, 4);
+    let spread = shares(&plan(&two_zones(|gang| gang.max_tasks_per_zone = 2)), 0, 4);
     assert_eq!((spread[0] + spread[2], spread[1] + spread[3]), (2, 2));
     let bound = plan(&two_zones(|gang| {
         gang.zone = Some(1);
-        gang.zone_cap = 2;
+        gang.max_tasks_per_zone = 2;
     }));
-    assert!(bound.places.is_empty(), "no more than half of it in one zone");
+    assert!(bound.placements.is_empty(), "no more than half of it in one zone");
 }
 
 #[test]
@@ -88,9 +88,9 @@
     let machines = vec![taken(2, 10_000), taken(2, 10_000), machine(1)];
     let jobs = vec![gang(1, 5, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
     let decided = plan(&snapshot(machines, jobs));
-    assert_eq!(decided.places, vec![(2, 2)]);
+    assert_eq!(decided.placements, vec![(2, 2)]);
     assert_eq!(decided.reservation.map(|(job, _, start)| (job, start)), Some((0, 10_000)));
-    assert_eq!(decided.expected[0], vec![10_000; 5]);
+    assert_eq!(decided.expected_wait_ms[0], vec![10_000; 5]);
 }
 
 #[test]
@@ -99,17 +99,17 @@
         let mut late = gang(9, 2, 60_000);
         late.waited_ms = waited_ms;
         // Nothing can make it in time any more; the others can.
-        late.times = vec![0];
+        late.due_in_ms = vec![0];
         let mut others: Vec<JobView> = (1..5).map(|n| job(n, 1, 30_000)).collect();
-        others.iter_mut().for_each(|other| other.times = vec![500_000]);
+        others.iter_mut().for_each(|other| other.due_in_ms = vec![500_000]);
         others.push(late);
         let mut half = machine(2);
         half.running = vec![running(8_000)];
         plan(&snapshot(vec![half], others))
     };
-    assert_eq!(waited(1_000).places, vec![(0, 0)], "the first of the others");
+    assert_eq!(waited(1_000).placements, vec![(0, 0)], "the first of the others");
     let starving = waited(STARVING_MS);
-    assert!(starving.places.is_empty(), "{:?}", starving.places);
+    assert!(starving.placements.is_empty(), "{:?}", starving.placements);
     assert_eq!(starving.reservation.map(|(job, ..)| job), Some(4));
 }
 
@@ -120,7 +120,7 @@
         cold.images.clear();
         let mut s = snapshot(vec![machine(2), cold], vec![gang(1, 4, 5_000)]);
         s.gang_wait_ms = gang_wait_ms;
-        plan(&s).places.len()
+        plan(&s).placements.len()
     };
     // The image takes 20 s to fetch.
     assert_eq!((waits(60_000), waits(10_000)), (4, 0));
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -23,7 +23,7 @@
 pub(super) mod tests;
 
 pub use pass::plan;
-pub use shares::{move_shares, within};
+pub use shares::{is_within_guarantee, move_shares};
 
 use crate::constants::{STARVING_BEGUN_MS, STARVING_MS};
 use crate::protocol::users::Priority;
@@ -31,7 +31,7 @@
 
 /// A task that runs, as far as planning goes.
 #[derive(Debug, Clone)]
-pub struct Running {
+pub struct RunningTask {
     /// Priority of its job.
     pub priority: Priority,
     /// The team, by index; `None` if unknown.
@@ -41,19 +41,19 @@
     /// Shared bandwidth it takes, in cores' worth.
     pub bandwidth: f64,
     /// Estimated end, on the planner's clock.
-    pub end: u64,
+    pub end_ms: u64,
     /// It runs until its job is cancelled.
-    pub service: bool,
+    pub is_service: bool,
     /// Milliseconds since it was seen running; `None` if it was not yet.
     pub ran_ms: Option<u64>,
     /// It keeps its progress when it is stopped.
-    pub saves: bool,
+    pub keeps_progress: bool,
     /// Tasks that stop if it is stopped: all those of its gang, or itself.
-    pub stops: u32,
+    pub tasks_stopped: u32,
     /// It has been told to stop.
-    pub halting: bool,
+    pub is_stopping: bool,
     /// Milliseconds that stopping it takes.
-    pub halt_ms: u64,
+    pub stop_ms: u64,
     /// The caller's handle.
     pub handle: usize,
 }
@@ -70,9 +70,9 @@
     /// What it has in all.
     pub total: Resources,
     /// How many more tasks its key can hold.
-    pub slots: usize,
+    pub free_task_slots: usize,
     /// Tasks on it.
-    pub running: Vec<Running>,
+    pub running: Vec<RunningTask>,
     /// Images it holds or fetches: image, milliseconds until it is there.
     pub images: Vec<(usize, u64)>,
     /// Milliseconds to fetch a gigabyte.
@@ -89,18 +89,18 @@
     /// Team, by index.
     pub team: usize,
     /// Its tasks run until it is cancelled.
-    pub service: bool,
+    pub is_service: bool,
     /// Its tasks all run at the same time: it is placed whole.
-    pub gang: bool,
+    pub is_gang: bool,
     /// Number that grows from job to job.
     pub arrival: u64,
     /// Milliseconds since it was accepted.
     pub waited_ms: u64,
     /// Milliseconds until each of the times by which it should be complete, the soonest first.
     /// Jobs that can be in time go before those that can't.
-    pub times: Vec<u64>,
+    pub due_in_ms: Vec<u64>,
     /// It fits into its team's guarantee together with the team's earlier unfinished jobs.
-    pub within: bool,
+    pub within_guarantee: bool,
     /// What each task takes.
     pub need: Resources,
     /// Shared bandwidth that each task takes, in cores' worth.
@@ -112,29 +112,29 @@
     /// The only allowed zone, by index.
     pub zone: Option<usize>,
     /// It may use spot machines.
-    pub spot_ok: bool,
+    pub spot_allowed: bool,
     /// Unsettled tasks per zone.
-    pub in_zone: Vec<u32>,
+    pub tasks_per_zone: Vec<u32>,
     /// Most tasks that may be in one zone.
-    pub zone_cap: u32,
+    pub max_tasks_per_zone: u32,
     /// All its tasks must be in the same zone.
     pub one_zone: bool,
     /// Tasks that wait for a machine.
-    pub waiting: u32,
+    pub waiting_tasks: u32,
     /// A task of it has started before, or is placed.
-    pub begun: bool,
+    pub has_started: bool,
     /// Its image, by index.
     pub image: usize,
     /// Size of its image.
-    pub size_gb: f64,
+    pub image_gb: f64,
     /// Machines it must not use for now (it failed there), by index.
-    pub avoid: Vec<usize>,
+    pub avoided_machines: Vec<usize>,
 }
 
 impl JobView {
     /// Whether it has waited for longer than anyone should.
     fn starving(&self) -> bool {
-        self.waited_ms >= if self.begun { STARVING_BEGUN_MS } else { STARVING_MS }
+        self.waited_ms >= if self.has_started { STARVING_BEGUN_MS } else { STARVING_MS }
     }
 }
 
@@ -148,14 +148,14 @@
     /// What its tasks may take at the most; 0 in a dimension: no limit.
     pub limit: Resources,
     /// The share of the machines that it may fill while others wait, in thousandths.
-    pub share: i64,
+    pub share_permille: i64,
 }
 
 /// All that a pass looks at.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
     /// The present, on the planner's clock.
-    pub now: u64,
+    pub now_ms: u64,
     /// Penalty factors to try, in rising order.
     pub thresholds: Vec<f64>,
     /// Machines that may get tasks.
@@ -168,28 +168,28 @@
     pub gang_wait_ms: u64,
     /// Milliseconds until machines are up of which many are on their way, in the mean: ordinary
     /// ones, spot ones.
-    pub coming: [Option<u64>; 2],
+    pub mean_boot_wait: [Option<u64>; 2],
     /// Machines on their way: milliseconds until each is up, and what it has.
-    pub arriving: Vec<(u64, Resources)>,
+    pub booting: Vec<(u64, Resources)>,
     /// The last pass's reservation: job and machine. A reservation that moved from machine to
     /// machine as estimates slipped would never be emptied for.
-    pub reserved: Option<(usize, usize)>,
+    pub previous_reservation: Option<(usize, usize)>,
 }
 
 /// What a pass decides.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
     /// Job and machine, one task each, in the order decided.
-    pub places: Vec<(usize, usize)>,
+    pub placements: Vec<(usize, usize)>,
     /// Machine and the handle of a task to stop there.
-    pub halts: Vec<(usize, usize)>,
+    pub preemptions: Vec<(usize, usize)>,
     /// Job, machine and time reserved for the head.
     pub reservation: Option<(usize, usize, u64)>,
     /// When waiting tasks can count on a place, per job, in milliseconds from now; tasks
     /// that are not named can count on none.
-    pub expected: Vec<Vec<u64>>,
+    pub expected_wait_ms: Vec<Vec<u64>>,
     /// Tasks per job that were not placed.
     pub unplaced: Vec<u32>,
     /// Places that were worked out for this: what the pass cost.
-    pub places_examined: u64,
+    pub candidates_examined: u64,
 }
--- a/src/coordination/planner/offers.rs
+++ b/src/coordination/planner/offers.rs
@@ -82,7 +82,7 @@
 impl Pass<'_> {
     /// What offers to a job rest on at present.
     pub(super) fn basis(&self, job: usize) -> Basis {
-        let zones = self.in_zone[job].len();
+        let zones = self.tasks_per_zone[job].len();
         Basis { job, zones: (0..zones).map(|zone| self.zone_allowed(job, zone)).collect() }
     }
 }
--- a/src/coordination/planner/room.rs
+++ b/src/coordination/planner/room.rs
@@ -2,7 +2,7 @@
 
 use super::pass::Pass;
 use super::search::Preference;
-use super::Running;
+use super::RunningTask;
 use crate::constants::{JOB_TASKS_PER_PASS, PREEMPT_SHIELD_MS, ROOM_COMING_MS};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
@@ -16,38 +16,42 @@
         let mut room: Vec<Resources> = (0..self.rows.len())
             .map(|m| {
                 let mut free = self.rows[m].free;
-                for r in self.s.machines[m].running.iter().filter(|r| r.halting) {
+                for r in self.snapshot.machines[m].running.iter().filter(|r| r.is_stopping) {
                     free += r.need;
                 }
                 free
             })
             .collect();
-        let mut stopped: Vec<Vec<bool>> =
-            self.s.machines.iter().map(|m| m.running.iter().map(|r| r.halting).collect()).collect();
-        let mut used = self.used.clone();
+        let mut stopped: Vec<Vec<bool>> = self
+            .snapshot
+            .machines
+            .iter()
+            .map(|m| m.running.iter().map(|r| r.is_stopping).collect())
+            .collect();
+        let mut used = self.team_usage.clone();
         // What could be stopped on each machine for each rank, at the most: a quick look that
         // spares the search where nothing would come of it.
-        let borrows: Vec<bool> = (0..self.s.teams.len())
-            .map(|t| !self.used[t].under(&self.s.teams[t].guarantee))
+        let borrows: Vec<bool> = (0..self.snapshot.teams.len())
+            .map(|t| !self.team_usage[t].under(&self.snapshot.teams[t].guarantee))
             .collect();
-        let may_stop = |r: &Running, priority: Priority, within: bool, team: usize| {
+        let may_stop = |r: &RunningTask, priority: Priority, within: bool, team: usize| {
             r.priority > priority || within && r.team.is_some_and(|t| t != team && borrows[t])
         };
         let mut stoppable: BTreeMap<(Priority, bool, usize), Vec<Option<Resources>>> =
             BTreeMap::new();
         for &j in order {
-            let job = &self.s.jobs[j];
-            let within = job.within;
-            if job.gang || job.priority > Priority::High && !within {
+            let job = &self.snapshot.jobs[j];
+            let within = job.within_guarantee;
+            if job.is_gang || job.priority > Priority::High && !within {
                 continue;
             }
             let stoppable = stoppable
                 .entry((job.priority, within, job.team))
                 .or_insert_with(|| vec![None; room.len()]);
-            for _ in 0..self.waiting[j].min(JOB_TASKS_PER_PASS as u32) {
+            for _ in 0..self.waiting_tasks[j].min(JOB_TASKS_PER_PASS as u32) {
                 let mut with = used[job.team];
                 with += job.need;
-                if !with.under(&self.s.teams[job.team].limit) {
+                if !with.under(&self.snapshot.teams[job.team].limit) {
                     break;
                 }
                 // Where the least is lost, by the image that has to be fetched and by what is
@@ -58,8 +62,8 @@
                     if !here {
                         let mut most = *stoppable[m].get_or_insert_with(|| {
                             let mut most = Resources::default();
-                            for r in &self.s.machines[m].running {
-                                if !r.halting && may_stop(r, job.priority, within, job.team) {
+                            for r in &self.snapshot.machines[m].running {
+                                if !r.is_stopping && may_stop(r, job.priority, within, job.team) {
                                     most += r.need;
                                 }
                             }
@@ -75,7 +79,7 @@
                     if !self.allowed(j, m) || self.better_on_the_way(j, m) {
                         continue;
                     }
-                    let fetch = self.fetch_ms(j, m, self.s.now);
+                    let fetch = self.fetch_ms(j, m, self.snapshot.now_ms);
                     if best.as_ref().is_some_and(|(cost, ..)| fetch > *cost) {
                         continue;
                     }
@@ -101,25 +105,25 @@
                 }
                 let mut wait = ROOM_COMING_MS;
                 for v in victims {
-                    let r = &self.s.machines[m].running[v];
+                    let r = &self.snapshot.machines[m].running[v];
                     stopped[m][v] = true;
                     room[m] += r.need;
-                    self.rows[m].end_at(v, self.s.now + r.halt_ms.max(1));
-                    wait = wait.max(r.halt_ms);
+                    self.rows[m].end_at(v, self.snapshot.now_ms + r.stop_ms.max(1));
+                    wait = wait.max(r.stop_ms);
                     if let Some(t) = r.team {
                         used[t] -= r.need;
                     }
-                    self.plan.halts.push((m, r.handle));
+                    self.plan.preemptions.push((m, r.handle));
                 }
                 room[m] -= job.need;
-                self.held[m] += job.need;
+                self.held_for_priority[m] += job.need;
                 used[job.team] = with;
                 // The task for which room is made waits for it. Where it went elsewhere in the
                 // same pass all the same, tasks were stopped for nothing, pass after pass.
-                self.promised[j] += 1;
-                self.waiting[j] -= 1;
-                self.plan.expected[j].push(wait);
-                self.claim(j, m, self.s.now + wait, job.run_ms);
+                self.awaiting_room[j] += 1;
+                self.waiting_tasks[j] -= 1;
+                self.plan.expected_wait_ms[j].push(wait);
+                self.claim(j, m, self.snapshot.now_ms + wait, job.run_ms);
             }
         }
     }
@@ -133,19 +137,20 @@
         stopped: &[bool],
         within: bool,
     ) -> Option<(u64, Vec<usize>)> {
-        let job = &self.s.jobs[j];
-        let running = &self.s.machines[m].running;
+        let job = &self.snapshot.jobs[j];
+        let running = &self.snapshot.machines[m].running;
         let mut can: Vec<(u64, usize)> = running
             .iter()
             .enumerate()
             .filter(|(v, r)| {
-                if stopped[*v] || r.halting {
+                if stopped[*v] || r.is_stopping {
                     return false;
                 }
                 let lower = r.priority > job.priority;
                 let borrowed = within
                     && r.team.is_some_and(|t| {
-                        t != job.team && !self.used[t].under(&self.s.teams[t].guarantee)
+                        t != job.team
+                            && !self.team_usage[t].under(&self.snapshot.teams[t].guarantee)
                     });
                 lower || borrowed
             })
@@ -153,12 +158,12 @@
                 let ran = r.ran_ms.unwrap_or(0);
                 // A young start would not count for its users; old work without saves is lost.
                 let shield = if ran < PREEMPT_SHIELD_MS { PREEMPT_SHIELD_MS } else { 0 };
-                let lost = if r.saves { 0 } else { ran };
-                let service = if r.service { PREEMPT_SHIELD_MS * 4 } else { 0 };
+                let lost = if r.keeps_progress { 0 } else { ran };
+                let service = if r.is_service { PREEMPT_SHIELD_MS * 4 } else { 0 };
                 let cost = 1_000 + shield + lost + service;
                 // The rest of its gang stops with it, and all of it starts anew.
-                let whole = if r.stops > 1 { cost + PREEMPT_SHIELD_MS } else { cost };
-                (whole * u64::from(r.stops), v)
+                let whole = if r.tasks_stopped > 1 { cost + PREEMPT_SHIELD_MS } else { cost };
+                (whole * u64::from(r.tasks_stopped), v)
             })
             .collect();
         can.sort_unstable();
--- a/src/coordination/planner/search.rs
+++ b/src/coordination/planner/search.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Allocation {
     pub(super) machine: usize,
-    pub(super) start: u64,
+    pub(super) start_ms: u64,
     /// Run time with image and penalty.
-    pub(super) length: u64,
+    pub(super) length_ms: u64,
     /// Penalty factor, the image counted in.
-    pub(super) factor: f64,
+    pub(super) penalty_factor: f64,
 }
 
 /// How much a place is liked among places that are alike, the least first.
@@ -46,13 +46,17 @@
                 *slot = Some((a, t));
             }
         }
-        for (slot, _) in self.under.iter_mut().zip(self.thresholds).filter(|(_, t)| a.factor < **t)
+        for (slot, _) in
+            self.under.iter_mut().zip(self.thresholds).filter(|(_, t)| a.penalty_factor < **t)
         {
-            keep(slot, a, preference, |a, t| (a.start, a.factor, t));
+            keep(slot, a, preference, |a, t| (a.start_ms, a.penalty_factor, t));
         }
-        keep(&mut self.first, a, preference, |a, t| (a.start, 0.0, t));
+        keep(&mut self.first, a, preference, |a, t| (a.start_ms, 0.0, t));
         let lower = self.least.as_ref().is_none_or(|(b, t)| {
-            a.factor.total_cmp(&b.factor).then((a.start, preference).cmp(&(b.start, *t))).is_lt()
+            a.penalty_factor
+                .total_cmp(&b.penalty_factor)
+                .then((a.start_ms, preference).cmp(&(b.start_ms, *t)))
+                .is_lt()
         });
         if lower {
             self.least = Some((a, preference));
@@ -68,22 +72,22 @@
     pub(super) fn best(self) -> Option<Allocation> {
         let least = self.least;
         let chosen = self.under.into_iter().filter_map(|u| u.or(least)).chain(self.first);
-        chosen.map(|(a, _)| a).min_by_key(|a| (a.start + a.length, a.start))
+        chosen.map(|(a, _)| a).min_by_key(|a| (a.start_ms + a.length_ms, a.start_ms))
     }
 }
 
 impl Pass<'_> {
     /// Whether one more task of the job may be on the machine, room aside.
     pub(super) fn allowed(&self, j: usize, m: usize) -> bool {
-        let job = &self.s.jobs[j];
-        let machine = &self.s.machines[m];
-        if machine.spot && !job.spot_ok
+        let job = &self.snapshot.jobs[j];
+        let machine = &self.snapshot.machines[m];
+        if machine.spot && !job.spot_allowed
             || !job.allowed_types[machine.type_index]
-            || self.slots[m] == 0
+            || self.free_task_slots[m] == 0
         {
             return false;
         }
-        if job.zone.is_some_and(|z| z != machine.zone) || job.avoid.contains(&m) {
+        if job.zone.is_some_and(|z| z != machine.zone) || job.avoided_machines.contains(&m) {
             return false;
         }
         self.zone_allowed(j, machine.zone) && machine.total.fits(&job.need)
@@ -91,27 +95,28 @@
 
     /// Whether one more task of the job may be in the zone, given those that are placed.
     pub(super) fn zone_allowed(&self, j: usize, zone: usize) -> bool {
-        let job = &self.s.jobs[j];
-        let placed = &self.in_zone[j];
+        let job = &self.snapshot.jobs[j];
+        let placed = &self.tasks_per_zone[j];
         let elsewhere = || placed.iter().enumerate().any(|(z, n)| z != zone && *n > 0);
-        placed[zone] < job.zone_cap && !(job.one_zone && elsewhere())
+        placed[zone] < job.max_tasks_per_zone && !(job.one_zone && elsewhere())
     }
 
     pub(super) fn within_limit(&self, j: usize) -> bool {
-        let job = &self.s.jobs[j];
-        let mut with = self.used[job.team];
+        let job = &self.snapshot.jobs[j];
+        let mut with = self.team_usage[job.team];
         with += job.need;
-        with.under(&self.s.teams[job.team].limit)
+        with.under(&self.snapshot.teams[job.team].limit)
     }
 
     /// Milliseconds for which a task that starts then waits for its image.
     pub(super) fn fetch_ms(&self, j: usize, m: usize, start: u64) -> u64 {
-        let job = &self.s.jobs[j];
+        let job = &self.snapshot.jobs[j];
         match self.images[m].iter().find(|(k, _)| *k == job.image) {
-            Some((_, in_ms)) => in_ms.saturating_sub(start.saturating_sub(self.s.now)),
+            Some((_, in_ms)) => in_ms.saturating_sub(start.saturating_sub(self.snapshot.now_ms)),
             None => {
                 // Images fetched at the same time share the rate.
-                (job.size_gb * self.s.machines[m].fetch_ms_per_gb) as u64 + self.images_done_in[m]
+                (job.image_gb * self.snapshot.machines[m].fetch_ms_per_gb) as u64
+                    + self.images_done_in[m]
             }
         }
     }
@@ -121,23 +126,23 @@
     /// none to fetch. New machines came up one by one and each got all that waited then, four
     /// images deep; the last of them took minutes.
     pub(super) fn better_on_the_way(&self, j: usize, m: usize) -> bool {
-        let job = &self.s.jobs[j];
-        let [ordinary, spot] = self.s.coming;
-        let soon = ordinary.into_iter().chain(spot.filter(|_| job.spot_ok)).min();
+        let job = &self.snapshot.jobs[j];
+        let [ordinary, spot] = self.snapshot.mean_boot_wait;
+        let soon = ordinary.into_iter().chain(spot.filter(|_| job.spot_allowed)).min();
         soon.is_some_and(|ms| ms < self.images_done_in[m])
             && !self.images[m].iter().any(|(k, _)| *k == job.image)
     }
 
     /// The allocation on one machine at one time.
     pub(super) fn at(&self, j: usize, m: usize, start: u64) -> Option<Allocation> {
-        let job = &self.s.jobs[j];
+        let job = &self.snapshot.jobs[j];
         let row = &self.rows[m];
-        let now = self.s.now;
-        self.examined.set(self.examined.get() + 1);
+        let now = self.snapshot.now_ms;
+        self.candidates_examined.set(self.candidates_examined.get() + 1);
         // Whatever runs now ends later than now.
         let mut free = if start <= now { row.free } else { row.free_at(start) };
         if job.priority > Priority::High {
-            free -= self.held[m];
+            free -= self.held_for_priority[m];
         }
         if !free.fits(&job.need) {
             return None;
@@ -152,15 +157,17 @@
         if start > now && !row.fits_later(start, length, &job.need) {
             return None;
         }
-        for kept in self.reserved.iter().filter(|r| r.machine == m && start + length > r.start) {
-            let mut at = row.free_at(kept.start);
+        for kept in
+            self.reserved_rooms.iter().filter(|r| r.machine == m && start + length > r.start_ms)
+        {
+            let mut at = row.free_at(kept.start_ms);
             at -= job.need;
             if !at.fits(&kept.need) {
                 return None;
             }
         }
         let factor = (run + fetch) as f64 / run as f64 + penalized / run as f64;
-        Some(Allocation { machine: m, start, length, factor })
+        Some(Allocation { machine: m, start_ms: start, length_ms: length, penalty_factor: factor })
     }
 
     /// Order among places that are alike. Services gather where services are, in the zone
@@ -168,15 +175,21 @@
     /// for anyway, then the kind of machine that it alone can use, the fullest first, so that
     /// whole machines fall empty.
     pub(super) fn preference(&self, j: usize, m: usize) -> Preference {
-        let job = &self.s.jobs[j];
-        let machine = &self.s.machines[m];
+        let job = &self.snapshot.jobs[j];
+        let machine = &self.snapshot.machines[m];
         let free = self.rows[m].free;
         let rest = free.gpu * 1_000 + free.cpu;
-        let service = self.services[m];
-        if job.service {
-            return (self.in_zone[j][machine.zone], u8::from(machine.spot), -service, rest, m);
+        let service = self.service_tasks[m];
+        if job.is_service {
+            return (
+                self.tasks_per_zone[j][machine.zone],
+                u8::from(machine.spot),
+                -service,
+                rest,
+                m,
+            );
         }
-        let kind = match (service > 0, job.spot_ok == machine.spot) {
+        let kind = match (service > 0, job.spot_allowed == machine.spot) {
             (true, _) => 0,
             (false, true) => 1,
             (false, false) => 2,
@@ -207,36 +220,37 @@
         // Among places that are free now, the least factor, then preference.
         let mut least: Option<(Allocation, Preference)> = None;
         let mut first: Option<(Allocation, Preference)> = None;
-        for &m in &self.with_room {
+        for &m in &self.machines_with_room {
             let Some(a) = offers.now(self, j, m) else { continue };
             let preference = self.preference(j, m);
             if first.as_ref().is_none_or(|(_, t)| preference < *t) {
                 first = Some((a, preference));
             }
             let better = least.as_ref().is_none_or(|(b, t)| {
-                a.factor < b.factor || (a.factor == b.factor && preference < *t)
+                a.penalty_factor < b.penalty_factor
+                    || (a.penalty_factor == b.penalty_factor && preference < *t)
             });
             if better {
                 least = Some((a, preference));
             }
         }
-        let lowest = self.s.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
-        if !may_wait || least.as_ref().is_some_and(|(a, _)| a.factor < lowest) {
+        let lowest = self.snapshot.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
+        if !may_wait || least.as_ref().is_some_and(|(a, _)| a.penalty_factor < lowest) {
             return least.map(|(a, _)| a);
         }
         // For each threshold the earliest place under it, of the least factor at that time; if
         // there is none, the least factor of all. First fit is the earliest place of all.
-        let mut search = Search::new(&self.s.thresholds);
+        let mut search = Search::new(&self.snapshot.thresholds);
         for (a, preference) in first.into_iter().chain(least) {
             search.see(a, preference);
         }
-        let bound = least.map_or(f64::INFINITY, |(a, _)| a.factor);
+        let bound = least.map_or(f64::INFINITY, |(a, _)| a.penalty_factor);
         let mut only = None;
-        if let Some((_, m)) = self.s.reserved.filter(|(rj, _)| *rj == j) {
+        if let Some((_, m)) = self.snapshot.previous_reservation.filter(|(rj, _)| *rj == j) {
             // What is reserved stays where it is, if it can.
             only = (!offers.later(self, j, m, bound).is_empty()).then_some(m);
         }
-        for m in 0..self.s.machines.len() {
+        for m in 0..self.snapshot.machines.len() {
             if only.is_none_or(|x| x == m) {
                 let later = offers.later(self, j, m, bound);
                 later.iter().for_each(|a| search.see(*a, self.preference(j, m)));
@@ -247,8 +261,8 @@
 
     /// The place on a machine that is free now, if the job may be there.
     pub(super) fn offer_now(&self, j: usize, m: usize) -> Option<Allocation> {
-        let fits = self.rows[m].free.fits(&self.s.jobs[j].need) && self.allowed(j, m);
-        fits.then(|| self.at(j, m, self.s.now)).flatten()
+        let fits = self.rows[m].free.fits(&self.snapshot.jobs[j].need) && self.allowed(j, m);
+        fits.then(|| self.at(j, m, self.snapshot.now_ms)).flatten()
     }
 
     /// At a machine the first time after now that there is room, and later ones as long as
@@ -259,12 +273,13 @@
         m: usize,
         bound: f64,
     ) -> impl Iterator<Item = Allocation> + '_ {
-        let now = self.s.now;
-        let run = self.s.jobs[j].run_ms.max(1) as f64;
+        let now = self.snapshot.now_ms;
+        let run = self.snapshot.jobs[j].run_ms.max(1) as f64;
         let lowest = (run + self.fetch_ms(j, m, u64::MAX) as f64) / run;
         let row = &self.rows[m];
         let mut last = bound;
-        let times = if lowest < bound && self.allowed(j, m) { &row.times[..] } else { &[] };
+        let times =
+            if lowest < bound && self.allowed(j, m) { &row.change_times_ms[..] } else { &[] };
         times
             .iter()
             .filter(move |t| **t > now)
@@ -273,8 +288,8 @@
                 if last <= lowest {
                     return None;
                 }
-                let a = self.at(j, m, *t).filter(|a| a.factor < last);
-                last = a.map_or(last, |a| a.factor);
+                let a = self.at(j, m, *t).filter(|a| a.penalty_factor < last);
+                last = a.map_or(last, |a| a.penalty_factor);
                 Some(a)
             })
             .flatten()
--- a/src/coordination/planner/shares.rs
+++ b/src/coordination/planner/shares.rs
@@ -55,6 +55,6 @@
 }
 
 /// Whether a use lies within a guarantee; a team with none has nothing within it.
-pub fn within(used: &Resources, guarantee: &Resources) -> bool {
+pub fn is_within_guarantee(used: &Resources, guarantee: &Resources) -> bool {
     (guarantee.cpu != 0 || guarantee.gpu != 0) && used.under(guarantee)
 }
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -16,7 +16,7 @@
         type_index: 0,
         spot: false,
         total: gpus(n),
-        slots: 100,
+        free_task_slots: 100,
         running: vec![],
         images: vec![(0, 0)],
         fetch_ms_per_gb: 4_000.0,
@@ -24,19 +24,19 @@
     }
 }
 
-pub fn running(end: u64) -> Running {
-    Running {
+pub fn running(end: u64) -> RunningTask {
+    RunningTask {
         priority: Priority::Standard,
         team: Some(0),
         need: GPU,
         bandwidth: 0.0,
-        end,
-        service: false,
+        end_ms: end,
+        is_service: false,
         ran_ms: Some(60_000),
-        saves: false,
-        stops: 1,
-        halting: false,
-        halt_ms: 2_000,
+        keeps_progress: false,
+        tasks_stopped: 1,
+        is_stopping: false,
+        stop_ms: 2_000,
         handle: 0,
     }
 }
@@ -45,40 +45,40 @@
     JobView {
         priority: Priority::Standard,
         team: 0,
-        service: false,
-        gang: false,
+        is_service: false,
+        is_gang: false,
         arrival,
         waited_ms: 0,
-        times: vec![],
-        within: false,
+        due_in_ms: vec![],
+        within_guarantee: false,
         need: gpus(n),
         bandwidth: 0.0,
         run_ms,
         allowed_types: vec![true],
         zone: None,
-        spot_ok: true,
-        in_zone: vec![0],
-        zone_cap: 100,
+        spot_allowed: true,
+        tasks_per_zone: vec![0],
+        max_tasks_per_zone: 100,
         one_zone: false,
-        waiting: 1,
-        begun: false,
+        waiting_tasks: 1,
+        has_started: false,
         image: 0,
-        size_gb: 5.0,
-        avoid: vec![],
+        image_gb: 5.0,
+        avoided_machines: vec![],
     }
 }
 
 pub fn snapshot(machines: Vec<MachineView>, jobs: Vec<JobView>) -> Snapshot {
     Snapshot {
-        now: 0,
+        now_ms: 0,
         thresholds: THRESHOLDS.to_vec(),
         machines,
         jobs,
-        teams: vec![TeamView { share: 1_000, ..TeamView::default() }],
+        teams: vec![TeamView { share_permille: 1_000, ..TeamView::default() }],
         gang_wait_ms: 0,
-        coming: [None, None],
-        arriving: vec![],
-        reserved: None,
+        mean_boot_wait: [None, None],
+        booting: vec![],
+        previous_reservation: None,
     }
 }
 
@@ -90,7 +90,7 @@
     let jobs = vec![job(1, 4, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
     let p = plan(&snapshot(vec![m], jobs));
     assert_eq!(p.reservation, Some((0, 0, 10_000)));
-    assert_eq!(p.places, vec![(2, 0)]);
+    assert_eq!(p.placements, vec![(2, 0)]);
 }
 
 #[test]
@@ -100,10 +100,10 @@
     b.running = vec![running(10_000)];
     let mut s = snapshot(vec![a, b], vec![job(1, 1, 5_000)]);
     assert_eq!(plan(&s).reservation, Some((0, 1, 10_000)));
-    s.reserved = Some((0, 0));
+    s.previous_reservation = Some((0, 0));
     assert_eq!(plan(&s).reservation, Some((0, 0, 12_000)));
     s.machines[1].running.clear();
-    assert_eq!(plan(&s).places, vec![(0, 1)], "room now is taken all the same");
+    assert_eq!(plan(&s).placements, vec![(0, 1)], "room now is taken all the same");
 }
 
 #[test]
@@ -115,7 +115,7 @@
     loud.bandwidth = 2.0;
     let jobs = vec![job(1, 4, 1_000), loud, job(3, 1, 20_000), job(4, 1, 10_000)];
     let p = plan(&snapshot(vec![m], jobs));
-    assert_eq!(p.places, vec![(3, 0), (2, 0)], "the shorter of the quiet ones first");
+    assert_eq!(p.placements, vec![(3, 0), (2, 0)], "the shorter of the quiet ones first");
 }
 
 #[test]
@@ -126,7 +126,7 @@
     m.running[0].bandwidth = 2.0;
     let mut j = job(1, 1, 10_000);
     j.bandwidth = 1.0;
-    assert_eq!(plan(&snapshot(vec![m], vec![j])).places, vec![(0, 0)]);
+    assert_eq!(plan(&snapshot(vec![m], vec![j])).placements, vec![(0, 0)]);
     // Over five times what there is for 9 s costs far more than the wait.
     let mut m = machine(2);
     m.running = vec![running(9_000)];
@@ -145,10 +145,10 @@
     let mut cold = machine(2);
     cold.images = vec![];
     let mut j = job(1, 1, 40_000);
-    j.waiting = 3;
+    j.waiting_tasks = 3;
     let p = plan(&snapshot(vec![here, cold], vec![j]));
-    assert_eq!(p.places, vec![(0, 1), (0, 1)], "one waits, the others fetch");
-    assert_eq!(p.expected[0], vec![5_000]);
+    assert_eq!(p.placements, vec![(0, 1), (0, 1)], "one waits, the others fetch");
+    assert_eq!(p.expected_wait_ms[0], vec![5_000]);
 }
 
 #[test]
@@ -156,9 +156,9 @@
     let mut s = snapshot(vec![machine(4)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
     s.teams[0].limit.gpu = 1_000;
     s.teams[0].used = GPU;
-    s.teams.push(TeamView { share: 0, ..TeamView::default() });
+    s.teams.push(TeamView { share_permille: 0, ..TeamView::default() });
     s.jobs[1].team = 1;
-    assert_eq!(plan(&s).places, vec![(1, 0)]);
+    assert_eq!(plan(&s).placements, vec![(1, 0)]);
 }
 
 #[test]
@@ -169,12 +169,12 @@
     m.running[1].ran_ms = Some(40_000);
     m.running[1].handle = 7;
     let mut s = snapshot(vec![m], vec![job(1, 1, 1_000)]);
-    assert!(plan(&s).halts.is_empty(), "not for the same rank");
+    assert!(plan(&s).preemptions.is_empty(), "not for the same rank");
     s.jobs[0].priority = Priority::Production;
-    assert_eq!(plan(&s).halts, vec![(0, 7)]);
-    s.machines[0].running[1].halting = true;
-    s.machines[0].running[1].end = 2_000;
-    assert!(plan(&s).halts.is_empty(), "room that is being made counts");
+    assert_eq!(plan(&s).preemptions, vec![(0, 7)]);
+    s.machines[0].running[1].is_stopping = true;
+    s.machines[0].running[1].end_ms = 2_000;
+    assert!(plan(&s).preemptions.is_empty(), "room that is being made counts");
 }
 
 #[test]
@@ -182,14 +182,14 @@
     let mut m = machine(2);
     m.images = vec![(7, 30_000)];
     let mut s = snapshot(vec![m], vec![job(1, 1, 30_000)]);
-    s.jobs[0].spot_ok = false;
-    s.coming = [Some(10_000), Some(1_000)];
-    assert!(plan(&s).places.is_empty(), "an ordinary machine is up before that image is here");
-    s.coming[0] = Some(40_000);
-    assert_eq!(plan(&s).places, vec![(0, 0)], "not that soon");
-    s.coming[0] = Some(10_000);
+    s.jobs[0].spot_allowed = false;
+    s.mean_boot_wait = [Some(10_000), Some(1_000)];
+    assert!(plan(&s).placements.is_empty(), "an ordinary machine is up before that image is here");
+    s.mean_boot_wait[0] = Some(40_000);
+    assert_eq!(plan(&s).placements, vec![(0, 0)], "not that soon");
+    s.mean_boot_wait[0] = Some(10_000);
     s.machines[0].images = vec![(0, 5_000), (7, 30_000)];
-    assert_eq!(plan(&s).places, vec![(0, 0)], "its own is on its way");
+    assert_eq!(plan(&s).placements, vec![(0, 0)], "its own is on its way");
 }
 
 #[test]
@@ -198,7 +198,7 @@
     m.images = vec![(0, 20_000)];
     m.running = vec![running(10_000)];
     let p = plan(&snapshot(vec![m], vec![job(1, 1, 30_000)]));
-    assert_eq!(p.places, vec![(0, 0)]);
+    assert_eq!(p.placements, vec![(0, 0)]);
 }
 
 #[test]
@@ -208,10 +208,10 @@
     m.running = vec![running(90_000)];
     let mut s = snapshot(vec![m], vec![job(1, 1, 30_000)]);
     s.jobs[0].priority = Priority::Production;
-    s.coming = [Some(10_000), None];
-    assert!(plan(&s).halts.is_empty(), "it waits for the machine that is on its way");
-    s.coming = [None, None];
-    assert_eq!(plan(&s).halts.len(), 1);
+    s.mean_boot_wait = [Some(10_000), None];
+    assert!(plan(&s).preemptions.is_empty(), "it waits for the machine that is on its way");
+    s.mean_boot_wait = [None, None];
+    assert_eq!(plan(&s).preemptions.len(), 1);
 }
 
 #[test]
@@ -222,13 +222,14 @@
     here.images = vec![];
     let mut s = snapshot(vec![here], vec![job(1, 8, 1_000), job(2, 1, 30_000), job(3, 1, 60_000)]);
     s.machines.push(machine(8));
-    s.machines[1].running = vec![Running { priority: Priority::Production, ..running(9_000) }; 8];
+    s.machines[1].running =
+        vec![RunningTask { priority: Priority::Production, ..running(9_000) }; 8];
     s.jobs[0].priority = Priority::Production;
     s.jobs[1].priority = Priority::Production;
     s.jobs[1].image = 5;
     s.jobs[2].image = 6;
-    s.jobs[2].size_gb = 0.1;
-    assert_eq!(plan(&s).places, vec![(1, 0)]);
+    s.jobs[2].image_gb = 0.1;
+    assert_eq!(plan(&s).placements, vec![(1, 0)]);
 }
 
 #[test]
@@ -236,25 +237,25 @@
     // Its image is here, under a task of a lower rank; the free machine must fetch it.
     let mut here = machine(1);
     here.running = vec![running(90_000)];
-    here.running[0].saves = true;
+    here.running[0].keeps_progress = true;
     let mut free = machine(1);
     free.images = vec![];
     let mut j = job(1, 1, 30_000);
     j.priority = Priority::Production;
     let mut s = snapshot(vec![here, free], vec![j]);
     let p = plan(&s);
-    assert_eq!((p.halts.len(), p.places.len()), (1, 0), "stopped for it, and it waits");
-    s.machines[0].running[0].halting = true;
-    assert_eq!(plan(&s).places, vec![], "still");
+    assert_eq!((p.preemptions.len(), p.placements.len()), (1, 0), "stopped for it, and it waits");
+    s.machines[0].running[0].is_stopping = true;
+    assert_eq!(plan(&s).placements, vec![], "still");
     s.machines[0].running.clear();
-    assert_eq!(plan(&s).places, vec![(0, 0)]);
+    assert_eq!(plan(&s).placements, vec![(0, 0)]);
 }
 
 #[test]
 fn a_job_that_can_still_be_in_time_goes_before_one_that_can_not() {
     let mut s = snapshot(vec![machine(1)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
-    s.jobs[0].times = vec![500];
-    assert_eq!(plan(&s).places, vec![(1, 0)]);
+    s.jobs[0].due_in_ms = vec![500];
+    assert_eq!(plan(&s).placements, vec![(1, 0)]);
 }
 
 #[test]
@@ -262,21 +263,21 @@
     // A wide job that can't be in time any more, behind a stream of jobs that can, and of
     // jobs of a higher rank.
     let mut late = job(1, 1, 60_000);
-    late.waiting = 100;
-    late.times = vec![0, 0];
+    late.waiting_tasks = 100;
+    late.due_in_ms = vec![0, 0];
     let mut higher = job(2, 1, 60_000);
     higher.priority = Priority::High;
-    higher.waiting = 100;
+    higher.waiting_tasks = 100;
     let mut s = snapshot(vec![machine(8)], vec![late, higher, job(3, 1, 1_000)]);
-    assert!(plan(&s).places.iter().all(|(j, _)| *j != 0), "late, and lower");
+    assert!(plan(&s).placements.iter().all(|(j, _)| *j != 0), "late, and lower");
     s.jobs[0].waited_ms = STARVING_MS;
-    let places = plan(&s).places;
+    let places = plan(&s).placements;
     let of = |j: usize| places.iter().filter(|(k, _)| *k == j).count();
     assert_eq!((of(0), of(1)), (2, 6), "a part of the places, not all of them");
-    s.jobs[0].begun = true;
-    assert!(plan(&s).places.iter().all(|(j, _)| *j != 0), "it has begun");
+    s.jobs[0].has_started = true;
+    assert!(plan(&s).placements.iter().all(|(j, _)| *j != 0), "it has begun");
     s.jobs[0].waited_ms = STARVING_BEGUN_MS;
-    assert!(plan(&s).places.iter().any(|(j, _)| *j == 0), "and goes on after a while");
+    assert!(plan(&s).placements.iter().any(|(j, _)| *j == 0), "and goes on after a while");
 }
 
 #[test]
@@ -300,7 +301,7 @@
         let mut m = machine(rng.random_range(1..5));
         m.zone = rng.random_range(0..ZONES);
         m.spot = rng.random_bool(0.3);
-        m.slots = rng.random_range(0..5);
+        m.free_task_slots = rng.random_range(0..5);
         m.images = (0..3).map(|k| (k, rng.random_range(0..2) * 7_000)).collect();
         m.images.retain(|_| rng.random_bool(0.5));
         for handle in 0..rng.random_range(0..=m.total.gpu / 1_000) {
@@ -308,10 +309,10 @@
             r.priority = priority(rng);
             r.team = Some(rng.random_range(0..2));
             r.bandwidth = f64::from(rng.random_range(0..3));
-            r.service = rng.random_bool(0.2);
+            r.is_service = rng.random_bool(0.2);
             r.ran_ms = rng.random_bool(0.8).then(|| rng.random_range(0..90_000));
-            r.saves = rng.random_bool(0.5);
-            r.halting = rng.random_bool(0.1);
+            r.keeps_progress = rng.random_bool(0.5);
+            r.is_stopping = rng.random_bool(0.1);
             r.handle = handle as usize;
             m.running.push(r);
         }
@@ -322,32 +323,33 @@
         let mut j = job(n, rng.random_range(1..3), rng.random_range(1..60) * 1_000);
         j.priority = priority(rng);
         j.team = rng.random_range(0..2);
-        j.within = rng.random_bool(0.2);
-        j.service = rng.random_bool(0.3);
+        j.within_guarantee = rng.random_bool(0.2);
+        j.is_service = rng.random_bool(0.3);
         j.waited_ms = rng.random_range(0..2) * STARVING_MS;
-        j.times = if rng.random_bool(0.5) { vec![rng.random_range(0..90_000)] } else { vec![] };
+        j.due_in_ms = if rng.random_bool(0.5) { vec![rng.random_range(0..90_000)] } else { vec![] };
         j.bandwidth = f64::from(rng.random_range(0..3));
-        j.spot_ok = rng.random_bool(0.7);
+        j.spot_allowed = rng.random_bool(0.7);
         j.zone = rng.random_bool(0.1).then(|| rng.random_range(0..ZONES));
-        j.waiting = rng.random_range(1..9);
-        j.in_zone = vec![rng.random_range(0..2), rng.random_range(0..2)];
+        j.waiting_tasks = rng.random_range(1..9);
+        j.tasks_per_zone = vec![rng.random_range(0..2), rng.random_range(0..2)];
         j.one_zone = rng.random_bool(0.2);
-        j.zone_cap = if rng.random_bool(0.3) { rng.random_range(1..5) } else { 100 };
-        j.begun = rng.random_bool(0.5);
+        j.max_tasks_per_zone = if rng.random_bool(0.3) { rng.random_range(1..5) } else { 100 };
+        j.has_started = rng.random_bool(0.5);
         j.image = rng.random_range(0..4);
-        j.size_gb = f64::from(rng.random_range(0..8));
-        j.avoid = if rng.random_bool(0.1) { vec![0] } else { vec![] };
+        j.image_gb = f64::from(rng.random_range(0..8));
+        j.avoided_machines = if rng.random_bool(0.1) { vec![0] } else { vec![] };
         j
     });
     let mut s = snapshot(machines, jobs.collect());
-    s.teams.push(TeamView { share: 400, guarantee: gpus(2), ..TeamView::default() });
-    s.teams[0].share = 600;
+    s.teams.push(TeamView { share_permille: 400, guarantee: gpus(2), ..TeamView::default() });
+    s.teams[0].share_permille = 600;
     for team in &mut s.teams {
         team.used = gpus(rng.random_range(0..6));
         team.limit = if rng.random_bool(0.3) { gpus(rng.random_range(1..20)) } else { gpus(0) };
     }
-    s.coming = [0, 1].map(|_| rng.random_bool(0.3).then(|| rng.random_range(0..20_000)));
-    s.reserved = rng.random_bool(0.3).then(|| (0, rng.random_range(0..s.machines.len())));
+    s.mean_boot_wait = [0, 1].map(|_| rng.random_bool(0.3).then(|| rng.random_range(0..20_000)));
+    s.previous_reservation =
+        rng.random_bool(0.3).then(|| (0, rng.random_range(0..s.machines.len())));
     s
 }
 
@@ -358,10 +360,10 @@
     let (mut places, mut halts, mut reservations, mut waits) = (0, 0, 0, 0);
     for _ in 0..8_000 {
         let plan = plan(&random_snapshot(&mut rng));
-        places += plan.places.len();
-        halts += plan.halts.len();
+        places += plan.placements.len();
+        halts += plan.preemptions.len();
         reservations += usize::from(plan.reservation.is_some());
-        waits += plan.expected.iter().map(Vec::len).sum::<usize>();
+        waits += plan.expected_wait_ms.iter().map(Vec::len).sum::<usize>();
     }
     assert!(places > 10_000, "{places} places");
     assert!(halts > 1_000, "{halts} tasks stopped");
@@ -373,17 +375,21 @@
 fn the_tasks_of_a_job_are_placed_without_looking_at_every_machine_for_each() {
     const MACHINES: usize = 200;
     let mut wide = job(1, 1, 30_000);
-    wide.waiting = 60;
+    wide.waiting_tasks = 60;
     let s = snapshot(vec![machine(4); MACHINES], vec![wide]);
     let p = plan(&s);
-    assert_eq!(p.places.len(), 60);
-    assert!(p.places_examined < MACHINES as u64 + 2 * 60, "{} places", p.places_examined);
+    assert_eq!(p.placements.len(), 60);
+    assert!(p.candidates_examined < MACHINES as u64 + 2 * 60, "{} places", p.candidates_examined);
     // All are taken: the tasks wait, each for another place.
     let mut full = s;
     for m in &mut full.machines {
         m.running = vec![running(20_000); 4];
     }
     let p = plan(&full);
-    assert!(p.expected[0].len() > 50);
-    assert!(p.places_examined < 3 * MACHINES as u64 + 4 * 60, "{} places", p.places_examined);
+    assert!(p.expected_wait_ms[0].len() > 50);
+    assert!(
+        p.candidates_examined < 3 * MACHINES as u64 + 4 * 60,
+        "{} places",
+        p.candidates_examined
+    );
 }
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/planner_input.rs
@@ -1,7 +1,7 @@
 //! The planner's snapshot of the cluster, with the names behind its indices.
 
 use super::gangs::saves_when_stopped;
-use super::planner::{self, JobView, MachineView, Running, Snapshot, TeamView};
+use super::planner::{self, JobView, MachineView, RunningTask, Snapshot, TeamView};
 use super::{Clock, Leader};
 use crate::constants::{
     BOOT_LATE, BOOT_SOON_PART, COMING_MANY, GANG_AVOID_MAX, HTTP_BODY_MAX, MS_PER_S, OVERDUE_SHARE,
@@ -31,7 +31,7 @@
 }
 
 /// A snapshot with the names behind its indices.
-pub(crate) struct View {
+pub(crate) struct PlannerInput {
     pub snapshot: Snapshot,
     pub jobs: Vec<Name>,
     pub machines: Vec<Name>,
@@ -39,14 +39,14 @@
     pub zones: Vec<String>,
 }
 
-impl View {
+impl PlannerInput {
     pub(super) fn of_cluster<'a>(
         leader: &'a Leader,
         settings: &Platform,
         operator: &Operator,
         catalog: &Catalog,
         clock: Clock,
-    ) -> View {
+    ) -> PlannerInput {
         let now = clock.monotonic_ms;
         let cluster = &leader.cluster;
         let keys = cluster.hash_keys();
@@ -71,14 +71,14 @@
         let silent = (settings.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let slots = HTTP_BODY_MAX / REPORT_TASK_BYTES;
 
-        let mut v = View {
+        let mut v = PlannerInput {
             snapshot: Snapshot::default(),
             jobs: vec![],
             machines: vec![],
             handles: vec![],
             zones: zones.iter().map(|z| z.to_string()).collect(),
         };
-        v.snapshot.now = now;
+        v.snapshot.now_ms = now;
         for (i, spot) in [false, true].into_iter().enumerate() {
             let coming = cluster
                 .machines
@@ -99,8 +99,8 @@
             let waits = coming.iter().map(|(ms, _)| *ms);
             let n = coming.len() as u64;
             let many = n >= COMING_MANY;
-            v.snapshot.coming[i] = many.then(|| waits.sum::<u64>() / n);
-            v.snapshot.arriving.extend(coming);
+            v.snapshot.mean_boot_wait[i] = many.then(|| waits.sum::<u64>() / n);
+            v.snapshot.booting.extend(coming);
         }
         v.snapshot.gang_wait_ms = (settings.params.workers.gang_wait_s * MS_PER_S) as u64;
         let mut held_reports: HashSet<&Name> = keys.set();
@@ -183,18 +183,18 @@
                     }
                 };
                 handles.push(id.clone());
-                running.push(Running {
+                running.push(RunningTask {
                     priority: fact.priority,
                     team: fact.team,
                     need: fact.need,
                     bandwidth: fact.bandwidth,
-                    end,
-                    service,
+                    end_ms: end,
+                    is_service: service,
                     ran_ms: ran,
-                    saves: fact.saves,
-                    stops: fact.stops,
-                    halting: p.stop_reason.is_some(),
-                    halt_ms,
+                    keeps_progress: fact.saves,
+                    tasks_stopped: fact.stops,
+                    is_stopping: p.stop_reason.is_some(),
+                    stop_ms: halt_ms,
                     handle: handles.len() - 1,
                 });
             }
@@ -203,7 +203,7 @@
                 type_index,
                 spot: m.spot,
                 total: m.total,
-                slots: slots.saturating_sub(m.placements.len()),
+                free_task_slots: slots.saturating_sub(m.placements.len()),
                 running,
                 images: held,
                 fetch_ms_per_gb: per_gb,
@@ -271,7 +271,10 @@
                 true => vec![],
                 false => job.failed_on.iter().filter_map(|m| index.get(m).copied()).collect(),
             };
-            let within = planner::within(&claimed[team], &guarantee(&settings.params.teams[team]));
+            let within = planner::is_within_guarantee(
+                &claimed[team],
+                &guarantee(&settings.params.teams[team]),
+            );
             let waited_ms = clock.wall_ms.saturating_sub(job.accepted_at_wall_ms);
             let run_ms = leader.run_ms(spec);
             let mut times: Vec<u64> = settings
@@ -288,26 +291,26 @@
             v.snapshot.jobs.push(JobView {
                 priority: spec.priority,
                 team,
-                service: spec.kind == JobKind::Service,
-                gang: spec.is_gang(),
+                is_service: spec.kind == JobKind::Service,
+                is_gang: spec.is_gang(),
                 arrival: job.arrival,
                 waited_ms,
-                times,
-                within,
+                due_in_ms: times,
+                within_guarantee: within,
                 need: job.need,
                 bandwidth: spec.cores * operator.bandwidth(&spec.class),
                 run_ms,
                 allowed_types,
                 zone,
-                spot_ok: spec.spot_allowed,
-                in_zone,
-                zone_cap: spec.zone_cap(),
+                spot_allowed: spec.spot_allowed,
+                tasks_per_zone: in_zone,
+                max_tasks_per_zone: spec.zone_cap(),
                 one_zone: spec.one_zone,
-                waiting,
-                begun: job.has_started || job.done_count > 0 || !job.placed_on.is_empty(),
+                waiting_tasks: waiting,
+                has_started: job.has_started || job.done_count > 0 || !job.placed_on.is_empty(),
                 image: image_of(&spec.image),
-                size_gb: spec.size_gb,
-                avoid,
+                image_gb: spec.size_gb,
+                avoided_machines: avoid,
             });
             v.jobs.push(uid.clone());
         }
@@ -319,10 +322,10 @@
                 used,
                 guarantee: guarantee(t),
                 limit: Resources::new(t.cpus_max, t.gpus_max, 0.0),
-                share: 0,
+                share_permille: 0,
             });
         }
-        v.snapshot.reserved = leader.reservation.as_ref().and_then(|(job, machine)| {
+        v.snapshot.previous_reservation = leader.reservation.as_ref().and_then(|(job, machine)| {
             let j = v.jobs.iter().position(|x| x == job)?;
             Some((j, v.machines.iter().position(|x| x == machine)?))
         });
--- a/src/storage/reservation.rs
+++ b/src/storage/reservation.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
     /// Milliseconds on the planner's clock.
-    pub end: u64,
+    pub end_ms: u64,
     /// What it takes.
     pub need: Resources,
     /// Shared bandwidth taken, in cores' worth.
@@ -19,23 +19,23 @@
 
 /// One machine's row of the table.
 #[derive(Debug, Clone, Default)]
-pub struct Row {
+pub struct ReservationRow {
     /// What is free now.
     pub free: Resources,
     /// Shared bandwidth there is, in cores' worth.
-    pub capacity: f64,
+    pub bandwidth_capacity: f64,
     /// Shared bandwidth that all tasks together take, in cores' worth.
-    pub demand: f64,
+    pub bandwidth_demand: f64,
     /// Tasks that run.
     pub buckets: Vec<Bucket>,
     /// Places that waiting tasks count on: start, end, what they take. They hold nothing;
     /// they only tell others that they would not be alone.
     pub claims: Vec<(u64, u64, Resources)>,
     /// The times at which room may come up, in order: every end of the above.
-    pub times: Vec<u64>,
+    pub change_times_ms: Vec<u64>,
 }
 
-impl Row {
+impl ReservationRow {
     /// Whether a task would fit from `start` for `length`, beside what runs and what is
     /// claimed by then.
     pub fn fits_later(&self, start: u64, length: u64, need: &Resources) -> bool {
@@ -57,7 +57,7 @@
     /// What is free at a time not before now, when nothing more is added.
     pub fn free_at(&self, t: u64) -> Resources {
         let mut free = self.free;
-        for b in self.buckets.iter().filter(|b| b.end <= t) {
+        for b in self.buckets.iter().filter(|b| b.end_ms <= t) {
             free += b.need;
         }
         free
@@ -66,8 +66,8 @@
     /// Adds a task from now on.
     pub fn add(&mut self, b: Bucket) {
         self.free -= b.need;
-        self.demand += b.bandwidth;
-        self.note_time(b.end);
+        self.bandwidth_demand += b.bandwidth;
+        self.note_time(b.end_ms);
         self.buckets.push(b);
     }
 
@@ -80,32 +80,34 @@
     /// A task ends at another time than was thought.
     pub fn end_at(&mut self, bucket: usize, end: u64) {
         self.note_time(end);
-        self.buckets[bucket].end = end;
+        self.buckets[bucket].end_ms = end;
     }
 
     fn note_time(&mut self, t: u64) {
-        if let Err(i) = self.times.binary_search(&t) {
-            self.times.insert(i, t);
+        if let Err(i) = self.change_times_ms.binary_search(&t) {
+            self.change_times_ms.insert(i, t);
         }
     }
 
     /// Penalized milliseconds of a task that would run in `[start, start + length]`.
     pub fn penalized_ms(&self, start: u64, length: u64, bandwidth: f64) -> f64 {
-        if self.capacity <= 0.0 || self.demand + bandwidth <= self.capacity {
+        if self.bandwidth_capacity <= 0.0
+            || self.bandwidth_demand + bandwidth <= self.bandwidth_capacity
+        {
             return 0.0;
         }
         let end = start + length;
         let mut cuts: Vec<u64> =
-            self.buckets.iter().map(|b| b.end).filter(|t| *t > start && *t < end).collect();
+            self.buckets.iter().map(|b| b.end_ms).filter(|t| *t > start && *t < end).collect();
         cuts.push(end);
         cuts.sort_unstable();
         let mut from = start;
         let mut total = 0.0;
         for to in cuts {
             let others: f64 =
-                self.buckets.iter().filter(|b| b.end > from).map(|b| b.bandwidth).sum();
+                self.buckets.iter().filter(|b| b.end_ms > from).map(|b| b.bandwidth).sum();
             let demand = others + bandwidth;
-            let penalty = demand.max(self.capacity) / self.capacity - 1.0;
+            let penalty = demand.max(self.bandwidth_capacity) / self.bandwidth_capacity - 1.0;
             total += (to - from) as f64 * penalty;
             from = to;
         }
--- a/src/storage/reservation/tests.rs
+++ b/src/storage/reservation/tests.rs
@@ -5,8 +5,12 @@
 #[test]
 fn penalized_time_sums_the_saturated_windows() {
     let need = Resources::new(1.0, 0.0, 0.0);
-    let b = |end, bandwidth| Bucket { end, need, bandwidth };
-    let mut row = Row { free: Resources::new(8.0, 0.0, 0.0), capacity: 4.0, ..Row::default() };
+    let b = |end, bandwidth| Bucket { end_ms: end, need, bandwidth };
+    let mut row = ReservationRow {
+        free: Resources::new(8.0, 0.0, 0.0),
+        bandwidth_capacity: 4.0,
+        ..ReservationRow::default()
+    };
     row.add(b(1_000, 3.0));
     row.add(b(3_000, 2.0));
     // Until 1 s: 3 + 2 + 1 over 4; until 3 s: 2 + 1 fits.
@@ -15,5 +19,5 @@
     assert_eq!(row.free_at(1_000).cpu, 7_000);
     row.claim(3_000, 500, need);
     row.end_at(1, 2_000);
-    assert_eq!(row.times, vec![1_000, 2_000, 3_000, 3_500]);
+    assert_eq!(row.change_times_ms, vec![1_000, 2_000, 3_000, 3_500]);
 }
