--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -13,7 +13,7 @@
         let now = self.now.monotonic_ms;
         let seen_ms = (self.settings.params.workers.report_s * MS_PER_S * SEEN_PERIODS) as u64;
         let is_served =
-            !self.store.is_refused() && self.store.is_loaded() && !self.recovery.holds();
+            !self.store.is_refused() && self.store.is_loaded() && !self.recovery.is_suspended();
         let last_served_at = self.store.last_served_at().filter(|_| is_served);
         let (store, recovery) = self.recovery_state();
         Gossip {
@@ -90,7 +90,7 @@
         }
         let index = self.settings.peers.iter().position(|peer| peer.label == gossip.label)?;
         self.membership.note_term(gossip.term);
-        self.note_peer_store(&gossip);
+        self.check_peer_store(&gossip);
         let peer = &mut self.membership.peers[index];
         peer.last_heard_at = self.now.monotonic_ms;
         peer.gossip = Some(gossip);
@@ -117,7 +117,7 @@
         if let Some(since) = asked.and_then(|gossip| gossip.since) {
             // Revisions of another store than ours say nothing about what it lacks.
             let asked_in = asked.and_then(|gossip| gossip.store);
-            let same_store = asked_in == answer.store && !self.recovery.holds();
+            let same_store = asked_in == answer.store && !self.recovery.is_suspended();
             self.list_ended_jobs(since, &mut answer);
             answer.ended_all &= same_store;
         }
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -8,7 +8,7 @@
     BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, RETRY_AFTER_S,
     STATE_CALL_MS, USER_WAIT_MAX, WRITES_SHORT_SHARE, WRITE_KEEP_USERS,
 };
-use crate::coordination::recovery::SentAt;
+use crate::coordination::store_client::ReadPoint;
 use crate::coordination::{CallPurpose, Controller};
 use crate::protocol::state::{
     raw, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 struct BatchCopy {
     transaction: Transaction,
-    sent: SentAt,
+    sent: ReadPoint,
 }
 
 /// A batch of submissions that is being committed.
@@ -236,7 +236,7 @@
     /// quick, it is passed on or refused then.
     pub(in crate::coordination) fn batches_due(&mut self) {
         let now = self.now.monotonic_ms;
-        if self.recovery.holds() {
+        if self.recovery.is_suspended() {
             let gathered = std::mem::take(&mut self.submissions.gathering);
             return gathered.into_iter().for_each(|submission| self.relay_submission(submission));
         }
@@ -272,16 +272,16 @@
             value_bytes: value_bytes - BATCH_FRAME_BYTES,
             values,
             conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_BITS),
-            conditions_taken: values + self.conditions_kept(),
+            conditions_taken: values + self.reserved_conditions(),
         }
     }
 
     /// Sends a copy of a batch, if that leaves `keep` writes.
     fn send_batch(&mut self, id: u64, keep: f64) {
         let now = self.now.monotonic_ms;
-        let sent = self.sent_at();
+        let sent = self.store.read_point();
         let mut depending_on_rebuild = Transaction::default();
-        self.depend_on_rebuild(&mut depending_on_rebuild);
+        self.add_rebuild_condition(&mut depending_on_rebuild);
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         let writes = batch.values.len();
         if !self.store.take_writes(writes as f64, keep, now) {
@@ -335,7 +335,7 @@
     fn accept_batch(&mut self, batch: Batch, copy: usize, body: &[u8]) {
         if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(body) {
             let BatchCopy { transaction, sent } = &batch.copies[copy];
-            if !self.confirmed_in_store(*sent, applied.revision) {
+            if !self.applied_to_trusted_store(*sent, applied.revision) {
                 // In a store that has lost data: nothing is accepted by that.
                 return batch.submissions.into_iter().for_each(|s| self.relay_submission(s));
             }
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -2,8 +2,7 @@
 
 use super::Requester;
 use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
-use crate::coordination::recovery::SentAt;
-use crate::coordination::store_client::FreshReadWaiter;
+use crate::coordination::store_client::{FreshReadWaiter, ReadPoint};
 use crate::coordination::{CallPurpose, Controller};
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::{valid_uid, Accepted, Status};
@@ -53,7 +52,7 @@
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let sent = self.sent_at();
+        let sent = self.store.read_point();
         let purpose = CallPurpose::Cancel { requester, uid: uid.to_string(), commit, sent };
         self.metrics.work.state_writes += 1;
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
@@ -72,7 +71,7 @@
             conditions: vec![Condition { key: key.clone(), mod_revision: 0 }],
             writes: vec![Mutation::put(key, &record)],
         };
-        self.depend_on_rebuild(&mut transaction);
+        self.add_rebuild_condition(&mut transaction);
         transaction
     }
 
@@ -81,7 +80,7 @@
         requester: Requester,
         uid: String,
         commit: Transaction,
-        sent: SentAt,
+        sent: ReadPoint,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         match reply {
@@ -89,7 +88,7 @@
                 let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) else {
                     return self.unavailable(requester);
                 };
-                if !self.confirmed_in_store(sent, applied.revision) {
+                if !self.applied_to_trusted_store(sent, applied.revision) {
                     return self.unavailable(requester);
                 }
                 self.apply_own_transaction(&commit, applied.revision);
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -140,7 +140,7 @@
         path: &str,
         body: &[u8],
     ) -> bool {
-        if self.recovery.holds() {
+        if self.recovery.is_suspended() {
             self.unavailable(requester);
             return false;
         }
@@ -177,7 +177,7 @@
 
     /// A job that is not known was never accepted, unless a part of the history is lost.
     fn unknown_job(&mut self, requester: Requester) {
-        match self.has_gap() {
+        match self.has_history_gap() {
             true => self.unavailable(requester),
             false => self.refuse(requester, 404, "no such job", None),
         }
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -12,7 +12,7 @@
             return self.refuse(requester, 404, "no such job", None);
         }
         // After a suspected loss a late transaction may have ended the job in a store that is lost.
-        if self.store.replica().has_ended(uid) && !self.recovery.holds() {
+        if self.store.replica().has_ended(uid) && !self.recovery.is_suspended() {
             return self.answer_poll(requester, uid);
         }
         if self.admit(requester, "GET", &format!("/v1/jobs/{uid}"), &[]) {
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -99,7 +99,7 @@
         }
         match rejection {
             // It may have been accepted in the lost history, whatever is wrong with it now.
-            Some(rejection) if !self.has_gap() => self.reject(requester, &rejection),
+            Some(rejection) if !self.has_history_gap() => self.reject(requester, &rejection),
             _ => self.unavailable(requester),
         }
     }
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -20,11 +20,14 @@
 use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
 
-/// Which read of the whole store a request belongs to, and the revision that it asks beyond.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct StoreQuestion {
-    epoch: u32,
-    since: u64,
+/// How far the store had been read when a request went out. Its answer counts only in the same
+/// epoch, and must show a later revision if it names a commit.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct ReadPoint {
+    /// The read of the whole store that it belongs to, see [`StoreClient::epoch`].
+    pub(super) epoch: u32,
+    /// The revision up to which all changes were in.
+    pub(super) revision: u64,
 }
 
 /// The progress of reading the whole store, page by page.
@@ -224,8 +227,9 @@
         self.fresh_reads.waiting.len() + self.fresh_reads.running.as_ref().map_or(0, Vec::len)
     }
 
-    fn question(&self) -> StoreQuestion {
-        StoreQuestion { epoch: self.epoch, since: self.replica.revision }
+    /// How far the store has been read: what a request that goes out now builds on.
+    pub(super) fn read_point(&self) -> ReadPoint {
+        ReadPoint { epoch: self.epoch, revision: self.replica.revision }
     }
 
     fn retry_later(&mut self, now: u64) {
--- a/src/coordination/store_client/waiters.rs
+++ b/src/coordination/store_client/waiters.rs
@@ -54,7 +54,7 @@
         for waiter in waiters {
             // While the store is not trusted nothing of users is judged by what it shows.
             let for_leader = matches!(waiter, FreshReadWaiter::Leader);
-            if for_leader || !self.recovery.holds() {
+            if for_leader || !self.recovery.is_suspended() {
                 self.complete_waiter(waiter, begun);
             } else {
                 self.fail_waiter(waiter);
--- a/src/coordination/store_isolation.rs
+++ b/src/coordination/store_isolation.rs
@@ -12,8 +12,8 @@
     /// the begin of our last read, or of the earliest of the last questions that every peer
     /// has answered with all ends that it knows.
     pub(super) fn ends_known_at(&self) -> Option<u64> {
-        if self.recovery.holds() {
-            return self.known_at_in_hold();
+        if self.recovery.is_suspended() {
+            return self.confirmed_read_while_suspended();
         }
         let read_at = self.store.last_read_at()?;
         let named_by_peers_at = self.membership.ends_complete_at();
@@ -31,7 +31,7 @@
     /// most; one that is given in that time is as late as any that is on its way.
     pub(super) fn may_order_starts(&self) -> bool {
         let age_ms = self.knowledge_age_ms();
-        !self.starts_are_held() && age_ms.is_some_and(|age_ms| age_ms <= START_READ_AGE_MAX_MS)
+        !self.starts_are_blocked() && age_ms.is_some_and(|age_ms| age_ms <= START_READ_AGE_MAX_MS)
     }
 
     fn knowledge_age_ms(&self) -> Option<u64> {
