--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -12,6 +12,7 @@
     COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, DONE_BATCH_MS, GARBAGE_PERIOD_MS,
     GROUP_FRAME_BYTES, IMAGES_PERIOD_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITE_RESERVE,
 };
+use crate::protocol::http::Response;
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
     raw, Condition, Mutation, TransactionApplied, TransactionConflict, COMMIT_PATH,
@@ -277,7 +278,7 @@
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
-    pub(super) fn on_leader_commit_response(&mut self, term: u64, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn on_leader_commit_response(&mut self, term: u64, reply: Option<Response>) {
         let now = self.now.monotonic_ms;
         // An answer to a commit of an earlier term of ours says nothing about this one's.
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else {
@@ -286,18 +287,22 @@
         let Some(f) = leader.pending_transaction.as_mut() else { return };
         f.in_flight = false;
         match reply {
-            Some((200, body)) => match serde_json::from_slice::<TransactionApplied>(&body) {
-                Ok(done) => {
-                    let (known, shown) = (leader.mod_revision, done.revision);
-                    if shown <= known && self.recovery.notices_losses() {
-                        return self
-                            .suspect_data_loss(Some(DataLoss::RevisionRegressed { known, shown }));
+            Some(Response { status: 200, body }) => {
+                match serde_json::from_slice::<TransactionApplied>(&body) {
+                    Ok(done) => {
+                        let (known, shown) = (leader.mod_revision, done.revision);
+                        if shown <= known && self.recovery.notices_losses() {
+                            return self.suspect_data_loss(Some(DataLoss::RevisionRegressed {
+                                known,
+                                shown,
+                            }));
+                        }
+                        self.apply_pending_transaction(shown)
                     }
-                    self.apply_pending_transaction(shown)
+                    Err(_) => f.outcome_unknown = true,
                 }
-                Err(_) => f.outcome_unknown = true,
-            },
-            Some((409, body)) => {
+            }
+            Some(Response { status: 409, body }) => {
                 let failed = serde_json::from_slice::<TransactionConflict>(&body)
                     .map(|c| c.failed)
                     .unwrap_or_default();
@@ -310,13 +315,13 @@
                 self.request_leader_read();
             }
             // Not executed: if no earlier copy can have been, it is built anew.
-            Some((429 | 503, _)) => {
+            Some(Response { status: 429 | 503, .. }) => {
                 f.not_before = now + STATE_RETRY_MS;
                 if !f.outcome_unknown {
                     self.discard_pending_transaction();
                 }
             }
-            Some((status, body)) => {
+            Some(Response { status, body }) => {
                 log::error!("commit answered {status}: {}", String::from_utf8_lossy(&body));
                 f.not_before = now + STATE_RETRY_MS;
                 let unclear = f.outcome_unknown;
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -6,6 +6,7 @@
     ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_REST_MS, LEADER_LIFE_MS,
     LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITE_SHARE_LEADER,
 };
+use crate::protocol::http::Response;
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
     raw, Condition, Lease, Mutation, NewLease, TransactionApplied, COMMIT_PATH,
@@ -65,11 +66,11 @@
         self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, CallPurpose::Lease);
     }
 
-    pub(super) fn on_lease_granted(&mut self, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn on_lease_granted(&mut self, reply: Option<Response>) {
         self.election.busy = false;
         self.election.stand_at = None;
         let hold: Option<Lease> = match reply {
-            Some((200 | 201, body)) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 200 | 201, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
         let Some(hold) = hold else { return };
@@ -118,12 +119,12 @@
         lease_id: u64,
         term: u64,
         sent: ReadPoint,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         self.election.busy = false;
         let won: Option<TransactionApplied> = match reply {
-            Some((200, body)) => serde_json::from_slice(&body).ok(),
-            Some((409, _)) => return self.election_refused(),
+            Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 409, .. }) => return self.election_refused(),
             // An unanswered commit may still apply. Nobody renews its lease then, so it
             // ends by itself, and the next attempt takes a new term.
             _ => None,
@@ -196,19 +197,15 @@
         self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEW_CALL_MS, purpose);
     }
 
-    pub(super) fn on_lease_renewal_response(
-        &mut self,
-        lease_id: u64,
-        reply: Option<(u16, Vec<u8>)>,
-    ) {
+    pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, reply: Option<Response>) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.lease_id == lease_id) else {
             return;
         };
         leader.renewing = false;
         match reply {
-            Some((200..=299, _)) => {}
-            Some((404, _)) => {
+            Some(Response { status: 200..=299, .. }) => {}
+            Some(Response { status: 404, .. }) => {
                 self.step_down("the lease has ended");
                 self.suspect_stale_leader_key();
             }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::constants::{CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, MS_PER_S};
+use crate::protocol::http::Response;
 use crate::storage::machine::PlacementPhase;
 
 impl Controller {
@@ -13,9 +14,9 @@
         }
     }
 
-    pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<(u16, Vec<u8>)>) {
+    pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<Response>) {
         self.cloud.end_catalog_request();
-        let Some((200, body)) = reply else { return };
+        let Some(Response { status: 200, body }) = reply else { return };
         match serde_json::from_slice::<Catalog>(&body) {
             Ok(catalog) => self.cloud.set_catalog(catalog),
             Err(e) => log::error!("catalogue can't be read: {e}"),
@@ -25,7 +26,7 @@
     pub(in crate::coordination) fn on_machine_list_response(
         &mut self,
         begun: u64,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
@@ -35,7 +36,7 @@
             return;
         }
         let hosts: Option<Hosts> = match reply {
-            Some((200, body)) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
         let Some(hosts) = hosts else {
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -6,6 +6,7 @@
     MS_PER_S, RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_FEW, SILENT_PERIODS, WORKER_RETRY_S,
     WORKER_WAIT_S,
 };
+use crate::protocol::http::Response;
 
 impl Controller {
     pub(super) fn return_machines(&mut self) {
@@ -122,9 +123,9 @@
     pub(in crate::coordination) fn on_deletion_response(
         &mut self,
         names: Vec<MachineName>,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
-        if matches!(reply, Some((200, _))) {
+        if matches!(reply, Some(Response { status: 200, .. })) {
             for n in names {
                 self.machine_gone(&n);
             }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -5,6 +5,7 @@
     ARRIVAL_WINDOW_MS, BOOT_LATE, CAPACITY_REST_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, MS_PER_S,
     RENT_MAX, SLOT_EPSILON, SPARE_SERVICE_SLOTS, WORK_WINDOW_MS,
 };
+use crate::protocol::http::Response;
 
 impl Controller {
     pub(super) fn rent_machines(&mut self) {
@@ -216,7 +217,7 @@
     pub(in crate::coordination) fn on_rental_response(
         &mut self,
         rental: Rental,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         let Some(catalog) = self.cloud.catalog().cloned() else {
@@ -231,7 +232,7 @@
         };
         let kind = (machine_type.type_name.clone(), rental.zone.clone(), rental.spot);
         match reply {
-            Some((200, body)) => {
+            Some(Response { status: 200, body }) => {
                 let Ok(names) = serde_json::from_slice::<Names>(&body) else {
                     return;
                 };
@@ -252,7 +253,9 @@
                     }
                 }
             }
-            Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
+            Some(Response { status: 503, body })
+                if String::from_utf8_lossy(&body).contains("capacity") =>
+            {
                 log::info!("no capacity for {} in {}, spot {}", kind.0, kind.1, kind.2);
                 leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
             }
--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -1,5 +1,7 @@
 //! What goes into the core and what comes out of it: commands, effects and clocks.
 
+use crate::protocol::http::Response;
+
 /// Two clocks in milliseconds: steady, and time of day.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Clock {
@@ -54,8 +56,8 @@
     Reply {
         /// The call that it answers.
         call: CallId,
-        /// Status and body, or none.
-        reply: Option<(u16, Vec<u8>)>,
+        /// The answer, or none.
+        reply: Option<Response>,
     },
 }
 
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -3,7 +3,9 @@
 use super::NoExtensionSince;
 use crate::constants::{GOSSIP_CALL_MS, GOSSIP_MS, MS_PER_S, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
+use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, Gossip};
+use crate::protocol::routes::GOSSIP_PATH;
 
 /// Heartbeat periods within which a worker counts as seen.
 const SEEN_PERIODS: f64 = 2.0;
@@ -49,7 +51,7 @@
             let body = encode(&self.gossip());
             let purpose = CallPurpose::Gossip { peer: index, begun: now };
             let service = Service::Peer(index);
-            self.call(service, "POST", "/gossip".into(), body, GOSSIP_CALL_MS, purpose);
+            self.call(service, "POST", GOSSIP_PATH.into(), body, GOSSIP_CALL_MS, purpose);
         }
     }
 
@@ -57,10 +59,10 @@
         &mut self,
         peer: usize,
         asked_at: u64,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         self.membership.peers[peer].gossip_in_flight = false;
-        let Some((200, body)) = reply else { return };
+        let Some(Response { status: 200, body }) = reply else { return };
         if self.receive_gossip(&body) != Some(peer) {
             return;
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -41,7 +41,8 @@
 pub use leader::Leader;
 
 use crate::constants::{BATCH_USER_MAX, POLL_MAX_MS, POLL_SOON_MS};
-use crate::protocol::recovery::RECOVERY_PATH;
+use crate::protocol::http::Response;
+use crate::protocol::routes::{PeerRoute, Route};
 use crate::settings::{Operator, Platform};
 use crate::storage::hashing::HashKeys;
 use crate::storage::replica::Replica;
@@ -151,29 +152,27 @@
     }
 
     fn public_request(&mut self, connection: ConnectionId, method: &str, path: &str, body: &[u8]) {
-        let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let requester = Requester::direct(connection, self.now.monotonic_ms);
-        match (method, path) {
-            ("POST", "/checkin") => self.on_heartbeat(connection, body),
-            ("GET", "/up") => self.health_check(connection),
-            ("GET", "/v1/status") => self.status(connection, query),
-            (_, path) if path.starts_with(RECOVERY_PATH) => {
-                self.recovery_request(connection, method, path, body);
+        match Route::parse(method, path) {
+            Ok(Route::Heartbeat) => self.on_heartbeat(connection, body),
+            Ok(Route::HealthCheck) => self.health_check(connection),
+            Ok(Route::Status { query }) => self.status(connection, query),
+            Ok(Route::RecoveryReport) => self.answer_recovery_report(connection),
+            Ok(Route::RecoveryDecision(decision)) => {
+                self.recovery_decision(connection, decision, body);
             }
-            (_, "/checkin" | "/up" | "/v1/status") => {
-                self.refuse(requester, 405, "wrong method", None);
-            }
-            _ => self.user_request(requester, method, path, body),
+            Ok(Route::User(route)) => self.user_request(requester, route, body),
+            Err(error) => self.refuse_route(requester, error),
         }
     }
 
     fn peer_request(&mut self, connection: ConnectionId, method: &str, path: &str, body: &[u8]) {
         self.metrics.work.peer_requests_received += 1;
-        match (method, path) {
-            ("POST", "/gossip") => self.answer_gossip(connection, body),
-            ("POST", "/relay") => self.answer_relayed_request(connection, body),
-            ("POST", "/image") => self.answer_image_request(connection, body),
-            _ => self.respond(connection, 404, None, vec![]),
+        match PeerRoute::parse(method, path) {
+            Ok(PeerRoute::Gossip) => self.answer_gossip(connection, body),
+            Ok(PeerRoute::Relay) => self.answer_relayed_request(connection, body),
+            Ok(PeerRoute::Image) => self.answer_image_request(connection, body),
+            Err(error) => self.respond(connection, error.status(), None, vec![]),
         }
     }
 
@@ -185,11 +184,11 @@
     }
 
     /// Hands the answer of a call to the part that made it.
-    fn reply(&mut self, call: CallId, reply: Option<(u16, Vec<u8>)>) {
+    fn reply(&mut self, call: CallId, reply: Option<Response>) {
         let Some(purpose) = self.outbox.take_purpose(call) else {
             return;
         };
-        self.note_store_response(&purpose, reply.as_ref().map(|(status, _)| *status));
+        self.note_store_response(&purpose, reply.as_ref().map(|response| response.status));
         match purpose {
             CallPurpose::List { epoch } => self.on_list_response(epoch, reply),
             CallPurpose::Watch { asked } => self.on_watch_response(asked, reply),
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -3,7 +3,8 @@
 
 use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Requester};
-use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest, RECOVERY_PATH};
+use crate::protocol::http::Response;
+use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest};
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::valid_uid;
 use crate::storage::records::{
@@ -21,24 +22,20 @@
 }
 
 impl Controller {
-    pub(in crate::coordination) fn recovery_request(
+    /// Answers with what operators are told of losses and rebuilds of the store.
+    pub(in crate::coordination) fn answer_recovery_report(&mut self, connection: ConnectionId) {
+        let body = serde_json::to_vec_pretty(&self.recovery_report()).unwrap_or_default();
+        self.respond(connection, 200, None, body);
+    }
+
+    /// Takes an operator's decision.
+    pub(in crate::coordination) fn recovery_decision(
         &mut self,
         connection: ConnectionId,
-        method: &str,
-        path: &str,
+        decision: Decision,
         body: &[u8],
     ) {
         let requester = Requester::direct(connection, self.now.monotonic_ms);
-        if (method, path) == ("GET", RECOVERY_PATH) {
-            let body = serde_json::to_vec_pretty(&self.recovery_report()).unwrap_or_default();
-            return self.respond(connection, 200, None, body);
-        }
-        let Some(decision) = Decision::of_path(path) else {
-            return self.refuse(requester, 404, "no such path", None);
-        };
-        if method != "POST" {
-            return self.refuse(requester, 405, "wrong method", None);
-        }
         let request: DecisionRequest = match serde_json::from_slice(body) {
             Ok(request) => request,
             Err(e) => return self.refuse(requester, 400, &e.to_string(), None),
@@ -142,11 +139,11 @@
     pub(in crate::coordination) fn on_decision_response(
         &mut self,
         call: DecisionCall,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let requester = Requester::direct(call.connection, self.now.monotonic_ms);
         match reply {
-            Some((200, body)) => {
+            Some(Response { status: 200, body }) => {
                 if let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) {
                     self.apply_own_transaction(&call.commit, done.revision);
                 }
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -3,6 +3,7 @@
 use super::RecoveryPhase;
 use crate::constants::{IMAGE_CALL_MS, IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
+use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
 use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::image::StoreImage;
@@ -73,13 +74,13 @@
     pub(in crate::coordination) fn on_image_response(
         &mut self,
         peer: usize,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let Some(rebuild) = self.recovery.rebuild.as_mut() else { return };
         let image = &mut rebuild.peers[peer];
         image.asking = false;
         let page = match reply {
-            Some((200, body)) => decode::<ImagePage>(&body).ok(),
+            Some(Response { status: 200, body }) => decode::<ImagePage>(&body).ok(),
             _ => None,
         };
         let label = &self.settings.peers[peer].label;
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -13,6 +13,7 @@
 };
 use crate::coordination::membership::stop_commands_of_ended_jobs;
 use crate::coordination::{CallPurpose, ConnectionId, Controller};
+use crate::protocol::http::Response;
 use crate::protocol::state::{
     Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
 };
@@ -246,7 +247,7 @@
     pub(in crate::coordination) fn on_rebuild_response(
         &mut self,
         call: RebuildCall,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         if self.leader.as_ref().is_none_or(|leader| leader.term != call.term) {
@@ -257,7 +258,7 @@
             rebuild.sent = false;
         }
         match reply {
-            Some((200, body)) => {
+            Some(Response { status: 200, body }) => {
                 let Ok(done) = serde_json::from_slice::<TransactionApplied>(&body) else { return };
                 if done.revision <= self.leader.as_ref().map_or(0, |leader| leader.mod_revision) {
                     return self.suspect_data_loss(None);
@@ -270,7 +271,7 @@
                 self.rebuild_advanced();
             }
             // Changed by a late copy or by another controller: a read tells what is left.
-            Some((409, body)) => {
+            Some(Response { status: 409, body }) => {
                 let failed = serde_json::from_slice::<TransactionConflict>(&body)
                     .unwrap_or(TransactionConflict { failed: Vec::new(), revision: 0 });
                 if failed.failed.contains(&leader_key()) {
@@ -286,7 +287,7 @@
                 }
                 self.pause_rebuild(now);
             }
-            Some((400, body)) => {
+            Some(Response { status: 400, body }) => {
                 log::error!("rebuild answered 400: {}", String::from_utf8_lossy(&body));
                 self.store.halve_size_limits();
                 if let Some(rebuild) = &mut self.recovery.rebuild {
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -10,6 +10,8 @@
 };
 use crate::coordination::store_client::ReadPoint;
 use crate::coordination::{CallPurpose, Controller};
+use crate::protocol::http::Response;
+use crate::protocol::routes::JOBS_PATH;
 use crate::protocol::state::{
     raw, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
 };
@@ -302,7 +304,7 @@
     fn relay_submission(&mut self, submission: PendingSubmission) {
         let body = serde_json::to_vec(&*submission.spec).unwrap_or_default();
         for requester in submission.requesters {
-            self.relay_or_refuse(requester, "POST", "/v1/jobs".into(), body.clone());
+            self.relay_or_refuse(requester, "POST", JOBS_PATH.into(), body.clone());
         }
     }
 
@@ -310,20 +312,20 @@
         &mut self,
         id: u64,
         copy: usize,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         // Another copy may have been answered already.
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         batch.unanswered -= 1;
-        let is_decided = matches!(reply, Some((200 | 409, _)));
+        let is_decided = matches!(reply, Some(Response { status: 200 | 409, .. }));
         if !is_decided && batch.unanswered > 0 {
             return;
         }
         let Some(batch) = self.submissions.in_flight.remove(&id) else { return };
         match reply {
-            Some((200, body)) => self.accept_batch(batch, copy, &body),
-            Some((409, body)) => self.split_refused_batch(batch, &body),
-            Some((429, _)) => self.refuse_batch(batch),
+            Some(Response { status: 200, body }) => self.accept_batch(batch, copy, &body),
+            Some(Response { status: 409, body }) => self.split_refused_batch(batch, &body),
+            Some(Response { status: 429, .. }) => self.refuse_batch(batch),
             _ => batch.submissions.into_iter().for_each(|s| self.relay_submission(s)),
         }
     }
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -4,6 +4,8 @@
 use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
 use crate::coordination::store_client::{FreshReadWaiter, ReadPoint};
 use crate::coordination::{CallPurpose, Controller};
+use crate::protocol::http::Response;
+use crate::protocol::routes::cancel_path;
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::{valid_uid, Accepted, Status};
 use crate::storage::records::{job_end_key, JobEndRecord, JobRecord, JobStage};
@@ -14,7 +16,7 @@
         if !valid_uid(uid) {
             return self.refuse(requester, 404, "no such job", None);
         }
-        if !self.admit(requester, "POST", &format!("/v1/jobs/{uid}/withdraw"), &[]) {
+        if !self.admit(requester, "POST", &cancel_path(uid), &[]) {
             return;
         }
         match self.known_stage(uid) {
@@ -81,10 +83,10 @@
         uid: String,
         commit: Transaction,
         sent: ReadPoint,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         match reply {
-            Some((200, body)) => {
+            Some(Response { status: 200, body }) => {
                 let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) else {
                     return self.unavailable(requester);
                 };
@@ -97,14 +99,14 @@
                 self.answer_json(requester, 200, &answer);
             }
             // Done in the meantime, or cancelled already.
-            Some((409, _)) => {
+            Some(Response { status: 409, .. }) => {
                 self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid });
             }
-            Some((429, _)) => {
+            Some(Response { status: 429, .. }) => {
                 self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
             }
             _ => {
-                let path = format!("/v1/jobs/{uid}/withdraw");
+                let path = cancel_path(&uid);
                 self.relay_or_refuse(requester, "POST", path, vec![]);
             }
         }
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -18,6 +18,7 @@
 use super::Controller;
 use crate::constants::{PEER_VERSION, RETRY_AFTER_BUSY_S, RETRY_AFTER_S, USER_WAIT_MAX};
 use crate::protocol::peers::{encode, Relayed};
+use crate::protocol::routes::{RouteError, UserRoute};
 use crate::protocol::users::{Accepted, Refusal, Status};
 use crate::storage::records::{JobRecord, JobStage};
 use crate::storage::replica::Versioned;
@@ -101,34 +102,17 @@
         self.refuse(requester, 503, "the state service can't be reached", Some(RETRY_AFTER_S));
     }
 
+    /// Refuses a request that has no route.
+    pub(super) fn refuse_route(&mut self, requester: Requester, error: RouteError) {
+        self.refuse(requester, error.status(), &error.to_string(), None);
+    }
+
     /// Takes a user's request, from the user or from a peer that passes it on.
-    pub(super) fn user_request(
-        &mut self,
-        requester: Requester,
-        method: &str,
-        path: &str,
-        body: &[u8],
-    ) {
-        let Some(resource) = path.strip_prefix("/v1/jobs") else {
-            return self.refuse(requester, 404, "no such path", None);
-        };
-        if resource.is_empty() {
-            return match method {
-                "POST" => self.submit(requester, body),
-                _ => self.refuse(requester, 405, "wrong method", None),
-            };
-        }
-        let Some(resource) = resource.strip_prefix('/') else {
-            return self.refuse(requester, 404, "no such path", None);
-        };
-        match (method, resource.strip_suffix("/withdraw")) {
-            ("POST", Some(uid)) => self.cancel(requester, uid),
-            (_, Some(_)) => self.refuse(requester, 405, "wrong method", None),
-            (_, None) if resource.contains('/') => {
-                self.refuse(requester, 404, "no such path", None);
-            }
-            ("GET", None) => self.poll_job(requester, resource),
-            (_, None) => self.refuse(requester, 405, "wrong method", None),
+    pub(super) fn user_request(&mut self, requester: Requester, route: UserRoute<'_>, body: &[u8]) {
+        match route {
+            UserRoute::Submit => self.submit(requester, body),
+            UserRoute::Poll { uid } => self.poll_job(requester, uid),
+            UserRoute::Cancel { uid } => self.cancel(requester, uid),
         }
     }
 
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -3,6 +3,7 @@
 use super::Requester;
 use crate::coordination::store_client::FreshReadWaiter;
 use crate::coordination::Controller;
+use crate::protocol::routes::job_path;
 use crate::protocol::users::{valid_uid, Status, View};
 
 impl Controller {
@@ -15,7 +16,7 @@
         if self.store.replica().has_ended(uid) && !self.recovery.is_suspended() {
             return self.answer_poll(requester, uid);
         }
-        if self.admit(requester, "GET", &format!("/v1/jobs/{uid}"), &[]) {
+        if self.admit(requester, "GET", &job_path(uid), &[]) {
             self.request_fresh_read(FreshReadWaiter::Poll { requester, uid: uid.to_string() });
         }
     }
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -4,7 +4,9 @@
 use crate::constants::{PEER_VERSION, RELAY_CALL_MS};
 use crate::coordination::interface::{ConnectionId, Service};
 use crate::coordination::{CallPurpose, Controller};
+use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, Relay, Relayed};
+use crate::protocol::routes::{UserRoute, RELAY_PATH};
 
 impl Controller {
     /// We can't answer: a served peer does it for us, or the user comes back later.
@@ -25,16 +27,16 @@
         let request = Relay { version: PEER_VERSION, method: method.into(), path, body };
         let purpose = CallPurpose::Relay { requester };
         let body = encode(&request);
-        self.call(Service::Peer(peer), "POST", "/relay".into(), body, RELAY_CALL_MS, purpose);
+        self.call(Service::Peer(peer), "POST", RELAY_PATH.into(), body, RELAY_CALL_MS, purpose);
     }
 
     pub(in crate::coordination) fn on_relay_response(
         &mut self,
         requester: Requester,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let answer = match reply {
-            Some((200, body)) => decode::<Relayed>(&body).ok(),
+            Some(Response { status: 200, body }) => decode::<Relayed>(&body).ok(),
             _ => None,
         };
         match answer.filter(|answer| answer.version == PEER_VERSION) {
@@ -55,7 +57,10 @@
         match decode::<Relay>(body) {
             Ok(request) if request.version == PEER_VERSION => {
                 let requester = Requester::relayed(connection, self.now.monotonic_ms);
-                self.user_request(requester, &request.method, &request.path, &request.body);
+                match UserRoute::parse(&request.method, &request.path) {
+                    Ok(route) => self.user_request(requester, route, &request.body),
+                    Err(error) => self.refuse_route(requester, error),
+                }
             }
             _ => self.respond(connection, 400, None, vec![]),
         }
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -8,6 +8,7 @@
 use crate::coordination::store_client::FreshReadWaiter;
 use crate::coordination::Controller;
 use crate::protocol::cloud::{Catalog, MachineType};
+use crate::protocol::routes::JOBS_PATH;
 use crate::protocol::users::{parse_submission, submitted_uid, JobSpec};
 use crate::protocol::Resources;
 use crate::storage::records::JobStage;
@@ -21,7 +22,7 @@
             Ok(submission) => submission,
             Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
-        if !self.admit(requester, "POST", "/v1/jobs", body) {
+        if !self.admit(requester, "POST", JOBS_PATH, body) {
             return;
         }
         if let Some(job) = self.store.replica().jobs.get(uid.as_str()) {
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -6,6 +6,7 @@
     STATE_LIST_LIMIT, STATE_LIST_MS, WATCH_BLOCK_MS, WATCH_CALL_MS,
 };
 use crate::coordination::{CallPurpose, Controller, Service};
+use crate::protocol::http::Response;
 use crate::protocol::state::{changes_path, list_path, Changes, Page, Transaction, COMMIT_PATH};
 use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
@@ -155,13 +156,13 @@
     pub(in crate::coordination) fn on_list_response(
         &mut self,
         epoch: u32,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         if epoch != self.store.epoch {
             return;
         }
         self.store.listing.in_flight = false;
-        let Some((200, body)) = reply else {
+        let Some(Response { status: 200, body }) = reply else {
             return self.store.retry_later(self.now.monotonic_ms);
         };
         let Ok(page) = serde_json::from_slice::<Page>(&body) else {
@@ -216,13 +217,13 @@
     }
 
     /// Puts an answer into the replica.
-    fn apply_changes(&mut self, asked: ReadPoint, reply: &Option<(u16, Vec<u8>)>) -> ReadOutcome {
+    fn apply_changes(&mut self, asked: ReadPoint, reply: &Option<Response>) -> ReadOutcome {
         if asked.epoch != self.store.epoch {
             return ReadOutcome::Superseded;
         }
         match reply {
-            Some((200, body)) => self.apply_changes_body(asked, body),
-            Some((410, _)) => {
+            Some(Response { status: 200, body }) => self.apply_changes_body(asked, body),
+            Some(Response { status: 410, .. }) => {
                 self.on_watch_too_old();
                 ReadOutcome::Superseded
             }
@@ -283,7 +284,7 @@
     pub(in crate::coordination) fn on_watch_response(
         &mut self,
         asked: ReadPoint,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         if asked.epoch == self.store.epoch {
             self.store.watching = false;
@@ -297,7 +298,7 @@
         &mut self,
         begun: u64,
         asked: ReadPoint,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let waiters = self.store.fresh_reads.running.take().unwrap_or_default();
         match self.apply_changes(asked, &reply) {
@@ -308,7 +309,7 @@
                 self.complete_waiters(waiters, begun);
             }
             outcome => {
-                let rate_limited = matches!(reply, Some((429, _)));
+                let rate_limited = matches!(reply, Some(Response { status: 429, .. }));
                 if matches!(outcome, ReadOutcome::Failed) && !rate_limited {
                     self.store.retry_later(self.now.monotonic_ms);
                 }
--- a/src/coordination/store_client/waiters.rs
+++ b/src/coordination/store_client/waiters.rs
@@ -2,6 +2,7 @@
 
 use crate::coordination::requests::{Rejection, Requester};
 use crate::coordination::Controller;
+use crate::protocol::routes::{cancel_path, job_path};
 
 /// What waits for a read begun after it came.
 #[derive(Debug)]
@@ -77,10 +78,10 @@
     pub(super) fn fail_waiter(&mut self, waiter: FreshReadWaiter) {
         match waiter {
             FreshReadWaiter::Poll { requester, uid } => {
-                self.relay_or_refuse(requester, "GET", format!("/v1/jobs/{uid}"), vec![]);
+                self.relay_or_refuse(requester, "GET", job_path(&uid), vec![]);
             }
             FreshReadWaiter::Cancel { requester, uid } => {
-                let path = format!("/v1/jobs/{uid}/withdraw");
+                let path = cancel_path(&uid);
                 self.relay_or_refuse(requester, "POST", path, vec![]);
             }
             FreshReadWaiter::Submit { requester, .. } => self.unavailable(requester),
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -2,6 +2,7 @@
 
 use crate::constants::POLL_MAX_MS;
 use crate::coordination::{Clock, Command, Controller, Effect, Service};
+use crate::protocol::http::Response;
 use crate::settings::{Operator, Platform};
 use crate::snapshots::{deployment, SnapshotDirectory, SnapshotWriter};
 use crate::transport::net::{Call, Incoming, Net, Origin};
@@ -77,9 +78,10 @@
         Incoming::Request { connection, origin: Origin::Peer, request: r } => {
             Command::Peer { connection, method: r.method, path: r.path, body: r.body }
         }
-        Incoming::Reply { call, reply } => {
-            Command::Reply { call, reply: reply.map(|r| (r.status, r.body)) }
-        }
+        Incoming::Reply { call, reply } => Command::Reply {
+            call,
+            reply: reply.map(|reply| Response::new(reply.status, reply.body)),
+        },
     }
 }
 
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -23,6 +23,7 @@
 use cloud::LAG_MS;
 
 use mountgap::coordination::{Clock, Command, Controller, Effect, Service};
+use mountgap::protocol::http::Response;
 use mountgap::settings::{Operator, Platform};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use serde_json::{json, Value};
@@ -478,7 +479,7 @@
             Msg::Reply { node, life, call, status, body } => {
                 let n = &mut self.nodes[node];
                 if n.life == life && n.deadlines.remove(&call).is_some() {
-                    n.inbox.push(Command::Reply { call, reply: Some((status, body)) });
+                    n.inbox.push(Command::Reply { call, reply: Some(Response { status, body }) });
                 }
             }
             Msg::Heartbeat { worker, request, node, body } => {
