--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -232,7 +232,7 @@
         self.set_state_rates();
         self.cloud.set_follower_rate(self.settings.controllers(), self.now.monotonic_ms);
         for held in leader.deferred_heartbeats {
-            self.redirect(held.connection);
+            self.redirect(held.connection());
         }
     }
 
--- /dev/null
+++ b/src/coordination/heartbeats/mod.rs
@@ -0,0 +1,104 @@
+//! Workers' heartbeats, and the commands that travel in their responses.
+//!
+//! What a heartbeat settles, and when: only one that shows our fencing token, the newest by
+//! incarnation and sequence. A start that a newer heartbeat doesn't show was not executed, since a
+//! worker has one heartbeat in flight and drops late responses, so it is sent again.
+//!
+//! [`evidence`] judges what a heartbeat proves, [`processing`] applies that to the leader's state, [`response`]
+//! answers with commands, [`task_outcomes`] learns from how tasks ended, [`reclaim`] evicts tasks from machines
+//! that the cloud takes back. No task is started or settled here without a committed placement.
+
+mod evidence;
+mod processing;
+mod reclaim;
+mod response;
+mod task_outcomes;
+
+pub(super) use response::DeferredHeartbeat;
+
+use super::requests::Requester;
+use super::{ConnectionId, Controller};
+use crate::constants::ELECTION_LEAST_MS;
+use crate::protocol::workers::{Heartbeat, LeaderRedirect};
+
+impl Controller {
+    /// Takes a worker's heartbeat.
+    pub(super) fn on_heartbeat(&mut self, connection: ConnectionId, body: &[u8]) {
+        let now = self.now.monotonic_ms;
+        let heartbeat: Heartbeat = match serde_json::from_slice(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => {
+                let requester = Requester::direct(connection, now);
+                return self.refuse(requester, 400, &error.to_string(), None);
+            }
+        };
+        self.metrics.work.reports += 1;
+        self.membership.note_worker_heartbeat(&heartbeat.machine, now);
+        self.check_worker_token(&heartbeat);
+        self.observe_fencing_token(heartbeat.fencing_token);
+        if heartbeat.fencing_token > self.membership.highest_term() {
+            // It would drop our response. Whoever gave it that token, it is not the leader that we know.
+            return self.redirect_to_term(connection, heartbeat.fencing_token);
+        }
+        let leads = self.leader.as_ref().is_some_and(|leader| leader.ready);
+        if leads && self.may_renew_worker_leases() {
+            self.process_heartbeat(connection, &heartbeat);
+        } else if self.is_rebuilding() && self.may_renew_worker_leases() {
+            self.answer_heartbeat_in_rebuild(connection, heartbeat);
+        } else if self.leader.is_none() && self.may_extend_lease(heartbeat.fencing_token) {
+            self.extend_lease(connection, &heartbeat);
+        } else {
+            self.redirect(connection);
+        }
+    }
+
+    /// Takes note of a token above every term that we know. Whoever leads has stored its term before it
+    /// showed it to anyone, so where the store can be read it decides. A worker that showed an absurd
+    /// token once made every leader step down, and the terms after it run out of numbers.
+    ///
+    /// Without the store the token is believed if there was time for so many elections: a leader
+    /// that is cut off should make way for its successor.
+    fn observe_fencing_token(&mut self, token: u64) {
+        let highest_term = self.membership.highest_term();
+        if token <= highest_term {
+            return;
+        }
+        if self.store_is_usable() {
+            return self.request_leader_read();
+        }
+        let last_read_at = self.store.last_read_at().unwrap_or(self.started_at);
+        let possible_elections = (self.now.monotonic_ms - last_read_at) / ELECTION_LEAST_MS + 1;
+        if token - highest_term <= possible_elections {
+            self.membership.note_term(token);
+            self.check_term();
+        }
+    }
+
+    /// Answers a heartbeat with the leader to turn to, if it is known.
+    pub(super) fn redirect(&mut self, connection: ConnectionId) {
+        self.redirect_to_term(connection, self.membership.highest_term());
+    }
+
+    /// The same, where only a leader of this term or a later one will do.
+    fn redirect_to_term(&mut self, connection: ConnectionId, term: u64) {
+        self.metrics.work.reports_redirected += 1;
+        let leader = self.leader_of_term(term);
+        let body = serde_json::to_vec(&LeaderRedirect { leader }).unwrap_or_default();
+        self.respond(connection, 421, None, body);
+    }
+
+    /// Name of another controller that leads in this term or a later one, by the store or by what
+    /// peers say.
+    fn leader_of_term(&self, term: u64) -> Option<String> {
+        let stored = self.store.replica().leader.as_ref().map(|record| &record.value);
+        let is_other = |label: &String| *label != self.settings.label;
+        if let Some(leader) = stored.filter(|leader| is_other(&leader.label) && leader.term >= term)
+        {
+            return Some(leader.label.clone());
+        }
+        self.membership
+            .fresh_gossip(self.now.monotonic_ms)
+            .find(|gossip| gossip.leads && gossip.term >= term)
+            .map(|gossip| gossip.label.clone())
+    }
+}
--- /dev/null
+++ b/src/coordination/heartbeats/processing.rs
@@ -0,0 +1,210 @@
+//! Applying a heartbeat to the leader's state of its machine.
+
+use super::evidence::{note_machine, Evidence, ReportedTasks, ResponseDelivery, StartedTask};
+use super::response::{DeferredHeartbeat, TaskAttempt};
+use crate::constants::{MS_PER_S, UNREACHABLE_CALM_LEASES};
+use crate::coordination::{ConnectionId, Controller, Leader};
+use crate::protocol::cloud::Catalog;
+use crate::protocol::parse_task;
+use crate::protocol::workers::Heartbeat;
+use crate::storage::adoption::Adoption;
+use crate::storage::machine::{HeartbeatId, Machine, MachineState, StopReason, TaskId};
+use crate::storage::records::MachineName;
+use std::collections::BTreeSet;
+
+/// A task runs that the store should name a placement of.
+struct UnrecordedTask {
+    /// Its name on the wire.
+    task_id: String,
+}
+
+impl Controller {
+    /// Applies a heartbeat to the leader's state; its response may wait for a commit.
+    pub(super) fn process_heartbeat(&mut self, connection: ConnectionId, heartbeat: &Heartbeat) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        leader.last_heartbeat_at = now;
+        if leader.fleet.is_gone(&heartbeat.machine) {
+            // A late heartbeat of a machine that was deleted.
+            return self.redirect(connection);
+        }
+        let name = MachineName::from(heartbeat.machine.as_str());
+        if is_outdated(leader.cluster.machine_entry(&name, now), heartbeat) {
+            return self.redirect(connection);
+        }
+        self.apply_evidence(&name, heartbeat);
+        let untracked_tasks = match self.account_for_untracked_tasks(&name, heartbeat) {
+            Ok(untracked_tasks) => untracked_tasks,
+            Err(unrecorded) => {
+                self.redirect(connection);
+                return self.on_unrecorded_task(&name, &unrecorded.task_id);
+            }
+        };
+        let Some(leader) = self.leader.as_mut() else { return };
+        let is_idle = |machine: &&mut Machine| machine.is_empty();
+        if let Some(machine) = leader.cluster.machines.get_mut(&name).filter(is_idle) {
+            machine.idle_since.get_or_insert(now);
+        }
+        leader.evict_before_reclaim(&name, now, &self.settings.params.workers);
+        let has_our_token = heartbeat.fencing_token == leader.term;
+        leader.deferred_heartbeats.push(DeferredHeartbeat::new(
+            connection,
+            name,
+            heartbeat,
+            has_our_token,
+            untracked_tasks,
+            now,
+        ));
+    }
+
+    /// Notes what a heartbeat says of its machine and of the placements on it.
+    fn apply_evidence(&mut self, name: &MachineName, heartbeat: &Heartbeat) {
+        let now = self.now.monotonic_ms;
+        let catalog = self.cloud.catalog().map(|catalog| &**catalog);
+        let lease_ms = self.settings.params.workers.lease_s * MS_PER_S;
+        let calm_ms = (lease_ms * UNREACHABLE_CALM_LEASES) as u64;
+        let Some(leader) = self.leader.as_mut() else { return };
+        let has_our_token = heartbeat.fencing_token == leader.term;
+        let keys = leader.cluster.hash_keys();
+        let machine = leader.cluster.machine_entry(name, now);
+        let id = HeartbeatId::of(heartbeat);
+        let delivery = ResponseDelivery::of(machine, id, has_our_token, now);
+        note_machine(machine, heartbeat, catalog, has_our_token, now);
+        let shown = ReportedTasks::of(heartbeat, keys);
+        let evidence = Evidence::of(machine, &shown, id, has_our_token, now);
+        note_delivery(machine, &delivery, &evidence, now, calm_ms);
+        for started in evidence.started {
+            if leader.note_task_started(name, &started, catalog) {
+                let start_ms = now - started.placed_at;
+                let _ = self.metrics.start_ms.record(start_ms);
+                log::debug!("{}: runs on {name}, {start_ms} ms after it was placed", started.id);
+            }
+        }
+        for ended in evidence.ended {
+            leader.record_task_end(name, &ended.id, ended.cause, now);
+            leader.cluster.settle(name, &ended.id, ended.cause);
+            leader.plan_soon(now);
+        }
+    }
+
+    /// Accounts for tasks that are shown and that no placement explains; gives those to stop.
+    fn account_for_untracked_tasks(
+        &mut self,
+        name: &MachineName,
+        heartbeat: &Heartbeat,
+    ) -> Result<Vec<TaskAttempt>, UnrecordedTask> {
+        let now = self.now.monotonic_ms;
+        let was_rebuilt = self.store.replica().rebuild.is_some();
+        let history_is_doubtful = was_rebuilt || self.starts_are_blocked();
+        let Some(leader) = self.leader.as_mut() else { return Ok(Vec::new()) };
+        let has_our_token = heartbeat.fencing_token == leader.term;
+        let mut tasks_of_unknown_jobs = BTreeSet::new();
+        let mut to_stop = Vec::new();
+        for reported in heartbeat.tasks.iter().filter(|task| task.status.is_on_machine()) {
+            let Some((job, index)) = parse_task(&reported.task_id) else { continue };
+            let (id, attempt) = (TaskId::new(job.into(), index), reported.attempt);
+            let placement = leader.cluster.machines[name].placements.get(&id);
+            if placement.is_some_and(|placement| placement.attempt == attempt) {
+                continue;
+            }
+            if history_is_doubtful && !has_our_token {
+                // Perhaps a late copy. What really runs there a heartbeat with our token shows.
+                continue;
+            }
+            if was_rebuilt && !self.store.replica().jobs.contains_key(&id.job) {
+                // Accepted in the lost history, as far as anyone can tell: it is left alone.
+                tasks_of_unknown_jobs.insert((id, attempt));
+                continue;
+            }
+            if was_rebuilt && leader.cluster.adopt(name, &id, attempt, now) != Adoption::Refused {
+                continue;
+            }
+            log::info!("{}: attempt {attempt} on {name} is not known", reported.task_id);
+            if has_our_token && !was_rebuilt && self.recovery.notices_losses() {
+                return Err(UnrecordedTask { task_id: reported.task_id.clone() });
+            }
+            to_stop.push(TaskAttempt { task_id: reported.task_id.clone(), attempt });
+            leader.cluster.add_untracked_task(name, &id, attempt, now);
+        }
+        let machine = leader.cluster.machines.get_mut(name);
+        if let Some(machine) = machine.filter(|_| !was_rebuilt || has_our_token) {
+            machine.unknown_tasks = tasks_of_unknown_jobs;
+        }
+        Ok(to_stop)
+    }
+}
+
+/// Whether a heartbeat is older than what is known of its machine.
+fn is_outdated(machine: &Machine, heartbeat: &Heartbeat) -> bool {
+    // Late or repeated: the worker has given it up.
+    let is_late = HeartbeatId::of(heartbeat) <= machine.newest_heartbeat;
+    // Sent before its lease expired and held on the way: what it shows is over, and the worker
+    // has begun another incarnation since. Such heartbeats once brought back machines that were
+    // still cut off, with tasks long started elsewhere.
+    let is_of_expired_lease =
+        machine.lease_expired && heartbeat.incarnation <= machine.newest_heartbeat.incarnation;
+    is_late || is_of_expired_lease
+}
+
+/// Notes whether our responses reach the machine. While none does, what was never shown there is
+/// settled by its next heartbeat and starts elsewhere.
+fn note_delivery(
+    machine: &mut Machine,
+    delivery: &ResponseDelivery,
+    evidence: &Evidence,
+    now: u64,
+    calm_ms: u64,
+) {
+    let undelivered_signs = delivery.undelivered_signs + u32::from(evidence.start_missed);
+    let delivered = delivery.delivered || evidence.start_arrived;
+    if machine.note_response_delivery(undelivered_signs, delivered, now, calm_ms) {
+        log::info!(
+            "{}: unreachable, its heartbeats arrive but no response reaches it",
+            machine.name
+        );
+    }
+    if machine.unreachable_since.is_none() {
+        return;
+    }
+    for placement in machine.placements.values_mut() {
+        if placement.reported_status.is_none() {
+            placement.stop_reason.get_or_insert(StopReason::Eviction);
+        }
+    }
+}
+
+impl Leader {
+    /// Notes that a task was seen running, and that its machine holds its image. Tells whether the job
+    /// is known.
+    fn note_task_started(
+        &mut self,
+        machine_name: &MachineName,
+        started: &StartedTask,
+        catalog: Option<&Catalog>,
+    ) -> bool {
+        let Some(job) = self.cluster.jobs.get_mut(&started.id.job) else { return false };
+        job.has_started = true;
+        if let Some(gang) = &mut job.gang {
+            gang.note_running();
+        }
+        let Some(spec) = job.spec.clone() else { return false };
+        let Some(machine) = self.cluster.machines.get_mut(machine_name) else { return false };
+        let machine_type = catalog.and_then(|catalog| catalog.machine_type(&machine.type_name));
+        let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
+        machine.note_image(&spec.image, spec.size_gb, cache_gb);
+        true
+    }
+
+    /// Whether the answer to a machine's heartbeat may still bring it commands of a commit that is
+    /// under way or due.
+    pub(super) fn may_get_commands(&self, machine_name: &MachineName) -> bool {
+        self.cluster.machines.get(machine_name).is_some_and(|machine| {
+            let takes_new_tasks = machine.state == MachineState::Up
+                && !machine.cordoned
+                && machine.reclaim_at.is_none();
+            machine.uncommitted_placements > 0 || takes_new_tasks
+        })
+    }
+}
--- /dev/null
+++ b/src/coordination/heartbeats/response.rs
@@ -0,0 +1,292 @@
+//! Responses to heartbeats: which commands a worker gets, and when.
+
+use crate::constants::{ATTEMPT_BITS, COMMANDS_MAX, GRACE_EXTRA_S, REPORT_HOLD_MS};
+use crate::coordination::{ConnectionId, Controller};
+use crate::protocol::parse_task;
+use crate::protocol::workers::{EndCause, Heartbeat, HeartbeatResponse, WorkerCommand};
+use crate::storage::gangs::GangState;
+use crate::storage::job::Job;
+use crate::storage::machine::{
+    HeartbeatId, Machine, MachineState, Placement, PlacementPhase, StopReason, TaskId,
+};
+use crate::storage::records::{JobStage, MachineName};
+
+/// An attempt of a task as a heartbeat names it.
+#[derive(Debug)]
+pub(super) struct TaskAttempt {
+    /// Name of the task on the wire.
+    pub(super) task_id: String,
+    pub(super) attempt: u64,
+}
+
+/// A heartbeat whose response waits for a commit that may bring commands.
+#[derive(Debug)]
+pub(in crate::coordination) struct DeferredHeartbeat {
+    connection: ConnectionId,
+    machine: MachineName,
+    id: HeartbeatId,
+    received_at: u64,
+    has_our_token: bool,
+    ended_tasks: Vec<TaskAttempt>,
+    /// Tasks that no placement explains.
+    untracked_tasks: Vec<TaskAttempt>,
+}
+
+impl DeferredHeartbeat {
+    pub(super) fn new(
+        connection: ConnectionId,
+        machine: MachineName,
+        heartbeat: &Heartbeat,
+        has_our_token: bool,
+        untracked_tasks: Vec<TaskAttempt>,
+        now: u64,
+    ) -> DeferredHeartbeat {
+        let ended = heartbeat.tasks.iter().filter(|task| !task.status.is_on_machine());
+        let readable = ended.filter(|task| parse_task(&task.task_id).is_some());
+        let ended_tasks = readable
+            .map(|task| TaskAttempt { task_id: task.task_id.clone(), attempt: task.attempt })
+            .collect();
+        DeferredHeartbeat {
+            connection,
+            machine,
+            id: HeartbeatId::of(heartbeat),
+            received_at: now,
+            has_our_token,
+            ended_tasks,
+            untracked_tasks,
+        }
+    }
+
+    /// The connection to answer on.
+    pub(in crate::coordination) fn connection(&self) -> ConnectionId {
+        self.connection
+    }
+
+    /// The machine that sent it.
+    pub(in crate::coordination) fn machine(&self) -> &MachineName {
+        &self.machine
+    }
+
+    /// When it is answered at the latest.
+    pub(in crate::coordination) fn answer_by(&self) -> u64 {
+        self.received_at + REPORT_HOLD_MS
+    }
+
+    /// Stops of tasks that no placement explains, and removal of ended ones from the heartbeats. What does
+    /// not fit into a response goes out with the next one.
+    fn stop_and_clear_commands(&self, machine: &Machine) -> Vec<WorkerCommand> {
+        let mut commands: Vec<WorkerCommand> = Vec::new();
+        for TaskAttempt { task_id, attempt } in self.untracked_tasks.iter().take(COMMANDS_MAX) {
+            let (task_id, attempt) = (task_id.clone(), *attempt);
+            commands.push(WorkerCommand::Stop { task_id, attempt, grace_s: 0.0 });
+        }
+        for TaskAttempt { task_id, attempt } in &self.ended_tasks {
+            // Only once what it said is committed, which takes the placement out.
+            if !machine_has_placement(machine, task_id, *attempt) && commands.len() < COMMANDS_MAX {
+                let (task_id, attempt) = (task_id.clone(), *attempt);
+                commands.push(WorkerCommand::Clear { task_id, attempt });
+            }
+        }
+        commands
+    }
+}
+
+fn machine_has_placement(machine: &Machine, task_id: &str, attempt: u64) -> bool {
+    let Some((job, index)) = parse_task(task_id) else { return false };
+    let placement = machine.placements.get(&TaskId::new(job.into(), index));
+    placement.is_some_and(|placement| placement.attempt == attempt)
+}
+
+/// What a response has to do about a placement.
+enum Decision {
+    /// Nothing now.
+    Nothing,
+    /// Stop the task.
+    Stop {
+        /// Seconds that it may take to save.
+        grace_s: f64,
+    },
+    /// Start the task.
+    Start,
+    /// It is surely not on the machine, and is settled without a command.
+    SettleAsLost,
+}
+
+/// What the decisions of one response have in common.
+struct ResponseContext {
+    /// The leader's term.
+    term: u64,
+    /// The term of the last rebuild of the store; 0 if there was none.
+    rebuilt_in_term: u64,
+    /// The heartbeat that is answered.
+    heartbeat: HeartbeatId,
+    /// It shows our fencing token.
+    has_our_token: bool,
+    /// Starts may be ordered, and the machine takes them.
+    may_start: bool,
+}
+
+impl ResponseContext {
+    /// Decides on a committed placement that is not settled.
+    fn decide(
+        &self,
+        placement: &Placement,
+        job: Option<&Job>,
+        index: u32,
+        ended: bool,
+    ) -> Decision {
+        let is_needed = job.is_some_and(|job| job.stage == JobStage::Live && !job.done.get(index));
+        let stop_reason = match is_needed && !ended {
+            true => placement.stop_reason,
+            false => Some(StopReason::NotNeeded),
+        };
+        match stop_reason {
+            Some(stop_reason) => self.decide_stop(placement, job, stop_reason, is_needed),
+            None => self.decide_start(placement, job),
+        }
+    }
+
+    /// The placement was made by an earlier leader.
+    fn is_inherited(&self, placement: &Placement) -> bool {
+        placement.attempt >> ATTEMPT_BITS != self.term
+    }
+
+    fn decide_stop(
+        &self,
+        placement: &Placement,
+        job: Option<&Job>,
+        stop_reason: StopReason,
+        is_needed: bool,
+    ) -> Decision {
+        let was_ordered =
+            placement.reported_status.is_some() || placement.start_sent_after.is_some();
+        if !was_ordered && !self.is_inherited(placement) {
+            // That a peer has told of the job's end settles nothing: see `store_isolation`.
+            return match !is_needed || placement.stop_reason.is_some() {
+                true => Decision::SettleAsLost,
+                false => Decision::Nothing,
+            };
+        }
+        let spec = job.and_then(|job| job.spec.as_ref()).filter(|spec| spec.saves());
+        let grace_s = match (stop_reason, spec) {
+            (StopReason::Eviction, Some(spec)) => spec.checkpoint_cost_s + GRACE_EXTRA_S,
+            _ => 0.0,
+        };
+        Decision::Stop { grace_s }
+    }
+
+    fn decide_start(&self, placement: &Placement, job: Option<&Job>) -> Decision {
+        let is_inherited = self.is_inherited(placement);
+        let may_start = self.may_start
+            && placement.reported_status.is_none()
+            && (!is_inherited || self.has_our_token);
+        if !may_start {
+            return Decision::Nothing;
+        }
+        // A rebuild may have brought back what was settled before: it is not started once more
+        // past its team's limit, but placed anew.
+        let is_brought_back = placement.attempt >> ATTEMPT_BITS < self.rebuilt_in_term;
+        let gang = job.and_then(|job| job.gang.as_ref());
+        let may_have_run = gang.is_some_and(|gang| self.gang_may_have_run(gang, placement));
+        match (is_brought_back || may_have_run, self.has_our_token) {
+            (false, _) => Decision::Start,
+            (true, true) => Decision::SettleAsLost,
+            (true, false) => Decision::Nothing,
+        }
+    }
+
+    /// Whether a task of a gang that a machine does not show may have been there before, and the gang may
+    /// have run: an attempt that lost a task is not made whole again. It was placed by an earlier
+    /// leader, the machine has begun another incarnation since it was ordered, or others ran already.
+    fn gang_may_have_run(&self, gang: &GangState, placement: &Placement) -> bool {
+        let ordered_in = placement.start_sent_after.map(|ordered| ordered.incarnation);
+        let incarnation_ended = ordered_in.is_some_and(|known| known < self.heartbeat.incarnation);
+        self.is_inherited(placement) || incarnation_ended || gang.running
+    }
+}
+
+impl Controller {
+    /// Answers deferred heartbeats whose commits are in, or that can wait no longer.
+    pub(in crate::coordination) fn answer_deferred_heartbeats(&mut self) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        let is_deciding = leader.ready && leader.deciding(now);
+        let deferred = std::mem::take(&mut leader.deferred_heartbeats);
+        let (waiting, due): (Vec<_>, Vec<_>) = deferred.into_iter().partition(|heartbeat| {
+            is_deciding
+                && leader.may_get_commands(&heartbeat.machine)
+                && now < heartbeat.answer_by()
+        });
+        leader.deferred_heartbeats = waiting;
+        due.into_iter().for_each(|heartbeat| self.answer_heartbeat(&heartbeat));
+    }
+
+    fn answer_heartbeat(&mut self, heartbeat: &DeferredHeartbeat) {
+        if !self.may_renew_worker_leases() {
+            return self.redirect(heartbeat.connection);
+        }
+        match self.commands_for(heartbeat) {
+            Some(response) => {
+                let waited_ms = self.now.monotonic_ms - heartbeat.received_at;
+                let _ = self.metrics.report_ms.record(waited_ms);
+                let body = serde_json::to_vec(&response).unwrap_or_default();
+                self.respond(heartbeat.connection, 200, None, body);
+            }
+            None => self.redirect(heartbeat.connection),
+        }
+    }
+
+    /// The commands that answer a heartbeat; none if its machine is gone or has sent a newer one.
+    fn commands_for(&mut self, heartbeat: &DeferredHeartbeat) -> Option<HeartbeatResponse> {
+        let may_order_starts = self.may_order_starts();
+        let rebuild = self.store.replica().rebuild.as_ref();
+        let rebuilt_in_term = rebuild.map_or(0, |record| record.value.term);
+        let leader = self.leader.as_mut()?;
+        let jobs = &leader.cluster.jobs;
+        let machine = leader.cluster.machines.get_mut(&heartbeat.machine)?;
+        if machine.newest_heartbeat != heartbeat.id || machine.state == MachineState::Terminated {
+            return None;
+        }
+        let takes_starts = machine.state == MachineState::Up && !machine.lease_expired;
+        let context = ResponseContext {
+            term: leader.term,
+            rebuilt_in_term,
+            heartbeat: heartbeat.id,
+            has_our_token: heartbeat.has_our_token,
+            may_start: may_order_starts && takes_starts,
+        };
+        let mut commands = heartbeat.stop_and_clear_commands(machine);
+        let mut starts = Vec::new();
+        let mut lost = Vec::new();
+        for (id, placement) in &mut machine.placements {
+            if placement.settled.is_some() || placement.phase != PlacementPhase::Committed {
+                continue;
+            }
+            if commands.len() + starts.len() >= COMMANDS_MAX {
+                break;
+            }
+            // What a peer has told of the job's end stops a task, but settles nothing.
+            let ended = self.membership.has_heard_end_of(&id.job);
+            let (task_id, attempt) = (id.to_string(), placement.attempt);
+            match context.decide(placement, jobs.get(&id.job), id.index, ended) {
+                Decision::Nothing => {}
+                Decision::Stop { grace_s } => {
+                    commands.push(WorkerCommand::Stop { task_id, attempt, grace_s });
+                }
+                Decision::Start => {
+                    placement.start_sent_after = Some(heartbeat.id);
+                    starts.push(WorkerCommand::Start { task_id, attempt });
+                }
+                Decision::SettleAsLost => lost.push(id.clone()),
+            }
+        }
+        commands.extend(starts);
+        machine.last_response_at = Some(self.now.monotonic_ms);
+        for id in lost {
+            leader.cluster.settle(&heartbeat.machine, &id, EndCause::Lost);
+        }
+        Some(HeartbeatResponse { fencing_token: leader.term, commands })
+    }
+}
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -2,15 +2,15 @@
 
 use super::commits::{PlacementEntry, PlacementMove};
 use super::fleet::Fleet;
+use super::heartbeats::DeferredHeartbeat;
 use super::planner;
 use super::planner_input::PlannerInput;
-use super::workers::DeferredHeartbeat;
 use super::{Clock, Controller};
 use crate::constants::{
     ATTEMPT_BITS, AVERAGE_WEIGHT, CLOCK_DRIFT, ESTIMATE_MIN_S, FLEET_MACHINE_MS, FLEET_PERIOD_MS,
     GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS, LEADER_RENEW_MS, LEADER_UNHEARD_MS, LEASE_MARGIN_MS,
     LEASE_SCAN_MS, MS_PER_S, PASS_GAP_MACHINE_MS, PASS_GAP_MS, POLL_SOON_MS, RATIO_SAMPLES_MIN,
-    REPORT_HOLD_MS, SERVICE_REFERENCE_S, STATUS_LOG_PERIOD_MS, WRITE_RESERVE,
+    SERVICE_REFERENCE_S, STATUS_LOG_PERIOD_MS, WRITE_RESERVE,
 };
 use crate::protocol::state::Transaction;
 use crate::protocol::users::JobKind;
@@ -212,8 +212,7 @@
         };
         // Whatever comes in answers those that have waited long enough too: in a large fleet a report
         // comes every few milliseconds, and to wake for each of them alone is mostly for nothing.
-        let held =
-            self.deferred_heartbeats.iter().map(|h| h.since + REPORT_HOLD_MS + POLL_SOON_MS).min();
+        let held = self.deferred_heartbeats.iter().map(|h| h.answer_by() + POLL_SOON_MS).min();
         // A pass waits until what the last one decided is stored.
         let pass = (held.is_some() && self.cluster.proposals.is_empty()).then_some(self.plan_at);
         let pass = pass.map(|t| t.max(now + 1));
@@ -478,8 +477,3 @@
         leader.fleet.note_unplaced(&view, &plan, &catalog);
     }
 }
-
-/// Whether a cause means that the machine or the job is at fault.
-pub(super) fn is_failure(cause: EndCause) -> bool {
-    matches!(cause, EndCause::Error)
-}
--- a/src/coordination/planner_input.rs
+++ b/src/coordination/planner_input.rs
@@ -104,7 +104,7 @@
         }
         v.snapshot.gang_wait_ms = (settings.params.workers.gang_wait_s * MS_PER_S) as u64;
         let mut held_reports: HashSet<&MachineName> = keys.set();
-        held_reports.extend(leader.deferred_heartbeats.iter().map(|held| &held.machine));
+        held_reports.extend(leader.deferred_heartbeats.iter().map(|held| held.machine()));
         v.snapshot.thresholds = operator.thresholds.clone();
         for m in cluster.machines.values() {
             let (Some(zone), Some(type_index)) = (zone_of(&m.zone), type_index_of(&m.type_name))
--- a/src/storage/adoption.rs
+++ b/src/storage/adoption.rs
@@ -64,7 +64,40 @@
         if let Some(other) = job.placed_on.get(&id.index).cloned() {
             return self.settle_earlier(&other, id, attempt);
         }
-        let withheld = job.quarantined;
+        let stop_reason = job.quarantined.then_some(StopReason::Eviction);
+        self.place_running_task(machine, id, attempt, stop_reason, now);
+        Adoption::Adopted
+    }
+
+    /// A task runs with no placement that we know of: counted where it is, so that it is not started
+    /// elsewhere, and stopped.
+    pub fn add_untracked_task(
+        &mut self,
+        machine: &MachineName,
+        id: &TaskId,
+        attempt: u64,
+        now: u64,
+    ) {
+        let Some(job) = self.jobs.get(&id.job) else { return };
+        let is_unplaced = job.stage == JobStage::Live
+            && !job.done.get(id.index)
+            && !job.placed_on.contains_key(&id.index)
+            && !job.settling.contains(&id.index)
+            && id.index < job.tasks;
+        if is_unplaced {
+            self.place_running_task(machine, id, attempt, Some(StopReason::Eviction), now);
+        }
+    }
+
+    /// Records a placement for a task that runs already.
+    fn place_running_task(
+        &mut self,
+        machine: &MachineName,
+        id: &TaskId,
+        attempt: u64,
+        stop_reason: Option<StopReason>,
+        now: u64,
+    ) {
         if let Some(job) = self.jobs.get_mut(&id.job) {
             make_returned_up_to(job, id.index);
         }
@@ -73,9 +106,8 @@
         if let Some(placement) = placements.and_then(|p| p.get_mut(id)) {
             placement.phase = PlacementPhase::Committed;
             placement.reported_status = Some(TaskStatus::Running);
-            placement.stop_reason = withheld.then_some(StopReason::Eviction);
+            placement.stop_reason = stop_reason;
         }
-        Adoption::Adopted
     }
 
     /// A task that is placed runs with another attempt. Attempts rise, and the next is placed only once the
@@ -93,7 +125,7 @@
 }
 
 /// Tasks between the fresh ones and this one wait like returned ones.
-pub fn make_returned_up_to(job: &mut Job, task: u32) {
+fn make_returned_up_to(job: &mut Job, task: u32) {
     while job.first_never_placed <= task {
         let fresh = job.first_never_placed;
         if !job.done.get(fresh) {
