--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -1,9 +1,10 @@
 //! Gangs as the leader sees them: attempts that can't become complete, and stops that take all tasks.
 
 use super::election::leader_write_share;
+use super::leader::was_never_ordered;
 use super::{Controller, Leader};
 use crate::constants::{
-    ATTEMPT_BITS, COMMIT_BYTES, COMMIT_FRAME_BYTES, GANG_SCAN_MS, GROUP_FRAME_BYTES, MS_PER_S,
+    COMMIT_BYTES, COMMIT_FRAME_BYTES, GANG_SCAN_MS, GROUP_FRAME_BYTES, MS_PER_S,
     PLACEMENT_BYTES_MOST, REPORT_JITTER, SILENT_PERIODS, WORKER_RETRY_S, WORKER_WAIT_S,
     WRITE_RESERVE,
 };
@@ -11,9 +12,7 @@
 use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
 use crate::storage::limits::StoreLimits;
-use crate::storage::machine::{
-    Machine, MachineState, Placement, PlacementPhase, StopReason, TaskId,
-};
+use crate::storage::machine::{Machine, MachineState, StopReason, TaskId};
 use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeSet;
 
@@ -40,14 +39,6 @@
     spec.saves() && (!spec.is_gang() || in_time)
 }
 
-/// A task that is stored and was never ordered by this leader: it is on no machine.
-fn never_ordered(placement: &Placement, term: u64) -> bool {
-    placement.attempt >> ATTEMPT_BITS == term
-        && placement.phase == PlacementPhase::Committed
-        && placement.start_sent_after.is_none()
-        && placement.reported_status.is_none()
-}
-
 /// Milliseconds of silence after which a machine is not waited for: longer than a worker takes to report
 /// again when it has missed one answer.
 fn silent_ms(workers: &Workers) -> u64 {
@@ -67,7 +58,7 @@
                 let machine = self.cluster.machines.get(*machine);
                 let held =
                     machine.and_then(|m| m.placements.get(&TaskId::new(uid.clone(), **task)));
-                held.is_some_and(|p| p.settled.is_none() && never_ordered(p, self.term))
+                held.is_some_and(|p| p.settled.is_none() && was_never_ordered(p, self.term))
             })
             .map(|(task, machine)| (machine.clone(), *task))
             .collect();
--- /dev/null
+++ b/src/coordination/leader/planning.rs
@@ -0,0 +1,181 @@
+//! Planning passes: from the state of the cluster to proposed placements and tasks to stop.
+//!
+//! Nothing that a pass decides is ordered before it is stored: placements are proposed, and
+//! [`super::super::transactions`] writes them ahead.
+
+use super::{was_never_ordered, Leader};
+use crate::constants::{FLEET_MACHINE_MS, FLEET_PERIOD_MS, PASS_GAP_MACHINE_MS, PASS_GAP_MS};
+use crate::coordination::planner::{self, Plan};
+use crate::coordination::planner_input::PlannerInput;
+use crate::coordination::Controller;
+use crate::protocol::cloud::Catalog;
+use crate::protocol::workers::EndCause;
+use crate::storage::machine::{StopReason, TaskId};
+use crate::storage::records::{JobId, MachineName};
+use std::collections::BTreeMap;
+
+/// When planning passes are due.
+#[derive(Debug)]
+pub(super) struct PassSchedule {
+    next_at: u64,
+    last_at: u64,
+}
+
+impl PassSchedule {
+    pub(super) fn new(now: u64) -> PassSchedule {
+        PassSchedule { next_at: now, last_at: 0 }
+    }
+
+    /// When the next pass is due.
+    pub(super) fn next_at(&self) -> u64 {
+        self.next_at
+    }
+
+    /// The next pass is due at this time.
+    pub(super) fn pass_at(&mut self, at: u64) {
+        self.next_at = at;
+    }
+
+    /// A pass is wanted before its period is over, but not within `min_gap_ms` of the last one.
+    fn bring_forward(&mut self, min_gap_ms: u64, now: u64) {
+        self.next_at = self.next_at.min(now.max(self.last_at + min_gap_ms));
+    }
+
+    fn note_pass(&mut self, period_ms: u64, now: u64) {
+        self.last_at = now;
+        self.next_at = now + period_ms;
+    }
+}
+
+impl Leader {
+    /// A pass is wanted before its period is over.
+    pub(in crate::coordination) fn plan_soon(&mut self, now: u64) {
+        self.passes.bring_forward(self.min_pass_gap_ms(), now);
+    }
+
+    /// Least milliseconds between two passes: what a pass costs grows with the fleet.
+    pub(super) fn min_pass_gap_ms(&self) -> u64 {
+        PASS_GAP_MS + (self.cluster.machines.len() as f64 * PASS_GAP_MACHINE_MS) as u64
+    }
+
+    /// Milliseconds between two looks at the size of the fleet, for the same reason.
+    pub(in crate::coordination) fn fleet_period(&self) -> u64 {
+        FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * FLEET_MACHINE_MS) as u64
+    }
+
+    /// Whether a pass is due. What the last pass decided is stored first: to decide more would
+    /// only queue it.
+    fn is_pass_due(&self, now: u64) -> bool {
+        self.passes.next_at() <= now && self.cluster.proposals.is_empty()
+    }
+}
+
+impl Controller {
+    pub(super) fn planning_due(&mut self) {
+        let now = self.now.monotonic_ms;
+        let may_plan = self.store_is_usable() && !self.starts_are_blocked();
+        if may_plan && self.leader.as_ref().is_some_and(|leader| leader.is_pass_due(now)) {
+            self.run_pass();
+        }
+    }
+
+    fn run_pass(&mut self) {
+        let clock = self.now;
+        let now = clock.monotonic_ms;
+        let Some(catalog) = self.cloud.catalog() else {
+            return;
+        };
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        leader.passes.note_pass(self.operator.pass_period_ms, now);
+        let shares_are_known = leader.shares.len() == self.settings.params.teams.len();
+        if !leader.cluster.has_waiting_tasks() && shares_are_known {
+            // There is nothing to place, to make room for or to reserve.
+            leader.reservation = None;
+            leader.fleet.none_unplaced();
+            return;
+        }
+        let work = &mut self.metrics.work;
+        work.planner_passes += 1;
+        work.planner_machines += leader.cluster.machines.len() as u64;
+        let mut input =
+            PlannerInput::of_cluster(leader, &self.settings, &self.operator, catalog, clock);
+        leader.move_shares(&mut input);
+        let plan = planner::plan(&input.snapshot);
+        work.planner_places += plan.candidates_examined;
+        leader.adopt_plan(&plan, &input, catalog, now);
+    }
+}
+
+impl Leader {
+    /// Moves shares to the team of the oldest waiting job, and puts them into the planner's input.
+    fn move_shares(&mut self, input: &mut PlannerInput) {
+        let shares = planner::move_shares(&input.snapshot, self.shares.clone());
+        if shares != self.shares {
+            self.shares = shares;
+            self.transactions.note_shares_changed();
+        }
+        for (team, share) in input.snapshot.teams.iter_mut().zip(&self.shares) {
+            team.share_permille = *share;
+        }
+    }
+
+    /// Proposes and stops what a pass has decided.
+    fn adopt_plan(&mut self, plan: &Plan, input: &PlannerInput, catalog: &Catalog, now: u64) {
+        self.reservation = plan
+            .reservation
+            .map(|(job, machine, _)| (input.jobs[job].clone(), input.machines[machine].clone()));
+        let mut gangs: BTreeMap<usize, Vec<MachineName>> = BTreeMap::new();
+        for (job, machine) in &plan.placements {
+            let machine_name = &input.machines[*machine];
+            if input.snapshot.jobs[*job].is_gang {
+                gangs.entry(*job).or_default().push(machine_name.clone());
+            } else {
+                self.propose_task(&input.jobs[*job], machine_name, now);
+            }
+        }
+        for (job, machines) in gangs {
+            self.propose_attempt_of_gang(&input.jobs[job], &machines, now);
+        }
+        for (machine, handle) in &plan.preemptions {
+            self.preempt(&input.machines[*machine], &input.handles[*machine][*handle], now);
+        }
+        self.fleet.note_unplaced(input, plan, catalog);
+    }
+
+    fn propose_task(&mut self, uid: &JobId, machine: &MachineName, now: u64) {
+        let job = self.cluster.jobs.get(uid);
+        let Some(task) = job.and_then(|job| job.next_waiting()) else { return };
+        let attempt = self.unique();
+        self.cluster.propose(uid, task, machine, attempt, now);
+        log::debug!("{uid}/{task}: placed on {machine}, attempt {attempt}");
+    }
+
+    fn propose_attempt_of_gang(&mut self, uid: &JobId, machines: &[MachineName], now: u64) {
+        let attempt = self.unique();
+        if self.cluster.propose_gang(uid, machines, attempt, now) {
+            log::debug!("{uid}: gang placed on {}, attempt {attempt}", machines.join(", "));
+        } else {
+            log::error!("{uid}: a part of a gang is not placed");
+        }
+    }
+
+    /// Stops a task, or the whole gang that it belongs to, to make room.
+    fn preempt(&mut self, machine_name: &MachineName, id: &TaskId, now: u64) {
+        if self.cluster.jobs.get(&id.job).is_some_and(|job| job.is_gang()) {
+            log::debug!("{}: gang stopped to make room", id.job);
+            return self.stop_gang(&id.job, StopReason::Eviction, now);
+        }
+        let machine = self.cluster.machines.get_mut(machine_name);
+        let Some(placement) = machine.and_then(|machine| machine.placements.get_mut(id)) else {
+            return;
+        };
+        log::debug!("{id}: stopped on {machine_name} to make room");
+        placement.stop_reason = placement.stop_reason.max(Some(StopReason::Eviction));
+        if was_never_ordered(placement, self.term) {
+            // It can't be there, so its place is free at once.
+            self.cluster.settle(machine_name, id, EndCause::Lost);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/leadership.rs
@@ -0,0 +1,107 @@
+//! Holding the leader key: renewing its lease, and giving leadership up.
+
+use super::election::{follower_write_share, leader_write_share};
+use super::{CallPurpose, Controller};
+use crate::constants::{LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS};
+use crate::protocol::http::Response;
+use crate::storage::records::leader_key;
+
+/// The lease of the leader key.
+#[derive(Debug)]
+pub(super) struct LeaderLease {
+    id: u64,
+    renew_at: u64,
+    renewal_in_flight: bool,
+}
+
+impl LeaderLease {
+    /// A lease that has just been granted.
+    pub(super) fn new(id: u64, now: u64) -> LeaderLease {
+        LeaderLease { id, renew_at: now + LEADER_RENEW_MS, renewal_in_flight: false }
+    }
+}
+
+impl Controller {
+    /// Renews the lease of the leader key when it is time.
+    pub(super) fn renew_leader_lease_due(&mut self) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        let lease = &mut leader.lease;
+        if lease.renewal_in_flight || now < lease.renew_at {
+            return;
+        }
+        lease.renewal_in_flight = true;
+        lease.renew_at = now + LEADER_RENEW_MS;
+        let lease_id = lease.id;
+        let path = format!("/holds/{lease_id}/renew");
+        let purpose = CallPurpose::Renew { lease_id };
+        self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEW_CALL_MS, purpose);
+    }
+
+    pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, reply: Option<Response>) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.lease.id == lease_id) else {
+            return;
+        };
+        leader.lease.renewal_in_flight = false;
+        match reply {
+            Some(Response { status: 200..=299, .. }) => {}
+            Some(Response { status: 404, .. }) => {
+                self.step_down("the lease has expired");
+                self.suspect_stale_leader_key();
+            }
+            _ => leader.lease.renew_at = now + STATE_RETRY_MS,
+        }
+    }
+
+    /// Steps down when someone has a higher term, or our key is not ours any more.
+    pub(super) fn check_term(&mut self) {
+        let Some(leader) = &self.leader else { return };
+        if self.membership.highest_term() > leader.term {
+            return self.step_down("there is a higher term");
+        }
+        let replica = self.store.replica();
+        let key_was_read = replica.revision >= leader.mod_revision;
+        if key_was_read && replica.mod_revision(&leader_key()) != leader.mod_revision {
+            self.step_down("the leader key is not ours");
+        }
+    }
+
+    /// Leads no longer. What waited for this leader is redirected.
+    pub(super) fn step_down(&mut self, reason: &str) {
+        let Some(leader) = self.leader.take() else { return };
+        self.abandon_rebuild();
+        log::info!("no longer leads in term {}: {reason}", leader.term);
+        self.set_state_rates();
+        self.cloud.set_follower_rate(self.settings.controllers(), self.now.monotonic_ms);
+        for heartbeat in leader.deferred_heartbeats {
+            self.redirect(heartbeat.connection());
+        }
+    }
+
+    /// Gives leadership up so that a controller that hears the workers can take it.
+    pub(super) fn hand_over(&mut self, reason: &str) {
+        let Some(leader) = &self.leader else { return };
+        self.revoke_lease(leader.lease.id);
+        self.election.rest_after_handover(self.now.monotonic_ms);
+        self.step_down(reason);
+    }
+
+    /// Ends a lease at once, and with it the leader key.
+    pub(super) fn revoke_lease(&mut self, lease_id: u64) {
+        let path = format!("/holds/{lease_id}");
+        self.state_call("DELETE", path, vec![], STATE_CALL_MS, CallPurpose::StepDown);
+    }
+
+    /// Sets this controller's part of what the state service allows all of them.
+    pub(super) fn set_state_rates(&mut self) {
+        let controllers = self.settings.controllers();
+        let write_share = match self.leader.is_some() {
+            true => leader_write_share(controllers),
+            false => follower_write_share(controllers),
+        };
+        self.store.set_rates(controllers, write_share, self.now.monotonic_ms);
+    }
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -7,17 +7,16 @@
 //! * [`store_client`]: the copy of the state service's store, reads and request rates;
 //! * [`cloud_client`]: the rate of the cloud's requests, the catalogue of machine types;
 //! * [`membership`]: what peers say, the highest term heard of, lease extension;
-//! * [`election`]: taking and giving up leadership;
+//! * [`election`] and [`leadership`]: taking, holding and giving up the leader key;
 //! * [`leader`]: the state of a term, planning passes, transactions, [`fleet`] and [`gangs`];
 //! * [`heartbeats`]: what workers' heartbeats prove, and the commands in their responses;
+//! * [`transactions`]: the leader's write-ahead transactions, and what becomes of them;
 //! * [`requests`]: users' submissions, polls and cancellations;
 //! * [`recovery`]: noticing that the store has lost data, and rebuilding it;
 //! * [`outbox`]: effects, and calls that are not answered yet;
 //! * [`metrics`] and [`status`]: what operators are told.
 
 mod cloud_client;
-mod commit_places;
-mod commits;
 mod deadline_triage;
 mod election;
 mod fleet;
@@ -25,6 +24,7 @@
 mod heartbeats;
 mod interface;
 mod leader;
+mod leadership;
 mod membership;
 pub mod metrics;
 mod outbox;
@@ -35,6 +35,7 @@
 pub mod status;
 mod store_client;
 mod store_isolation;
+mod transactions;
 mod wait_reason;
 
 pub use interface::{CallId, Clock, Command, ConnectionId, Effect, Service};
--- /dev/null
+++ b/src/coordination/transactions/done_tasks.rs
@@ -0,0 +1,174 @@
+//! Bitmaps of done tasks, which stand in groups of one key each.
+
+use super::builder::TransactionBuilder;
+use super::pending::PendingTransaction;
+use crate::constants::GROUP_FRAME_BYTES;
+use crate::protocol::state::raw;
+use crate::storage::cluster::{ClusterState, DoneGroup};
+use crate::storage::records::{chunk_name, done_tasks_key, DoneTasksRecord, JobId};
+
+/// A chunk of a job's bitmap, with the bytes that it takes at the most.
+type SizedChunk = ((JobId, u32), usize);
+
+impl ClusterState {
+    /// Bitmaps that changed, as far as they fit beside `writes_kept` other writes.
+    pub(super) fn pack_done_tasks(
+        &mut self,
+        builder: &mut TransactionBuilder,
+        pending: &mut PendingTransaction,
+        writes_kept: usize,
+    ) {
+        self.mark_groups_of_changed_chunks(pending, builder.value_bytes_max - GROUP_FRAME_BYTES);
+        let is_dirty = |(_, group): &(&u32, &DoneGroup)| group.dirty;
+        let dirty_groups: Vec<u32> =
+            self.done_groups.iter().filter(is_dirty).map(|(number, _)| *number).collect();
+        for number in dirty_groups {
+            if !self.divide_done_group(number, builder, pending) {
+                continue;
+            }
+            let has_room = builder.has_room(1 + writes_kept, 1);
+            if !has_room || !self.pack_done_group(number, builder, pending) {
+                return;
+            }
+        }
+    }
+
+    /// Gives every changed chunk a group, and marks the groups as changed.
+    fn mark_groups_of_changed_chunks(&mut self, pending: &PendingTransaction, bytes_max: usize) {
+        let changed_chunks: Vec<(JobId, u32)> = self
+            .queue
+            .values()
+            .filter_map(|uid| self.jobs.get(uid))
+            .filter(|job| !pending.finished_jobs.contains(&job.uid))
+            .flat_map(|job| job.dirty_chunks.iter().map(|chunk| (job.uid.clone(), *chunk)))
+            .collect();
+        for (uid, chunk) in changed_chunks {
+            let Some(job) = self.jobs.get(&uid) else { continue };
+            let bytes = job.chunk_bytes(chunk);
+            let group = match job.chunk_groups.get(&chunk) {
+                Some(group) => *group,
+                None => self.assign_done_group(&uid, chunk, bytes, bytes_max),
+            };
+            self.done_groups.entry(group).or_default().dirty = true;
+        }
+    }
+
+    /// Puts a chunk into the first group with room for it, or into a new one.
+    fn assign_done_group(
+        &mut self,
+        uid: &JobId,
+        chunk: u32,
+        bytes: usize,
+        bytes_max: usize,
+    ) -> u32 {
+        let open = self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
+        let number = open.map(|(number, _)| *number).unwrap_or_else(|| self.unused_done_group());
+        let group = self.done_groups.entry(number).or_default();
+        group.bytes += bytes;
+        group.chunks.insert((uid.clone(), chunk), bytes);
+        if let Some(job) = self.jobs.get_mut(uid) {
+            job.chunk_groups.insert(chunk, number);
+        }
+        number
+    }
+
+    fn unused_done_group(&self) -> u32 {
+        (0..).find(|number| !self.done_groups.contains_key(number)).unwrap_or(0)
+    }
+
+    /// Writes one group of bitmaps; false if it does not fit.
+    fn pack_done_group(
+        &mut self,
+        number: u32,
+        builder: &mut TransactionBuilder,
+        pending: &mut PendingTransaction,
+    ) -> bool {
+        let Some(group) = self.done_groups.get_mut(&number) else { return true };
+        let mut record = DoneTasksRecord::default();
+        for (uid, chunk) in group.chunks.keys() {
+            if let Some(job) = self.jobs.get(uid) {
+                record.bits.insert(chunk_name(uid, *chunk), job.done.chunk_text(*chunk));
+            }
+        }
+        if !builder.put(done_tasks_key(number), raw(&record), group.mod_revision) {
+            return false;
+        }
+        group.dirty = false;
+        pending.done_groups.push(number);
+        for (uid, chunk) in group.chunks.keys() {
+            let Some(job) = self.jobs.get_mut(uid) else { continue };
+            if job.dirty_chunks.remove(chunk) {
+                pending.done_chunks.push((uid.clone(), *chunk));
+            }
+        }
+        true
+    }
+
+    /// Makes a group of bitmaps fit into a value if it was written when values might be larger: chunks
+    /// go to groups of their own, which this transaction writes too. A chunk that stands in two groups is
+    /// read from both, so the parts are written before the rest. False if the transaction has no room.
+    fn divide_done_group(
+        &mut self,
+        number: u32,
+        builder: &mut TransactionBuilder,
+        pending: &mut PendingTransaction,
+    ) -> bool {
+        let bytes_max = builder.value_bytes_max - GROUP_FRAME_BYTES;
+        let group = self.done_groups.get(&number).filter(|group| group.bytes > bytes_max);
+        let Some(group) = group else { return true };
+        let parts = parts_to_move(group, bytes_max);
+        if !builder.has_room(parts.len() + 1, parts.len() + 1) {
+            return false;
+        }
+        log::info!("group {number} of bitmaps: divided into {}", parts.len() + 1);
+        for part in parts {
+            let target = self.unused_done_group();
+            self.move_chunks(number, target, part);
+            if !self.pack_done_group(target, builder, pending) {
+                return false;
+            }
+        }
+        true
+    }
+
+    fn move_chunks(&mut self, source: u32, target: u32, chunks: Vec<SizedChunk>) {
+        for ((uid, chunk), bytes) in chunks {
+            if let Some(group) = self.done_groups.get_mut(&source) {
+                group.bytes -= group.chunks.remove(&(uid.clone(), chunk)).unwrap_or(0);
+            }
+            if let Some(job) = self.jobs.get_mut(&uid) {
+                job.chunk_groups.insert(chunk, target);
+            }
+            let group = self.done_groups.entry(target).or_default();
+            group.bytes += bytes;
+            group.chunks.insert((uid, chunk), bytes);
+            group.dirty = true;
+        }
+    }
+}
+
+/// What has to leave a group so that it takes no more than `bytes_max`, in parts that take no more
+/// either.
+fn parts_to_move(group: &DoneGroup, bytes_max: usize) -> Vec<Vec<SizedChunk>> {
+    let mut parts: Vec<Vec<SizedChunk>> = Vec::new();
+    let mut bytes_kept = 0;
+    let mut bytes_of_last = 0;
+    for (chunk, bytes) in &group.chunks {
+        if bytes_kept + bytes <= bytes_max {
+            bytes_kept += bytes;
+            continue;
+        }
+        let sized = (chunk.clone(), *bytes);
+        match parts.last_mut().filter(|_| bytes_of_last + bytes <= bytes_max) {
+            Some(part) => {
+                bytes_of_last += bytes;
+                part.push(sized);
+            }
+            None => {
+                bytes_of_last = *bytes;
+                parts.push(vec![sized]);
+            }
+        }
+    }
+    parts
+}
--- /dev/null
+++ b/src/coordination/transactions/images.rs
@@ -0,0 +1,52 @@
+//! The images on machines, which a new leader takes for hints until the machines report.
+
+use crate::constants::GROUP_FRAME_BYTES;
+use crate::storage::cluster::ClusterState;
+use crate::storage::machine::{Machine, MachineState};
+use crate::storage::records::ImagesRecord;
+
+/// Bytes that an image takes in a record beside its name: its size, quotes and brackets.
+const IMAGE_FRAME_BYTES: usize = 24;
+/// Bytes that a machine takes beside its name: quotes, colon and brackets.
+const MACHINE_FRAME_BYTES: usize = 8;
+/// Bytes of an image's index in the list of a machine, with its comma.
+const INDEX_BYTES: usize = 5;
+
+impl ClusterState {
+    /// The images on machines, in parts that fit into a value each.
+    pub(super) fn image_records(&self, value_bytes_max: usize) -> Vec<ImagesRecord> {
+        let mut parts: Vec<ImagesRecord> = Vec::new();
+        let mut bytes = value_bytes_max;
+        let holds_images =
+            |m: &&Machine| !m.images.is_empty() && m.state != MachineState::Terminated;
+        for machine in self.machines.values().filter(holds_images) {
+            let image_bytes: usize =
+                machine.images.iter().map(|(image, _)| image.len() + IMAGE_FRAME_BYTES).sum();
+            let machine_bytes =
+                machine.name.len() + MACHINE_FRAME_BYTES + machine.images.len() * INDEX_BYTES;
+            if bytes + image_bytes + machine_bytes + GROUP_FRAME_BYTES > value_bytes_max {
+                parts.push(ImagesRecord::default());
+                bytes = 0;
+            }
+            let Some(part) = parts.last_mut() else { continue };
+            bytes += machine_bytes + add_machine(part, machine);
+        }
+        parts
+    }
+}
+
+/// Adds a machine; each image is named once a part. Gives the bytes of the names that were added.
+fn add_machine(part: &mut ImagesRecord, machine: &Machine) -> usize {
+    let mut bytes = 0;
+    let mut indices = Vec::new();
+    for (image, size_gb) in &machine.images {
+        let known = part.images.iter().position(|(name, _)| name == image);
+        indices.push(known.unwrap_or(part.images.len()));
+        if known.is_none() {
+            part.images.push((image.clone(), *size_gb));
+            bytes += image.len() + IMAGE_FRAME_BYTES;
+        }
+    }
+    part.held.insert(machine.name.to_string(), indices);
+    bytes
+}
--- /dev/null
+++ b/src/coordination/transactions/outcome.rs
@@ -0,0 +1,274 @@
+//! Sending the transaction under way, and what becomes of it.
+//!
+//! A transaction with no answer is sent again as it was until it is answered. After a refusal a fresh read
+//! tells whether an earlier copy was applied. The leader's state changes only once that is known.
+
+use super::pending::{PendingTransaction, PlacementEntry};
+use crate::constants::{STATE_CALL_MS, STATE_RETRY_MS};
+use crate::coordination::{CallPurpose, Controller, Leader};
+use crate::protocol::http::Response;
+use crate::protocol::state::{
+    Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
+};
+use crate::storage::machine::PlacementPhase;
+use crate::storage::records::{done_tasks_key, leader_key, placements_key, JobId, JobStage};
+use crate::storage::replica::Replica;
+use mountgap_recovery::audit::DataLoss;
+use std::collections::BTreeSet;
+
+impl Controller {
+    /// Sends the transaction under way as soon as there are writes for it.
+    pub(super) fn send_transaction(&mut self) {
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(pending) = leader.transactions.pending.as_mut() else { return };
+        let writes = pending.transaction.writes.len();
+        if !self.store.take_writes(writes as f64, 0.0, now) {
+            return;
+        }
+        pending.in_flight = true;
+        let body = pending.body.clone();
+        let purpose = CallPurpose::LeaderCommit { term: leader.term };
+        self.metrics.work.state_writes += writes as u64;
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+    }
+
+    pub(in crate::coordination) fn on_leader_commit_response(
+        &mut self,
+        term: u64,
+        reply: Option<Response>,
+    ) {
+        let now = self.now.monotonic_ms;
+        // An answer to a transaction of an earlier term of ours says nothing about this one's.
+        let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else {
+            return;
+        };
+        let Some(pending) = leader.transactions.pending.as_mut() else { return };
+        pending.in_flight = false;
+        match reply {
+            Some(Response { status: 200, body }) => {
+                match serde_json::from_slice::<TransactionApplied>(&body) {
+                    Ok(applied) => self.on_transaction_applied(applied.revision),
+                    Err(_) => pending.outcome_unknown = true,
+                }
+            }
+            Some(Response { status: 409, body }) => self.on_transaction_conflict(&body),
+            // Not executed: if no earlier copy can have been, it is built anew.
+            Some(Response { status: 429 | 503, .. }) => {
+                pending.not_before = now + STATE_RETRY_MS;
+                if !pending.outcome_unknown {
+                    self.discard_pending_transaction();
+                }
+            }
+            Some(response) => {
+                pending.not_before = now + STATE_RETRY_MS;
+                self.on_transaction_rejected(&response);
+            }
+            None => pending.outcome_unknown = true,
+        }
+    }
+
+    fn on_transaction_applied(&mut self, revision: u64) {
+        let Some(leader) = &self.leader else { return };
+        let known = leader.mod_revision;
+        if revision <= known && self.recovery.notices_losses() {
+            let loss = DataLoss::RevisionRegressed { known, shown: revision };
+            return self.suspect_data_loss(Some(loss));
+        }
+        self.apply_pending_transaction(revision);
+    }
+
+    /// A condition did not hold: another copy was applied, or somebody else has changed a key.
+    fn on_transaction_conflict(&mut self, body: &[u8]) {
+        let conflict = serde_json::from_slice::<TransactionConflict>(body);
+        let failed_keys = conflict.map(|conflict| conflict.failed).unwrap_or_default();
+        log::debug!("commit refused: {failed_keys:?}");
+        let now = self.now.monotonic_ms;
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(pending) = leader.transactions.pending.as_mut() else { return };
+        if !pending.outcome_unknown && failed_keys.contains(&leader_key()) {
+            self.step_down("the leader key has changed");
+            return self.suspect_stale_leader_key();
+        }
+        pending.awaiting_read_since = Some(now);
+        self.request_leader_read();
+    }
+
+    /// The state service takes it for malformed, or answers what it should not.
+    fn on_transaction_rejected(&mut self, response: &Response) {
+        let Response { status, body } = response;
+        log::error!("commit answered {status}: {}", String::from_utf8_lossy(body));
+        let is_malformed = *status == 400;
+        if is_malformed {
+            self.store.halve_size_limits();
+        }
+        let Some(leader) = &self.leader else { return };
+        let pending = leader.transactions.pending.as_ref();
+        match pending.is_some_and(|pending| pending.outcome_unknown) {
+            // Sent again it would be refused for ever, and built anew it might be stored
+            // twice. A new term settles that: earlier copies depend on this one's key.
+            true if is_malformed => {
+                self.step_down("a commit that may be stored is too large by now");
+            }
+            true => {}
+            false => self.discard_pending_transaction(),
+        }
+    }
+
+    /// A refused transaction, after a fresh read begun at `begun`: applied by an earlier copy, or
+    /// not at all.
+    pub(in crate::coordination) fn resolve_unknown_outcome(&mut self, begun: u64) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(pending) = leader.transactions.pending.as_mut() else { return };
+        let Some(since) = pending.awaiting_read_since else { return };
+        if begun < since {
+            // A read from before the refusal can't tell.
+            return self.request_leader_read();
+        }
+        pending.awaiting_read_since = None;
+        let replica = self.store.replica();
+        if pending.outcome_unknown {
+            return match pending.applied_at(replica) {
+                Some(revision) => self.apply_pending_transaction(revision),
+                None => self.discard_pending_transaction(),
+            };
+        }
+        let was_refused_for_nothing = pending.conditions_hold(replica);
+        self.discard_pending_transaction();
+        if was_refused_for_nothing {
+            // The copy holds what the store denies: one of them is wrong.
+            self.suspect_data_loss(None);
+        }
+    }
+
+    /// The transaction was not applied and never will be: all of it is to be written again.
+    fn discard_pending_transaction(&mut self) {
+        let replica = self.store.replica();
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(pending) = leader.transactions.pending.take() else { return };
+        leader.restore_done_chunks(&pending);
+        leader.restore_proposals(&pending);
+        leader.restore_groups(&pending, replica);
+        leader.plan_soon(self.now.monotonic_ms);
+        self.check_term();
+    }
+
+    /// The transaction was applied with this revision.
+    fn apply_pending_transaction(&mut self, revision: u64) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        let Some(pending) = leader.transactions.pending.take() else { return };
+        let transaction = leader.apply(pending, revision, self.now.monotonic_ms);
+        self.apply_own_transaction(&transaction, revision);
+    }
+}
+
+impl PendingTransaction {
+    /// Whether all conditions hold as far as the replica tells.
+    fn conditions_hold(&self, replica: &Replica) -> bool {
+        let holds =
+            |condition: &Condition| replica.mod_revision(&condition.key) == condition.mod_revision;
+        self.transaction.conditions.iter().all(holds)
+    }
+
+    /// The revision with which it was applied, if it was. All or nothing: one written key tells.
+    fn applied_at(&self, replica: &Replica) -> Option<u64> {
+        self.transaction.writes.iter().find_map(|mutation| {
+            let Mutation::Put { key, value, .. } = mutation else {
+                return None;
+            };
+            let condition = self.transaction.conditions.iter().find(|c| c.key == *key)?;
+            let mod_revision = replica.mod_revision(key);
+            let was_written = mod_revision > condition.mod_revision && replica.holds(key, value);
+            was_written.then_some(mod_revision)
+        })
+    }
+}
+
+impl Leader {
+    fn restore_done_chunks(&mut self, pending: &PendingTransaction) {
+        for (uid, chunk) in &pending.done_chunks {
+            let job = self.cluster.jobs.get_mut(uid);
+            let Some(job) = job.filter(|job| job.stage == JobStage::Live) else { continue };
+            job.dirty_chunks.insert(*chunk);
+            if let Some(group) = job.chunk_groups.get(chunk) {
+                self.cluster.done_groups.entry(*group).or_default().dirty = true;
+            }
+        }
+    }
+
+    fn restore_proposals(&mut self, pending: &PendingTransaction) {
+        for entry in &pending.additions {
+            if self.is_on_machine(entry) {
+                // On the machine whatever the store says: it must be recorded.
+                let proposal = (entry.machine.clone(), entry.id.clone());
+                self.cluster.proposals.push_back(proposal);
+            } else {
+                self.cluster.retract(&entry.machine, &entry.id);
+            }
+        }
+        let jobs: BTreeSet<&JobId> = pending.additions.iter().map(|entry| &entry.id.job).collect();
+        for uid in jobs {
+            let job = self.cluster.jobs.get_mut(uid);
+            if let Some(gang) = job.and_then(|job| job.gang.as_mut()) {
+                gang.forget_attempt();
+            }
+        }
+    }
+
+    fn is_on_machine(&self, entry: &PlacementEntry) -> bool {
+        let machine = self.cluster.machines.get(&entry.machine);
+        let placement = machine.and_then(|machine| machine.placements.get(&entry.id));
+        placement.is_some_and(|placement| {
+            placement.attempt == entry.attempt && placement.phase == PlacementPhase::Committed
+        })
+    }
+
+    /// Revisions of keys that changed under us are taken from the replica. Only our own
+    /// earlier transactions and users' requests write, so nothing is lost by that.
+    fn restore_groups(&mut self, pending: &PendingTransaction, replica: &Replica) {
+        for number in &pending.groups {
+            if let Some(group) = self.cluster.groups.get_mut(number) {
+                group.mod_revision = replica.mod_revision(&placements_key(*number));
+                group.urgent |= !group.settled.is_empty();
+            }
+        }
+        for number in &pending.done_groups {
+            if let Some(group) = self.cluster.done_groups.get_mut(number) {
+                group.mod_revision = replica.mod_revision(&done_tasks_key(*number));
+            }
+        }
+        for stale in &pending.stale_keys {
+            // Only what is still as it was: it may have come into use again.
+            let is_unchanged = replica.mod_revision(&stale.key) == stale.mod_revision;
+            if is_unchanged && stale.mod_revision != 0 {
+                self.cluster.stale_keys.push((stale.key.clone(), stale.mod_revision));
+            }
+        }
+    }
+
+    /// Takes over into the state of the cluster what a transaction has stored; gives the transaction.
+    fn apply(&mut self, pending: PendingTransaction, revision: u64, now: u64) -> Transaction {
+        let cluster = &mut self.cluster;
+        for number in &pending.groups {
+            cluster.groups.entry(*number).or_default().mod_revision = revision;
+        }
+        for number in &pending.done_groups {
+            cluster.done_groups.entry(*number).or_default().mod_revision = revision;
+        }
+        for uid in &pending.finished_jobs {
+            log::debug!("{uid}: done");
+            cluster.end_job(uid, JobStage::Done);
+        }
+        cluster.apply_moves(pending.moves);
+        for entry in &pending.removals {
+            cluster.apply_removal(entry);
+        }
+        for entry in &pending.additions {
+            cluster.apply_addition(entry);
+        }
+        if !pending.removals.is_empty() {
+            self.plan_soon(now);
+        }
+        pending.transaction
+    }
+}
--- /dev/null
+++ b/src/coordination/transactions/placements/group_fill.rs
@@ -0,0 +1,65 @@
+//! Which groups of placements a transaction writes, and how full each will be.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The groups that a transaction writes, and how full each group will be.
+#[derive(Debug, Clone)]
+pub(super) struct GroupFill {
+    /// Bytes of every group once what may be taken out of it is.
+    pub(super) bytes: BTreeMap<u32, usize>,
+    /// Groups that are written.
+    pub(super) chosen: BTreeSet<u32>,
+    /// Groups that may be written at the most.
+    pub(super) groups_max: usize,
+    /// Bytes of a group at the most.
+    pub(super) bytes_max: usize,
+}
+
+impl GroupFill {
+    /// Whether there is room for so many bytes in a group.
+    fn has_room(&self, group: u32, bytes: usize) -> bool {
+        self.bytes.get(&group).is_some_and(|used| used + bytes <= self.bytes_max)
+    }
+
+    /// Whether a group holds more than a value may by now.
+    pub(super) fn is_oversized(&self, group: u32) -> bool {
+        self.bytes.get(&group).is_some_and(|used| *used > self.bytes_max)
+    }
+
+    /// Writes a group if that is not one too many.
+    pub(super) fn choose(&mut self, group: u32) {
+        if self.chosen.len() < self.groups_max {
+            self.chosen.insert(group);
+        }
+    }
+
+    /// Takes room for one placement: in a group that is written anyway, else in the emptiest, else
+    /// in a new one.
+    pub(super) fn add(&mut self, bytes: usize) -> Option<u32> {
+        if bytes > self.bytes_max {
+            return None;
+        }
+        let written = self.chosen.iter().copied().find(|group| self.has_room(*group, bytes));
+        let group = match written {
+            Some(group) => group,
+            None if self.chosen.len() >= self.groups_max => return None,
+            None => self.emptiest_with_room(bytes).unwrap_or_else(|| self.unused()),
+        };
+        self.chosen.insert(group);
+        *self.bytes.entry(group).or_default() += bytes;
+        Some(group)
+    }
+
+    fn emptiest_with_room(&self, bytes: usize) -> Option<u32> {
+        let open = self
+            .bytes
+            .iter()
+            .filter(|(group, _)| !self.chosen.contains(group) && self.has_room(**group, bytes));
+        open.min_by_key(|(_, used)| **used).map(|(group, _)| *group)
+    }
+
+    /// The lowest number that no group has.
+    fn unused(&self) -> u32 {
+        (0..).find(|group| !self.bytes.contains_key(group)).unwrap_or(0)
+    }
+}
--- /dev/null
+++ b/src/coordination/transactions/placements/mod.rs
@@ -0,0 +1,288 @@
+//! Placements in a transaction: what starts, what is taken out, and groups that have to be divided.
+//!
+//! Placements stand in groups, one key each. What starts goes to the groups where most room is or has
+//! fallen free, those first whose settlements are urgent. The placements of a gang's attempt go into
+//! one transaction together or wait together. A group that is larger than a value may be by now, because
+//! it was written under higher limits, is divided by one transaction.
+
+mod group_fill;
+mod starts;
+
+use super::builder::{TransactionBuilder, TransactionScope};
+use super::pending::{PendingTransaction, PlacementEntry, PlacementMove};
+use crate::constants::{
+    CLEAN_GROUPS, COMMIT_BYTES, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS, GROUP_FRAME_BYTES,
+};
+use crate::protocol::state::raw;
+use crate::protocol::workers::EndCause;
+use crate::storage::cluster::ClusterState;
+use crate::storage::machine::TaskId;
+use crate::storage::records::{
+    job_end_key, placements_key, JobStage, MachineName, PlacementsRecord, StoredPlacement,
+};
+use group_fill::GroupFill;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Settled placements that may be taken out, by group.
+type RemovableByGroup = BTreeMap<u32, Vec<PlacementEntry>>;
+
+/// Tasks and attempts that leave a group.
+fn attempts_of<'a>(
+    entries: impl IntoIterator<Item = &'a PlacementEntry>,
+) -> BTreeSet<(&'a TaskId, u64)> {
+    entries.into_iter().map(|entry| (&entry.id, entry.attempt)).collect()
+}
+
+impl ClusterState {
+    /// Whether any group holds more than a value may by now.
+    pub(super) fn has_oversized_group(&self, value_bytes: usize) -> bool {
+        self.groups.values().any(|group| group.bytes + GROUP_FRAME_BYTES > value_bytes)
+    }
+
+    /// Starts and settlements.
+    pub(super) fn pack_placements(
+        &mut self,
+        builder: &mut TransactionBuilder,
+        pending: &mut PendingTransaction,
+        is_periodic: bool,
+        scope: TransactionScope,
+    ) {
+        let mut removable = self.removable_by_group(pending);
+        let mut fill = self.group_fill(builder, &removable);
+        if scope == TransactionScope::DivideGroup {
+            self.divide_one_group(&mut fill, &removable, pending);
+        }
+        if scope != TransactionScope::StoreGang {
+            self.choose_urgent_groups(&mut fill);
+        }
+        let conditions_taken = builder.conditions.len() + fill.groups_max;
+        let conditions_left = builder.conditions_max.saturating_sub(conditions_taken);
+        let mut additions = self.choose_starts(&mut fill, conditions_left, scope);
+        if is_periodic {
+            choose_groups_to_clean(&mut fill, &removable);
+        }
+        for number in fill.chosen {
+            let removals = removable.remove(&number).unwrap_or_default();
+            if self.pack_group(number, &removals, &additions, builder, pending) {
+                pending.groups.push(number);
+                pending.removals.extend(removals);
+                continue;
+            }
+            log::error!("group {number} does not fit into the commit");
+            for entry in additions.extract_if(.., |entry| entry.group == number) {
+                self.proposals.push_back((entry.machine, entry.id));
+            }
+        }
+        for entry in &additions {
+            if self.is_live(&entry.id.job) {
+                builder.conditions.insert(job_end_key(&entry.id.job), 0);
+            }
+        }
+        pending.additions = additions;
+    }
+
+    fn is_live(&self, uid: &str) -> bool {
+        self.jobs.get(uid).is_some_and(|job| job.stage == JobStage::Live)
+    }
+
+    /// Whether a settled placement may be taken out of the store: what it did must be there.
+    fn may_be_removed(
+        &self,
+        machine: &MachineName,
+        id: &TaskId,
+        pending: &PendingTransaction,
+    ) -> bool {
+        let machine = self.machines.get(machine);
+        let cause = machine.and_then(|machine| machine.placements.get(id)?.settled);
+        if cause != Some(EndCause::Done) || pending.finished_jobs.contains(&id.job) {
+            return true;
+        }
+        let chunk = id.index / DONE_CHUNK_TASKS;
+        self.jobs
+            .get(&id.job)
+            .is_none_or(|job| job.stage != JobStage::Live || !job.dirty_chunks.contains(&chunk))
+    }
+
+    fn removable_by_group(&self, pending: &PendingTransaction) -> RemovableByGroup {
+        let mut removable = RemovableByGroup::new();
+        for (number, group) in &self.groups {
+            for key in &group.settled {
+                let Some((machine, bytes)) = group.placements.get(key) else { continue };
+                let (id, attempt) = key;
+                if self.may_be_removed(machine, id, pending) {
+                    removable.entry(*number).or_default().push(PlacementEntry {
+                        group: *number,
+                        machine: machine.clone(),
+                        id: id.clone(),
+                        attempt: *attempt,
+                        bytes: *bytes,
+                    });
+                }
+            }
+        }
+        removable
+    }
+
+    fn group_fill(&self, builder: &TransactionBuilder, removable: &RemovableByGroup) -> GroupFill {
+        let removable_bytes = |number: &u32| {
+            let entries = removable.get(number).into_iter().flatten();
+            entries.map(|entry| entry.bytes).sum::<usize>()
+        };
+        let bytes_left = (COMMIT_BYTES - COMMIT_FRAME_BYTES).saturating_sub(builder.bytes);
+        let groups_by_bytes = bytes_left / builder.value_bytes_max.max(1);
+        let writes_left = builder.writes_max.saturating_sub(builder.writes.len());
+        let groups = self.groups.iter();
+        GroupFill {
+            bytes: groups
+                .map(|(number, group)| (*number, group.bytes - removable_bytes(number)))
+                .collect(),
+            chosen: BTreeSet::new(),
+            groups_max: writes_left.min(groups_by_bytes),
+            bytes_max: builder.value_bytes_max - GROUP_FRAME_BYTES,
+        }
+    }
+
+    fn choose_urgent_groups(&self, fill: &mut GroupFill) {
+        for (number, group) in &self.groups {
+            if group.urgent && !fill.is_oversized(*number) {
+                fill.choose(*number);
+            }
+        }
+    }
+
+    /// Divides one group that is larger than a value may be, if the transaction can hold all its parts:
+    /// an urgent one if there is any.
+    fn divide_one_group(
+        &self,
+        fill: &mut GroupFill,
+        removable: &RemovableByGroup,
+        pending: &mut PendingTransaction,
+    ) {
+        let oversized = self.groups.iter().filter(|(number, _)| fill.is_oversized(**number));
+        let oversized = oversized.min_by_key(|(number, group)| (!group.urgent, **number));
+        let Some((number, group)) = oversized else { return };
+        let leaving = attempts_of(removable.get(number).into_iter().flatten());
+        let mut divided = fill.clone();
+        divided.chosen.insert(*number);
+        // Nothing is added to the group itself.
+        divided.bytes.insert(*number, divided.bytes_max);
+        let mut bytes_kept = 0;
+        let mut moves = Vec::new();
+        for ((id, attempt), (machine, bytes)) in &group.placements {
+            if leaving.contains(&(id, *attempt)) {
+                continue;
+            }
+            if bytes_kept + bytes <= divided.bytes_max {
+                bytes_kept += bytes;
+                continue;
+            }
+            let Some(target) = divided.add(*bytes) else { return };
+            let entry = PlacementEntry {
+                group: target,
+                machine: machine.clone(),
+                id: id.clone(),
+                attempt: *attempt,
+                bytes: *bytes,
+            };
+            moves.push(PlacementMove { from: *number, entry });
+        }
+        log::info!("group {number}: divided, {} placements move", moves.len());
+        *fill = divided;
+        pending.moves = moves;
+    }
+
+    /// Writes one group with what stays, what is added and what moves; false if it does not fit.
+    fn pack_group(
+        &mut self,
+        number: u32,
+        removals: &[PlacementEntry],
+        additions: &[PlacementEntry],
+        builder: &mut TransactionBuilder,
+        pending: &PendingTransaction,
+    ) -> bool {
+        let group = self.groups.entry(number).or_default();
+        let moved_away = pending.moves.iter().filter(|moved| moved.from == number);
+        let leaving = attempts_of(removals.iter().chain(moved_away.map(|moved| &moved.entry)));
+        let staying =
+            group.placements.iter().filter(|((id, attempt), _)| !leaving.contains(&(id, *attempt)));
+        let mut texts: Vec<String> = staying
+            .filter_map(|((id, attempt), (machine, _))| {
+                StoredPlacement::text(&id.job, id.index, machine, *attempt)
+            })
+            .collect();
+        let moved = pending.moves.iter().map(|moved| &moved.entry);
+        let arriving = additions.iter().chain(moved).filter(|entry| entry.group == number);
+        texts.extend(arriving.filter_map(|entry| {
+            let PlacementEntry { id, machine, attempt, .. } = entry;
+            StoredPlacement::text(&id.job, id.index, machine, *attempt)
+        }));
+        let record = PlacementsRecord { tasks: texts.join(" ") };
+        if !builder.put(placements_key(number), raw(&record), group.mod_revision) {
+            return false;
+        }
+        group.urgent = false;
+        true
+    }
+
+    /// Notes that placements were moved to other groups, with what was settled of them meanwhile.
+    pub(super) fn apply_moves(&mut self, moves: Vec<PlacementMove>) {
+        for PlacementMove { from, entry } in moves {
+            let key = (entry.id.clone(), entry.attempt);
+            let Some(source) = self.groups.get_mut(&from) else { continue };
+            let is_settled = source.settled.remove(&key);
+            let is_urgent = is_settled && source.urgent;
+            if let Some((_, bytes)) = source.placements.remove(&key) {
+                source.bytes -= bytes;
+            }
+            let target = self.groups.entry(entry.group).or_default();
+            target.bytes += entry.bytes;
+            target.placements.insert(key.clone(), (entry.machine.clone(), entry.bytes));
+            target.urgent |= is_urgent;
+            if is_settled {
+                target.settled.insert(key);
+            }
+            let machine = self.machines.get_mut(&entry.machine);
+            let placement = machine.and_then(|machine| machine.placements.get_mut(&entry.id));
+            if let Some(placement) = placement.filter(|p| p.attempt == entry.attempt) {
+                placement.group = Some(entry.group);
+            }
+        }
+    }
+
+    /// A settled placement was taken out of its group.
+    pub(super) fn apply_removal(&mut self, entry: &PlacementEntry) {
+        if let Some(group) = self.groups.get_mut(&entry.group) {
+            let key = (entry.id.clone(), entry.attempt);
+            group.settled.remove(&key);
+            if let Some((_, bytes)) = group.placements.remove(&key) {
+                group.bytes -= bytes;
+            }
+        }
+        self.settlement_committed(&entry.machine, &entry.id, entry.attempt);
+    }
+
+    /// A placement was stored.
+    pub(super) fn apply_addition(&mut self, entry: &PlacementEntry) {
+        let group = self.groups.entry(entry.group).or_default();
+        group.bytes += entry.bytes;
+        let key = (entry.id.clone(), entry.attempt);
+        group.placements.insert(key, (entry.machine.clone(), entry.bytes));
+        self.committed(&entry.machine, &entry.id, entry.attempt, entry.group);
+    }
+}
+
+/// Adds the groups with most to take out.
+fn choose_groups_to_clean(fill: &mut GroupFill, removable: &RemovableByGroup) {
+    let mut candidates: Vec<(usize, u32)> = removable
+        .iter()
+        .filter(|(number, _)| !fill.chosen.contains(number) && !fill.is_oversized(**number))
+        .map(|(number, entries)| (entries.len(), *number))
+        .collect();
+    candidates.sort_unstable_by(|a, b| b.cmp(a));
+    for (_, number) in candidates.into_iter().take(CLEAN_GROUPS) {
+        fill.choose(number);
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/coordination/transactions/placements/starts.rs
@@ -0,0 +1,145 @@
+//! Which of the proposed placements a transaction stores.
+
+use super::{GroupFill, PlacementEntry, TransactionScope};
+use crate::storage::cluster::ClusterState;
+use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
+use crate::storage::records::{JobId, MachineName, StoredPlacement};
+use std::collections::{BTreeSet, VecDeque};
+
+/// Placements that are stored together or not at all: one, or all those of a gang's attempt.
+#[derive(Debug, Default)]
+struct PlacementUnit {
+    /// The gang whose attempt it is; none for a single placement.
+    gang: Option<JobId>,
+    placements: Vec<(MachineName, TaskId)>,
+}
+
+/// What becomes of a proposed placement.
+enum ProposalState {
+    /// It is over already.
+    Over,
+    /// It must not be stored any more.
+    Obsolete,
+    /// It can be stored.
+    Storable(PlacementEntry),
+}
+
+impl ClusterState {
+    /// What is proposed and fits, the rest stays proposed. A gang that waits has the next transaction to
+    /// itself; if it does not fit there either, it is taken back.
+    pub(super) fn choose_starts(
+        &mut self,
+        fill: &mut GroupFill,
+        conditions_left: usize,
+        scope: TransactionScope,
+    ) -> Vec<PlacementEntry> {
+        self.gang_is_deferred = false;
+        let mut additions: Vec<PlacementEntry> = Vec::new();
+        let mut jobs: BTreeSet<JobId> = BTreeSet::new();
+        let mut deferred: VecDeque<(MachineName, TaskId)> = VecDeque::new();
+        for unit in self.take_proposed_units() {
+            let Some(entries) = self.storable_entries(&unit) else {
+                self.retract_unit(&unit);
+                continue;
+            };
+            let Some(first) = entries.first() else { continue };
+            let uid = first.id.job.clone();
+            let is_live = self.is_live(&uid);
+            let needs_condition = is_live && !jobs.contains(&uid);
+            let mut filled = fill.clone();
+            let placed = assign_groups(entries, &mut filled);
+            let placed = placed.filter(|_| !needs_condition || jobs.len() < conditions_left);
+            if let Some(placed) = placed {
+                if is_live {
+                    jobs.insert(uid);
+                }
+                *fill = filled;
+                additions.extend(placed);
+                continue;
+            }
+            let is_gang = unit.gang.is_some();
+            if is_gang && scope == TransactionScope::StoreGang && additions.is_empty() {
+                log::error!("{uid}: one commit can't hold all tasks of the gang");
+                self.retract_unit(&unit);
+                continue;
+            }
+            self.gang_is_deferred |= is_gang;
+            deferred.extend(unit.placements);
+        }
+        self.proposals = deferred;
+        additions
+    }
+
+    /// Proposals in their order, those of a gang's attempt together.
+    fn take_proposed_units(&mut self) -> Vec<PlacementUnit> {
+        let mut units: Vec<PlacementUnit> = Vec::new();
+        for (machine, id) in std::mem::take(&mut self.proposals) {
+            let is_gang = self.jobs.get(&id.job).is_some_and(|job| job.is_gang());
+            let placement = self.machines.get(&machine).and_then(|m| m.placements.get(&id));
+            let is_proposed = placement.is_some_and(|p| p.phase == PlacementPhase::Proposed);
+            let gang = (is_gang && is_proposed).then(|| id.job.clone());
+            match units.last_mut() {
+                Some(last) if gang.is_some() && last.gang == gang => {
+                    last.placements.push((machine, id));
+                }
+                _ => units.push(PlacementUnit { gang, placements: vec![(machine, id)] }),
+            }
+        }
+        units
+    }
+
+    /// What can be stored of a unit; none if it must be taken back. Of a gang nothing is stored if
+    /// any of it can't be.
+    fn storable_entries(&self, unit: &PlacementUnit) -> Option<Vec<PlacementEntry>> {
+        let mut entries = Vec::new();
+        for (machine, id) in &unit.placements {
+            match self.proposal_state(machine, id) {
+                ProposalState::Storable(entry) => entries.push(entry),
+                ProposalState::Obsolete => return None,
+                ProposalState::Over if unit.gang.is_some() => return None,
+                ProposalState::Over => {}
+            }
+        }
+        Some(entries)
+    }
+
+    fn retract_unit(&mut self, unit: &PlacementUnit) {
+        for (machine, id) in &unit.placements {
+            self.retract(machine, id);
+        }
+    }
+
+    fn proposal_state(&self, machine_name: &MachineName, id: &TaskId) -> ProposalState {
+        let Some(machine) = self.machines.get(machine_name) else { return ProposalState::Over };
+        let placement = machine.placements.get(id).filter(|p| p.settled.is_none());
+        let Some(placement) = placement else { return ProposalState::Over };
+        let takes_tasks = machine.state == MachineState::Up
+            && !machine.lease_expired
+            && machine.reclaim_at.is_none();
+        let is_wanted = self.is_live(&id.job) && takes_tasks && placement.stop_reason.is_none();
+        if placement.phase == PlacementPhase::Proposed && !is_wanted {
+            return ProposalState::Obsolete;
+        }
+        let text = StoredPlacement::text(&id.job, id.index, machine_name, placement.attempt);
+        let Some(text) = text else { return ProposalState::Obsolete };
+        ProposalState::Storable(PlacementEntry {
+            group: 0,
+            machine: machine_name.clone(),
+            id: id.clone(),
+            attempt: placement.attempt,
+            bytes: text.len() + 1,
+        })
+    }
+}
+
+/// Finds a group for each entry; none if there is not room for all.
+fn assign_groups(
+    entries: Vec<PlacementEntry>,
+    fill: &mut GroupFill,
+) -> Option<Vec<PlacementEntry>> {
+    let assign = |entry: PlacementEntry| {
+        let group = fill.add(entry.bytes)?;
+        Some(PlacementEntry { group, ..entry })
+    };
+    entries.into_iter().map(assign).collect()
+}
--- a/src/coordination/commit_places/tests.rs
+++ b/src/coordination/transactions/placements/tests.rs
@@ -1,9 +1,10 @@
-//! Tests of [`super`], the module `commit_places`.
+//! Tests of [`super`], the module `placements`.
 
 use super::*;
 use crate::protocol::users::JobKind;
 use crate::storage::cluster::Group;
 use crate::storage::hashing::HashKeys;
+use crate::storage::machine::MachineState;
 use crate::storage::records::gang_batch_key;
 use crate::storage::replica::Replica;
 use crate::storage::testing::batch_of;
@@ -12,13 +13,13 @@
 /// Bytes of a value that holds some twenty placements.
 const VALUE_BYTES: usize = 512;
 
-fn packer(max_ops: usize) -> TransactionBuilder {
+fn packer(writes_max: usize) -> TransactionBuilder {
     TransactionBuilder {
         conditions: BTreeMap::new(),
         writes: Vec::new(),
         bytes: 0,
-        max_ops,
-        max_ifs: 64,
+        writes_max,
+        conditions_max: 64,
         value_bytes_max: VALUE_BYTES,
     }
 }
@@ -43,7 +44,7 @@
 fn a_gang_is_stored_by_one_commit_that_may_write_several_groups() {
     let mut cluster = proposed(50);
     let (mut p, mut f) = (packer(8), PendingTransaction::default());
-    cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
+    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::Everything);
     assert_eq!(f.additions.len(), 50);
     assert!(p.writes.len() > 1);
     assert_eq!(
@@ -58,7 +59,7 @@
 fn a_gang_that_does_not_fit_waits_whole() {
     let mut cluster = proposed(50);
     let (mut p, mut f) = (packer(1), PendingTransaction::default());
-    cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
+    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::Everything);
     assert!(f.additions.is_empty() && p.writes.is_empty(), "{} are stored", f.additions.len());
     assert_eq!(cluster.proposals.len(), 50);
     assert!(cluster.gang_is_deferred, "the next commit is for it");
@@ -68,7 +69,7 @@
 fn a_gang_that_no_commit_can_hold_is_taken_back_and_blocks_nothing() {
     let mut cluster = proposed(50);
     let (mut p, mut f) = (packer(1), PendingTransaction::default());
-    cluster.pack_places(&mut p, &mut f, false, TransactionScope::StoreGang);
+    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::StoreGang);
     assert!(cluster.proposals.is_empty() && !cluster.gang_is_deferred);
     assert_eq!(cluster.jobs["job-1"].waiting(), 50);
 }
@@ -79,10 +80,10 @@
     let bytes = VALUE_BYTES - GROUP_FRAME_BYTES;
     cluster.groups.insert(0, Group { bytes, urgent: true, ..Group::default() });
     let (mut p, mut f) = (packer(1), PendingTransaction::default());
-    cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
+    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::Everything);
     assert!(f.additions.is_empty() && cluster.gang_is_deferred);
     let (mut p, mut f) = (packer(1), PendingTransaction::default());
-    cluster.pack_places(&mut p, &mut f, false, TransactionScope::StoreGang);
+    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::StoreGang);
     assert_eq!(f.additions.len(), 20);
 }
 
@@ -91,7 +92,7 @@
     let mut cluster = proposed(6);
     cluster.machines.get_mut("n-000002").expect("a machine").state = MachineState::Terminated;
     let (mut p, mut f) = (packer(8), PendingTransaction::default());
-    cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
+    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::Everything);
     assert!(f.additions.is_empty() && p.writes.is_empty());
     assert_eq!(cluster.jobs["job-1"].waiting(), 6);
     assert!(cluster.machines.values().all(|m| m.placements.is_empty()));
@@ -111,13 +112,13 @@
     }
     assert!(cluster.has_oversized_group(VALUE_BYTES));
     let (mut p, mut f) = (packer(2), PendingTransaction::default());
-    cluster.pack_places(&mut p, &mut f, true, TransactionScope::DivideGroup);
+    cluster.pack_placements(&mut p, &mut f, true, TransactionScope::DivideGroup);
     assert!(p.writes.is_empty(), "not unless all parts find room");
     let (mut p, mut f) = (packer(8), PendingTransaction::default());
-    cluster.pack_places(&mut p, &mut f, true, TransactionScope::DivideGroup);
+    cluster.pack_placements(&mut p, &mut f, true, TransactionScope::DivideGroup);
     let stored: usize = p.writes.iter().map(stored_placements).sum();
     assert_eq!(stored, 60, "every placement stands in one of the values");
-    cluster.moved(std::mem::take(&mut f.moves));
+    cluster.apply_moves(std::mem::take(&mut f.moves));
     assert!(!cluster.has_oversized_group(VALUE_BYTES));
     assert_eq!(cluster.groups.values().map(|g| g.placements.len()).sum::<usize>(), 60);
 }
