--- a/src/coordination/fleet/consolidation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -14,7 +14,7 @@
     pub(super) fn consolidate(&mut self) {
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
-        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(catalog) = self.cloud.catalog().cloned() else { return };
         let Some(leader) = self.leader.as_mut() else { return };
         let spare = leader.spare_slots(now, &catalog);
         let cluster = &leader.cluster;
@@ -44,7 +44,7 @@
         if short {
             leader.fleet.excess_since = None;
             // The fullest first: they have the most work that need not move.
-            let mut again: Vec<(f64, Name)> = cluster
+            let mut again: Vec<(f64, MachineName)> = cluster
                 .machines
                 .values()
                 .filter(|m| m.draining && m.state == MachineState::Up && !m.cordoned)
@@ -113,7 +113,7 @@
     pub(super) fn move_services(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
-        if now < leader.fleet.move_at {
+        if now < leader.fleet.next_move_at {
             return;
         }
         let cluster = &leader.cluster;
@@ -137,7 +137,7 @@
             if chosen.len() >= most {
                 break;
             }
-            let Some(job) = cluster.jobs.get(&id.0) else { continue };
+            let Some(job) = cluster.jobs.get(&id.job) else { continue };
             let Some(spec) = job.spec.as_ref().filter(|s| s.kind == JobKind::Service) else {
                 continue;
             };
@@ -159,12 +159,12 @@
         if chosen.is_empty() {
             return;
         }
-        leader.fleet.move_at = now + MOVE_GAP_MS;
+        leader.fleet.next_move_at = now + MOVE_GAP_MS;
         for (name, id) in chosen {
             if let Some(p) =
                 leader.cluster.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
             {
-                log::debug!("{}/{}: moves off {name}", id.0, id.1);
+                log::debug!("{id}: moves off {name}");
                 p.stop_reason = Some(StopReason::Eviction);
             }
         }
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,38 +1,24 @@
 //! What the cloud lists: machine types, machines that are there, failed or gone.
 
 use super::*;
-use crate::constants::{
-    CATALOG_PERIOD_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, MS_PER_S,
-};
+use crate::constants::{CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, MS_PER_S};
+use crate::protocol::http::Response;
 use crate::storage::machine::PlacementPhase;
 
 impl Controller {
     pub(in crate::coordination) fn catalog_due(&mut self) {
         let now = self.now.monotonic_ms;
-        let period = if self.leader.is_some() { CATALOG_PERIOD_MS } else { CATALOG_PERIOD_MS * 10 };
-        let wait = if self.catalog.is_some() { period } else { CLOUD_RETRY_MS };
-        if self.catalog_asked || self.catalog_at.is_some_and(|t| now < t + wait) {
-            return;
-        }
-        if self.cloud_budget.take(1.0, 0.0, now) {
-            self.catalog_asked = true;
-            self.catalog_at = Some(now);
-            self.call(
-                Service::Cloud,
-                "GET",
-                "/catalog".into(),
-                vec![],
-                CLOUD_CALL_MS,
-                CallPurpose::Catalog,
-            );
+        if self.cloud.begin_catalog_request(self.leader.is_some(), now) {
+            let (path, purpose) = ("/catalog".into(), CallPurpose::Catalog);
+            self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
     }
 
-    pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<(u16, Vec<u8>)>) {
-        self.catalog_asked = false;
-        let Some((200, body)) = reply else { return };
+    pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<Response>) {
+        self.cloud.end_catalog_request();
+        let Some(Response { status: 200, body }) = reply else { return };
         match serde_json::from_slice::<Catalog>(&body) {
-            Ok(catalog) => self.catalog = Some(Rc::new(catalog)),
+            Ok(catalog) => self.cloud.set_catalog(catalog),
             Err(e) => log::error!("catalogue can't be read: {e}"),
         }
     }
@@ -40,33 +26,33 @@
     pub(in crate::coordination) fn on_machine_list_response(
         &mut self,
         begun: u64,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        if leader.fleet.list_begun != begun {
+        if leader.fleet.list_started_at != begun {
             return;
         }
         let hosts: Option<Hosts> = match reply {
-            Some((200, body)) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
         let Some(hosts) = hosts else {
-            leader.fleet.listing = false;
-            leader.fleet.list_at = now + CLOUD_RETRY_MS;
+            leader.fleet.list_in_progress = false;
+            leader.fleet.next_list_at = now + CLOUD_RETRY_MS;
             return;
         };
         let last = hosts.machines.last().map(|h| h.uid.clone());
-        leader.fleet.pages.extend(hosts.machines);
+        leader.fleet.listed_hosts.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
-            self.cloud_budget.take(1.0, f64::MIN, now);
+            self.cloud.take_request(f64::MIN, now);
             let path = hosts_path(Some(&last), LIST_LIMIT);
             let purpose = CallPurpose::Hosts { begun };
             return self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
-        leader.fleet.listing = false;
+        leader.fleet.list_in_progress = false;
         self.list_complete(begun);
     }
 
@@ -78,17 +64,17 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let hosts = std::mem::take(&mut leader.fleet.pages);
-        leader.fleet.listed_once = true;
-        leader.fleet.listed_begun = Some(begun);
+        let hosts = std::mem::take(&mut leader.fleet.listed_hosts);
+        leader.fleet.has_complete_list = true;
+        leader.fleet.complete_list_started_at = Some(begun);
         let mut listed: HashSet<&str> = leader.cluster.hash_keys().set();
         listed.extend(hosts.iter().map(|h| h.uid.as_str()));
-        let mut dead: Vec<Name> = Vec::new();
+        let mut dead: Vec<MachineName> = Vec::new();
         for h in &hosts {
             if leader.fleet.is_gone(&h.uid) {
                 continue;
             }
-            let name: Name = h.uid.as_str().into();
+            let name: MachineName = h.uid.as_str().into();
             let new = !leader.cluster.machines.contains_key(&name);
             let m = leader.cluster.machine_entry(&name, now);
             if m.type_name.is_empty() {
@@ -143,12 +129,12 @@
     }
 
     /// A machine and everything on it has surely ceased to be.
-    pub(super) fn machine_gone(&mut self, name: &Name) {
+    pub(super) fn machine_gone(&mut self, name: &MachineName) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        leader.fleet.gone.insert(name.clone());
+        leader.fleet.terminated_machines.insert(name.clone());
         leader.cluster.settle_machine(name);
         if let Some(m) = leader.cluster.machines.get_mut(name) {
             m.state = MachineState::Terminated;
@@ -161,7 +147,7 @@
         let Some(leader) = self.leader.as_mut() else { return };
         // A placement whose commit was under way when its machine was found gone or silent was
         // never ordered; it once stayed for ever, and its task with it.
-        let mut over: Vec<(Name, TaskId)> = Vec::new();
+        let mut over: Vec<(MachineName, TaskId)> = Vec::new();
         for m in leader
             .cluster
             .machines
--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -6,12 +6,13 @@
     MS_PER_S, RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_FEW, SILENT_PERIODS, WORKER_RETRY_S,
     WORKER_WAIT_S,
 };
+use crate::protocol::http::Response;
 
 impl Controller {
     pub(super) fn return_machines(&mut self) {
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.cloud.catalog().cloned() else {
             return;
         };
         // Leases may be kept in our place for so long after we were last heard.
@@ -104,7 +105,7 @@
             return;
         }
         names.truncate(DELETE_MAX);
-        if !self.cloud_budget.take(1.0, 0.0, now) {
+        if !self.cloud.take_request(0.0, now) {
             return;
         }
         for n in &names {
@@ -121,10 +122,10 @@
 
     pub(in crate::coordination) fn on_deletion_response(
         &mut self,
-        names: Vec<Name>,
-        reply: Option<(u16, Vec<u8>)>,
+        names: Vec<MachineName>,
+        reply: Option<Response>,
     ) {
-        if matches!(reply, Some((200, _))) {
+        if matches!(reply, Some(Response { status: 200, .. })) {
             for n in names {
                 self.machine_gone(&n);
             }
@@ -154,7 +155,7 @@
     /// others report, and whose services have a place elsewhere: deleting them is evidence
     /// at once, where a lease or the list take twice as long. If they were only cut off, their
     /// tasks would have ended with the lease all the same.
-    pub(super) fn silent_services(&self, now: u64, settings: &Platform) -> Vec<Name> {
+    pub(super) fn silent_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
         let w = &settings.params.workers;
         // A report that fails, the worker's wait for it, one at a wrong controller, and back.
         let round = w.report_s * 2.5 + WORKER_WAIT_S + WORKER_RETRY_S * 2.0;
@@ -187,8 +188,8 @@
                 let services: Vec<Resources> = m
                     .placements
                     .iter()
-                    .filter(|((uid, _), p)| p.settled.is_none() && cluster.is_service(uid))
-                    .filter_map(|((uid, _), _)| cluster.jobs.get(uid).map(|j| j.need))
+                    .filter(|(id, p)| p.settled.is_none() && cluster.is_service(&id.job))
+                    .filter_map(|(id, _)| cluster.jobs.get(&id.job).map(|j| j.need))
                     .collect();
                 let Some(need) = services.first() else { return false };
                 let mut room = 0;
--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -1,9 +1,10 @@
 //! Gangs as the leader sees them: attempts that can't become complete, and stops that take all tasks.
 
 use super::election::leader_write_share;
+use super::leader::was_never_ordered;
 use super::{Controller, Leader};
 use crate::constants::{
-    ATTEMPT_BITS, COMMIT_BYTES, COMMIT_FRAME_BYTES, GANG_SCAN_MS, GROUP_FRAME_BYTES, MS_PER_S,
+    COMMIT_BYTES, COMMIT_FRAME_BYTES, GANG_SCAN_MS, GROUP_FRAME_BYTES, MS_PER_S,
     PLACEMENT_BYTES_MOST, REPORT_JITTER, SILENT_PERIODS, WORKER_RETRY_S, WORKER_WAIT_S,
     WRITE_RESERVE,
 };
@@ -11,8 +12,8 @@
 use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
 use crate::storage::limits::StoreLimits;
-use crate::storage::machine::{Machine, MachineState, Placement, PlacementPhase, StopReason};
-use crate::storage::records::Name;
+use crate::storage::machine::{Machine, MachineState, StopReason, TaskId};
+use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeSet;
 
 /// Most tasks of a gang: the placements of an attempt go into one commit, which can have no more
@@ -38,14 +39,6 @@
     spec.saves() && (!spec.is_gang() || in_time)
 }
 
-/// A task that is stored and was never ordered by this leader: it is on no machine.
-fn never_ordered(placement: &Placement, term: u64) -> bool {
-    placement.attempt >> ATTEMPT_BITS == term
-        && placement.phase == PlacementPhase::Committed
-        && placement.start_sent_after.is_none()
-        && placement.reported_status.is_none()
-}
-
 /// Milliseconds of silence after which a machine is not waited for: longer than a worker takes to report
 /// again when it has missed one answer.
 fn silent_ms(workers: &Workers) -> u64 {
@@ -55,21 +48,22 @@
 
 impl Leader {
     /// Stops all tasks of a gang; those that were never ordered are settled at once.
-    pub(super) fn stop_gang(&mut self, uid: &Name, halt: StopReason, now: u64) {
+    pub(super) fn stop_gang(&mut self, uid: &JobId, halt: StopReason, now: u64) {
         self.cluster.stop_gang(uid, halt);
         let Some(job) = self.cluster.jobs.get(uid) else { return };
-        let nowhere: Vec<(Name, u32)> = job
+        let nowhere: Vec<(MachineName, u32)> = job
             .placed_on
             .iter()
             .filter(|(task, machine)| {
                 let machine = self.cluster.machines.get(*machine);
-                let held = machine.and_then(|m| m.placements.get(&(uid.clone(), **task)));
-                held.is_some_and(|p| p.settled.is_none() && never_ordered(p, self.term))
+                let held =
+                    machine.and_then(|m| m.placements.get(&TaskId::new(uid.clone(), **task)));
+                held.is_some_and(|p| p.settled.is_none() && was_never_ordered(p, self.term))
             })
             .map(|(task, machine)| (machine.clone(), *task))
             .collect();
         for (machine, task) in nowhere {
-            self.cluster.settle(&machine, &(uid.clone(), task), EndCause::Lost);
+            self.cluster.settle(&machine, &TaskId::new(uid.clone(), task), EndCause::Lost);
         }
         self.plan_soon(now);
     }
@@ -85,7 +79,7 @@
                 || m.last_alive_at.is_none_or(|t| now > t + silent)
         };
         let cluster = &self.cluster;
-        let mut hopeless: BTreeSet<Name> = BTreeSet::new();
+        let mut hopeless: BTreeSet<JobId> = BTreeSet::new();
         for uid in cluster.queue.values() {
             let Some(job) = cluster.jobs.get(uid) else { continue };
             // One that has run goes on if the machine is only cut off, and ends by itself if not.
@@ -94,7 +88,7 @@
             }
             let missing = job.placed_on.iter().any(|(task, machine)| {
                 let Some(m) = cluster.machines.get(machine) else { return false };
-                let held = m.placements.get(&(uid.clone(), *task));
+                let held = m.placements.get(&TaskId::new(uid.clone(), *task));
                 // What an earlier leader has placed may run there.
                 let heard = m.has_our_token || now > self.began_at + silent * 2;
                 held.is_some_and(|p| p.reported_status.is_none() && p.stop_reason.is_none())
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -4,7 +4,8 @@
 use super::put_rebuild_record;
 use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Requester};
-use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest, RECOVERY_PATH};
+use crate::protocol::http::Response;
+use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest};
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::valid_uid;
 use crate::storage::records::{
@@ -22,25 +23,20 @@
 }
 
 impl Controller {
-    /// Answers an operator's request for the report, or for a decision.
-    pub(in crate::coordination) fn recovery_request(
+    /// Answers with what operators are told of losses and rebuilds of the store.
+    pub(in crate::coordination) fn answer_recovery_report(&mut self, connection: ConnectionId) {
+        let body = serde_json::to_vec_pretty(&self.recovery_report()).unwrap_or_default();
+        self.respond(connection, 200, None, body);
+    }
+
+    /// Takes an operator's decision.
+    pub(in crate::coordination) fn recovery_decision(
         &mut self,
         connection: ConnectionId,
-        method: &str,
-        path: &str,
+        decision: Decision,
         body: &[u8],
     ) {
-        let requester = Requester { connection, relayed: false, since: self.now.monotonic_ms };
-        if (method, path) == ("GET", RECOVERY_PATH) {
-            let body = serde_json::to_vec_pretty(&self.recovery_report()).unwrap_or_default();
-            return self.respond(connection, 200, None, body);
-        }
-        let Some(decision) = Decision::of_path(path) else {
-            return self.refuse(requester, 404, "no such path", None);
-        };
-        if method != "POST" {
-            return self.refuse(requester, 405, "wrong method", None);
-        }
+        let requester = Requester::direct(connection, self.now.monotonic_ms);
         let request: DecisionRequest = match serde_json::from_slice(body) {
             Ok(request) => request,
             Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
@@ -57,7 +53,7 @@
     fn decide(&mut self, requester: Requester, decision: Decision, request: &DecisionRequest) {
         let jobs = self.jobs_to_decide(decision, request);
         // Each job may take a write of its own, and a group of flags another.
-        let jobs_max = (self.limits.transaction_ops / 2).max(1);
+        let jobs_max = (self.store.limits().transaction_ops / 2).max(1);
         let decided: BTreeSet<String> = jobs.iter().take(jobs_max).cloned().collect();
         let left = jobs.len() - decided.len();
         let closes_gap =
@@ -72,7 +68,7 @@
 
     /// The jobs that a request is about.
     fn jobs_to_decide(&self, decision: Decision, request: &DecisionRequest) -> Vec<String> {
-        let groups = self.replica.flagged.values();
+        let groups = self.store.replica().flagged.values();
         let flagged = groups.flat_map(|group| group.value.jobs.keys()).cloned();
         match (decision, request.all) {
             (Decision::CloseGap, _) => Vec::new(),
@@ -82,7 +78,7 @@
             (_, true) => flagged.collect(),
             // Also a job of which nothing is known but that its tasks run.
             (Decision::GiveUp, false) => {
-                let open = |job: &&String| !self.replica.has_ended(job);
+                let open = |job: &&String| !self.store.replica().has_ended(job);
                 request.jobs.iter().filter(open).cloned().collect()
             }
         }
@@ -107,24 +103,24 @@
 
     fn send_decision(&mut self, requester: Requester, commit: Transaction, answer: DecisionAnswer) {
         let writes = commit.writes.len();
-        if !self.write_budget.take(writes as f64, WRITE_KEEP_USERS, self.now.monotonic_ms) {
+        if !self.store.take_writes(writes as f64, WRITE_KEEP_USERS, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         self.metrics.work.state_writes += writes as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let connection = requester.connection;
+        let connection = requester.connection();
         let purpose = CallPurpose::Decision(DecisionCall { connection, commit, answer });
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
     /// Ends a job as cancelled.
     fn add_cancellation(&self, job: &str, commit: &mut Transaction) {
-        let known = self.replica.jobs.get(job).map(|known| &known.value);
+        let known = self.store.replica().jobs.get(job).map(|known| &known.value);
         let end = JobEndRecord {
             at: known.map_or(self.now.wall_ms, |known| known.at),
             stage: JobStage::Cancelled,
             tasks: known.map_or(0, |known| known.tasks),
-            done: self.replica.done_bitmap(job).count(),
+            done: self.store.replica().done_bitmap(job).count(),
         };
         commit.conditions.push(Condition { key: job_end_key(job), mod_revision: 0 });
         commit.writes.push(Mutation::put(job_end_key(job), &end));
@@ -132,7 +128,7 @@
 
     /// Takes the flags off jobs.
     fn add_flag_removals(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
-        for (group_number, group) in &self.replica.flagged {
+        for (group_number, group) in &self.store.replica().flagged {
             if !group.value.jobs.keys().any(|job| jobs.contains(job)) {
                 continue;
             }
@@ -149,7 +145,7 @@
         if !self.has_history_gap() {
             return;
         }
-        let Some(known) = &self.replica.rebuild else { return };
+        let Some(known) = &self.store.replica().rebuild else { return };
         let closed = RebuildRecord { gap: Vec::new(), ..known.value.clone() };
         let mod_revision = known.mod_revision;
         commit.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
@@ -159,12 +155,11 @@
     pub(in crate::coordination) fn on_decision_response(
         &mut self,
         call: DecisionCall,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
-        let requester =
-            Requester { connection: call.connection, relayed: false, since: self.now.monotonic_ms };
+        let requester = Requester::direct(call.connection, self.now.monotonic_ms);
         match reply {
-            Some((200, body)) => {
+            Some(Response { status: 200, body }) => {
                 if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) {
                     self.apply_own_transaction(&call.commit, applied.revision);
                 }
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -26,7 +26,7 @@
     /// The term to stand with. A rebuild leaves those free that may have been taken in the part of
     /// the history that is lost.
     pub(in crate::coordination) fn next_term(&self) -> u64 {
-        let known = self.replica.term().max(self.highest_term);
+        let known = self.store.replica().term().max(self.membership.highest_term());
         if !self.recovery.has_lost_store() {
             return known.saturating_add(1);
         }
@@ -48,13 +48,15 @@
             RecoveryPhase::Lost { loss, .. } => {
                 put_rebuild_record(&self.new_rebuild_record(loss, term))
             }
-            _ if self.replica.store.is_none() => {
+            _ if self.store.replica().store.is_none() => {
                 Mutation::put(store_key(), &StoreIdRecord { id: self.rng.random() })
             }
             _ => return,
         };
         let key = write.key().to_string();
-        commit.conditions.push(Condition { mod_revision: self.replica.mod_revision(&key), key });
+        commit
+            .conditions
+            .push(Condition { mod_revision: self.store.replica().mod_revision(&key), key });
         commit.writes.push(write);
     }
 
@@ -74,7 +76,7 @@
     pub(in crate::coordination) fn start_rebuild_if_lost(&mut self) {
         if self.recovery.has_lost_store() {
             log::info!("rebuilds the store");
-            let rebuild = Rebuild::new(self.peers.len(), self.now.monotonic_ms);
+            let rebuild = Rebuild::new(self.membership.peer_count(), self.now.monotonic_ms);
             self.recovery.start_rebuild(rebuild);
             // It may have been lost once more since we read it, and nothing written tells of that. What is
             // read from now on holds our election.
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -22,7 +22,7 @@
         if !believed || !self.recovery.is_suspended() {
             return;
         }
-        self.highest_term = self.highest_term.max(report.fencing_token);
+        self.membership.note_term(report.fencing_token);
         let (machine, token) = (&report.machine, report.fencing_token);
         let now = self.now.monotonic_ms;
         self.recovery.add_evidence(now, || format!("the worker of {machine} shows token {token}"));
@@ -33,7 +33,7 @@
         if !self.recovery.notices_losses() {
             return;
         }
-        if self.recovery.is_following() && self.store_sync.loaded {
+        if self.recovery.is_following() && self.store.is_loaded() {
             self.check_followed_store(gossip);
         }
         let label = &gossip.label;
@@ -55,7 +55,7 @@
             self.recovery.prove_continuity();
         }
         let Some(lost_term) = gossip.lost_term else { return };
-        if lost_term >= self.replica.rebuild_term() {
+        if lost_term >= self.store.replica().rebuild_term() {
             // Not rebuilt since. It remembers more than we do: what it holds contradicts what is there.
             let peer = gossip.label.clone();
             return self.declare_lost_and_reload(DataLoss::ReportedByPeer { peer });
@@ -78,7 +78,8 @@
         };
         let reports = self.settings.params.workers.report_s * FIRST_START_REPORTS + WORKER_RETRY_S;
         let workers_had_time = now >= since + (reports * MS_PER_S) as u64;
-        let heard_all_peers = self.fresh_gossip().count() == self.peers.len();
+        let heard_all_peers = self.membership.fresh_gossip(self.now.monotonic_ms).count()
+            == self.membership.peer_count();
         let waited_long = now >= since + FIRST_START_MAX_MS;
         if workers_had_time && (heard_all_peers || waited_long) {
             log::info!("the store is empty and nobody knows of an earlier one: a first start");
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -2,6 +2,7 @@
 
 use crate::constants::{IMAGE_CALL_MS, IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
+use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
 use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::image::StoreImage;
@@ -61,7 +62,7 @@
     /// Asks peers for what is missing of their images.
     pub(super) fn request_peer_images(&mut self) {
         let now = self.now.monotonic_ms;
-        for peer in 0..self.peers.len() {
+        for peer in 0..self.membership.peer_count() {
             let Some(rebuild) = self.recovery.rebuild_mut() else { return };
             let image = &mut rebuild.peers[peer];
             if image.complete || image.request_sent || now < image.next_request_at {
@@ -84,19 +85,19 @@
     pub(in crate::coordination) fn on_image_response(
         &mut self,
         peer: usize,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let Some(rebuild) = self.recovery.rebuild_mut() else { return };
         let image = &mut rebuild.peers[peer];
         image.request_sent = false;
         let page = match reply {
-            Some((200, body)) => decode::<ImagePage>(&body).ok(),
+            Some(Response { status: 200, body }) => decode::<ImagePage>(&body).ok(),
             _ => None,
         };
         let label = &self.settings.peers[peer].label;
         let valid = |page: &ImagePage| page.version == PEER_VERSION && page.label == *label;
         let Some(page) = page.filter(valid) else { return };
-        self.highest_term = self.highest_term.max(page.term);
+        self.membership.note_term(page.term);
         if page.holds {
             image.next_request_at = 0;
             image.add_page(page);
@@ -117,7 +118,7 @@
             }
             _ => return self.respond(connection, 404, None, vec![]),
         };
-        if self.recovery.is_following() && self.store_sync.loaded {
+        if self.recovery.is_following() && self.store.is_loaded() {
             self.suspect_data_loss(Some(DataLoss::RebuildStarted));
         }
         let page = self.image_page(&request.after);
@@ -131,7 +132,7 @@
             label: self.settings.label.clone(),
             holds: recovery.is_suspended(),
             remembers: recovery.was_history_complete(),
-            term: self.highest_term,
+            term: self.membership.highest_term(),
             revision: 0,
             values: Vec::new(),
             removed: Vec::new(),
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -10,7 +10,6 @@
 use crate::coordination::Controller;
 use crate::protocol::state::{Changes, Event, Item};
 use crate::storage::records::{RebuildPhase, RebuildRecord};
-use crate::storage::replica::Replica;
 use mountgap_records::constants::REBUILD_KEY;
 use mountgap_recovery::audit::{audit, DataLoss};
 use mountgap_recovery::image::StoreImage;
@@ -26,11 +25,10 @@
     /// Forgets the copy of the store and reads all of it anew. Answers to what was asked before
     /// count for nothing.
     pub(in crate::coordination) fn reload_store(&mut self) {
-        self.replica = Replica::new(self.replica.hash_keys());
+        self.store.forget();
         self.recovery.clear_image();
-        self.store_sync.begin_anew();
         // What we knew is gone, and with it the ends that peers need not have named.
-        self.peers.iter_mut().for_each(|peer| peer.ends_asked = None);
+        self.membership.forget_complete_ends();
     }
 
     /// Something suggests that the store has lost data, or that we only have lost track of it: it is
@@ -71,7 +69,7 @@
     /// Stops leading; gives what was known of the store, which is kept for a rebuild.
     fn step_down_and_freeze_image(&mut self, reason: &str) -> StoreImage {
         self.step_down(reason);
-        self.recovery.freeze_image(self.store_sync.fresh_at, self.now.monotonic_ms)
+        self.recovery.freeze_image(self.store.last_read_at(), self.now.monotonic_ms)
     }
 
     fn declare_lost(&mut self, loss: DataLoss, known: Option<StoreImage>) {
@@ -81,7 +79,7 @@
     /// Puts a key of the whole store into the image as it is read.
     pub(in crate::coordination) fn record_item(&mut self, item: &Item) {
         if self.recovery.notices_losses() && item.key.starts_with(KEY_FAMILY) {
-            let epoch = self.store_sync.epoch;
+            let epoch = self.store.epoch();
             self.recovery.record_value(&item.key, item.mod_revision, item.value.get(), epoch);
         }
     }
@@ -101,7 +99,7 @@
             self.suspect_data_loss(Some(DataLoss::RebuildStarted));
             return false;
         }
-        self.recovery.record_changes(changes, self.store_sync.epoch);
+        self.recovery.record_changes(changes, self.store.epoch());
         true
     }
 
@@ -110,7 +108,7 @@
         if !self.recovery.notices_losses() {
             return;
         }
-        self.recovery.complete_image(self.replica.revision, self.rebuild_is_complete());
+        self.recovery.complete_image(self.store.replica().revision, self.rebuild_is_complete());
         if !self.recovery.is_following() {
             return;
         }
@@ -119,9 +117,9 @@
         if self.recovery.begin_verifying_snapshot() {
             return;
         }
-        if self.replica.rebuild_phase() == Some(RebuildPhase::Writing) {
+        if self.store.replica().rebuild_phase() == Some(RebuildPhase::Writing) {
             self.declare_lost(DataLoss::RebuildStarted, None);
-        } else if self.replica.store.is_none() && self.replica.term.is_none() {
+        } else if self.store.replica().store.is_none() && self.store.replica().term.is_none() {
             self.recovery.begin_first_start(now);
         }
     }
@@ -138,11 +136,11 @@
     /// Whether the leader key has had this revision before the store was lost. A leader's transactions depend on
     /// it, and one that was held up since would be carried out.
     pub(in crate::coordination) fn leader_revision_was_used(&self, mod_revision: u64) -> bool {
-        self.recovery.leader_revision_seen_before(mod_revision, self.store_sync.epoch)
+        self.recovery.leader_revision_seen_before(mod_revision, self.store.epoch())
     }
 
     fn rebuild_is_complete(&self) -> bool {
-        self.replica.rebuild_phase().is_some_and(|phase| phase != RebuildPhase::Writing)
+        self.store.replica().rebuild_phase().is_some_and(|phase| phase != RebuildPhase::Writing)
     }
 
     /// A read begun at `begun` is in: what was to be judged by it is judged.
@@ -153,7 +151,7 @@
             RecoveryPhase::FirstStart { evidence, .. } => {
                 let heard = evidence.as_ref().filter(|evidence| begun > evidence.heard_at);
                 let heard = heard.map(|evidence| evidence.description.clone());
-                if self.replica.store.is_some() {
+                if self.store.replica().store.is_some() {
                     self.recovery.follow_store(self.now.monotonic_ms);
                 } else if let Some(evidence) = heard {
                     self.declare_lost(DataLoss::EmptyAfterUse { evidence }, None);
@@ -165,7 +163,7 @@
 
     fn verify_store(&mut self) {
         let Some((known, suspicion)) = self.recovery.take_verification() else { return };
-        let verdict = match self.replica.rebuild_phase() {
+        let verdict = match self.store.replica().rebuild_phase() {
             Some(RebuildPhase::Writing) => Err(DataLoss::RebuildStarted),
             _ => audit(&known, self.recovery.image()),
         };
@@ -186,8 +184,8 @@
     /// Goes on once the store is rebuilt: its records are complete, and the rebuild has taken a term above
     /// all that we know of the lost store.
     pub(super) fn resume_if_rebuilt(&mut self) {
-        let term = self.replica.rebuild_term();
-        if self.replica.rebuild_phase() == Some(RebuildPhase::Writing) {
+        let term = self.store.replica().rebuild_term();
+        if self.store.replica().rebuild_phase() == Some(RebuildPhase::Writing) {
             self.recovery.observe_unfinished_rebuild(term);
         }
         let rebuilt = self.rebuild_is_complete() && self.recovery.is_rebuild_after_loss(term);
@@ -198,7 +196,7 @@
             // What was read in pieces while others wrote may hold what a further loss has undone.
             return self.reload_store();
         }
-        log::info!("the store is rebuilt: {} jobs", self.replica.jobs.len());
+        log::info!("the store is rebuilt: {} jobs", self.store.replica().jobs.len());
         self.recovery.follow_new_store(self.now.monotonic_ms);
         // Whoever wrote it back leads from here on, and builds on what is there now.
         self.request_leader_read();
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -31,7 +31,7 @@
 pub use report::RecoveryView;
 pub(super) use state::Recovery;
 
-use super::sync::ReadPoint;
+use super::store_client::ReadPoint;
 use super::Controller;
 use crate::protocol::peers::RecoveryState;
 use crate::protocol::state::{Condition, Mutation, Transaction};
@@ -62,7 +62,7 @@
     pub fn image_for_snapshot(&self) -> Option<StoreImage> {
         let trusted = self.recovery.notices_losses() && !self.recovery.is_suspended();
         let image = self.recovery.image();
-        let complete = trusted && self.store_sync.loaded && image.identity().is_some();
+        let complete = trusted && self.store.is_loaded() && image.identity().is_some();
         complete.then(|| image.clone())
     }
 
@@ -82,18 +82,18 @@
         if !self.recovery.notices_losses() {
             return true;
         }
-        if sent.epoch == self.store_sync.epoch && revision <= sent.revision {
+        if sent.epoch == self.store.epoch() && revision <= sent.revision {
             let loss = DataLoss::RevisionRegressed { known: sent.revision, shown: revision };
             self.suspect_data_loss(Some(loss));
         }
-        sent.epoch == self.store_sync.epoch
+        sent.epoch == self.store.epoch()
     }
 
     /// Makes a user's transaction depend on the last rebuild that we know: one that goes into a store that is rebuilt
     /// meanwhile would be taken out again, or end a job that is flagged there.
     pub(super) fn add_rebuild_condition(&self, commit: &mut Transaction) {
         if self.recovery.notices_losses() {
-            let mod_revision = self.replica.mod_revision(REBUILD_KEY);
+            let mod_revision = self.store.replica().mod_revision(REBUILD_KEY);
             commit.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
         }
     }
@@ -111,7 +111,7 @@
     /// Whether no task may start: the store is being written back, or what the machines run is not
     /// known since.
     pub(super) fn starts_are_blocked(&self) -> bool {
-        let phase = self.replica.rebuild_phase();
+        let phase = self.store.replica().rebuild_phase();
         if matches!(phase, Some(RebuildPhase::Writing | RebuildPhase::Complete)) {
             return true;
         }
@@ -126,7 +126,7 @@
     /// Whether a rebuild could not draw on the memory of every controller, and no operator has closed
     /// the gap: a job that is not known may have been accepted.
     pub(super) fn has_history_gap(&self) -> bool {
-        self.replica.rebuild.as_ref().is_some_and(|record| !record.value.gap.is_empty())
+        self.store.replica().rebuild.as_ref().is_some_and(|record| !record.value.gap.is_empty())
     }
 
     /// Does what is due of detection and rebuild.
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -11,8 +11,9 @@
 use crate::constants::{
     REBUILD_GATHER_MS, REBUILD_REFUSALS_MAX, STATE_CALL_MS, STATE_RETRY_MS, WRITE_RESERVE,
 };
-use crate::coordination::lease_extension::halts_of_ended;
+use crate::coordination::membership::stop_commands_of_ended_jobs;
 use crate::coordination::{CallPurpose, ConnectionId, Controller};
+use crate::protocol::http::Response;
 use crate::protocol::state::{
     Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
 };
@@ -103,7 +104,7 @@
         // The present store is read up to our own election first: an earlier rebuild may have
         // written a part of it.
         let election_is_read =
-            self.store_sync.loaded && self.replica.revision >= leader.mod_revision;
+            self.store.is_loaded() && self.store.replica().revision >= leader.mod_revision;
         if rebuild.has_gathered(self.now.monotonic_ms) && election_is_read {
             self.plan_rebuild();
         } else {
@@ -113,8 +114,8 @@
 
     pub(super) fn rebuild_limits(&self) -> TransactionLimits {
         TransactionLimits {
-            value_bytes: self.limits.value_bytes,
-            transaction_ops: self.limits.transaction_ops,
+            value_bytes: self.store.limits().value_bytes,
+            transaction_ops: self.store.limits().transaction_ops,
         }
     }
 
@@ -127,7 +128,7 @@
         }
         let Some(plan) = &rebuild.plan else { return };
         // No more at a time than the bucket ever holds.
-        let burst = (self.write_budget.burst() - WRITE_RESERVE).max(1.0) as usize;
+        let burst = (self.store.write_budget().burst() - WRITE_RESERVE).max(1.0) as usize;
         let limits = self.rebuild_limits();
         let limits =
             TransactionLimits { transaction_ops: limits.transaction_ops.min(burst), ..limits };
@@ -146,7 +147,7 @@
 
     /// What the store says of a rebuild whose records are all written.
     fn complete_rebuild_record(&self, plan: &RebuildPlan) -> Option<RebuildRecord> {
-        let before = &self.replica.rebuild.as_ref()?.value;
+        let before = &self.store.replica().rebuild.as_ref()?.value;
         let gap = match self.recovery.gap_policy() {
             GapPolicy::Hold => plan.gap.clone(),
             GapPolicy::Release => Vec::new(),
@@ -164,14 +165,14 @@
     /// False if it can't be sent now.
     fn send_fenced(&mut self, mut commit: Transaction) -> bool {
         let Some(leader) = &self.leader else { return false };
-        let Some(record) = &self.replica.rebuild else { return false };
+        let Some(record) = &self.store.replica().rebuild else { return false };
         let term = leader.term;
         let writes = commit.writes.len();
         commit.conditions.extend([
             Condition { key: leader_key(), mod_revision: leader.mod_revision },
             Condition { key: REBUILD_KEY.into(), mod_revision: record.mod_revision },
         ]);
-        if !self.write_budget.take(writes as f64, 0.0, self.now.monotonic_ms) {
+        if !self.store.take_writes(writes as f64, 0.0, self.now.monotonic_ms) {
             return false;
         }
         self.metrics.work.state_writes += writes as u64;
@@ -184,7 +185,7 @@
     pub(in crate::coordination) fn on_rebuild_response(
         &mut self,
         call: RebuildCall,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         if self.leader.as_ref().is_none_or(|leader| leader.term != call.term) {
             return;
@@ -194,9 +195,9 @@
             rebuild.transaction_sent = false;
         }
         match reply {
-            Some((200, body)) => self.on_rebuild_applied(&call.commit, &body),
-            Some((409, body)) => self.on_rebuild_conflict(&body),
-            Some((400, body)) => self.on_rebuild_rejected(&body),
+            Some(Response { status: 200, body }) => self.on_rebuild_applied(&call.commit, &body),
+            Some(Response { status: 409, body }) => self.on_rebuild_conflict(&body),
+            Some(Response { status: 400, body }) => self.on_rebuild_rejected(&body),
             _ => self.pause_rebuild(),
         }
     }
@@ -235,7 +236,7 @@
     /// The state service does not take a transaction as large as that: smaller ones are planned.
     fn on_rebuild_rejected(&mut self, body: &[u8]) {
         log::error!("rebuild answered 400: {}", String::from_utf8_lossy(body));
-        self.limits.halve_sizes();
+        self.store.halve_size_limits();
         if let Some(rebuild) = self.recovery.rebuild_mut() {
             rebuild.plan = None;
         }
@@ -250,7 +251,7 @@
     }
 
     fn finish_rebuild_if_complete(&mut self) {
-        let phase = self.replica.rebuild_phase();
+        let phase = self.store.replica().rebuild_phase();
         let complete = phase.is_some_and(|phase| phase != RebuildPhase::Writing);
         let Some(rebuild) = self.recovery.rebuild().filter(|_| complete) else { return };
         let seconds = (self.now.monotonic_ms - rebuild.started_at) as f64 / 1000.0;
@@ -271,7 +272,7 @@
         };
         let plan = self.recovery.rebuild().and_then(Rebuild::plan);
         let has_ended = |job: &str| plan.is_some_and(|plan| plan.merged.ends.contains_key(job));
-        let commands = halts_of_ended(&report, has_ended);
+        let commands = stop_commands_of_ended_jobs(&report, has_ended);
         self.answer_without_starts(connection, token, commands);
     }
 
@@ -281,7 +282,7 @@
     pub(in crate::coordination) fn confirmed_read_while_suspended(&self) -> Option<u64> {
         let releases_gaps = self.recovery.gap_policy() == GapPolicy::Release;
         match self.recovery.rebuild().and_then(Rebuild::plan) {
-            Some(plan) if plan.gap.is_empty() || releases_gaps => self.store_sync.fresh_at,
+            Some(plan) if plan.gap.is_empty() || releases_gaps => self.store.last_read_at(),
             _ => self.recovery.confirmed_read_at(),
         }
     }
--- a/src/coordination/recovery/rebuild_plan.rs
+++ b/src/coordination/recovery/rebuild_plan.rs
@@ -44,7 +44,7 @@
         // Kept for whoever has to go on: the image that knows most of the lost store.
         self.recovery.set_lost_image(histories.into_iter().max_by_key(StoreImage::revision));
         if self.leader.as_ref().is_some_and(|leader| merged.term > leader.term) {
-            self.highest_term = self.highest_term.max(merged.term);
+            self.membership.note_term(merged.term);
             return self.check_term();
         }
         let limits = self.rebuild_limits();
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -33,7 +33,7 @@
             leader.machines_accounted = true;
         }
         self.recovery.prove_continuity();
-        if self.replica.rebuild_phase() == Some(RebuildPhase::Complete) {
+        if self.store.replica().rebuild_phase() == Some(RebuildPhase::Complete) {
             self.record_reconciliation();
         }
     }
@@ -54,7 +54,7 @@
     }
 
     fn record_reconciliation(&mut self) {
-        let Some(known) = &self.replica.rebuild else { return };
+        let Some(known) = &self.store.replica().rebuild else { return };
         let record = RebuildRecord { phase: RebuildPhase::Accounted, ..known.value.clone() };
         if self.send_rebuild_record(&record) {
             self.recovery.set_phase_update_sent(true);
--- a/src/coordination/recovery/report.rs
+++ b/src/coordination/recovery/report.rs
@@ -4,7 +4,6 @@
 use super::state::RecoveryPhase;
 use crate::coordination::Controller;
 use crate::protocol::recovery::{FlaggedJob, LastRebuild, RecoveryReport, UnknownTask};
-use crate::protocol::task_name;
 use crate::snapshots::SnapshotStatus;
 use crate::storage::records::{FlagReason, RebuildPhase};
 use serde::Serialize;
@@ -54,7 +53,7 @@
     }
 
     fn flagged_jobs(&self) -> Vec<FlaggedJob> {
-        let groups = self.replica.flagged.values().flat_map(|group| &group.value.jobs);
+        let groups = self.store.replica().flagged.values().flat_map(|group| &group.value.jobs);
         let jobs = groups.map(|(job, reason)| FlaggedJob {
             job: job.clone(),
             reason: flag_reason_text(*reason).into(),
@@ -65,9 +64,9 @@
     fn unknown_tasks(&self) -> Vec<UnknownTask> {
         let machines = self.leader.iter().flat_map(|leader| leader.cluster.machines.values());
         let tasks = machines.flat_map(|machine| {
-            machine.unknown_tasks.iter().map(|((job, task), attempt)| UnknownTask {
+            machine.unknown_tasks.iter().map(|(id, attempt)| UnknownTask {
                 machine: machine.name.to_string(),
-                task: task_name(job, *task),
+                task: id.to_string(),
                 attempt: *attempt,
             })
         });
@@ -98,7 +97,7 @@
             }
             _ => None,
         };
-        let last = self.replica.rebuild.as_ref().map(|record| &record.value);
+        let last = self.store.replica().rebuild.as_ref().map(|record| &record.value);
         RecoveryReport {
             controller: self.settings.label.clone(),
             enabled: self.recovery.notices_losses(),
--- a/src/coordination/recovery/stale_leader.rs
+++ b/src/coordination/recovery/stale_leader.rs
@@ -72,11 +72,14 @@
 
     /// Whether the store names a leader that neither we are nor any peer says to be.
     fn names_unheard_leader(&self) -> bool {
-        let Some(leader) = &self.replica.leader else { return false };
+        let Some(leader) = &self.store.replica().leader else { return false };
         let label = &leader.value.label;
         let leads = match *label == self.settings.label {
             true => self.leader.is_some(),
-            false => self.fresh_gossip().any(|gossip| gossip.leads && gossip.label == *label),
+            false => self
+                .membership
+                .fresh_gossip(self.now.monotonic_ms)
+                .any(|gossip| gossip.leads && gossip.label == *label),
         };
         !leads
     }
