--- a/src/coordination/commit_places.rs
+++ b/src/coordination/commit_places.rs
@@ -10,7 +10,7 @@
 use crate::constants::{
     CLEAN_GROUPS, COMMIT_BYTES, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS, GROUP_FRAME_BYTES,
 };
-use crate::protocol::state::raw;
+use crate::protocol::state::raw_json;
 use crate::protocol::workers::EndCause;
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
@@ -352,7 +352,7 @@
             new.filter_map(|e| StoredPlacement::text(&e.id.0, e.id.1, &e.machine, e.attempt)),
         );
         let rec = PlacementsRecord { tasks: texts.join(" ") };
-        if !p.put(placements_key(n), raw(&rec), group.mod_revision) {
+        if !p.put(placements_key(n), raw_json(&rec), group.mod_revision) {
             return false;
         }
         group.urgent = false;
--- a/src/coordination/commit_places/tests.rs
+++ b/src/coordination/commit_places/tests.rs
@@ -28,7 +28,7 @@
     let mut batch = batch_of("job-1", tasks);
     Rc::make_mut(&mut batch.jobs[0]).kind = JobKind::Gang;
     let mut replica = Replica::new(HashKeys::from_seed(1));
-    replica.write(&gang_batch_key("a"), &raw(&batch), 3);
+    replica.write(&gang_batch_key("a"), &raw_json(&batch), 3);
     let mut cluster = ClusterState::from_replica(&replica, 0);
     let names: Vec<Name> = vec!["n-000001".into(), "n-000002".into()];
     for name in &names {
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -15,7 +15,7 @@
 };
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
-    raw, Condition, Mutation, TransactionApplied, TransactionConflict, COMMIT_PATH,
+    raw_json, Condition, Mutation, TransactionApplied, TransactionConflict, COMMIT_PATH,
 };
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
@@ -171,7 +171,7 @@
                 tasks: job.tasks,
                 done: job.done_count,
             };
-            if p.writes.len() >= ends || !p.put(job_end_key(uid), raw(&rec), 0) {
+            if p.writes.len() >= ends || !p.put(job_end_key(uid), raw_json(&rec), 0) {
                 break;
             }
             f.finished_jobs.push(uid.clone());
@@ -218,7 +218,8 @@
                     .eq(catalog.machine_types.iter().map(|b| &b.type_name))
             });
             let mod_revision = known.map_or(0, |k| k.mod_revision);
-            leader.catalog_written = alike || p.put(catalog_key(), raw(&**catalog), mod_revision);
+            leader.catalog_written =
+                alike || p.put(catalog_key(), raw_json(&**catalog), mod_revision);
         }
         if !leader.shares_written {
             let names = self.settings.params.teams.iter().map(|t| t.name.clone());
@@ -227,7 +228,7 @@
                 teams: names.zip(leader.shares.clone()).collect(),
             };
             let mod_revision = self.replica.shares.as_ref().map_or(0, |s| s.mod_revision);
-            leader.shares_written = p.put(shares_key(), raw(&rec), mod_revision);
+            leader.shares_written = p.put(shares_key(), raw_json(&rec), mod_revision);
         }
         if now >= leader.images_at {
             let mut all = true;
@@ -236,7 +237,7 @@
                 let known = self.replica.images.get(&(n as u32));
                 if known.is_none_or(|k| k.value != rec) {
                     let mod_revision = known.map_or(0, |k| k.mod_revision);
-                    all &= p.put(images_key(n as u32), raw(&rec), mod_revision);
+                    all &= p.put(images_key(n as u32), raw_json(&rec), mod_revision);
                 }
             }
             if all {
@@ -520,7 +521,7 @@
                 rec.bits.insert(chunk_name(uid, *chunk), job.done.chunk_text(*chunk));
             }
         }
-        if !p.put(done_tasks_key(n), raw(&rec), group.mod_revision) {
+        if !p.put(done_tasks_key(n), raw_json(&rec), group.mod_revision) {
             return false;
         }
         group.dirty = false;
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -9,7 +9,7 @@
 };
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
-    raw, Condition, Lease, Mutation, NewLease, TransactionApplied, COMMIT_PATH,
+    raw_json, Condition, LeaseGranted, LeaseRequest, Mutation, TransactionApplied, COMMIT_PATH,
 };
 use crate::storage::records::{leader_key, term_key, LeaderRecord, TermRecord};
 use rand::Rng;
@@ -62,14 +62,15 @@
             return;
         }
         self.election.busy = true;
-        let body = serde_json::to_vec(&NewLease { life_ms: LEADER_LIFE_MS }).unwrap_or_default();
+        let body =
+            serde_json::to_vec(&LeaseRequest { life_ms: LEADER_LIFE_MS }).unwrap_or_default();
         self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, CallPurpose::Lease);
     }
 
     pub(super) fn on_lease_granted(&mut self, reply: Option<(u16, Vec<u8>)>) {
         self.election.busy = false;
         self.election.stand_at = None;
-        let hold: Option<Lease> = match reply {
+        let hold: Option<LeaseGranted> = match reply {
             Some((200 | 201, body)) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
@@ -96,7 +97,7 @@
             writes: vec![
                 Mutation::Put {
                     key: leader_key(),
-                    value: raw(&rec),
+                    value: raw_json(&rec),
                     lease_id: Some(hold.lease_id),
                 },
                 Mutation::put(term_key(), &TermRecord { term }),
--- a/src/coordination/fleet/listing.rs
+++ b/src/coordination/fleet/listing.rs
@@ -49,7 +49,7 @@
         if leader.fleet.list_begun != begun {
             return;
         }
-        let hosts: Option<Hosts> = match reply {
+        let hosts: Option<MachineList> = match reply {
             Some((200, body)) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
@@ -62,7 +62,7 @@
         leader.fleet.pages.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
             self.cloud_budget.take(1.0, f64::MIN, now);
-            let path = hosts_path(Some(&last), LIST_LIMIT);
+            let path = machine_list_path(Some(&last), LIST_LIMIT);
             let purpose = CallPurpose::Hosts { begun };
             return self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
@@ -105,11 +105,14 @@
             m.listed_at.get_or_insert(now);
             // An old machine that has not reported in this term is not one that fails to
             // boot: a new leader once returned healthy machines for that.
-            if m.state == MachineState::Booting && h.status == HostStatus::Running {
+            if m.state == MachineState::Booting && h.status == ListedMachineStatus::Running {
                 m.state = MachineState::AwaitingHeartbeat;
                 m.first_known_at = now;
             }
-            if h.status == HostStatus::Failed && !m.failed && m.state != MachineState::Terminated {
+            if h.status == ListedMachineStatus::Failed
+                && !m.failed
+                && m.state != MachineState::Terminated
+            {
                 dead.push(name);
             }
         }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -11,7 +11,10 @@
 use crate::constants::{
     CLOUD_CALL_MS, DRAIN_TARGET_S, LIST_LIMIT, LIST_PERIOD_MS, MS_PER_S, RENT_PATIENCE_BOOTS,
 };
-use crate::protocol::cloud::{hosts_path, Host, HostStatus, Hosts, MachineType, Names, Rent};
+use crate::protocol::cloud::{
+    machine_list_path, ListedMachine, ListedMachineStatus, MachineList, MachineNames, MachineType,
+    RentalRequest,
+};
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::EndCause;
 use crate::protocol::Resources;
@@ -57,7 +60,7 @@
     list_at: u64,
     listing: bool,
     list_begun: u64,
-    pages: Vec<Host>,
+    pages: Vec<ListedMachine>,
     listed_once: bool,
     /// When the last complete list was asked for.
     listed_begun: Option<u64>,
@@ -186,7 +189,7 @@
             leader.fleet.pages.clear();
             leader.fleet.list_at = now + LIST_PERIOD_MS;
             let purpose = CallPurpose::Hosts { begun: now };
-            let path = hosts_path(None, LIST_LIMIT);
+            let path = machine_list_path(None, LIST_LIMIT);
             self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
         let Some(leader) = self.leader.as_mut() else {
--- a/src/coordination/fleet/renting.rs
+++ b/src/coordination/fleet/renting.rs
@@ -191,7 +191,7 @@
                 r.zone,
                 if r.spot { ", spot" } else { "" }
             );
-            let body = Rent {
+            let body = RentalRequest {
                 request_id: r.request_id.clone(),
                 machine_type: catalog.machine_types[r.machine_type].type_name.clone(),
                 zone: r.zone.clone(),
@@ -232,7 +232,7 @@
         let kind = (machine_type.type_name.clone(), rental.zone.clone(), rental.spot);
         match reply {
             Some((200, body)) => {
-                let Ok(names) = serde_json::from_slice::<Names>(&body) else {
+                let Ok(names) = serde_json::from_slice::<MachineNames>(&body) else {
                     return;
                 };
                 if names.machines.len() < rental.number {
--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/returning.rs
@@ -113,7 +113,7 @@
             }
         }
         log::info!("returns {}", names.join(", "));
-        let body = Names { machines: names.iter().map(|n| n.to_string()).collect() };
+        let body = MachineNames { machines: names.iter().map(|n| n.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = CallPurpose::Delete(names);
         self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_CALL_MS, purpose);
--- a/src/coordination/isolation.rs
+++ b/src/coordination/isolation.rs
@@ -15,7 +15,7 @@
     CANCEL_MARGIN_MS, CLOCK_DRIFT, ENDS_NAMED_MAX, ISOLATED_ASK_MS, MS_PER_S, START_READ_AGE_MAX_MS,
 };
 use crate::protocol::peers::Gossip;
-use crate::protocol::users::{Status, Told};
+use crate::protocol::users::{JobStatus, JobStatusResponse};
 
 impl Controller {
     /// The latest time before which no user can have been told of an end that we don't know of:
@@ -96,8 +96,8 @@
 
     /// What a relayed answer says of a job is heard as well.
     pub(super) fn record_relayed_status(&mut self, body: &[u8]) {
-        if let Ok(view) = serde_json::from_slice::<Told>(body) {
-            if matches!(view.status, Status::Done | Status::Cancelled) {
+        if let Ok(view) = serde_json::from_slice::<JobStatusResponse>(body) {
+            if matches!(view.status, JobStatus::Done | JobStatus::Cancelled) {
                 self.record_ended_job(view.uid);
             }
         }
--- a/src/coordination/peers.rs
+++ b/src/coordination/peers.rs
@@ -5,7 +5,7 @@
 use crate::constants::{
     GOSSIP_CALL_MS, GOSSIP_FRESH_MS, GOSSIP_MS, MS_PER_S, PEER_VERSION, RELAY_CALL_MS,
 };
-use crate::protocol::peers::{decode, encode, Gossip, Relay, Relayed};
+use crate::protocol::peers::{decode, encode, Gossip, RelayRequest, RelayResponse};
 
 /// What is known of a peer.
 #[derive(Debug, Default)]
@@ -147,7 +147,7 @@
                     self.respond(connection, 400, None, vec![]);
                 }
             }
-            ("POST", "/relay") => match decode::<Relay>(body) {
+            ("POST", "/relay") => match decode::<RelayRequest>(body) {
                 Ok(r) if r.version == PEER_VERSION => {
                     let requester =
                         Requester { connection, relayed: true, since: self.now.monotonic_ms };
@@ -193,7 +193,7 @@
         let Some(peer) = peer else {
             return self.unavailable(requester);
         };
-        let m = Relay { version: PEER_VERSION, method: method.into(), path, body };
+        let m = RelayRequest { version: PEER_VERSION, method: method.into(), path, body };
         let purpose = CallPurpose::Relay { requester };
         self.call(Service::Peer(peer), "POST", "/relay".into(), encode(&m), RELAY_CALL_MS, purpose);
     }
@@ -203,7 +203,9 @@
         requester: Requester,
         reply: Option<(u16, Vec<u8>)>,
     ) {
-        match reply.and_then(|(s, b)| (s == 200).then(|| decode::<Relayed>(&b).ok()).flatten()) {
+        match reply
+            .and_then(|(s, b)| (s == 200).then(|| decode::<RelayResponse>(&b).ok()).flatten())
+        {
             Some(m) if m.version == PEER_VERSION => {
                 self.record_relayed_status(&m.body);
                 self.pass_on(requester, m)
--- a/src/coordination/recovery/detect.rs
+++ b/src/coordination/recovery/detect.rs
@@ -11,7 +11,7 @@
     REBUILD_STAND_EMPTY_MS, REBUILD_STAND_MS,
 };
 use crate::coordination::Controller;
-use crate::protocol::state::{Changes, Event, Item};
+use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::storage::records::{leader_key, RebuildPhase, RebuildRecord};
 use crate::storage::replica::Replica;
 use mountgap_records::constants::REBUILD_KEY;
@@ -19,7 +19,7 @@
 use mountgap_recovery::image::StoreImage;
 
 /// Whether an event says that somebody rebuilds the store.
-fn begins_rebuild(event: &Event) -> bool {
+fn begins_rebuild(event: &WatchEvent) -> bool {
     let data = event.value.as_ref().filter(|_| event.put_key.as_deref() == Some(REBUILD_KEY));
     let record = data.and_then(|data| serde_json::from_str::<RebuildRecord>(data.get()).ok());
     record.is_some_and(|record| record.phase == RebuildPhase::Writing)
@@ -76,7 +76,7 @@
     }
 
     /// Notes a key of the whole store as it is read.
-    pub(in crate::coordination) fn note_item(&mut self, item: &Item) {
+    pub(in crate::coordination) fn note_item(&mut self, item: &KeyValue) {
         if self.recovery.enabled && item.key.starts_with(KEY_FAMILY) {
             self.record_leader_revision(&item.key, item.mod_revision);
             self.recovery.image.put(&item.key, item.mod_revision, item.value.get());
@@ -85,7 +85,11 @@
 
     /// Judges an answer of the store, asked for what came after `since`, before it is put in. False
     /// if it must not be.
-    pub(in crate::coordination) fn note_changes(&mut self, since: u64, changes: &Changes) -> bool {
+    pub(in crate::coordination) fn note_changes(
+        &mut self,
+        since: u64,
+        changes: &WatchResponse,
+    ) -> bool {
         if !self.recovery.enabled {
             return true;
         }
--- a/src/coordination/submissions.rs
+++ b/src/coordination/submissions.rs
@@ -14,9 +14,10 @@
 };
 use crate::protocol::cloud::Catalog;
 use crate::protocol::state::{
-    raw, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
+    raw_json, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict,
+    COMMIT_PATH,
 };
-use crate::protocol::users::{parse_submission, submitted_uid, Accepted, JobSpec, Status};
+use crate::protocol::users::{JobSpec, JobStatus, JobStatusResponse, Submission};
 use crate::protocol::Resources;
 use crate::storage::records::{batch_key, gang_batch_key, job_end_key, BatchRecord, JobStage};
 use std::collections::BTreeSet;
@@ -73,10 +74,11 @@
 
 impl Controller {
     pub(super) fn submit(&mut self, requester: Requester, body: &[u8]) {
-        let (uid, value) = match submitted_uid(body) {
-            Ok(v) => v,
-            Err(e) => return self.refuse(requester, 400, &e, None),
+        let submission = match Submission::parse(body) {
+            Ok(submission) => submission,
+            Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
+        let uid = submission.uid().to_string();
         if !self.admit(requester, "POST", "/v1/jobs", body) {
             return;
         }
@@ -91,8 +93,8 @@
                 spec: None,
             });
         }
-        let verdict = match parse_submission(value) {
-            Err(e) => Err((400, e)),
+        let verdict = match submission.into_spec() {
+            Err(error) => Err((400, error.to_string())),
             Ok(spec) => self.judge(&spec).map(|()| Rc::new(spec)),
         };
         match verdict {
@@ -159,7 +161,7 @@
 
     /// Takes a job that is to be accepted into the next batch. A repeat joins the first.
     fn commit_job(&mut self, requester: Requester, spec: Rc<JobSpec>) {
-        let bytes = raw(&spec).get().len() + BATCH_FRAME_BYTES;
+        let bytes = raw_json(&spec).get().len() + BATCH_FRAME_BYTES;
         if bytes + BATCH_FRAME_BYTES > self.limits.value_bytes {
             return self.refuse(requester, 422, "the submission is too large to be kept", None);
         }
@@ -344,7 +346,8 @@
                         p.spec.deadline_s
                     );
                     for requester in p.requesters {
-                        let accepted = Accepted { uid: &p.spec.uid, status: Status::Queued };
+                        let accepted =
+                            JobStatusResponse { uid: &p.spec.uid, status: JobStatus::Queued };
                         self.answer_json(requester, 201, &accepted);
                     }
                 }
--- a/src/coordination/sync.rs
+++ b/src/coordination/sync.rs
@@ -5,7 +5,7 @@
     FRESH_GAP_MS, KEY_FAMILY, KEY_ROOT, READ_PERIOD_MS, STATE_CALL_MS, STATE_FOREIGN_MS,
     STATE_LIST_LIMIT, STATE_LIST_MS, STATE_LOST_MS, STATE_RETRY_MS, WATCH_BLOCK_MS, WATCH_CALL_MS,
 };
-use crate::protocol::state::{changes_path, list_path, Changes, Page, COMMIT_PATH};
+use crate::protocol::state::{changes_path, list_path, KeyPage, WatchResponse, COMMIT_PATH};
 use crate::protocol::users::JobSpec;
 use crate::storage::records::Name;
 use crate::storage::replica::Replica;
@@ -215,7 +215,7 @@
             return;
         }
         self.store_sync.listing = false;
-        let page: Option<Page> = match &reply {
+        let page: Option<KeyPage> = match &reply {
             Some((200, body)) => serde_json::from_slice(body).ok(),
             _ => None,
         };
@@ -275,7 +275,7 @@
         }
         match reply {
             Some((200, body)) => {
-                let changes: Changes = serde_json::from_slice(body).ok()?;
+                let changes: WatchResponse = serde_json::from_slice(body).ok()?;
                 let work = &mut self.metrics.work;
                 work.state_bytes_read += body.len() as u64;
                 work.state_reads_unchanged += u64::from(changes.events.is_empty());
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -10,9 +10,11 @@
     PEER_VERSION, RETRY_AFTER_BUSY_S, RETRY_AFTER_S, STATE_CALL_MS, STATE_LOST_MS, USER_WAIT_MAX,
     WRITE_KEEP_USERS,
 };
-use crate::protocol::peers::{encode, Relayed};
+use crate::protocol::peers::{encode, RelayResponse};
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
-use crate::protocol::users::{valid_uid, Accepted, Refusal, Status, View};
+use crate::protocol::users::{
+    valid_uid, ErrorResponse, JobProgressResponse, JobStatus, JobStatusResponse,
+};
 use crate::storage::records::{job_end_key, JobEndRecord, JobRecord, JobStage};
 use crate::storage::replica::Versioned;
 
@@ -25,14 +27,14 @@
         body: Vec<u8>,
     ) {
         if requester.relayed {
-            let m = Relayed { version: PEER_VERSION, status, retry_after_s, body };
+            let m = RelayResponse { version: PEER_VERSION, status, retry_after_s, body };
             self.respond(requester.connection, 200, None, encode(&m));
         } else {
             self.respond(requester.connection, status, retry_after_s, body);
         }
     }
 
-    pub(super) fn pass_on(&mut self, requester: Requester, m: Relayed) {
+    pub(super) fn pass_on(&mut self, requester: Requester, m: RelayResponse) {
         self.answer(requester, m.status, m.retry_after_s, m.body);
     }
 
@@ -56,7 +58,7 @@
         if status >= 429 {
             self.metrics.work.refused += 1;
         }
-        let body = serde_json::to_vec(&Refusal { error }).unwrap_or_default();
+        let body = serde_json::to_vec(&ErrorResponse { error }).unwrap_or_default();
         self.answer(requester, status, retry, body);
     }
 
@@ -145,12 +147,12 @@
         self.on_jobs_changed(&touched);
     }
 
-    fn status_of(&self, uid: &str, job: &Versioned<JobRecord>) -> Status {
+    fn status_of(&self, uid: &str, job: &Versioned<JobRecord>) -> JobStatus {
         match job.value.stage {
-            JobStage::Done => Status::Done,
-            JobStage::Cancelled => Status::Cancelled,
-            JobStage::Live if self.replica.placed(uid) > 0 => Status::Running,
-            JobStage::Live => Status::Queued,
+            JobStage::Done => JobStatus::Done,
+            JobStage::Cancelled => JobStatus::Cancelled,
+            JobStage::Live if self.replica.placed(uid) > 0 => JobStatus::Running,
+            JobStage::Live => JobStatus::Queued,
         }
     }
 
@@ -160,7 +162,7 @@
         }
         if let Some(job) = self.replica.jobs.get(uid) {
             let status = self.status_of(uid, job);
-            self.answer_json(requester, 200, &Accepted { uid, status });
+            self.answer_json(requester, 200, &JobStatusResponse { uid, status });
         }
     }
 
@@ -188,11 +190,11 @@
         }
         let status = self.status_of(uid, job);
         let (done, running) = match status {
-            Status::Done => (job.value.tasks, 0),
-            Status::Cancelled => (job.value.done, 0),
+            JobStatus::Done => (job.value.tasks, 0),
+            JobStatus::Cancelled => (job.value.done, 0),
             _ => (self.replica.done_bitmap(uid).count(), self.replica.placed(uid)),
         };
-        self.answer_json(requester, 200, &View { uid, status, done, running });
+        self.answer_json(requester, 200, &JobProgressResponse { uid, status, done, running });
     }
 
     fn cancel(&mut self, requester: Requester, uid: &str) {
@@ -278,7 +280,7 @@
                 self.answer_json(
                     requester,
                     200,
-                    &Accepted { uid: &uid, status: Status::Cancelled },
+                    &JobStatusResponse { uid: &uid, status: JobStatus::Cancelled },
                 );
             }
             // Done in the meantime, or withdrawn already.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,8 +1,9 @@
-//! Controllers -> cloud.
+//! Controllers -> cloud ("Controller nodes -> cloud" of the protocol): the catalog, renting, returning and
+//! listing machines.
 
 use serde::{Deserialize, Serialize};
 
-/// `GET /catalog`.
+/// What can be rented ("GET /catalog" of the protocol).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Catalog {
     /// Every type that can be rented.
@@ -22,7 +23,7 @@
     }
 }
 
-/// A machine type.
+/// A machine type ("GET /catalog" of the protocol).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
@@ -56,9 +57,9 @@
     pub zones: Vec<String>,
 }
 
-/// `POST /hosts`.
+/// Rents machines ("POST /hosts" of the protocol); a repeat with the same id rents nothing more.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Rent {
+pub struct RentalRequest {
     /// Name of the request, never used again.
     #[serde(rename = "hire")]
     pub request_id: String,
@@ -75,18 +76,19 @@
     pub number: usize,
 }
 
-/// Names of machines: answer to a rental, body of a deletion.
+/// Names of machines: the answer to a rental ("POST /hosts" of the protocol), and the request that returns
+/// them ("POST /hosts/delete").
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Names {
+pub struct MachineNames {
     /// Names of machines.
     #[serde(rename = "steads")]
     pub machines: Vec<String>,
 }
 
-/// State of a machine in the list.
+/// State of a machine in the list ("GET /hosts" of the protocol).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HostStatus {
+pub enum ListedMachineStatus {
     /// Rented, not yet up.
     Starting,
     /// Up, or not known to be down.
@@ -98,9 +100,9 @@
     Unknown,
 }
 
-/// A listed machine.
+/// A machine in the list ("GET /hosts" of the protocol).
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Host {
+pub struct ListedMachine {
     /// Its name.
     pub uid: String,
     /// Where its worker takes direct commands.
@@ -116,27 +118,27 @@
     #[serde(rename = "lendables")]
     pub spot: bool,
     /// Its state.
-    pub status: HostStatus,
+    pub status: ListedMachineStatus,
     /// Seconds since the request, at the time that the list describes.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// `GET /hosts`.
+/// A page of the list of machines ("GET /hosts" of the protocol).
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Hosts {
+pub struct MachineList {
     /// Machines in the order of their names.
     #[serde(rename = "steads")]
-    pub machines: Vec<Host>,
+    pub machines: Vec<ListedMachine>,
     /// Whether the list goes on after the last of them.
     #[serde(default)]
     pub has_next: bool,
 }
 
-/// Path of a page of the list.
-pub fn hosts_path(since: Option<&str>, limit: usize) -> String {
+/// Path of a page of the list: at most `limit` machines after the one named `since`.
+pub fn machine_list_path(since: Option<&str>, limit: usize) -> String {
     match since {
-        Some(s) => format!("/hosts?since={s}&limit={limit}"),
+        Some(since) => format!("/hosts?since={since}&limit={limit}"),
         None => format!("/hosts?limit={limit}"),
     }
 }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,4 +1,8 @@
-//! Controllers <-> controllers, in CBOR (`ciborium`).
+//! Controllers <-> controllers, in CBOR ("Controller nodes <-> controller nodes" of the protocol, which
+//! leaves the messages to the service).
+//!
+//! Controllers of two versions meet during an upgrade: fields keep their names and their order, and a
+//! field that came later has a default.
 
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
@@ -23,8 +27,8 @@
     pub served_ago_ms: Option<u64>,
     /// Workers that reported to the sender within the last few seconds.
     pub workers_seen: u32,
-    /// Milliseconds since the sender last answered a worker in the leader's place, or since it
-    /// began if it never did: an earlier life of it may have.
+    /// Milliseconds since the sender last extended a worker's lease in the leader's place, or since
+    /// it began if it never did: an earlier process of it may have.
     #[serde(rename = "stood_in_ago_ms")]
     pub extended_lease_ago_ms: u64,
     /// The sender can't read the store and asks which jobs have ended after this revision.
@@ -96,9 +100,9 @@
     pub last: bool,
 }
 
-/// A user's request that the receiver is asked to answer.
+/// A user's request that the receiver is asked to answer in the sender's place.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Relay {
+pub struct RelayRequest {
     /// Version of the messages between controllers.
     pub version: u32,
     /// Method of the user's request.
@@ -110,9 +114,9 @@
     pub body: Vec<u8>,
 }
 
-/// The answer to pass on.
+/// The receiver's answer to the user, to be passed on.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct RelayResponse {
     /// Version of the messages between controllers.
     pub version: u32,
     /// Status for the user.
@@ -126,38 +130,50 @@
 
 /// Bodies as CBOR byte strings instead of arrays of numbers.
 mod serde_bytes_vec {
+    use serde::de::Visitor;
     use serde::{Deserializer, Serializer};
+    use std::fmt;
 
-    pub fn serialize<S: Serializer>(v: &[u8], s: S) -> Result<S::Ok, S::Error> {
-        s.serialize_bytes(v)
+    pub fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_bytes(bytes)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<u8>, D::Error> {
-        struct V;
-        impl serde::de::Visitor<'_> for V {
-            type Value = Vec<u8>;
-            fn expecting(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-                f.write_str("bytes")
-            }
-            fn visit_bytes<E>(self, v: &[u8]) -> Result<Vec<u8>, E> {
-                Ok(v.to_vec())
-            }
-            fn visit_byte_buf<E>(self, v: Vec<u8>) -> Result<Vec<u8>, E> {
-                Ok(v)
-            }
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
+        deserializer.deserialize_byte_buf(BytesVisitor)
+    }
+
+    struct BytesVisitor;
+
+    impl Visitor<'_> for BytesVisitor {
+        type Value = Vec<u8>;
+
+        fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+            formatter.write_str("bytes")
+        }
+
+        fn visit_bytes<E>(self, bytes: &[u8]) -> Result<Vec<u8>, E> {
+            Ok(bytes.to_vec())
+        }
+
+        fn visit_byte_buf<E>(self, bytes: Vec<u8>) -> Result<Vec<u8>, E> {
+            Ok(bytes)
         }
-        d.deserialize_byte_buf(V)
     }
 }
 
+/// Bytes that are no message between controllers, or not the one that was expected.
+#[derive(Debug, thiserror::Error)]
+#[error("{0}")]
+pub struct DecodeError(ciborium::de::Error<std::io::Error>);
+
 /// Encodes a message.
-pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    let mut out = Vec::new();
-    ciborium::into_writer(value, &mut out).expect("messages encode into memory");
-    out
+pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    ciborium::into_writer(message, &mut bytes).expect("messages encode into memory");
+    bytes
 }
 
 /// Decodes a message.
-pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
-    ciborium::from_reader(bytes).map_err(|e| e.to_string())
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
+    ciborium::from_reader(bytes).map_err(DecodeError)
 }
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -1,11 +1,12 @@
-//! Controllers -> state service.
+//! Controllers -> state service ("Controller nodes -> state service" of the protocol): reads, transactions on
+//! conditions, leases and watches.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A key with its value.
+/// A key with its value ("GET /store" of the protocol).
 #[derive(Debug, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// Its name.
     pub key: String,
     /// Its value.
@@ -16,11 +17,11 @@
     pub mod_revision: u64,
 }
 
-/// `GET /store?prefix=`.
+/// A page of keys ("GET /store?prefix=" of the protocol).
 #[derive(Debug, Deserialize)]
-pub struct Page {
+pub struct KeyPage {
     /// Keys with their values, in order.
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether the list goes on after the last of them.
     #[serde(default)]
     pub has_next: bool,
@@ -29,7 +30,7 @@
     pub revision: u64,
 }
 
-/// A condition of a transaction.
+/// A condition of a transaction ("POST /commit" of the protocol).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
@@ -39,7 +40,7 @@
     pub mod_revision: u64,
 }
 
-/// A change in a transaction.
+/// A change in a transaction ("POST /commit" of the protocol).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Mutation {
@@ -67,7 +68,7 @@
 impl Mutation {
     /// A write of a value with no lease.
     pub fn put<T: Serialize>(key: String, value: &T) -> Mutation {
-        Mutation::Put { key, value: raw(value), lease_id: None }
+        Mutation::Put { key, value: raw_json(value), lease_id: None }
     }
 
     /// The key that is changed.
@@ -78,12 +79,12 @@
     }
 }
 
-/// A value as stored.
-pub fn raw<T: Serialize>(value: &T) -> Box<RawValue> {
+/// A value as it is stored.
+pub fn raw_json<T: Serialize>(value: &T) -> Box<RawValue> {
     serde_json::value::to_raw_value(value).expect("stored values have string keys only")
 }
 
-/// `POST /commit`.
+/// Changes that are applied all together, and only if every condition holds ("POST /commit" of the protocol).
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Transaction {
     /// What must hold for the transaction to be applied.
@@ -93,7 +94,7 @@
     pub writes: Vec<Mutation>,
 }
 
-/// Answer of a commit that was applied.
+/// Answer to a transaction that was applied ("POST /commit" of the protocol).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransactionApplied {
     /// Revision of the change.
@@ -101,7 +102,7 @@
     pub revision: u64,
 }
 
-/// Answer of a commit whose conditions failed.
+/// Answer to a transaction whose conditions failed: 409 of "POST /commit" of the protocol.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransactionConflict {
     /// Keys whose conditions failed.
@@ -113,9 +114,9 @@
     pub revision: u64,
 }
 
-/// One change seen by a watch.
+/// One change seen by a watch ("GET /changes" of the protocol).
 #[derive(Debug, Deserialize)]
-pub struct Event {
+pub struct WatchEvent {
     /// The key that was set.
     #[serde(default, rename = "write")]
     pub put_key: Option<String>,
@@ -130,27 +131,27 @@
     pub mod_revision: u64,
 }
 
-/// `GET /changes`.
+/// Answer to a watch ("GET /changes" of the protocol).
 #[derive(Debug, Deserialize)]
-pub struct Changes {
+pub struct WatchResponse {
     /// Revision up to which the answer holds all changes.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
     /// Changes in the order of their revisions.
     #[serde(default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
 
-/// `POST /holds`.
+/// Asks for a lease ("POST /holds" of the protocol).
 #[derive(Debug, Serialize, Deserialize)]
-pub struct NewLease {
+pub struct LeaseRequest {
     /// Milliseconds that the lease lasts without renewal.
     pub life_ms: u64,
 }
 
-/// Answer to a new hold.
+/// Answer to the request for a lease ("POST /holds" of the protocol).
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Lease {
+pub struct LeaseGranted {
     /// Number of the lease.
     #[serde(rename = "tenancy")]
     pub lease_id: u64,
@@ -159,15 +160,16 @@
 /// Path of a transaction.
 pub const COMMIT_PATH: &str = "/commit";
 
-/// Path of a page of all keys under a prefix.
+/// Path of a page of all keys under a prefix: at most `limit` keys after the key `since`.
 pub fn list_path(prefix: &str, since: Option<&str>, limit: usize) -> String {
     match since {
-        Some(s) => format!("/store?prefix={prefix}&since={s}&limit={limit}"),
+        Some(since) => format!("/store?prefix={prefix}&since={since}&limit={limit}"),
         None => format!("/store?prefix={prefix}&limit={limit}"),
     }
 }
 
-/// Path of a watch; zero `block_ms` reads what there is.
+/// Path of a watch for changes above the revision `since`. It waits up to `block_ms` milliseconds for one;
+/// with zero it reads what there is.
 pub fn changes_path(prefix: &str, since: u64, block_ms: u64) -> String {
     format!("/changes?prefix={prefix}&since={since}&block_ms={block_ms}")
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,8 +1,9 @@
-//! Workers <-> controllers.
+//! Workers <-> controllers ("Workers -> controller nodes" of the protocol): heartbeats, and the commands that
+//! travel in their answers.
 
 use serde::{Deserialize, Serialize};
 
-/// State of a task on its machine.
+/// State of a task on its machine ("POST /checkin" of the protocol).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskStatus {
@@ -33,7 +34,7 @@
     }
 }
 
-/// Why a task ended.
+/// Why a task ended ("POST /checkin" of the protocol).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndCause {
@@ -66,7 +67,7 @@
     use super::{EndCause, TaskStatus};
     use serde::{Deserialize, Serialize};
 
-    /// A task in a report.
+    /// A task in a heartbeat ("POST /checkin" of the protocol).
     #[derive(Debug, Clone, Serialize, Deserialize)]
     pub struct TaskReport {
         /// The task's name on the wire, see [`crate::protocol::task_name`].
@@ -85,7 +86,7 @@
         pub saved: Option<bool>,
     }
 
-    /// A worker's report.
+    /// A worker's heartbeat ("POST /checkin" of the protocol).
     #[derive(Debug, Clone, Serialize, Deserialize)]
     pub struct Report {
         /// Name of the machine.
@@ -123,7 +124,7 @@
     }
 }
 
-/// An order to a worker.
+/// A command to a worker ("POST /checkin" of the protocol).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum WorkerCommand {
@@ -149,7 +150,7 @@
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Removes an ended task from the reports.
+    /// Removes an ended task from the heartbeats.
     Clear {
         /// The task.
         #[serde(rename = "load")]
@@ -160,7 +161,7 @@
     },
 }
 
-/// Answer to a report.
+/// Answer to a heartbeat ("POST /checkin" of the protocol).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// The sender's token: a worker drops answers with a lower one than it has seen.
@@ -171,7 +172,7 @@
     pub commands: Vec<WorkerCommand>,
 }
 
-/// Answer of a controller that doesn't lead.
+/// Answer of a controller that doesn't lead: 421 ("Workers -> controller nodes" of the protocol).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaderRedirect {
     /// The controller to report to, if it is known.
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`], the module `cluster`.
 
 use super::*;
-use crate::protocol::state::raw;
+use crate::protocol::state::raw_json;
 use crate::storage::hashing::HashKeys;
 use crate::storage::records::batch_key;
 use crate::storage::testing::batch_of;
@@ -26,7 +26,7 @@
     // Once as never stored and once more when its group gave it up, its task came to wait
     // while it was placed anew, and ran twice.
     let mut r = Replica::new(HashKeys::from_seed(1));
-    r.write(&batch_key("a"), &raw(&batch_of("job-1", 1)), 3);
+    r.write(&batch_key("a"), &raw_json(&batch_of("job-1", 1)), 3);
     let mut b = ClusterState::from_replica(&r, 0);
     let (uid, a, z): (Name, Name, Name) = ("job-1".into(), "n-a".into(), "n-z".into());
     b.machine_entry(&a, 0);
--- a/src/storage/gangs/tests.rs
+++ b/src/storage/gangs/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`], the module `gangs`.
 
 use super::*;
-use crate::protocol::state::raw;
+use crate::protocol::state::raw_json;
 use crate::protocol::users::JobKind;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::PlacementPhase;
@@ -18,11 +18,11 @@
     let spec = Rc::make_mut(&mut batch.jobs[0]);
     spec.kind = JobKind::Gang;
     let mut replica = Replica::new(HashKeys::from_seed(1));
-    replica.write(&gang_batch_key("a"), &raw(&batch), 3);
+    replica.write(&gang_batch_key("a"), &raw_json(&batch), 3);
     let text =
         |n| StoredPlacement::text("job-1", n, ["n-a", "n-b"][n as usize % 2], 7).expect("a text");
     let tasks: Vec<String> = (0..placed).map(text).collect();
-    replica.write(&placements_key(0), &raw(&PlacementsRecord { tasks: tasks.join(" ") }), 4);
+    replica.write(&placements_key(0), &raw_json(&PlacementsRecord { tasks: tasks.join(" ") }), 4);
     replica
 }
 
@@ -115,7 +115,7 @@
     let mut replica = replica(2, 2);
     let mut cluster = ClusterState::from_replica(&replica, 0);
     let end = JobEndRecord { at: 0, stage: JobStage::Cancelled, tasks: 2, done: 0 };
-    replica.write(&job_end_key("job-1"), &raw(&end), 9);
+    replica.write(&job_end_key("job-1"), &raw_json(&end), 9);
     cluster.job_changed(&replica, &uid(), 0);
     assert_eq!(halts(&cluster), vec![Some(StopReason::NotNeeded); 2]);
     settle(&mut cluster, 0, EndCause::Halted, true);
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -13,7 +13,7 @@
 };
 use crate::constants::{ARRIVAL_BITS, DONE_CHUNK_TASKS};
 use crate::protocol::cloud::Catalog;
-use crate::protocol::state::{Changes, Event, Item};
+use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
@@ -106,12 +106,12 @@
     }
 
     /// Puts in a page of the whole store.
-    pub fn apply_item(&mut self, item: &Item) {
+    pub fn apply_item(&mut self, item: &KeyValue) {
         self.write(&item.key, &item.value, item.mod_revision);
     }
 
     /// Puts in an answer of a watch or a read; gives the jobs that changed.
-    pub fn apply(&mut self, changes: &Changes) -> Vec<Name> {
+    pub fn apply(&mut self, changes: &WatchResponse) -> Vec<Name> {
         let mut touched = Vec::new();
         let from = self.revision;
         for ev in changes.events.iter().filter(|e| e.mod_revision > from) {
@@ -123,7 +123,7 @@
         touched
     }
 
-    fn event(&mut self, ev: &Event) -> Vec<Name> {
+    fn event(&mut self, ev: &WatchEvent) -> Vec<Name> {
         if let (Some(key), Some(data)) = (&ev.put_key, &ev.value) {
             if self.removed.get(key).is_some_and(|r| *r >= ev.mod_revision) {
                 return Vec::new();
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -1,13 +1,13 @@
 //! Tests of [`super`], the module `replica`.
 
 use super::*;
-use crate::protocol::state::raw;
+use crate::protocol::state::raw_json;
 use crate::storage::hashing::HashKeys;
 use crate::storage::records::{batch_key, job_end_key, placements_key, StoredPlacement};
 use crate::storage::testing::batch_of;
 
-fn put(key: String, rec: &PlacementsRecord, mod_revision: u64) -> Event {
-    Event { put_key: Some(key), removed_key: None, value: Some(raw(rec)), mod_revision }
+fn put(key: String, rec: &PlacementsRecord, mod_revision: u64) -> WatchEvent {
+    WatchEvent { put_key: Some(key), removed_key: None, value: Some(raw_json(rec)), mod_revision }
 }
 
 fn one() -> PlacementsRecord {
@@ -18,8 +18,8 @@
 fn an_older_answer_that_comes_late_changes_nothing() {
     let mut r = Replica::new(HashKeys::from_seed(1));
     let none = PlacementsRecord::default();
-    let new = Changes { revision: 9, events: vec![put(placements_key(0), &none, 8)] };
-    let old = Changes { revision: 5, events: vec![put(placements_key(0), &one(), 4)] };
+    let new = WatchResponse { revision: 9, events: vec![put(placements_key(0), &none, 8)] };
+    let old = WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] };
     r.apply(&new);
     r.apply(&old);
     assert_eq!(r.places[&0].value, none);
@@ -29,12 +29,12 @@
 #[test]
 fn a_key_removed_ahead_of_the_watch_does_not_come_back() {
     let mut r = Replica::new(HashKeys::from_seed(1));
-    r.write(&placements_key(0), &raw(&one()), 4);
+    r.write(&placements_key(0), &raw_json(&one()), 4);
     r.remove(&placements_key(0), 6);
-    r.apply(&Changes { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
+    r.apply(&WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
     assert!(r.places.is_empty(), "the write at 4 is older than the removal at 6");
     assert_eq!(r.placed("job-1"), 0);
-    r.apply(&Changes { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
+    r.apply(&WatchResponse { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
     assert_eq!((r.places.len(), r.placed("job-1")), (1, 1), "a later write counts");
 }
 
@@ -45,8 +45,8 @@
     let mut r = Replica::new(HashKeys::from_seed(1));
     let mut two = batch_of("job-2", 1);
     two.first = 1;
-    r.write(&batch_key("a"), &raw(&batch_of("job-1", 1)), 4);
-    r.write(&batch_key("b"), &raw(&two), 4);
+    r.write(&batch_key("a"), &raw_json(&batch_of("job-1", 1)), 4);
+    r.write(&batch_key("b"), &raw_json(&two), 4);
     assert!(r.jobs["job-1"].mod_revision < r.jobs["job-2"].mod_revision);
 }
 
@@ -54,9 +54,9 @@
 fn of_a_job_in_two_batches_the_first_counts_in_whatever_order_they_are_read() {
     let end = JobEndRecord { at: 5, stage: JobStage::Done, tasks: 3, done: 3 };
     let all = [
-        (batch_key("a"), raw(&batch_of("job-1", 3)), 4),
-        (batch_key("b"), raw(&batch_of("job-1", 7)), 6),
-        (job_end_key("job-1"), raw(&end), 9),
+        (batch_key("a"), raw_json(&batch_of("job-1", 3)), 4),
+        (batch_key("b"), raw_json(&batch_of("job-1", 7)), 6),
+        (job_end_key("job-1"), raw_json(&end), 9),
     ];
     for order in [[0, 1, 2], [1, 0, 2], [2, 1, 0], [2, 0, 1]] {
         let mut r = Replica::new(HashKeys::from_seed(1));
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -411,7 +411,7 @@
                 *close = true;
                 connection.ended = true;
                 connection.input = Vec::new();
-                let body = crate::protocol::users::Refusal { error: e.reason };
+                let body = crate::protocol::users::ErrorResponse { error: e.reason };
                 let body = serde_json::to_vec(&body).unwrap_or_default();
                 http::write_response(&mut connection.output, e.status, None, &body, false);
                 self.flush(key)
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -77,7 +77,7 @@
         );
     }
     for status in ["queued", "running", "done", "withdrawn"] {
-        json::<users::Status>(&format!("\"{status}\""));
+        json::<users::JobStatus>(&format!("\"{status}\""));
     }
 }
 
@@ -104,14 +104,16 @@
     json::<cloud::Catalog>(
         r#"{"builds":[{"sku":"g8","cores":96.0,"gpus":8.0,"ram_gb":768.0,"local_gb":200.0,"pull_gb_per_s":1.0,"rate":12.0,"low_price":4.5,"ready_s":45.0,"yards":["a","b"]}]}"#,
     );
-    json::<cloud::Rent>(r#"{"hire":"r-17","build":"g8","yard":"a","lendables":true,"number":12}"#);
-    json::<cloud::Names>(r#"{"steads":["n-000231"]}"#);
+    json::<cloud::RentalRequest>(
+        r#"{"hire":"r-17","build":"g8","yard":"a","lendables":true,"number":12}"#,
+    );
+    json::<cloud::MachineNames>(r#"{"steads":["n-000231"]}"#);
     for status in ["starting", "running", "failed"] {
-        json::<cloud::Hosts>(&format!(
+        json::<cloud::MachineList>(&format!(
             r#"{{"steads":[{{"uid":"n-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","lendables":true,"status":"{status}","age_s":61.5}}],"has_next":false}}"#
         ));
     }
-    assert_eq!(cloud::hosts_path(Some("n-1"), 500), "/hosts?since=n-1&limit=500");
+    assert_eq!(cloud::machine_list_path(Some("n-1"), 500), "/hosts?since=n-1&limit=500");
 }
 
 #[test]
@@ -119,7 +121,11 @@
     let commit = state::Transaction {
         conditions: vec![state::Condition { key: "a/b".into(), mod_revision: 0 }],
         writes: vec![
-            state::Mutation::Put { key: "a/b".into(), value: state::raw(&[1]), lease_id: Some(7) },
+            state::Mutation::Put {
+                key: "a/b".into(),
+                value: state::raw_json(&[1]),
+                lease_id: Some(7),
+            },
             state::Mutation::put("a/c".into(), &"x"),
             state::Mutation::Remove { key: "c/d".into() },
         ],
@@ -130,8 +136,8 @@
     );
     json::<state::TransactionApplied>(r#"{"ledger_rev":432}"#);
     json::<state::TransactionConflict>(r#"{"failed":["a/b"],"ledger_rev":431}"#);
-    json::<state::NewLease>(r#"{"life_ms":5000}"#);
-    json::<state::Lease>(r#"{"tenancy":7}"#);
+    json::<state::LeaseRequest>(r#"{"life_ms":5000}"#);
+    json::<state::LeaseGranted>(r#"{"tenancy":7}"#);
     assert_eq!(state::list_path("c/", None, 200), "/store?prefix=c/&limit=200");
     assert_eq!(state::list_path("c/", Some("c/7"), 200), "/store?prefix=c/&since=c/7&limit=200");
     assert_eq!(state::changes_path("c/", 431, 0), "/changes?prefix=c/&since=431&block_ms=0");
@@ -146,11 +152,11 @@
          61676f5f6d73190fa06573696e63651901ae65656e64656481656a6f622d3169656e6465645f616c
          6cf5",
     );
-    cbor::<peers::Relay>(
+    cbor::<peers::RelayRequest>(
         "a46776657273696f6e02666d6574686f6464504f53546470617468682f76312f6a6f627364626f64
          794200ff",
     );
-    cbor::<peers::Relayed>(
+    cbor::<peers::RelayResponse>(
         "a46776657273696f6e02667374617475731901f76d72657472795f61667465725f730164626f6479
          427b7d",
     );
