--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -3,7 +3,7 @@
 use super::commits::{PlacementEntry, PlacementMove};
 use super::fleet::Fleet;
 use super::planner;
-use super::snapshot::View;
+use super::planner_input::PlannerInput;
 use super::workers::DeferredHeartbeat;
 use super::{Clock, Controller};
 use crate::constants::{
@@ -21,7 +21,7 @@
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Machine, MachineState, PlacementPhase, StopReason};
-use crate::storage::records::Name;
+use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeMap;
 
 /// A commit that is under way.
@@ -37,8 +37,8 @@
     pub moves: Vec<PlacementMove>,
     /// Groups of bitmaps that it writes, and the chunks that changed.
     pub done_groups: Vec<u32>,
-    pub chunks: Vec<(Name, u32)>,
-    pub finished_jobs: Vec<Name>,
+    pub chunks: Vec<(JobId, u32)>,
+    pub finished_jobs: Vec<JobId>,
     pub stale_keys: Vec<(String, u64)>,
     /// It was sent at least once with no answer: it may have been applied.
     pub outcome_unknown: bool,
@@ -98,7 +98,7 @@
     pub(super) images_at: u64,
     pub(super) garbage_at: u64,
     pub(super) runs: BTreeMap<String, RunStats>,
-    pub(super) reservation: Option<(Name, Name)>,
+    pub(super) reservation: Option<(JobId, MachineName)>,
     /// The teams' shares, in thousandths of the fleet, and whether they are in the store.
     pub(super) shares: Vec<i64>,
     pub(super) shares_written: bool,
@@ -300,13 +300,13 @@
                 // The store is written back first.
                 return;
             }
-            if self.replica.revision < leader.mod_revision {
+            if self.store.replica().revision < leader.mod_revision {
                 return self.request_leader_read();
             }
-            leader.cluster = ClusterState::from_replica(&self.replica, now);
+            leader.cluster = ClusterState::from_replica(self.store.replica(), now);
             leader.ready = true;
             leader.ready_at = now;
-            if let Some(rec) = &self.replica.shares {
+            if let Some(rec) = &self.store.replica().shares {
                 let of = |t: &str| rec.value.teams.iter().find(|(n, _)| n == t).map(|(_, s)| *s);
                 leader.shares =
                     self.settings.params.teams.iter().map(|t| of(&t.name).unwrap_or(0)).collect();
@@ -335,7 +335,7 @@
             return;
         }
         self.metrics.work.lease_scans += 1;
-        let alone_since = self.nobody_else_answered_before();
+        let alone_since = self.leases_not_extended_before();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -378,8 +378,10 @@
         let Some(leader) = &self.leader else { return };
         let quiet = now > leader.last_heartbeat_at + LEADER_UNHEARD_MS
             && now > leader.began_at + LEADER_UNHEARD_MS;
-        let peers_hear =
-            self.fresh_gossip().any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
+        let peers_hear = self
+            .membership
+            .fresh_gossip(self.now.monotonic_ms)
+            .any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
         if quiet && peers_hear {
             self.hand_over("no worker reports here, but to others they do");
         }
@@ -389,7 +391,7 @@
 
     fn plan_pass(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.cloud.catalog().cloned() else {
             return;
         };
         let wall_ms = self.now.wall_ms;
@@ -409,7 +411,7 @@
         }
         self.metrics.work.planner_passes += 1;
         self.metrics.work.planner_machines += leader.cluster.machines.len() as u64;
-        let mut view = View::of_cluster(
+        let mut view = PlannerInput::of_cluster(
             leader,
             &settings,
             &operator,
@@ -422,15 +424,15 @@
             leader.shares_written = false;
         }
         for (team, share) in view.snapshot.teams.iter_mut().zip(&leader.shares) {
-            team.share = *share;
+            team.share_permille = *share;
         }
         let plan = planner::plan(&view.snapshot);
-        self.metrics.work.planner_places += plan.places_examined;
+        self.metrics.work.planner_places += plan.candidates_examined;
         leader.reservation =
             plan.reservation.map(|(j, m, _)| (view.jobs[j].clone(), view.machines[m].clone()));
-        let mut gangs: BTreeMap<usize, Vec<Name>> = BTreeMap::new();
-        for (j, m) in &plan.places {
-            if view.snapshot.jobs[*j].gang {
+        let mut gangs: BTreeMap<usize, Vec<MachineName>> = BTreeMap::new();
+        for (j, m) in &plan.placements {
+            if view.snapshot.jobs[*j].is_gang {
                 gangs.entry(*j).or_default().push(view.machines[*m].clone());
                 continue;
             }
@@ -450,18 +452,18 @@
                 log::error!("{uid}: a part of a gang is not placed");
             }
         }
-        for (m, handle) in &plan.halts {
+        for (m, handle) in &plan.preemptions {
             let id = view.handles[*m][*handle].clone();
             let machine = &view.machines[*m];
-            if leader.cluster.jobs.get(&id.0).is_some_and(|job| job.is_gang()) {
-                log::debug!("{}: gang stopped to make room", id.0);
-                leader.stop_gang(&id.0, StopReason::Eviction, now);
+            if leader.cluster.jobs.get(&id.job).is_some_and(|job| job.is_gang()) {
+                log::debug!("{}: gang stopped to make room", id.job);
+                leader.stop_gang(&id.job, StopReason::Eviction, now);
                 continue;
             }
             let held =
                 leader.cluster.machines.get_mut(machine).and_then(|m| m.placements.get_mut(&id));
             let Some(p) = held else { continue };
-            log::debug!("{}/{}: stopped on {machine} to make room", id.0, id.1);
+            log::debug!("{id}: stopped on {machine} to make room");
             p.stop_reason = p.stop_reason.max(Some(StopReason::Eviction));
             // Stored but never ordered by us: it can't be there, so its place is free at once.
             let ours = p.attempt >> ATTEMPT_BITS == leader.term;
--- a/src/coordination/recovery/view.rs
+++ b/src/coordination/recovery/view.rs
@@ -3,7 +3,6 @@
 use super::Phase;
 use crate::coordination::Controller;
 use crate::protocol::recovery::{FlaggedJob, LastRebuild, RecoveryReport, UnknownTask};
-use crate::protocol::task_name;
 use crate::snapshots::SnapshotStatus;
 use crate::storage::records::{FlagReason, RebuildPhase};
 use serde::Serialize;
@@ -53,7 +52,7 @@
     }
 
     fn flagged_jobs(&self) -> Vec<FlaggedJob> {
-        let groups = self.replica.flagged.values().flat_map(|group| &group.value.jobs);
+        let groups = self.store.replica().flagged.values().flat_map(|group| &group.value.jobs);
         let jobs =
             groups.map(|(job, why)| FlaggedJob { job: job.clone(), reason: reason(*why).into() });
         jobs.collect()
@@ -62,9 +61,9 @@
     fn unknown_tasks(&self) -> Vec<UnknownTask> {
         let machines = self.leader.iter().flat_map(|leader| leader.cluster.machines.values());
         let tasks = machines.flat_map(|machine| {
-            machine.unknown_tasks.iter().map(|((job, task), attempt)| UnknownTask {
+            machine.unknown_tasks.iter().map(|(id, attempt)| UnknownTask {
                 machine: machine.name.to_string(),
-                task: task_name(job, *task),
+                task: id.to_string(),
                 attempt: *attempt,
             })
         });
@@ -93,7 +92,7 @@
             Phase::Verifying { suspicion, .. } => suspicion.as_ref().map(|loss| loss.to_string()),
             _ => None,
         };
-        let last = self.replica.rebuild.as_ref().map(|record| &record.value);
+        let last = self.store.replica().rebuild.as_ref().map(|record| &record.value);
         RecoveryReport {
             controller: self.settings.label.clone(),
             enabled: self.recovery.enabled,
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -6,14 +6,14 @@
 use crate::protocol::Resources;
 use crate::storage::gangs::GangPhase;
 use crate::storage::job::Job;
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 use std::fmt;
 
 /// What a job waits for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum WaitReason {
     /// A place that is reserved for it.
-    Reserved(Name),
+    Reserved(MachineName),
     /// The end of a pause after failures.
     Paused,
     /// Its team uses as much as it may.
@@ -91,7 +91,7 @@
         match leader.cluster.gang_phase(job) {
             GangPhase::Running => None,
             GangPhase::Unplaced => {
-                let most = gang_tasks_max(&self.limits, self.settings.controllers());
+                let most = gang_tasks_max(self.store.limits(), self.settings.controllers());
                 (job.tasks as usize > most).then_some(WaitReason::TooLargeToStore { most })
             }
             GangPhase::Storing => Some(WaitReason::Storing),
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -1,10 +1,11 @@
 //! Machines, and tasks placed on them, as the leader of a term knows them.
 
-use super::records::Name;
+use super::records::{JobId, MachineName};
 use crate::constants::{IMAGES_KEPT, UNREACHABLE_SIGNS};
-use crate::protocol::workers::{EndCause, TaskStatus};
+use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 
 /// How far a placement has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,6 +25,29 @@
     NotNeeded,
 }
 
+/// Identifies a heartbeat of a machine. Of two heartbeats the greater is the newer one.
+///
+/// The order of the fields matters: a worker's sequence numbers start again with each incarnation.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeartbeatId {
+    /// The session of the worker that sent it.
+    pub incarnation: u64,
+    /// Its number within the session.
+    pub sequence: u64,
+}
+
+impl HeartbeatId {
+    /// The id of a worker's heartbeat.
+    pub fn of(heartbeat: &Heartbeat) -> HeartbeatId {
+        HeartbeatId { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence }
+    }
+
+    /// The id that the same session's next heartbeat has.
+    pub fn next(self) -> HeartbeatId {
+        HeartbeatId { sequence: self.sequence.saturating_add(1), ..self }
+    }
+}
+
 /// A task on a machine.
 #[derive(Debug, Clone)]
 pub struct Placement {
@@ -32,7 +56,7 @@
     /// Whether it is in the store.
     pub phase: PlacementPhase,
     /// The report in whose answer the start went out last.
-    pub start_sent_after: Option<(u64, u64)>,
+    pub start_sent_after: Option<HeartbeatId>,
     /// As last shown by the worker.
     pub reported_status: Option<TaskStatus>,
     /// When it was first shown running.
@@ -64,8 +88,27 @@
     }
 }
 
-/// Names a task: its job and its number.
-pub type TaskId = (Name, u32);
+/// Identifies a task. Ordered by job, then by number.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskId {
+    /// The job that it belongs to.
+    pub job: JobId,
+    /// Its number within the job, from 0.
+    pub index: u32,
+}
+
+impl TaskId {
+    /// The task `index` of a job.
+    pub fn new(job: JobId, index: u32) -> TaskId {
+        TaskId { job, index }
+    }
+}
+
+impl fmt::Display for TaskId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}", self.job, self.index)
+    }
+}
 
 /// Life of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -87,7 +130,7 @@
 #[derive(Debug, Clone)]
 pub struct Machine {
     /// Its name.
-    pub name: Name,
+    pub name: MachineName,
     /// Name of its type.
     pub type_name: String,
     /// Its zone.
@@ -106,8 +149,8 @@
     pub up_at: Option<u64>,
     /// When a list first named it.
     pub listed_at: Option<u64>,
-    /// The newest report: session and sequence.
-    pub newest_heartbeat: (u64, u64),
+    /// The newest heartbeat.
+    pub newest_heartbeat: HeartbeatId,
     /// The worker has shown our token.
     pub has_our_token: bool,
     /// When it last gave a sign of life, see [`Machine::received_at`] for the difference.
@@ -143,7 +186,7 @@
     /// have not.
     pub draining: bool,
     /// Recent failures: when, job.
-    pub failures: Vec<(u64, Name)>,
+    pub failures: Vec<(u64, JobId)>,
     /// Since when nothing is on it.
     pub idle_since: Option<u64>,
     /// Tasks that ended well on it.
@@ -152,7 +195,7 @@
 
 impl Machine {
     /// A machine of which only the name is known.
-    pub fn new(name: Name, now: u64) -> Machine {
+    pub fn new(name: MachineName, now: u64) -> Machine {
         Machine {
             name,
             type_name: String::new(),
@@ -164,7 +207,7 @@
             first_known_at: now,
             up_at: None,
             listed_at: None,
-            newest_heartbeat: (0, 0),
+            newest_heartbeat: HeartbeatId::default(),
             has_our_token: false,
             last_alive_at: None,
             last_heartbeat_at: None,
