--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -12,6 +12,7 @@
     COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, DONE_BATCH_MS, GARBAGE_PERIOD_MS,
     GROUP_FRAME_BYTES, IMAGES_PERIOD_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITE_RESERVE,
 };
+use crate::protocol::http::Response;
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
     raw_json, Condition, Mutation, TransactionApplied, TransactionConflict, COMMIT_PATH,
@@ -23,7 +24,7 @@
     shares_key, DoneTasksRecord, ImagesRecord, JobEndRecord, JobId, JobStage, MachineName,
     SharesRecord,
 };
-use mountgap_recovery::audit::Loss;
+use mountgap_recovery::audit::DataLoss;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A placement that a commit stores or takes out.
@@ -278,7 +279,7 @@
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
-    pub(super) fn on_leader_commit_response(&mut self, term: u64, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn on_leader_commit_response(&mut self, term: u64, reply: Option<Response>) {
         let now = self.now.monotonic_ms;
         // An answer to a commit of an earlier term of ours says nothing about this one's.
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else {
@@ -287,36 +288,41 @@
         let Some(f) = leader.pending_transaction.as_mut() else { return };
         f.in_flight = false;
         match reply {
-            Some((200, body)) => match serde_json::from_slice::<TransactionApplied>(&body) {
-                Ok(done) => {
-                    let (known, shown) = (leader.mod_revision, done.revision);
-                    if shown <= known && self.recovery.notices_losses() {
-                        return self.suspect_store_loss(Some(Loss::RevisionFell { known, shown }));
+            Some(Response { status: 200, body }) => {
+                match serde_json::from_slice::<TransactionApplied>(&body) {
+                    Ok(done) => {
+                        let (known, shown) = (leader.mod_revision, done.revision);
+                        if shown <= known && self.recovery.notices_losses() {
+                            return self.suspect_data_loss(Some(DataLoss::RevisionRegressed {
+                                known,
+                                shown,
+                            }));
+                        }
+                        self.apply_pending_transaction(shown)
                     }
-                    self.apply_pending_transaction(shown)
+                    Err(_) => f.outcome_unknown = true,
                 }
-                Err(_) => f.outcome_unknown = true,
-            },
-            Some((409, body)) => {
+            }
+            Some(Response { status: 409, body }) => {
                 let failed = serde_json::from_slice::<TransactionConflict>(&body)
                     .map(|c| c.failed)
                     .unwrap_or_default();
                 log::debug!("commit refused: {failed:?}");
                 if !f.outcome_unknown && failed.contains(&leader_key()) {
                     self.step_down("the leader key has changed");
-                    return self.doubt_leader_key();
+                    return self.suspect_stale_leader_key();
                 }
                 f.awaiting_read_since = Some(now);
                 self.request_leader_read();
             }
             // Not executed: if no earlier copy can have been, it is built anew.
-            Some((429 | 503, _)) => {
+            Some(Response { status: 429 | 503, .. }) => {
                 f.not_before = now + STATE_RETRY_MS;
                 if !f.outcome_unknown {
                     self.discard_pending_transaction();
                 }
             }
-            Some((status, body)) => {
+            Some(Response { status, body }) => {
                 log::error!("commit answered {status}: {}", String::from_utf8_lossy(&body));
                 f.not_before = now + STATE_RETRY_MS;
                 let unclear = f.outcome_unknown;
@@ -355,7 +361,7 @@
             self.discard_pending_transaction();
             if refused_for_nothing {
                 // The copy holds what the store denies: one of them is wrong.
-                self.suspect_store_loss(None);
+                self.suspect_data_loss(None);
             }
             return;
         }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,11 +1,12 @@
 //! Leadership: a leased key, and a term that only grows, taken in one commit.
 
-use super::recovery::SentAt;
+use super::store_client::ReadPoint;
 use super::{CallPurpose, Controller, Leader};
 use crate::constants::{
     ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_REST_MS, LEADER_LIFE_MS,
     LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITE_SHARE_LEADER,
 };
+use crate::protocol::http::Response;
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
     raw_json, Condition, LeaseGranted, LeaseRequest, Mutation, TransactionApplied, COMMIT_PATH,
@@ -31,7 +32,7 @@
         let now = self.now.monotonic_ms;
         if self.leader.is_some()
             || self.election.busy
-            || !self.may_stand()
+            || !self.may_campaign()
             || now < self.election.rest_until
         {
             return;
@@ -66,11 +67,11 @@
         self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, CallPurpose::Lease);
     }
 
-    pub(super) fn on_lease_granted(&mut self, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn on_lease_granted(&mut self, reply: Option<Response>) {
         self.election.busy = false;
         self.election.stand_at = None;
         let hold: Option<LeaseGranted> = match reply {
-            Some((200 | 201, body)) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 200 | 201, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
         let Some(hold) = hold else { return };
@@ -82,7 +83,7 @@
             Some(leader) if own(&leader.value) => leader.mod_revision,
             Some(_) => return,
         };
-        if self.recovery.holds() && !self.may_stand() {
+        if self.recovery.is_suspended() && !self.may_campaign() {
             return;
         }
         let term = self.next_term();
@@ -105,11 +106,12 @@
                 Mutation::put(term_key(), &TermRecord { term }),
             ],
         };
-        self.add_to_election(&mut commit, term);
+        self.add_recovery_writes(&mut commit, term);
         self.election.busy = true;
         self.store.take_writes(2.0, f64::MIN, self.now.monotonic_ms);
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = CallPurpose::Elect { lease_id: hold.lease_id, term, sent: self.sent_at() };
+        let purpose =
+            CallPurpose::Elect { lease_id: hold.lease_id, term, sent: self.store.read_point() };
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
@@ -117,20 +119,20 @@
         &mut self,
         lease_id: u64,
         term: u64,
-        sent: SentAt,
-        reply: Option<(u16, Vec<u8>)>,
+        sent: ReadPoint,
+        reply: Option<Response>,
     ) {
         self.election.busy = false;
         let won: Option<TransactionApplied> = match reply {
-            Some((200, body)) => serde_json::from_slice(&body).ok(),
-            Some((409, _)) => return self.election_refused(),
+            Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 409, .. }) => return self.election_refused(),
             // An unanswered commit may still apply. Nobody renews its lease then, so it
             // ends by itself, and the next attempt takes a new term.
             _ => None,
         };
         let Some(won) = won else { return };
         self.election.refusals = 0;
-        if !self.won_in_present_store(sent, won.revision) {
+        if !self.applied_to_current_store(sent, won.revision) {
             return;
         }
         if self.leader_revision_was_used(won.revision) {
@@ -156,7 +158,7 @@
             self.store.replica().hash_keys(),
         ));
         self.set_state_rates();
-        self.begin_rebuild_if_lost();
+        self.start_rebuild_if_lost();
         self.request_leader_read();
     }
 
@@ -166,7 +168,7 @@
         self.election.refusals += 1;
         if self.election.refusals >= ELECTION_REFUSALS_MAX {
             self.election.refusals = 0;
-            self.suspect_store_loss(None);
+            self.suspect_data_loss(None);
         }
     }
 
@@ -196,21 +198,17 @@
         self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEW_CALL_MS, purpose);
     }
 
-    pub(super) fn on_lease_renewal_response(
-        &mut self,
-        lease_id: u64,
-        reply: Option<(u16, Vec<u8>)>,
-    ) {
+    pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, reply: Option<Response>) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.lease_id == lease_id) else {
             return;
         };
         leader.renewing = false;
         match reply {
-            Some((200..=299, _)) => {}
-            Some((404, _)) => {
+            Some(Response { status: 200..=299, .. }) => {}
+            Some(Response { status: 404, .. }) => {
                 self.step_down("the lease has ended");
-                self.doubt_leader_key();
+                self.suspect_stale_leader_key();
             }
             _ => leader.renew_at = now + STATE_RETRY_MS,
         }
@@ -230,7 +228,7 @@
 
     pub(super) fn step_down(&mut self, why: &str) {
         let Some(leader) = self.leader.take() else { return };
-        self.leave_rebuild();
+        self.abandon_rebuild();
         log::info!("no longer leads in term {}: {why}", leader.term);
         self.set_state_rates();
         self.cloud.set_follower_rate(self.settings.controllers(), self.now.monotonic_ms);
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -3,7 +3,9 @@
 use super::NoExtensionSince;
 use crate::constants::{GOSSIP_CALL_MS, GOSSIP_MS, MS_PER_S, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
+use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, Gossip};
+use crate::protocol::routes::GOSSIP_PATH;
 
 /// Heartbeat periods within which a worker counts as seen.
 const SEEN_PERIODS: f64 = 2.0;
@@ -13,7 +15,7 @@
         let now = self.now.monotonic_ms;
         let seen_ms = (self.settings.params.workers.report_s * MS_PER_S * SEEN_PERIODS) as u64;
         let is_served =
-            !self.store.is_refused() && self.store.is_loaded() && !self.recovery.holds();
+            !self.store.is_refused() && self.store.is_loaded() && !self.recovery.is_suspended();
         let last_served_at = self.store.last_served_at().filter(|_| is_served);
         let (store, recovery) = self.recovery_state();
         Gossip {
@@ -49,7 +51,7 @@
             let body = encode(&self.gossip());
             let purpose = CallPurpose::Gossip { peer: index, begun: now };
             let service = Service::Peer(index);
-            self.call(service, "POST", "/gossip".into(), body, GOSSIP_CALL_MS, purpose);
+            self.call(service, "POST", GOSSIP_PATH.into(), body, GOSSIP_CALL_MS, purpose);
         }
     }
 
@@ -57,10 +59,10 @@
         &mut self,
         peer: usize,
         asked_at: u64,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         self.membership.peers[peer].gossip_in_flight = false;
-        let Some((200, body)) = reply else { return };
+        let Some(Response { status: 200, body }) = reply else { return };
         if self.receive_gossip(&body) != Some(peer) {
             return;
         }
@@ -90,7 +92,7 @@
         }
         let index = self.settings.peers.iter().position(|peer| peer.label == gossip.label)?;
         self.membership.note_term(gossip.term);
-        self.note_peer_store(&gossip);
+        self.check_peer_store(&gossip);
         let peer = &mut self.membership.peers[index];
         peer.last_heard_at = self.now.monotonic_ms;
         peer.gossip = Some(gossip);
@@ -117,7 +119,7 @@
         if let Some(since) = asked.and_then(|gossip| gossip.since) {
             // Revisions of another store than ours say nothing about what it lacks.
             let asked_in = asked.and_then(|gossip| gossip.store);
-            let same_store = asked_in == answer.store && !self.recovery.holds();
+            let same_store = asked_in == answer.store && !self.recovery.is_suspended();
             self.list_ended_jobs(since, &mut answer);
             answer.ended_all &= same_store;
         }
--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -2,9 +2,9 @@
 
 use super::fleet::Rental;
 use super::interface::{CallId, ConnectionId, Effect, Service};
-use super::recovery::{DecisionCall, RebuildCall, SentAt};
+use super::recovery::{DecisionCall, RebuildCall};
 use super::requests::Requester;
-use super::store_client::StoreQuestion;
+use super::store_client::ReadPoint;
 use crate::protocol::state::Transaction;
 use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::records::MachineName;
@@ -15,13 +15,13 @@
     /// A page of the whole store.
     List { epoch: u32 },
     /// A watch of the store.
-    Watch { asked: StoreQuestion },
+    Watch { asked: ReadPoint },
     /// A zero-wait read of the store.
-    Fresh { begun: u64, asked: StoreQuestion },
+    Fresh { begun: u64, asked: ReadPoint },
     /// A lease for the leader key.
     Lease,
     /// The transaction that takes leader key and term.
-    Elect { lease_id: u64, term: u64, sent: SentAt },
+    Elect { lease_id: u64, term: u64, sent: ReadPoint },
     /// Renewal of the leader's lease.
     Renew { lease_id: u64 },
     /// End of the leader's lease; its answer does not matter.
@@ -31,7 +31,7 @@
     /// A copy of a batch of submissions.
     Submit { batch: u64, copy: usize },
     /// A cancellation.
-    Cancel { requester: Requester, uid: String, commit: Transaction, sent: SentAt },
+    Cancel { requester: Requester, uid: String, commit: Transaction, sent: ReadPoint },
     /// A transaction of a rebuild of the store.
     Rebuild(RebuildCall),
     /// An operator's decision after a rebuild.
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -8,8 +8,10 @@
     BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, RETRY_AFTER_S,
     STATE_CALL_MS, USER_WAIT_MAX, WRITES_SHORT_SHARE, WRITE_KEEP_USERS,
 };
-use crate::coordination::recovery::SentAt;
+use crate::coordination::store_client::ReadPoint;
 use crate::coordination::{CallPurpose, Controller};
+use crate::protocol::http::Response;
+use crate::protocol::routes::JOBS_PATH;
 use crate::protocol::state::{
     raw_json, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict,
     COMMIT_PATH,
@@ -71,7 +73,7 @@
 #[derive(Debug)]
 struct BatchCopy {
     transaction: Transaction,
-    sent: SentAt,
+    sent: ReadPoint,
 }
 
 /// A batch of submissions that is being committed.
@@ -237,7 +239,7 @@
     /// quick, it is passed on or refused then.
     pub(in crate::coordination) fn batches_due(&mut self) {
         let now = self.now.monotonic_ms;
-        if self.recovery.holds() {
+        if self.recovery.is_suspended() {
             let gathered = std::mem::take(&mut self.submissions.gathering);
             return gathered.into_iter().for_each(|submission| self.relay_submission(submission));
         }
@@ -273,16 +275,16 @@
             value_bytes: value_bytes - BATCH_FRAME_BYTES,
             values,
             conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_BITS),
-            conditions_taken: values + self.conditions_kept(),
+            conditions_taken: values + self.reserved_conditions(),
         }
     }
 
     /// Sends a copy of a batch, if that leaves `keep` writes.
     fn send_batch(&mut self, id: u64, keep: f64) {
         let now = self.now.monotonic_ms;
-        let sent = self.sent_at();
+        let sent = self.store.read_point();
         let mut depending_on_rebuild = Transaction::default();
-        self.depend_on_rebuild(&mut depending_on_rebuild);
+        self.add_rebuild_condition(&mut depending_on_rebuild);
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         let writes = batch.values.len();
         if !self.store.take_writes(writes as f64, keep, now) {
@@ -303,7 +305,7 @@
     fn relay_submission(&mut self, submission: PendingSubmission) {
         let body = serde_json::to_vec(&*submission.spec).unwrap_or_default();
         for requester in submission.requesters {
-            self.relay_or_refuse(requester, "POST", "/v1/jobs".into(), body.clone());
+            self.relay_or_refuse(requester, "POST", JOBS_PATH.into(), body.clone());
         }
     }
 
@@ -311,20 +313,20 @@
         &mut self,
         id: u64,
         copy: usize,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         // Another copy may have been answered already.
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         batch.unanswered -= 1;
-        let is_decided = matches!(reply, Some((200 | 409, _)));
+        let is_decided = matches!(reply, Some(Response { status: 200 | 409, .. }));
         if !is_decided && batch.unanswered > 0 {
             return;
         }
         let Some(batch) = self.submissions.in_flight.remove(&id) else { return };
         match reply {
-            Some((200, body)) => self.accept_batch(batch, copy, &body),
-            Some((409, body)) => self.split_refused_batch(batch, &body),
-            Some((429, _)) => self.refuse_batch(batch),
+            Some(Response { status: 200, body }) => self.accept_batch(batch, copy, &body),
+            Some(Response { status: 409, body }) => self.split_refused_batch(batch, &body),
+            Some(Response { status: 429, .. }) => self.refuse_batch(batch),
             _ => batch.submissions.into_iter().for_each(|s| self.relay_submission(s)),
         }
     }
@@ -336,7 +338,7 @@
     fn accept_batch(&mut self, batch: Batch, copy: usize, body: &[u8]) {
         if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(body) {
             let BatchCopy { transaction, sent } = &batch.copies[copy];
-            if !self.confirmed_in_store(*sent, applied.revision) {
+            if !self.applied_to_trusted_store(*sent, applied.revision) {
                 // In a store that has lost data: nothing is accepted by that.
                 return batch.submissions.into_iter().for_each(|s| self.relay_submission(s));
             }
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -2,9 +2,10 @@
 
 use super::Requester;
 use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
-use crate::coordination::recovery::SentAt;
-use crate::coordination::store_client::FreshReadWaiter;
+use crate::coordination::store_client::{FreshReadWaiter, ReadPoint};
 use crate::coordination::{CallPurpose, Controller};
+use crate::protocol::http::Response;
+use crate::protocol::routes::cancel_path;
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::{valid_uid, JobStatus, JobStatusResponse};
 use crate::storage::records::{job_end_key, JobEndRecord, JobRecord, JobStage};
@@ -15,7 +16,7 @@
         if !valid_uid(uid) {
             return self.refuse(requester, 404, "no such job", None);
         }
-        if !self.admit(requester, "POST", &format!("/v1/jobs/{uid}/withdraw"), &[]) {
+        if !self.admit(requester, "POST", &cancel_path(uid), &[]) {
             return;
         }
         match self.known_stage(uid) {
@@ -53,7 +54,7 @@
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let sent = self.sent_at();
+        let sent = self.store.read_point();
         let purpose = CallPurpose::Cancel { requester, uid: uid.to_string(), commit, sent };
         self.metrics.work.state_writes += 1;
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
@@ -72,7 +73,7 @@
             conditions: vec![Condition { key: key.clone(), mod_revision: 0 }],
             writes: vec![Mutation::put(key, &record)],
         };
-        self.depend_on_rebuild(&mut transaction);
+        self.add_rebuild_condition(&mut transaction);
         transaction
     }
 
@@ -81,15 +82,15 @@
         requester: Requester,
         uid: String,
         commit: Transaction,
-        sent: SentAt,
-        reply: Option<(u16, Vec<u8>)>,
+        sent: ReadPoint,
+        reply: Option<Response>,
     ) {
         match reply {
-            Some((200, body)) => {
+            Some(Response { status: 200, body }) => {
                 let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) else {
                     return self.unavailable(requester);
                 };
-                if !self.confirmed_in_store(sent, applied.revision) {
+                if !self.applied_to_trusted_store(sent, applied.revision) {
                     return self.unavailable(requester);
                 }
                 self.apply_own_transaction(&commit, applied.revision);
@@ -98,14 +99,14 @@
                 self.answer_json(requester, 200, &answer);
             }
             // Done in the meantime, or cancelled already.
-            Some((409, _)) => {
+            Some(Response { status: 409, .. }) => {
                 self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid });
             }
-            Some((429, _)) => {
+            Some(Response { status: 429, .. }) => {
                 self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
             }
             _ => {
-                let path = format!("/v1/jobs/{uid}/withdraw");
+                let path = cancel_path(&uid);
                 self.relay_or_refuse(requester, "POST", path, vec![]);
             }
         }
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -3,6 +3,7 @@
 use super::Requester;
 use crate::coordination::store_client::FreshReadWaiter;
 use crate::coordination::Controller;
+use crate::protocol::routes::job_path;
 use crate::protocol::users::{valid_uid, JobProgressResponse, JobStatus};
 
 impl Controller {
@@ -12,10 +13,10 @@
             return self.refuse(requester, 404, "no such job", None);
         }
         // After a suspected loss a late transaction may have ended the job in a store that is lost.
-        if self.store.replica().has_ended(uid) && !self.recovery.holds() {
+        if self.store.replica().has_ended(uid) && !self.recovery.is_suspended() {
             return self.answer_poll(requester, uid);
         }
-        if self.admit(requester, "GET", &format!("/v1/jobs/{uid}"), &[]) {
+        if self.admit(requester, "GET", &job_path(uid), &[]) {
             self.request_fresh_read(FreshReadWaiter::Poll { requester, uid: uid.to_string() });
         }
     }
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -8,6 +8,7 @@
 use crate::coordination::store_client::FreshReadWaiter;
 use crate::coordination::Controller;
 use crate::protocol::cloud::{Catalog, MachineType};
+use crate::protocol::routes::JOBS_PATH;
 use crate::protocol::users::{JobSpec, Submission};
 use crate::protocol::Resources;
 use crate::storage::records::JobStage;
@@ -22,7 +23,7 @@
             Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
         let uid = submission.uid().to_string();
-        if !self.admit(requester, "POST", "/v1/jobs", body) {
+        if !self.admit(requester, "POST", JOBS_PATH, body) {
             return;
         }
         if let Some(job) = self.store.replica().jobs.get(uid.as_str()) {
@@ -100,7 +101,7 @@
         }
         match rejection {
             // It may have been accepted in the lost history, whatever is wrong with it now.
-            Some(rejection) if !self.has_gap() => self.reject(requester, &rejection),
+            Some(rejection) if !self.has_history_gap() => self.reject(requester, &rejection),
             _ => self.unavailable(requester),
         }
     }
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -1,11 +1,12 @@
 //! Reading the store: the first listing, the watch, and zero-wait reads.
 
-use super::{is_store_call, Listing, StoreQuestion};
+use super::{is_store_call, Listing, ReadPoint};
 use crate::constants::{
     FRESH_GAP_MS, KEY_FAMILY, KEY_ROOT, READ_PERIOD_MS, STATE_CALL_MS, STATE_FOREIGN_MS,
     STATE_LIST_LIMIT, STATE_LIST_MS, WATCH_BLOCK_MS, WATCH_CALL_MS,
 };
 use crate::coordination::{CallPurpose, Controller, Service};
+use crate::protocol::http::Response;
 use crate::protocol::state::{
     changes_path, list_path, KeyPage, Transaction, WatchResponse, COMMIT_PATH,
 };
@@ -74,7 +75,7 @@
 
     /// Whether the state service serves us, as far as we know, and its data is to be trusted.
     pub(in crate::coordination) fn store_is_usable(&self) -> bool {
-        self.store_is_reachable() && !self.recovery.holds()
+        self.store_is_reachable() && !self.recovery.is_suspended()
     }
 
     /// Whether the state service answers us, whatever it has lost.
@@ -131,7 +132,7 @@
     fn open_watch(&mut self) {
         self.store.watching = true;
         let path = changes_path(KEY_FAMILY, self.store.replica.revision, WATCH_BLOCK_MS);
-        let purpose = CallPurpose::Watch { asked: self.store.question() };
+        let purpose = CallPurpose::Watch { asked: self.store.read_point() };
         self.state_call("GET", path, vec![], WATCH_CALL_MS, purpose);
     }
 
@@ -150,20 +151,20 @@
         reads.running = Some(std::mem::take(&mut reads.waiting));
         reads.begun_at = now;
         let path = changes_path(KEY_FAMILY, self.store.replica.revision, 0);
-        let purpose = CallPurpose::Fresh { begun: now, asked: self.store.question() };
+        let purpose = CallPurpose::Fresh { begun: now, asked: self.store.read_point() };
         self.state_call("GET", path, vec![], STATE_CALL_MS, purpose);
     }
 
     pub(in crate::coordination) fn on_list_response(
         &mut self,
         epoch: u32,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         if epoch != self.store.epoch {
             return;
         }
         self.store.listing.in_flight = false;
-        let Some((200, body)) = reply else {
+        let Some(Response { status: 200, body }) = reply else {
             return self.store.retry_later(self.now.monotonic_ms);
         };
         let Ok(page) = serde_json::from_slice::<KeyPage>(&body) else {
@@ -173,7 +174,7 @@
         self.store.listing.first_revision.get_or_insert(page.revision);
         for item in &page.items {
             self.store.replica.apply_item(item);
-            self.note_item(item);
+            self.record_item(item);
         }
         if self.store.replica.foreign.is_some() {
             return self.reject_foreign_layout();
@@ -193,7 +194,7 @@
             "the store has keys of another layout than {KEY_ROOT}, like {key}: serving nobody"
         );
         *replica = Replica::new(replica.hash_keys());
-        self.recovery.forget_image();
+        self.recovery.clear_image();
         self.store.listing = Listing::default();
         self.store.retry_at = self.now.monotonic_ms + STATE_FOREIGN_MS;
     }
@@ -211,24 +212,20 @@
             self.membership.note_term(term);
         }
         self.cloud.restore_catalog(replica.catalog.as_ref().map(|record| &record.value));
-        self.note_listing_complete();
+        self.on_listing_complete();
         let replica = &self.store.replica;
         log::info!("loaded: {} jobs at revision {}", replica.jobs.len(), replica.revision);
         self.store_reads_due();
     }
 
     /// Puts an answer into the replica.
-    fn apply_changes(
-        &mut self,
-        asked: StoreQuestion,
-        reply: &Option<(u16, Vec<u8>)>,
-    ) -> ReadOutcome {
+    fn apply_changes(&mut self, asked: ReadPoint, reply: &Option<Response>) -> ReadOutcome {
         if asked.epoch != self.store.epoch {
             return ReadOutcome::Superseded;
         }
         match reply {
-            Some((200, body)) => self.apply_changes_body(asked, body),
-            Some((410, _)) => {
+            Some(Response { status: 200, body }) => self.apply_changes_body(asked, body),
+            Some(Response { status: 410, .. }) => {
                 self.on_watch_too_old();
                 ReadOutcome::Superseded
             }
@@ -236,14 +233,14 @@
         }
     }
 
-    fn apply_changes_body(&mut self, asked: StoreQuestion, body: &[u8]) -> ReadOutcome {
+    fn apply_changes_body(&mut self, asked: ReadPoint, body: &[u8]) -> ReadOutcome {
         let Ok(changes) = serde_json::from_slice::<WatchResponse>(body) else {
             return ReadOutcome::Failed;
         };
         let work = &mut self.metrics.work;
         work.state_bytes_read += body.len() as u64;
         work.state_reads_unchanged += u64::from(changes.events.is_empty());
-        if !self.note_changes(asked.since, &changes) {
+        if !self.check_changes(asked.revision, &changes) {
             return ReadOutcome::Superseded;
         }
         self.store.note_revision(changes.revision);
@@ -257,9 +254,9 @@
     fn on_watch_too_old(&mut self) {
         log::info!("too far behind, reading the store anew");
         if self.recovery.notices_losses() {
-            return self.suspect_store_loss(None);
+            return self.suspect_data_loss(None);
         }
-        self.read_anew();
+        self.reload_store();
         self.step_down("lost track of the store");
     }
 
@@ -288,8 +285,8 @@
 
     pub(in crate::coordination) fn on_watch_response(
         &mut self,
-        asked: StoreQuestion,
-        reply: Option<(u16, Vec<u8>)>,
+        asked: ReadPoint,
+        reply: Option<Response>,
     ) {
         if asked.epoch == self.store.epoch {
             self.store.watching = false;
@@ -302,19 +299,19 @@
     pub(in crate::coordination) fn on_fresh_read_response(
         &mut self,
         begun: u64,
-        asked: StoreQuestion,
-        reply: Option<(u16, Vec<u8>)>,
+        asked: ReadPoint,
+        reply: Option<Response>,
     ) {
         let waiters = self.store.fresh_reads.running.take().unwrap_or_default();
         match self.apply_changes(asked, &reply) {
             ReadOutcome::Applied => {
                 self.store.last_read_at = Some(begun);
                 self.forget_ended_by_peers();
-                self.note_fresh_read(begun);
+                self.on_fresh_read(begun);
                 self.complete_waiters(waiters, begun);
             }
             outcome => {
-                let rate_limited = matches!(reply, Some((429, _)));
+                let rate_limited = matches!(reply, Some(Response { status: 429, .. }));
                 if matches!(outcome, ReadOutcome::Failed) && !rate_limited {
                     self.store.retry_later(self.now.monotonic_ms);
                 }
--- a/src/coordination/store_client/waiters.rs
+++ b/src/coordination/store_client/waiters.rs
@@ -2,6 +2,7 @@
 
 use crate::coordination::requests::{Rejection, Requester};
 use crate::coordination::Controller;
+use crate::protocol::routes::{cancel_path, job_path};
 
 /// What waits for a read begun after it came.
 #[derive(Debug)]
@@ -54,7 +55,7 @@
         for waiter in waiters {
             // While the store is not trusted nothing of users is judged by what it shows.
             let for_leader = matches!(waiter, FreshReadWaiter::Leader);
-            if for_leader || !self.recovery.holds() {
+            if for_leader || !self.recovery.is_suspended() {
                 self.complete_waiter(waiter, begun);
             } else {
                 self.fail_waiter(waiter);
@@ -77,10 +78,10 @@
     pub(super) fn fail_waiter(&mut self, waiter: FreshReadWaiter) {
         match waiter {
             FreshReadWaiter::Poll { requester, uid } => {
-                self.relay_or_refuse(requester, "GET", format!("/v1/jobs/{uid}"), vec![]);
+                self.relay_or_refuse(requester, "GET", job_path(&uid), vec![]);
             }
             FreshReadWaiter::Cancel { requester, uid } => {
-                let path = format!("/v1/jobs/{uid}/withdraw");
+                let path = cancel_path(&uid);
                 self.relay_or_refuse(requester, "POST", path, vec![]);
             }
             FreshReadWaiter::Submit { requester, .. } => self.unavailable(requester),
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -93,7 +93,7 @@
         let now = self.now.monotonic_ms;
         self.metrics.work.reports += 1;
         self.membership.note_worker_heartbeat(&report.machine, now);
-        self.note_worker_token(&report);
+        self.check_worker_token(&report);
         if report.fencing_token > self.membership.highest_term() {
             self.observe_fencing_token(report.fencing_token);
         }
@@ -104,8 +104,8 @@
         let ready = self.leader.as_ref().is_some_and(|leader| leader.ready);
         if ready && self.may_renew_worker_leases() {
             self.process_heartbeat(connection, report);
-        } else if self.rebuilds() && self.may_renew_worker_leases() {
-            self.answer_in_rebuild(connection, report);
+        } else if self.is_rebuilding() && self.may_renew_worker_leases() {
+            self.answer_heartbeat_in_rebuild(connection, report);
         } else if self.leader.is_none() && self.may_extend_lease(report.fencing_token) {
             self.extend_lease(connection, &report);
         } else {
@@ -117,7 +117,7 @@
         let now = self.now.monotonic_ms;
         let catalog = self.cloud.catalog().cloned();
         let rebuilt = self.store.replica().rebuild.is_some();
-        let history_is_doubtful = rebuilt || self.starts_are_held();
+        let history_is_doubtful = rebuilt || self.starts_are_blocked();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -220,7 +220,7 @@
             log::info!("{}: attempt {attempt} on {name} is not known", reported.task_id);
             if ours && !rebuilt && self.recovery.notices_losses() {
                 self.redirect(connection);
-                return self.note_unexplained_task(&name, &reported.task_id);
+                return self.on_unrecorded_task(&name, &reported.task_id);
             }
             held.unknown_tasks.push((reported.task_id.clone(), attempt));
             leader.cluster.add_untracked_task(&name, &id, attempt, now);
