--- /dev/null
+++ b/src/cli/client/tests.rs
@@ -0,0 +1,44 @@
+//! Tests of [`super`], the module `client`.
+
+use super::*;
+use std::net::{Ipv4Addr, TcpListener};
+use std::thread;
+
+/// Answers one request with these bytes, and gives what the client makes of them.
+fn answered_with(answer: &'static str) -> Result<Vec<u8>, ClientError> {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
+    let port = listener.local_addr().expect("bound").port();
+    let server = thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("a client");
+        let mut received = Vec::new();
+        let mut chunk = [0; 512];
+        while http::take_request(&mut received, 100).expect("HTTP").is_none() {
+            let length = stream.read(&mut chunk).expect("a request");
+            received.extend_from_slice(&chunk[..length]);
+        }
+        stream.write_all(answer.as_bytes()).expect("sent");
+    });
+    let result = request(SocketAddrV4::new(Ipv4Addr::LOCALHOST, port), "GET", "/up", &[]);
+    server.join().expect("the server ends");
+    result
+}
+
+#[test]
+fn the_body_of_an_answer_is_given() {
+    let body = answered_with("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
+    assert_eq!(body.expect("an answer"), b"{}");
+}
+
+#[test]
+fn a_refusal_is_told_with_its_status_and_body() {
+    let refused = answered_with("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\nno");
+    assert_eq!(refused.expect_err("refused").to_string(), "answered 503: no");
+}
+
+#[test]
+fn an_answer_that_ends_early_is_told() {
+    let error = answered_with("HTTP/1.1 200 OK\r\nContent-Len").expect_err("half an answer");
+    assert_eq!(error.to_string(), "the connection ended early");
+    let error = answered_with("nonsense\r\n\r\n").expect_err("not HTTP");
+    assert_eq!(error.to_string(), "malformed status line");
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,11 +9,15 @@
 //! * [`storage`]: what is stored and what is counted;
 //! * [`snapshots`]: the store's image in files, where operators want that.
 //!
+//! Beside them stand [`settings`], the two settings files; [`daemon`], the loop that joins the layers; and
+//! [`cli`], the subcommands that ask a running controller.
+//!
 //! The core ([`coordination::Controller`]) does no I/O: commands go in, effects come
 //! out, and time and randomness are passed in.
 
 #![warn(missing_docs)]
 
+pub mod cli;
 pub mod constants;
 pub mod coordination;
 pub mod daemon;
