--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -9,7 +9,7 @@
 use crate::coordination::Controller;
 use crate::protocol::cloud::{Catalog, MachineType};
 use crate::protocol::routes::JOBS_PATH;
-use crate::protocol::users::{parse_submission, submitted_uid, JobSpec};
+use crate::protocol::users::{JobSpec, Submission};
 use crate::protocol::Resources;
 use crate::storage::records::JobStage;
 use std::collections::BTreeSet;
@@ -18,10 +18,11 @@
 impl Controller {
     pub(super) fn submit(&mut self, requester: Requester, body: &[u8]) {
         self.metrics.work.submissions += 1;
-        let (uid, value) = match submitted_uid(body) {
+        let submission = match Submission::parse(body) {
             Ok(submission) => submission,
             Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
+        let uid = submission.uid().to_string();
         if !self.admit(requester, "POST", JOBS_PATH, body) {
             return;
         }
@@ -31,7 +32,7 @@
             }
             return self.request_read_for_submission(requester, uid, None);
         }
-        match self.validate(value) {
+        match self.validate(submission) {
             Ok(spec) => self.add_to_batch(requester, spec),
             // It may have been accepted elsewhere a moment ago, with another body.
             Err(rejection) => self.request_read_for_submission(requester, uid, Some(rejection)),
@@ -50,9 +51,9 @@
     }
 
     /// Whether the job can ever run.
-    fn validate(&self, value: serde_json::Value) -> Result<Rc<JobSpec>, Rejection> {
+    fn validate(&self, submission: Submission) -> Result<Rc<JobSpec>, Rejection> {
         let spec =
-            parse_submission(value).map_err(|error| Rejection::Malformed(error.to_string()))?;
+            submission.into_spec().map_err(|error| Rejection::Malformed(error.to_string()))?;
         let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
         let team = team.ok_or_else(|| Rejection::UnknownTeam(spec.team.clone()))?;
         let catalog = self.cloud.catalog().ok_or(Rejection::MachineTypesUnknown)?;
--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -3,7 +3,7 @@
 use super::builder::TransactionBuilder;
 use super::pending::PendingTransaction;
 use crate::constants::GROUP_FRAME_BYTES;
-use crate::protocol::state::raw;
+use crate::protocol::state::raw_json;
 use crate::storage::cluster::{ClusterState, DoneGroup};
 use crate::storage::records::{chunk_name, done_tasks_key, DoneTasksRecord, JobId};
 
@@ -90,7 +90,7 @@
                 record.bits.insert(chunk_name(uid, *chunk), job.done.chunk_text(*chunk));
             }
         }
-        if !builder.put(done_tasks_key(number), raw(&record), group.mod_revision) {
+        if !builder.put(done_tasks_key(number), raw_json(&record), group.mod_revision) {
             return false;
         }
         group.dirty = false;
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -6,7 +6,7 @@
 use crate::constants::{GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS};
 use crate::coordination::{Controller, Leader};
 use crate::protocol::cloud::Catalog;
-use crate::protocol::state::raw;
+use crate::protocol::state::raw_json;
 use crate::settings::Platform;
 use crate::storage::records::{catalog_key, images_key, shares_key, JobId, SharesRecord};
 use crate::storage::replica::Replica;
@@ -45,7 +45,7 @@
         let is_stored = stored.is_some_and(|stored| names_same_types(&stored.value, catalog));
         let mod_revision = stored.map_or(0, |stored| stored.mod_revision);
         self.transactions.catalog_written =
-            is_stored || builder.put(catalog_key(), raw(catalog), mod_revision);
+            is_stored || builder.put(catalog_key(), raw_json(catalog), mod_revision);
     }
 
     fn pack_shares(
@@ -61,7 +61,8 @@
         let teams = names.zip(self.shares.clone()).collect();
         let record = SharesRecord { term: self.term, teams };
         let mod_revision = replica.shares.as_ref().map_or(0, |stored| stored.mod_revision);
-        self.transactions.shares_written = builder.put(shares_key(), raw(&record), mod_revision);
+        self.transactions.shares_written =
+            builder.put(shares_key(), raw_json(&record), mod_revision);
     }
 
     fn pack_images(&mut self, builder: &mut TransactionBuilder, replica: &Replica, now: u64) {
@@ -74,7 +75,7 @@
             let stored = replica.images.get(&part);
             if stored.is_none_or(|stored| stored.value != record) {
                 let mod_revision = stored.map_or(0, |stored| stored.mod_revision);
-                all_written &= builder.put(images_key(part), raw(&record), mod_revision);
+                all_written &= builder.put(images_key(part), raw_json(&record), mod_revision);
             }
         }
         if all_written {
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -4,7 +4,7 @@
 use super::pending::PendingTransaction;
 use crate::constants::{CONDITIONS_PER_CHANGE, DONE_BATCH_MS, WRITE_RESERVE};
 use crate::coordination::{Controller, Leader};
-use crate::protocol::state::raw;
+use crate::protocol::state::raw_json;
 use crate::storage::cluster::ClusterState;
 use crate::storage::records::{job_end_key, leader_key, JobEndRecord, JobStage};
 use std::collections::BTreeMap;
@@ -131,7 +131,7 @@
                 done: job.done_count,
             };
             let has_room = builder.writes.len() < writes_max;
-            if !has_room || !builder.put(job_end_key(uid), raw(&record), 0) {
+            if !has_room || !builder.put(job_end_key(uid), raw_json(&record), 0) {
                 break;
             }
             pending.finished_jobs.push(uid.clone());
