--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -12,7 +12,8 @@
 };
 use crate::protocol::http::Response;
 use crate::protocol::state::{
-    raw, Condition, Lease, Mutation, NewLease, Transaction, TransactionApplied, COMMIT_PATH,
+    raw_json, Condition, LeaseGranted, LeaseRequest, Mutation, Transaction, TransactionApplied,
+    COMMIT_PATH,
 };
 use crate::storage::records::{leader_key, term_key, LeaderRecord, TermRecord};
 use rand::Rng;
@@ -68,7 +69,8 @@
             return;
         }
         self.election.in_progress = true;
-        let body = serde_json::to_vec(&NewLease { life_ms: LEADER_LIFE_MS }).unwrap_or_default();
+        let body =
+            serde_json::to_vec(&LeaseRequest { life_ms: LEADER_LIFE_MS }).unwrap_or_default();
         self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, CallPurpose::Lease);
     }
 
@@ -81,7 +83,7 @@
         self.election.in_progress = false;
         self.election.campaign_at = None;
         let Some(Response { status: 200 | 201, body }) = reply else { return };
-        let Ok(Lease { lease_id }) = serde_json::from_slice(&body) else { return };
+        let Ok(LeaseGranted { lease_id }) = serde_json::from_slice(&body) else { return };
         let leader_key_revision = match &self.store.replica().leader {
             None => 0,
             Some(leader) if self.is_earlier_process(&leader.value) => leader.mod_revision,
@@ -116,7 +118,11 @@
                 Condition { key: term_key(), mod_revision: term_revision },
             ],
             writes: vec![
-                Mutation::Put { key: leader_key(), value: raw(&record), lease_id: Some(lease_id) },
+                Mutation::Put {
+                    key: leader_key(),
+                    value: raw_json(&record),
+                    lease_id: Some(lease_id),
+                },
                 Mutation::put(term_key(), &TermRecord { term }),
             ],
         }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -35,7 +35,7 @@
         if leader.fleet.list_started_at != begun {
             return;
         }
-        let hosts: Option<Hosts> = match reply {
+        let hosts: Option<MachineList> = match reply {
             Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
@@ -48,7 +48,7 @@
         leader.fleet.listed_hosts.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
             self.cloud.take_request(f64::MIN, now);
-            let path = hosts_path(Some(&last), LIST_LIMIT);
+            let path = machine_list_path(Some(&last), LIST_LIMIT);
             let purpose = CallPurpose::Hosts { begun };
             return self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
@@ -91,11 +91,14 @@
             m.listed_at.get_or_insert(now);
             // An old machine that has not reported in this term is not one that fails to
             // boot: a new leader once returned healthy machines for that.
-            if m.state == MachineState::Booting && h.status == HostStatus::Running {
+            if m.state == MachineState::Booting && h.status == ListedMachineStatus::Running {
                 m.state = MachineState::AwaitingHeartbeat;
                 m.first_known_at = now;
             }
-            if h.status == HostStatus::Failed && !m.failed && m.state != MachineState::Terminated {
+            if h.status == ListedMachineStatus::Failed
+                && !m.failed
+                && m.state != MachineState::Terminated
+            {
                 dead.push(name);
             }
         }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -12,7 +12,8 @@
     CLOUD_CALL_MS, DRAIN_TARGET_S, LIST_LIMIT, LIST_PERIOD_MS, MS_PER_S, RENT_PATIENCE_BOOTS,
 };
 use crate::protocol::cloud::{
-    hosts_path, Catalog, Host, HostStatus, Hosts, MachineType, Names, Rent,
+    machine_list_path, Catalog, ListedMachine, ListedMachineStatus, MachineList, MachineNames,
+    MachineType, RentalRequest,
 };
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::EndCause;
@@ -60,7 +61,7 @@
     next_list_at: u64,
     list_in_progress: bool,
     list_started_at: u64,
-    listed_hosts: Vec<Host>,
+    listed_hosts: Vec<ListedMachine>,
     has_complete_list: bool,
     /// When the last complete list was asked for.
     complete_list_started_at: Option<u64>,
@@ -195,7 +196,7 @@
             leader.fleet.listed_hosts.clear();
             leader.fleet.next_list_at = now + LIST_PERIOD_MS;
             let purpose = CallPurpose::Hosts { begun: now };
-            let path = hosts_path(None, LIST_LIMIT);
+            let path = machine_list_path(None, LIST_LIMIT);
             self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
         let Some(leader) = self.leader.as_mut() else {
--- a/src/coordination/recovery/state.rs
+++ b/src/coordination/recovery/state.rs
@@ -8,7 +8,7 @@
 use super::stale_leader::StaleLeaderCheck;
 use crate::constants::{HOLD_REREAD_MS, MEMORY_AGE_MS, REBUILD_STAND_EMPTY_MS, REBUILD_STAND_MS};
 use crate::protocol::peers::RecoveryState;
-use crate::protocol::state::{Changes, Mutation, Transaction};
+use crate::protocol::state::{Mutation, Transaction, WatchResponse};
 use crate::settings::{GapPolicy, RecoverySettings};
 use crate::snapshots::SnapshotStatus;
 use crate::storage::records::leader_key;
@@ -316,7 +316,7 @@
     }
 
     /// Puts in all changes up to a revision.
-    pub(super) fn record_changes(&mut self, changes: &Changes, epoch: u32) {
+    pub(super) fn record_changes(&mut self, changes: &WatchResponse, epoch: u32) {
         for event in changes.events.iter().filter(|event| event.value.is_some()) {
             let key = event.put_key.as_deref().unwrap_or_default();
             self.record_leader_revision(key, event.mod_revision, epoch);
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -13,9 +13,10 @@
 use crate::protocol::http::Response;
 use crate::protocol::routes::JOBS_PATH;
 use crate::protocol::state::{
-    raw, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
+    raw_json, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict,
+    COMMIT_PATH,
 };
-use crate::protocol::users::{Accepted, JobSpec, Status};
+use crate::protocol::users::{JobSpec, JobStatus, JobStatusResponse};
 use crate::storage::budget::Bucket;
 use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::limits::StoreLimits;
@@ -213,7 +214,7 @@
 impl Controller {
     /// Takes a job that is to be accepted into the next batch. A repeat joins the first.
     pub(super) fn add_to_batch(&mut self, requester: Requester, spec: Rc<JobSpec>) {
-        let bytes = raw(&spec).get().len() + BATCH_FRAME_BYTES;
+        let bytes = raw_json(&spec).get().len() + BATCH_FRAME_BYTES;
         if bytes + BATCH_FRAME_BYTES > self.store.limits().value_bytes {
             let reason = "the submission is too large to be kept";
             return self.refuse(requester, 422, reason, None);
@@ -365,7 +366,7 @@
             spec.deadline_s
         );
         for requester in requesters {
-            let accepted = Accepted { uid: &spec.uid, status: Status::Queued };
+            let accepted = JobStatusResponse { uid: &spec.uid, status: JobStatus::Queued };
             self.answer_json(requester, 201, &accepted);
         }
     }
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -7,7 +7,7 @@
 use crate::protocol::http::Response;
 use crate::protocol::routes::cancel_path;
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
-use crate::protocol::users::{valid_uid, Accepted, Status};
+use crate::protocol::users::{valid_uid, JobStatus, JobStatusResponse};
 use crate::storage::records::{job_end_key, JobEndRecord, JobRecord, JobStage};
 
 impl Controller {
@@ -95,7 +95,7 @@
                 }
                 self.apply_own_transaction(&commit, applied.revision);
                 log::debug!("{uid}: withdrawn");
-                let answer = Accepted { uid: &uid, status: Status::Cancelled };
+                let answer = JobStatusResponse { uid: &uid, status: JobStatus::Cancelled };
                 self.answer_json(requester, 200, &answer);
             }
             // Done in the meantime, or cancelled already.
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -4,7 +4,7 @@
 use crate::coordination::store_client::FreshReadWaiter;
 use crate::coordination::Controller;
 use crate::protocol::routes::job_path;
-use crate::protocol::users::{valid_uid, Status, View};
+use crate::protocol::users::{valid_uid, JobProgressResponse, JobStatus};
 
 impl Controller {
     pub(super) fn poll_job(&mut self, requester: Requester, uid: &str) {
@@ -33,10 +33,10 @@
         }
         let status = self.status_of(uid, job);
         let (done, running) = match status {
-            Status::Done => (job.value.tasks, 0),
-            Status::Cancelled => (job.value.done, 0),
+            JobStatus::Done => (job.value.tasks, 0),
+            JobStatus::Cancelled => (job.value.done, 0),
             _ => (replica.done_bitmap(uid).count(), replica.placed(uid)),
         };
-        self.answer_json(requester, 200, &View { uid, status, done, running });
+        self.answer_json(requester, 200, &JobProgressResponse { uid, status, done, running });
     }
 }
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -13,7 +13,7 @@
 use crate::constants::{
     CLEAN_GROUPS, COMMIT_BYTES, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS, GROUP_FRAME_BYTES,
 };
-use crate::protocol::state::raw;
+use crate::protocol::state::raw_json;
 use crate::protocol::workers::EndCause;
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::TaskId;
@@ -217,7 +217,7 @@
             StoredPlacement::text(&id.job, id.index, machine, *attempt)
         }));
         let record = PlacementsRecord { tasks: texts.join(" ") };
-        if !builder.put(placements_key(number), raw(&record), group.mod_revision) {
+        if !builder.put(placements_key(number), raw_json(&record), group.mod_revision) {
             return false;
         }
         group.urgent = false;
