--- a/crates/mountgap-recovery/src/snapshot.rs
+++ b/crates/mountgap-recovery/src/snapshot.rs
@@ -24,7 +24,7 @@
 
 /// What a snapshot says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Header {
+pub struct SnapshotHeader {
     /// The deployment that it belongs to.
     pub deployment: String,
     /// Label of the controller that wrote it.
@@ -63,14 +63,14 @@
     Malformed(&'static str),
 }
 
-/// Encodes an image.
-pub fn encode(header: &Header, image: &StoreImage) -> std::io::Result<Vec<u8>> {
-    let head = serde_json::to_vec(header)?;
+/// Encodes an image. Fails only if compression does.
+pub fn encode(header: &SnapshotHeader, image: &StoreImage) -> std::io::Result<Vec<u8>> {
+    let header_bytes = serde_json::to_vec(header)?;
     let mut bytes = Vec::new();
     bytes.extend_from_slice(MAGIC);
     bytes.extend_from_slice(&FORMAT.to_le_bytes());
-    bytes.extend_from_slice(&(head.len() as u32).to_le_bytes());
-    bytes.extend_from_slice(&head);
+    bytes.extend_from_slice(&(header_bytes.len() as u32).to_le_bytes());
+    bytes.extend_from_slice(&header_bytes);
     let mut stream = DeflateEncoder::new(bytes, Compression::fast());
     for (key, value) in image.iter() {
         write_text(&mut stream, key)?;
@@ -94,7 +94,7 @@
     bytes: &[u8],
     deployment: &str,
     now: u64,
-) -> Result<(Header, StoreImage), SnapshotError> {
+) -> Result<(SnapshotHeader, StoreImage), SnapshotError> {
     let (header, stream) = checked_parts(bytes)?;
     if header.deployment != deployment {
         return Err(SnapshotError::OtherDeployment(header.deployment));
@@ -113,17 +113,21 @@
         }
         image.put(&key, mod_revision, &data);
     }
-    if values.left()? {
+    if values.has_more()? {
         return Err(SnapshotError::Malformed("more values than it names"));
     }
     image.advance(header.revision);
     Ok((header, image))
 }
 
-fn checked_parts(bytes: &[u8]) -> Result<(Header, &[u8]), SnapshotError> {
+/// The header and the compressed values, once checksum and format are found to be right.
+fn checked_parts(bytes: &[u8]) -> Result<(SnapshotHeader, &[u8]), SnapshotError> {
     if !bytes.starts_with(MAGIC) {
-        let cut = MAGIC.starts_with(bytes);
-        return Err(if cut { SnapshotError::Truncated } else { SnapshotError::NotASnapshot });
+        let is_cut_short = MAGIC.starts_with(bytes);
+        return Err(match is_cut_short {
+            true => SnapshotError::Truncated,
+            false => SnapshotError::NotASnapshot,
+        });
     }
     let word = |at: usize| {
         let four = bytes.get(at..at + 4).ok_or(SnapshotError::Truncated)?;
@@ -133,17 +137,17 @@
     if format > FORMAT {
         return Err(SnapshotError::NewerFormat(format));
     }
-    let head_end = PREFIX_BYTES.saturating_add(word(MAGIC.len() + 4)? as usize);
+    let header_end = PREFIX_BYTES.saturating_add(word(MAGIC.len() + 4)? as usize);
     let end = bytes.len().saturating_sub(CHECKSUM_BYTES);
-    if head_end > end {
+    if header_end > end {
         return Err(SnapshotError::Truncated);
     }
     if crc32fast::hash(&bytes[..end]) != word(end)? {
         return Err(SnapshotError::Checksum);
     }
-    let header = serde_json::from_slice(&bytes[PREFIX_BYTES..head_end])
+    let header = serde_json::from_slice(&bytes[PREFIX_BYTES..header_end])
         .map_err(|_| SnapshotError::Malformed("the header can't be read"))?;
-    Ok((header, &bytes[head_end..end]))
+    Ok((header, &bytes[header_end..end]))
 }
 
 /// Reads values from the decompressed stream.
@@ -179,9 +183,10 @@
         }
     }
 
-    fn left(&mut self) -> Result<bool, SnapshotError> {
+    /// Whether there is more in the stream.
+    fn has_more(&mut self) -> Result<bool, SnapshotError> {
         let mut one = [0; 1];
         let read = self.stream.read(&mut one);
-        read.map(|n| n > 0).map_err(|_| SnapshotError::Malformed("the stream is damaged"))
+        read.map(|count| count > 0).map_err(|_| SnapshotError::Malformed("the stream is damaged"))
     }
 }
--- a/crates/mountgap-recovery/tests/snapshots.rs
+++ b/crates/mountgap-recovery/tests/snapshots.rs
@@ -2,13 +2,13 @@
 
 use bolero::check;
 use mountgap_recovery::image::StoreImage;
-use mountgap_recovery::snapshot::{decode, encode, Header, SnapshotError, FORMAT};
+use mountgap_recovery::snapshot::{decode, encode, SnapshotError, SnapshotHeader, FORMAT};
 
 const NOW: u64 = 1_000_000;
 const ITERATIONS: usize = 2_000;
 
-fn header(image: &StoreImage) -> Header {
-    Header {
+fn header(image: &StoreImage) -> SnapshotHeader {
+    SnapshotHeader {
         deployment: "here".into(),
         controller: "c-0".into(),
         revision: image.revision(),
@@ -60,10 +60,10 @@
     let newest = StoreImage::new();
     let mut image = image();
     image.put("mg/2/term", 301, "{}");
-    let head = Header { revision: 300, ..header(&image) };
+    let head = SnapshotHeader { revision: 300, ..header(&image) };
     let bytes = encode(&head, &image).expect("memory takes it");
     assert!(matches!(reason(&bytes), SnapshotError::Malformed(_)));
-    let head = Header { keys: 1, ..header(&newest) };
+    let head = SnapshotHeader { keys: 1, ..header(&newest) };
     let bytes = encode(&head, &newest).expect("memory takes it");
     assert!(matches!(reason(&bytes), SnapshotError::Malformed(_)));
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -4,7 +4,7 @@
 use crate::coordination::{Clock, Command, Controller, Effect, Service};
 use crate::protocol::http::Response;
 use crate::settings::{Operator, Platform};
-use crate::snapshots::{deployment, SnapshotDirectory, SnapshotWriter};
+use crate::snapshots::{SnapshotDirectory, SnapshotWriter};
 use crate::transport::net::{Call, Incoming, Net, Origin};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -29,22 +29,16 @@
     let mut net = Net::new(platform.listen, platform.peer_bind, targets, sockets)?;
     let start = Instant::now();
     log::info!("{} listens on {} and {}", platform.label, platform.listen, platform.peer_bind);
-    let mut snapshots = operator.recovery.snapshots.as_ref().map(|settings| {
-        let directory = SnapshotDirectory {
-            path: settings.directory.clone(),
-            kept: settings.kept,
-            deployment: deployment(&platform),
-            controller: platform.label.clone(),
-        };
-        (directory, SnapshotWriter::start(settings, &platform))
-    });
+    let snapshots = operator
+        .recovery
+        .snapshots
+        .as_ref()
+        .map(|settings| (SnapshotDirectory::new(settings, &platform), settings.period_s));
     let mut core = Controller::new(platform, operator, clock(start), seed());
-    if let Some((directory, _)) = &snapshots {
-        if let Some((header, image)) = directory.read_newest(clock(start).wall_ms) {
-            log::info!("snapshot of revision {}, {} keys", header.revision, header.keys);
-            core.restore_snapshot(image);
-        }
-    }
+    let mut snapshot_writer = snapshots.map(|(directory, period_s)| {
+        restore_newest_snapshot(&mut core, &directory, clock(start).wall_ms);
+        SnapshotWriter::start(directory, period_s)
+    });
     loop {
         let now = clock(start).monotonic_ms;
         let wait = if net.has_incoming() { 0 } else { core.next_wake().saturating_sub(now) };
@@ -54,19 +48,26 @@
         for effect in core.batch(clock(start), commands) {
             perform(&mut net, effect);
         }
-        if let Some((_, writer)) = &mut snapshots {
+        if let Some(writer) = &mut snapshot_writer {
             write_snapshot_if_due(&mut core, writer, clock(start));
         }
     }
 }
 
+fn restore_newest_snapshot(core: &mut Controller, directory: &SnapshotDirectory, wall_ms: u64) {
+    if let Some((header, image)) = directory.read_newest(wall_ms) {
+        log::info!("snapshot of revision {}, {} keys", header.revision, header.keys);
+        core.restore_snapshot(image);
+    }
+}
+
 fn write_snapshot_if_due(core: &mut Controller, writer: &mut SnapshotWriter, now: Clock) {
     if !writer.is_due(now.monotonic_ms) {
         return;
     }
     core.note_snapshot(writer.status());
     if let Some(image) = core.image_for_snapshot() {
-        writer.take(image, now.monotonic_ms, now.wall_ms);
+        writer.request(image, now.monotonic_ms, now.wall_ms);
     }
 }
 
--- a/tests/measure_rebuild.rs
+++ b/tests/measure_rebuild.rs
@@ -6,7 +6,7 @@
 
 use mountgap_recovery::image::{StoreId, StoreImage};
 use mountgap_recovery::merged_state::MergedState;
-use mountgap_recovery::snapshot::{encode, Header};
+use mountgap_recovery::snapshot::{encode, SnapshotHeader};
 use mountgap_recovery::write_back::{DesiredState, TransactionLimits};
 use std::time::Instant;
 use world::*;
@@ -94,7 +94,7 @@
         let frozen = image.clone();
         let copied = begun.elapsed().as_secs_f64() * 1e6;
         let plain: usize = image.iter().map(|(key, value)| key.len() + value.data.len() + 16).sum();
-        let header = Header {
+        let header = SnapshotHeader {
             deployment: "here".into(),
             controller: "c-0".into(),
             revision: image.revision(),
