--- a/crates/mountgap-recovery/src/audit.rs
+++ b/crates/mountgap-recovery/src/audit.rs
@@ -1,7 +1,7 @@
 //! Whether a store that is read anew can be the one that was read before.
 //!
-//! A store goes on from where it was: its identity stays, its revision and the stamps of its keys
-//! never fall, ends of jobs are kept for ever, and an accepted job is there until it has ended. A
+//! A store goes on from where it was: its identity stays, its revision and those of its
+//! keys never fall, ends of jobs are kept for ever, and an accepted job is there until it has ended. A
 //! store that was emptied or set back to a backup breaks one of these, also if its revisions have
 //! grown past the old ones since.
 
@@ -79,7 +79,7 @@
 
 /// Compares what was known of a store with what a whole new read of it shows.
 pub fn audit(known: &StoreImage, shown: &StoreImage) -> Result<(), DataLoss> {
-    identity(known, shown)?;
+    check_identity(known, shown)?;
     if shown.revision() < known.revision() {
         return Err(DataLoss::RevisionRegressed {
             known: known.revision(),
@@ -88,10 +88,10 @@
     }
     let ended = ended_jobs(shown);
     for (key, value) in known.iter() {
-        known_key_goes_on(key, value, shown, &ended)?;
+        check_known_key(key, value, shown, &ended)?;
     }
     for (key, value) in shown.iter() {
-        // All that was there at the known revision is known, and with the same stamp.
+        // All that was there at the known revision is known, and with the same revision.
         let old = value.mod_revision <= known.revision();
         if old && known.mod_revision(key) != value.mod_revision {
             return Err(DataLoss::KeyMismatch { key: key.to_string() });
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-fn identity(known: &StoreImage, shown: &StoreImage) -> Result<(), DataLoss> {
+fn check_identity(known: &StoreImage, shown: &StoreImage) -> Result<(), DataLoss> {
     match (known.identity(), shown.identity()) {
         (Some(known), None) => Err(DataLoss::IdentityMissing { known }),
         (Some(known), Some(shown)) if known != shown => {
@@ -110,38 +110,43 @@
     }
 }
 
-/// Whether a key that was known is there as it was, or has changed as it may.
-fn known_key_goes_on(
+/// Checks that a key that was known is there as it was, or has changed as it may.
+fn check_known_key(
     key: &str,
     known: &StoredValue,
     shown: &StoreImage,
     ended: &BTreeSet<String>,
 ) -> Result<(), DataLoss> {
-    let contradiction = || Err(DataLoss::KeyMismatch { key: key.to_string() });
+    let mismatch = || Err(DataLoss::KeyMismatch { key: key.to_string() });
     let now = shown.get(key);
     if now.is_some_and(|now| now.mod_revision < known.mod_revision) {
-        return contradiction();
+        return mismatch();
     }
     match parse_key(key) {
         Some(Key::End(job)) if now.is_none_or(|now| now.mod_revision != known.mod_revision) => {
             Err(DataLoss::JobEndMissing { job: job.to_string() })
         }
         Some(Key::Batch(_) | Key::GangBatch(_)) if now.is_none() => {
-            let jobs = serde_json::from_str::<BatchRecord>(&known.data).map(|batch| batch.jobs);
-            let open = |uid: &&String| !ended.contains(*uid);
-            match jobs.unwrap_or_default().iter().map(|job| &job.uid).find(open) {
-                Some(job) => Err(DataLoss::JobMissing { job: job.clone() }),
+            match first_open_job(&known.data, ended) {
+                Some(job) => Err(DataLoss::JobMissing { job }),
                 None => Ok(()),
             }
         }
         // The leader key ends with its lease, and what a later version stores is not ours to judge.
         Some(Key::Leader) | None => Ok(()),
         // Nothing else is ever removed, but by a rebuild, which gives the store another identity.
-        Some(_) if now.is_none() => contradiction(),
+        Some(_) if now.is_none() => mismatch(),
         Some(_) => Ok(()),
     }
 }
 
+/// The first job of a stored batch that has not ended.
+fn first_open_job(batch: &str, ended: &BTreeSet<String>) -> Option<String> {
+    let batch = serde_json::from_str::<BatchRecord>(batch).ok()?;
+    let open = batch.jobs.iter().find(|job| !ended.contains(&job.uid));
+    open.map(|job| job.uid.clone())
+}
+
 fn ended_jobs(image: &StoreImage) -> BTreeSet<String> {
     let mut ended = BTreeSet::new();
     for (key, value) in image.iter() {
--- a/crates/mountgap-recovery/src/image.rs
+++ b/crates/mountgap-recovery/src/image.rs
@@ -15,8 +15,8 @@
 pub struct StoreId(pub u64);
 
 impl std::fmt::Display for StoreId {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{:016x}", self.0)
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(formatter, "{:016x}", self.0)
     }
 }
 
@@ -40,7 +40,7 @@
     /// All changes up to this revision are in.
     revision: u64,
     values: OrdMap<Arc<str>, StoredValue>,
-    /// Removals above `revision`, with theirs.
+    /// Keys removed above `revision`, with the revisions of their removals.
     removed: OrdMap<Arc<str>, u64>,
 }
 
@@ -72,7 +72,7 @@
         Some(StoreId(record.id))
     }
 
-    /// The term that it holds; 0 if there is none.
+    /// The term in the store; 0 if there is none.
     pub fn term(&self) -> u64 {
         let value = self.values.get(mountgap_records::records::term_key().as_str());
         let record = value.and_then(|value| serde_json::from_str::<TermRecord>(&value.data).ok());
@@ -111,14 +111,16 @@
     /// Puts in a value; an older one than is known, or one removed since, is left out.
     pub fn put(&mut self, key: &str, mod_revision: u64, data: &str) {
         let newer = self.mod_revision(key) < mod_revision;
-        let removed = self.removed.get(key).is_some_and(|at| *at >= mod_revision);
-        if newer && !removed {
+        let removed_since =
+            self.removed.get(key).is_some_and(|removed_at| *removed_at >= mod_revision);
+        if newer && !removed_since {
             self.values.insert(key.into(), StoredValue { mod_revision, data: data.into() });
         }
     }
 
-    /// Puts in a value that may be known in another spelling, of which the first in order counts.
-    fn put_either(&mut self, key: &str, value: &StoredValue) {
+    /// Puts in a value that may be known with the same revision as another JSON text, of which the
+    /// lesser counts.
+    fn put_canonical(&mut self, key: &str, value: &StoredValue) {
         match self.values.get_mut(key) {
             Some(known) if known.mod_revision == value.mod_revision => {
                 if value.data < known.data {
@@ -135,8 +137,8 @@
             self.values.remove(key);
         }
         if mod_revision > self.revision {
-            let at = self.removed.get(key).copied().unwrap_or(0).max(mod_revision);
-            self.removed.insert(key.into(), at);
+            let known = self.removed.get(key).copied().unwrap_or(0);
+            self.removed.insert(key.into(), known.max(mod_revision));
         }
     }
 
@@ -149,7 +151,7 @@
         let passed: Vec<Arc<str>> = self
             .removed
             .iter()
-            .filter(|(_, at)| **at <= revision)
+            .filter(|(_, removed_at)| **removed_at <= revision)
             .map(|(key, _)| key.clone())
             .collect();
         for key in passed {
@@ -165,15 +167,15 @@
         }
         let mut joined =
             StoreImage { revision: self.revision.max(other.revision), ..StoreImage::default() };
-        for (key, at) in self.removals().chain(other.removals()) {
-            joined.remove(key, at);
+        for (key, removed_at) in self.removals().chain(other.removals()) {
+            joined.remove(key, removed_at);
         }
-        for (one, beside) in [(self, other), (other, self)] {
-            for (key, value) in one.iter() {
+        for (image, counterpart) in [(self, other), (other, self)] {
+            for (key, value) in image.iter() {
                 let seen_removed =
-                    value.mod_revision <= beside.revision && beside.get(key).is_none();
+                    value.mod_revision <= counterpart.revision && counterpart.get(key).is_none();
                 if !seen_removed {
-                    joined.put_either(key, value);
+                    joined.put_canonical(key, value);
                 }
             }
         }
--- a/crates/mountgap-recovery/src/merged_state.rs
+++ b/crates/mountgap-recovery/src/merged_state.rs
@@ -1,4 +1,4 @@
-//! Pictures: what the records of all sources say together, whatever store they come from.
+//! What the records of all sources say together, whatever store they come from.
 //!
 //! Images of one store are joined key by key, since their revisions can be compared. What a
 //! half-written or a set back store holds beside them can't be: its records are joined one by one.
@@ -30,13 +30,13 @@
 /// A batch of accepted jobs.
 #[derive(Debug, Clone)]
 pub struct AcceptedBatch {
-    /// Its records.
+    /// The batch as stored.
     pub record: BatchRecord,
     /// Revision of its key in the source, for the order of arrival.
     pub mod_revision: u64,
 }
 
-/// What the sources say together.
+/// What the records of all sources say together.
 #[derive(Debug, Clone, Default)]
 pub struct MergedState {
     /// Batches of jobs by key, gangs' too.
@@ -61,7 +61,7 @@
     pub unreadable: BTreeSet<String>,
 }
 
-/// How many jobs a rebuild has accounted for, and how.
+/// How much a rebuild has recovered, for the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MergeSummary {
     /// Jobs that go on.
@@ -77,19 +77,19 @@
 }
 
 impl MergedState {
-    /// The records of an image.
+    /// Reads the records of an image.
     pub fn from_image(image: &StoreImage) -> MergedState {
         let mut merged = MergedState::default();
         for (key, value) in image.iter() {
-            if merged.take(key, value.mod_revision, &value.data).is_none() {
+            if merged.add_value(key, value.mod_revision, &value.data).is_none() {
                 merged.unreadable.insert(key.to_string());
             }
         }
         merged
     }
 
-    /// Takes in one value; none if it can't be read.
-    fn take(&mut self, key: &str, mod_revision: u64, data: &str) -> Option<()> {
+    /// Adds one stored value; none if it can't be read.
+    fn add_value(&mut self, key: &str, mod_revision: u64, data: &str) -> Option<()> {
         fn read<T: DeserializeOwned>(data: &str) -> Option<T> {
             serde_json::from_str(data).ok()
         }
@@ -131,7 +131,8 @@
         Some(())
     }
 
-    /// Joins what another picture says.
+    /// Joins what another merged state says. The order of joins does not matter, and joining again
+    /// changes nothing.
     pub fn join(&mut self, other: &MergedState) {
         for (key, batch) in &other.batches {
             self.add_batch(key, batch.clone());
@@ -158,13 +159,14 @@
     /// A batch is never changed once it is written; should two differ, the larger text counts
     /// everywhere.
     fn add_batch(&mut self, key: &str, batch: AcceptedBatch) {
-        let text = |record: &BatchRecord| serde_json::to_string(&record.jobs).unwrap_or_default();
+        let jobs_text =
+            |record: &BatchRecord| serde_json::to_string(&record.jobs).unwrap_or_default();
         match self.batches.get_mut(key) {
             None => {
                 self.batches.insert(key.to_string(), batch);
             }
             Some(known) => {
-                let rank = |batch: &AcceptedBatch| (text(&batch.record), batch.record.at);
+                let rank = |batch: &AcceptedBatch| (jobs_text(&batch.record), batch.record.at);
                 let mod_revision = known.mod_revision.max(batch.mod_revision);
                 if rank(known) < rank(&batch) {
                     *known = batch;
@@ -264,7 +266,7 @@
         self.flagged.retain(|job, _| described.contains(job) && !ends.contains_key(job));
     }
 
-    /// How many jobs are accounted for, and how.
+    /// How many jobs and placements there are, for the log.
     pub fn summary(&self) -> MergeSummary {
         let live = self.live_jobs().count();
         MergeSummary {
--- a/crates/mountgap-recovery/tests/laws.rs
+++ b/crates/mountgap-recovery/tests/laws.rs
@@ -1,4 +1,4 @@
-//! Laws of images, pictures, audits and write-back, over generated stores and histories.
+//! Laws of images, merged states, audits and write-back, over generated stores and histories.
 //!
 //! Bounded and seeded here. A longer search: `BOLERO_RANDOM_ITERATIONS=1000000 cargo test --release -p
 //! mountgap-recovery --test laws`.
@@ -117,19 +117,22 @@
     store
 }
 
-/// What a picture says, in a form that can be compared.
-fn said(merged: &MergedState) -> String {
-    let batches: Vec<_> =
-        merged.batches.iter().map(|(key, b)| (key, text(&b.record.jobs), b.record.at)).collect();
+/// What a merged state holds, in a form that can be compared.
+fn contents_of(merged: &MergedState) -> String {
+    let batches: Vec<_> = merged
+        .batches
+        .iter()
+        .map(|(key, batch)| (key, text(&batch.record.jobs), batch.record.at))
+        .collect();
     format!(
         "{batches:?} {:?} {:?} {:?} {:?} {}",
         merged.ends, merged.done, merged.placements, merged.flagged, merged.term
     )
 }
 
-fn joined(pictures: &[&MergedState]) -> MergedState {
+fn joined(states: &[&MergedState]) -> MergedState {
     let mut all = MergedState::default();
-    pictures.iter().for_each(|merged| all.join(merged));
+    states.iter().for_each(|merged| all.join(merged));
     all
 }
 
@@ -200,15 +203,15 @@
 }
 
 #[test]
-fn joins_of_pictures_know_no_order_and_no_repetition() {
+fn joins_of_merged_states_know_no_order_and_no_repetition() {
     check!().with_type::<(Vec<u8>, Vec<u8>, Vec<u8>)>().with_iterations(ITERATIONS).for_each(
         |(a, b, c)| {
             let of = |id, changes: &Vec<u8>| MergedState::from_image(&history(id, changes).image);
             let (a, b, c) = (of(1, a), of(2, b), of(3, c));
             let all = joined(&[&a, &b, &c]);
-            assert_eq!(said(&all), said(&joined(&[&c, &a, &b])));
-            assert_eq!(said(&all), said(&joined(&[&joined(&[&b, &c]), &a])));
-            assert_eq!(said(&all), said(&joined(&[&all, &b, &all])));
+            assert_eq!(contents_of(&all), contents_of(&joined(&[&c, &a, &b])));
+            assert_eq!(contents_of(&all), contents_of(&joined(&[&joined(&[&b, &c]), &a])));
+            assert_eq!(contents_of(&all), contents_of(&joined(&[&all, &b, &all])));
             for merged in [&a, &b, &c] {
                 assert!(merged.ends.keys().all(|job| all.ends.contains_key(job)), "an end stays");
                 for ((job, task), placed) in &merged.placements {
@@ -237,15 +240,15 @@
             merged.join(&MergedState::from_image(&store.image));
             merged.tidy();
             let desired = DesiredState::new(&merged, StoreId(9), &store.image, &LIMITS);
-            let mut pieces = 0;
+            let mut transactions = 0;
             while let Some(transaction) = desired.next_transaction(&store.image, &LIMITS) {
-                if pieces == u32::from(*stop) {
+                if transactions == u32::from(*stop) {
                     break;
                 }
                 assert!(transaction.changes.len() <= LIMITS.transaction_ops);
                 store.apply(&transaction);
-                pieces += 1;
-                assert!(pieces < 10_000, "it comes to an end");
+                transactions += 1;
+                assert!(transactions < 10_000, "it comes to an end");
             }
             // Whoever takes over draws on the same sources and on what is written.
             let mut again = merged.clone();
@@ -257,7 +260,10 @@
             }
             let mut written = MergedState::from_image(&store.image);
             written.term = merged.term;
-            assert_eq!(said(&written).replace("at: ", ""), said(&merged).replace("at: ", ""));
+            assert_eq!(
+                contents_of(&written).replace("at: ", ""),
+                contents_of(&merged).replace("at: ", "")
+            );
             assert_eq!(store.image.identity(), Some(StoreId(9)));
         },
     );
