--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -1,109 +1,70 @@
-//! Emptying machines that are not needed: which are closed, and whose services move.
+//! Defragmentation: thinly used machines are emptied so that they can be returned, and services
+//! move off them.
 
-use super::*;
+use super::forecast::ServiceHeadroom;
+use super::{boot_ms, is_usable};
 use crate::constants::{
     ARRIVAL_WINDOW_MS, CLOSE_SHARE, EXCESS_ROOM_MS, HEADROOM_MACHINES, LOW_LOAD_SHARE, MOVE_GAP_MS,
     MOVE_SHARE, UNPLACED_SHARE,
 };
-use crate::storage::machine::StopReason;
+use crate::coordination::{Controller, Leader};
+use crate::protocol::cloud::Catalog;
+use crate::protocol::users::JobKind;
+use crate::protocol::Resources;
+use crate::storage::cluster::ClusterState;
+use crate::storage::machine::{Machine, MachineState, Placement, StopReason, TaskId};
+use crate::storage::records::Name;
+
+/// A machine and the share of it that is in use.
+struct LoadedMachine<'a> {
+    machine: &'a Machine,
+    load: f64,
+}
+
+/// Room of the machines that are open, in machines.
+struct FleetRoom {
+    free: f64,
+    /// What has to stay free.
+    headroom: f64,
+}
+
+/// A machine that could be emptied.
+struct DrainCandidate<'a> {
+    machine: &'a Machine,
+    load: f64,
+    /// Tasks of services, which would have to move.
+    services: f64,
+}
 
 impl Controller {
-    /// Empties the dearest thinly used machines when the others have room for their work and
+    /// Drains the dearest thinly used machines when the others have room for their work and
     /// for work to come; opens such machines again when that is no longer so. How many at a
     /// time grows with the fleet.
     pub(super) fn consolidate(&mut self) {
         let now = self.now.monotonic_ms;
-        let operator = self.operator.clone();
         let Some(catalog) = self.catalog.clone() else { return };
         let Some(leader) = self.leader.as_mut() else { return };
-        let spare = leader.spare_slots(now, &catalog);
-        let cluster = &leader.cluster;
-        let load = |m: &Machine| {
-            let mut used = m.total;
-            used -= cluster.free(m);
-            used.share_of(&m.total)
-        };
-        let open: Vec<(&Machine, f64)> =
-            cluster.machines.values().filter(|m| usable(m)).map(|m| (m, load(m))).collect();
-        let mut free: f64 = open.iter().map(|(_, share)| 1.0 - share).sum();
-        let busy: f64 = open.iter().map(|(_, share)| share).sum();
-        let batch_now: f64 =
-            open.iter().map(|(m, share)| share * (1.0 - service_share(cluster, m))).sum();
-        // What comes at the usual rate may be more than what runs at this moment.
-        let lull = (leader.batch_machines(now) - batch_now).max(0.0);
-        let headroom = (busy + lull) * operator.headroom_share + lull + HEADROOM_MACHINES;
-        let early = now < leader.began_at + ARRIVAL_WINDOW_MS / 2;
-        // A few tasks that find no place for reasons of their own (a zone, a kind of machine) must
-        // not keep hundreds of machines open.
-        let whole = open.first().map_or(Resources::default(), |(m, _)| m.total);
-        let unplaced: f64 =
-            leader.fleet.unplaced.iter().map(|u| u.slots * u.need.share_of(&whole)).sum();
-        let unplaced = unplaced > open.len() as f64 * UNPLACED_SHARE;
-        let short = unplaced || free < headroom || early;
+        let open = leader.open_machines();
         let most = ((open.len() as f64 * CLOSE_SHARE) as usize).max(1);
-        if short {
-            leader.fleet.excess_since = None;
-            // The fullest first: they have the most work that need not move.
-            let mut again: Vec<(f64, Name)> = cluster
-                .machines
-                .values()
-                .filter(|m| m.draining && m.state == MachineState::Up && !m.cordoned)
-                .map(|m| (load(m), m.name.clone()))
-                .collect();
-            again.sort_by(|a, b| b.0.total_cmp(&a.0));
-            for (_, name) in again.into_iter().take(most) {
-                if let Some(m) = leader.cluster.machines.get_mut(&name) {
-                    log::debug!("{name}: opened again");
-                    m.draining = false;
-                    leader.plan_soon(now);
-                }
-            }
+        let room = leader.fleet_room(&open, self.operator.headroom_share, now);
+        if leader.is_short_of_room(&open, &room, now) {
+            leader.reopen_machines(most, now);
             return;
         }
-        let room = |m: &Machine| match &spare {
-            Some((need, _)) if !m.spot => cluster.room_for_services(m).times(need) as f64,
-            _ => 0.0,
-        };
-        let mut ordinary_free: f64 = open.iter().map(|(m, _)| room(m)).sum();
-        let want = spare.as_ref().map_or(0.0, |(_, w)| *w);
-        let mut candidates: Vec<(&Machine, f64, f64)> = open
-            .iter()
-            .map(|(m, share)| (*m, *share, services(cluster, m)))
-            .filter(|(m, share, services)| {
-                let thin = *services == 0.0 || *share <= LOW_LOAD_SHARE;
-                thin && m.up_at.is_some_and(|t| now > t + boot_ms(&catalog, &m.type_name))
-            })
-            .collect();
-        // The dearest kind first, then those with the least to move, then the emptiest.
-        candidates.sort_by(|a, b| {
-            a.0.spot.cmp(&b.0.spot).then(a.2.total_cmp(&b.2)).then(a.1.total_cmp(&b.1))
-        });
-        let mut chosen = Vec::new();
-        for (m, _, services) in candidates {
-            if chosen.len() >= most || free - 1.0 < headroom {
-                break;
-            }
-            // Its room is gone, and what it holds takes room elsewhere.
-            let left = ordinary_free - room(m) - services;
-            if m.spot || spare.is_none() || left >= want {
-                ordinary_free = left;
-                free -= 1.0;
-                chosen.push(m.name.clone());
-            }
-        }
+        let chosen = leader.machines_to_drain(&open, room, most, &catalog, now);
         if chosen.is_empty() {
             leader.fleet.excess_since = None;
             return;
         }
-        let since = *leader.fleet.excess_since.get_or_insert(now);
-        if now < since + EXCESS_ROOM_MS {
+        let excess_since = *leader.fleet.excess_since.get_or_insert(now);
+        if now < excess_since + EXCESS_ROOM_MS {
             return;
         }
         leader.fleet.excess_since = None;
         log::debug!("closes {}, the others have room for their work", chosen.join(", "));
         for name in chosen {
-            if let Some(m) = leader.cluster.machines.get_mut(&name) {
-                m.draining = true;
+            if let Some(machine) = leader.cluster.machines.get_mut(&name) {
+                machine.draining = true;
             }
         }
     }
@@ -116,57 +77,244 @@
         if now < leader.fleet.next_move_at {
             return;
         }
-        let cluster = &leader.cluster;
-        let mut from: Vec<(f64, &Machine)> = cluster
+        let chosen = leader.services_to_move();
+        if chosen.is_empty() {
+            return;
+        }
+        leader.fleet.next_move_at = now + MOVE_GAP_MS;
+        for (name, id) in chosen {
+            let machine = leader.cluster.machines.get_mut(&name);
+            let Some(placement) = machine.and_then(|machine| machine.placements.get_mut(&id))
+            else {
+                continue;
+            };
+            log::debug!("{}/{}: moves off {name}", id.0, id.1);
+            placement.stop_reason = Some(StopReason::Eviction);
+        }
+    }
+}
+
+impl Leader {
+    /// Machines that count as room for work, with their load.
+    fn open_machines(&self) -> Vec<LoadedMachine<'_>> {
+        let machines = self.cluster.machines.values().filter(|machine| is_usable(machine));
+        machines
+            .map(|machine| LoadedMachine { machine, load: load(&self.cluster, machine) })
+            .collect()
+    }
+
+    fn fleet_room(&self, open: &[LoadedMachine], headroom_share: f64, now: u64) -> FleetRoom {
+        let free: f64 = open.iter().map(|loaded| 1.0 - loaded.load).sum();
+        let busy: f64 = open.iter().map(|loaded| loaded.load).sum();
+        let batch_now: f64 = open
+            .iter()
+            .map(|loaded| loaded.load * (1.0 - service_share(&self.cluster, loaded.machine)))
+            .sum();
+        // What comes at the usual rate may be more than what runs at this moment.
+        let lull = (self.batch_machines(now) - batch_now).max(0.0);
+        FleetRoom { free, headroom: (busy + lull) * headroom_share + lull + HEADROOM_MACHINES }
+    }
+
+    /// Whether all machines are needed, or too little is known yet to tell.
+    fn is_short_of_room(&self, open: &[LoadedMachine], room: &FleetRoom, now: u64) -> bool {
+        // A few tasks that find no place for reasons of their own (a zone, a kind of machine) must
+        // not keep hundreds of machines open.
+        let whole = open.first().map_or(Resources::default(), |loaded| loaded.machine.total);
+        let unplaced = self.fleet.unplaced.iter();
+        let unplaced: f64 = unplaced.map(|tasks| tasks.slots * tasks.need.share_of(&whole)).sum();
+        let many_unplaced = unplaced > open.len() as f64 * UNPLACED_SHARE;
+        let is_early = now < self.began_at + ARRIVAL_WINDOW_MS / 2;
+        many_unplaced || room.free < room.headroom || is_early
+    }
+
+    /// Opens machines again that are being emptied, the fullest first: they have the most work that
+    /// need not move.
+    fn reopen_machines(&mut self, most: usize, now: u64) {
+        self.fleet.excess_since = None;
+        let cluster = &self.cluster;
+        let mut drained: Vec<(f64, Name)> = cluster
             .machines
             .values()
-            .filter(|m| m.draining && m.state == MachineState::Up)
-            .map(|m| (services(cluster, m), m))
-            .filter(|(n, _)| *n > 0.0)
+            .filter(|machine| {
+                machine.draining && machine.state == MachineState::Up && !machine.cordoned
+            })
+            .map(|machine| (load(cluster, machine), machine.name.clone()))
             .collect();
-        if from.is_empty() {
-            return;
+        drained.sort_by(|(load, _), (other_load, _)| other_load.total_cmp(load));
+        for (_, name) in drained.into_iter().take(most) {
+            if let Some(machine) = self.cluster.machines.get_mut(&name) {
+                log::debug!("{name}: opened again");
+                machine.draining = false;
+                self.plan_soon(now);
+            }
         }
-        from.sort_by(|a, b| a.0.total_cmp(&b.0));
+    }
+
+    /// Machines to empty: as many as leave the headroom and the room for services to come.
+    fn machines_to_drain(
+        &self,
+        open: &[LoadedMachine],
+        mut room: FleetRoom,
+        most: usize,
+        catalog: &Catalog,
+        now: u64,
+    ) -> Vec<Name> {
+        let headroom = self.service_headroom(now, catalog);
+        let service_slots = |machine: &Machine| match &headroom {
+            Some(headroom) if !machine.spot => {
+                self.cluster.room_for_services(machine).times(&headroom.need) as f64
+            }
+            _ => 0.0,
+        };
+        let wanted_slots =
+            headroom.as_ref().map_or(0.0, |headroom: &ServiceHeadroom| headroom.slots);
+        let mut free_slots: f64 = open.iter().map(|loaded| service_slots(loaded.machine)).sum();
+        let mut chosen = Vec::new();
+        for candidate in self.drain_candidates(open, catalog, now) {
+            if chosen.len() >= most || room.free - 1.0 < room.headroom {
+                break;
+            }
+            // Its room is gone, and what it holds takes room elsewhere.
+            let slots_left = free_slots - service_slots(candidate.machine) - candidate.services;
+            if candidate.machine.spot || headroom.is_none() || slots_left >= wanted_slots {
+                free_slots = slots_left;
+                room.free -= 1.0;
+                chosen.push(candidate.machine.name.clone());
+            }
+        }
+        chosen
+    }
+
+    /// Machines worth emptying: the dearest kind first, then those with the least to move, then the
+    /// emptiest.
+    fn drain_candidates<'a>(
+        &self,
+        open: &[LoadedMachine<'a>],
+        catalog: &Catalog,
+        now: u64,
+    ) -> Vec<DrainCandidate<'a>> {
+        let is_thinly_used = |candidate: &DrainCandidate| {
+            candidate.services == 0.0 || candidate.load <= LOW_LOAD_SHARE
+        };
+        let is_past_boot = |machine: &Machine| {
+            machine.up_at.is_some_and(|up_at| now > up_at + boot_ms(catalog, &machine.type_name))
+        };
+        let mut candidates: Vec<DrainCandidate> = open
+            .iter()
+            .map(|&LoadedMachine { machine, load }| {
+                let services = service_count(&self.cluster, machine);
+                DrainCandidate { machine, load, services }
+            })
+            .filter(|candidate| is_thinly_used(candidate) && is_past_boot(candidate.machine))
+            .collect();
+        candidates.sort_by(|left, right| {
+            let by_price = left.machine.spot.cmp(&right.machine.spot);
+            by_price
+                .then(left.services.total_cmp(&right.services))
+                .then(left.load.total_cmp(&right.load))
+        });
+        candidates
+    }
+
+    /// Running services on machines that are being emptied for which another machine has room.
+    fn services_to_move(&self) -> Vec<(Name, TaskId)> {
+        let cluster = &self.cluster;
+        let mut drained: Vec<(f64, &Machine)> = cluster
+            .machines
+            .values()
+            .filter(|machine| machine.draining && machine.state == MachineState::Up)
+            .map(|machine| (service_count(cluster, machine), machine))
+            .filter(|(services, _)| *services > 0.0)
+            .collect();
+        drained.sort_by(|(services, _), (others, _)| services.total_cmp(others));
         let most = ((cluster.machines.len() as f64 * MOVE_SHARE) as usize).max(1);
-        let mut targets: Vec<(&Machine, Resources)> =
-            cluster.machines.values().filter(|t| usable(t)).map(|t| (t, cluster.free(t))).collect();
+        let mut targets = MoveTargets::new(cluster);
         let mut chosen = Vec::new();
-        for (m, (id, p)) in from.iter().flat_map(|(_, m)| m.placements.iter().map(move |x| (m, x)))
-        {
+        let tasks = drained.iter().flat_map(|(_, machine)| {
+            machine.placements.iter().map(move |(id, placement)| (machine, id, placement))
+        });
+        for (machine, id, placement) in tasks {
             if chosen.len() >= most {
                 break;
             }
-            let Some(job) = cluster.jobs.get(&id.0) else { continue };
-            let Some(spec) = job.spec.as_ref().filter(|s| s.kind == JobKind::Service) else {
-                continue;
-            };
-            if p.settled.is_some() || p.stop_reason.is_some() || p.running_since.is_none() {
-                continue;
-            }
-            let target = targets.iter_mut().find(|(t, free)| {
-                t.zone == m.zone
-                    && (!t.spot || spec.spot_allowed)
-                    && t.type_name == m.type_name
-                    && t.images.iter().any(|(k, _)| *k == spec.image)
-                    && free.fits(&job.need)
-            });
-            if let Some((_, free)) = target {
-                *free -= job.need;
-                chosen.push((m.name.clone(), id.clone()));
+            if targets.try_take_room(cluster, machine, id, placement) {
+                chosen.push((machine.name.clone(), id.clone()));
             }
         }
-        if chosen.is_empty() {
-            return;
+        chosen
+    }
+}
+
+/// Machines to which services may move, with what is free on them.
+struct MoveTargets<'a> {
+    machines: Vec<(&'a Machine, Resources)>,
+}
+
+impl<'a> MoveTargets<'a> {
+    fn new(cluster: &'a ClusterState) -> MoveTargets<'a> {
+        let machines = cluster.machines.values().filter(|machine| is_usable(machine));
+        MoveTargets { machines: machines.map(|machine| (machine, cluster.free(machine))).collect() }
+    }
+
+    /// Takes room for a running service on a machine like its own that holds its image. Returns
+    /// whether there is one.
+    fn try_take_room(
+        &mut self,
+        cluster: &ClusterState,
+        from: &Machine,
+        id: &TaskId,
+        placement: &Placement,
+    ) -> bool {
+        let Some(job) = cluster.jobs.get(&id.0) else { return false };
+        let Some(spec) = job.spec.as_ref().filter(|spec| spec.kind == JobKind::Service) else {
+            return false;
+        };
+        let runs = placement.running_since.is_some();
+        if placement.settled.is_some() || placement.stop_reason.is_some() || !runs {
+            return false;
         }
-        leader.fleet.next_move_at = now + MOVE_GAP_MS;
-        for (name, id) in chosen {
-            if let Some(p) =
-                leader.cluster.machines.get_mut(&name).and_then(|m| m.placements.get_mut(&id))
-            {
-                log::debug!("{}/{}: moves off {name}", id.0, id.1);
-                p.stop_reason = Some(StopReason::Eviction);
-            }
+        let target = self.machines.iter_mut().find(|(target, free)| {
+            target.zone == from.zone
+                && (!target.spot || spec.spot_allowed)
+                && target.type_name == from.type_name
+                && target.images.iter().any(|(image, _)| *image == spec.image)
+                && free.fits(&job.need)
+        });
+        let Some((_, free)) = target else { return false };
+        *free -= job.need;
+        true
+    }
+}
+
+/// The share of a machine that is in use.
+fn load(cluster: &ClusterState, machine: &Machine) -> f64 {
+    let mut used = machine.total;
+    used -= cluster.free(machine);
+    used.share_of(&machine.total)
+}
+
+/// Tasks of services on a machine.
+fn service_count(cluster: &ClusterState, machine: &Machine) -> f64 {
+    let placements = machine.placements.iter();
+    let services = placements
+        .filter(|((uid, _), placement)| placement.settled.is_none() && cluster.is_service(uid));
+    services.count() as f64
+}
+
+/// The part of a machine's load that services make up.
+fn service_share(cluster: &ClusterState, machine: &Machine) -> f64 {
+    let (mut service_load, mut whole_load) = (0.0, 0.0);
+    for ((uid, _), placement) in &machine.placements {
+        let (None, Some(job)) = (placement.settled, cluster.jobs.get(uid)) else { continue };
+        let share = job.need.share_of(&machine.total);
+        whole_load += share;
+        if cluster.is_service(uid) {
+            service_load += share;
         }
     }
+    if whole_load > 0.0 {
+        service_load / whole_load
+    } else {
+        0.0
+    }
 }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,52 +1,49 @@
-//! What the cloud lists: machine types, machines that are there, failed or gone.
+//! The cloud's list of machines: which are there, failed or gone.
 
-use super::*;
 use crate::constants::{
-    CATALOG_PERIOD_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, MS_PER_S,
+    CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, LIST_PERIOD_MS, MS_PER_S,
 };
-use crate::storage::machine::PlacementPhase;
+use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::protocol::cloud::{hosts_path, Host, HostStatus, Hosts};
+use crate::protocol::workers::EndCause;
+use crate::storage::hashing::HashSet;
+use crate::storage::machine::{Machine, MachineState, Placement, PlacementPhase, TaskId};
+use crate::storage::records::Name;
 
 impl Controller {
-    pub(in crate::coordination) fn catalog_due(&mut self) {
+    /// Asks for the first page of the list when that is due.
+    pub(super) fn start_list(&mut self) {
         let now = self.now.monotonic_ms;
-        let period = if self.leader.is_some() { CATALOG_PERIOD_MS } else { CATALOG_PERIOD_MS * 10 };
-        let wait = if self.catalog.is_some() { period } else { CLOUD_RETRY_MS };
-        if self.catalog_asked || self.catalog_at.is_some_and(|t| now < t + wait) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        let fleet = &mut leader.fleet;
+        let is_due = !fleet.list_in_progress && now >= fleet.next_list_at;
+        if !is_due || !self.cloud_budget.take(1.0, 0.0, now) {
             return;
         }
-        if self.cloud_budget.take(1.0, 0.0, now) {
-            self.catalog_asked = true;
-            self.catalog_at = Some(now);
-            self.call(
-                Service::Cloud,
-                "GET",
-                "/catalog".into(),
-                vec![],
-                CLOUD_CALL_MS,
-                CallPurpose::Catalog,
-            );
-        }
+        fleet.list_in_progress = true;
+        fleet.list_started_at = now;
+        fleet.listed_hosts.clear();
+        fleet.next_list_at = now + LIST_PERIOD_MS;
+        self.ask_for_page(None, now);
     }
 
-    pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<(u16, Vec<u8>)>) {
-        self.catalog_asked = false;
-        let Some((200, body)) = reply else { return };
-        match serde_json::from_slice::<Catalog>(&body) {
-            Ok(catalog) => self.catalog = Some(Rc::new(catalog)),
-            Err(e) => log::error!("catalogue can't be read: {e}"),
-        }
+    /// Asks for the page of the list that follows a machine; `None`: the first one.
+    fn ask_for_page(&mut self, after: Option<&str>, list_started_at: u64) {
+        let path = hosts_path(after, LIST_LIMIT);
+        let purpose = CallPurpose::Hosts { begun: list_started_at };
+        self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
     }
 
+    /// Takes in a page of the list that was started then.
     pub(in crate::coordination) fn on_machine_list_response(
         &mut self,
-        begun: u64,
+        list_started_at: u64,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         let now = self.now.monotonic_ms;
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        if leader.fleet.list_started_at != begun {
+        let Some(leader) = self.leader.as_mut() else { return };
+        let fleet = &mut leader.fleet;
+        if fleet.list_started_at != list_started_at {
             return;
         }
         let hosts: Option<Hosts> = match reply {
@@ -54,89 +51,36 @@
             _ => None,
         };
         let Some(hosts) = hosts else {
-            leader.fleet.list_in_progress = false;
-            leader.fleet.next_list_at = now + CLOUD_RETRY_MS;
+            fleet.list_in_progress = false;
+            fleet.next_list_at = now + CLOUD_RETRY_MS;
             return;
         };
-        let last = hosts.machines.last().map(|h| h.uid.clone());
-        leader.fleet.listed_hosts.extend(hosts.machines);
+        let last = hosts.machines.last().map(|host| host.uid.clone());
+        fleet.listed_hosts.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
+            // A list that was begun is finished, whatever the cloud's rate is.
             self.cloud_budget.take(1.0, f64::MIN, now);
-            let path = hosts_path(Some(&last), LIST_LIMIT);
-            let purpose = CallPurpose::Hosts { begun };
-            return self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
+            return self.ask_for_page(Some(&last), list_started_at);
         }
-        leader.fleet.list_in_progress = false;
-        self.list_complete(begun);
+        fleet.list_in_progress = false;
+        self.on_complete_list(list_started_at);
     }
 
-    /// Compares a whole list with the state. A list asked for at `begun` describes a moment
+    /// Compares a whole list with the state. A list that was started then describes a moment
     /// no more than twice the lag earlier.
-    pub(super) fn list_complete(&mut self, begun: u64) {
+    fn on_complete_list(&mut self, list_started_at: u64) {
         let now = self.now.monotonic_ms;
-        let lag = (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
+        let lag_ms =
+            (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
+        let Some(leader) = self.leader.as_mut() else { return };
         let hosts = std::mem::take(&mut leader.fleet.listed_hosts);
         leader.fleet.has_complete_list = true;
-        leader.fleet.complete_list_started_at = Some(begun);
-        let mut listed: HashSet<&str> = leader.cluster.hash_keys().set();
-        listed.extend(hosts.iter().map(|h| h.uid.as_str()));
-        let mut dead: Vec<Name> = Vec::new();
-        for h in &hosts {
-            if leader.fleet.is_gone(&h.uid) {
-                continue;
-            }
-            let name: Name = h.uid.as_str().into();
-            let new = !leader.cluster.machines.contains_key(&name);
-            let m = leader.cluster.machine_entry(&name, now);
-            if m.type_name.is_empty() {
-                m.type_name = h.machine_type.clone();
-                m.zone = h.zone.clone();
-                m.spot = h.spot;
-            }
-            if new || m.listed_at.is_none() {
-                m.rented_at = begun.saturating_sub((h.age_s.max(0.0) * MS_PER_S) as u64);
-                if m.rented_at == 0 {
-                    m.rented_at = 1;
-                }
-            }
-            m.listed_at.get_or_insert(now);
-            // An old machine that has not reported in this term is not one that fails to
-            // boot: a new leader once returned healthy machines for that.
-            if m.state == MachineState::Booting && h.status == HostStatus::Running {
-                m.state = MachineState::AwaitingHeartbeat;
-                m.first_known_at = now;
-            }
-            if h.status == HostStatus::Failed && !m.failed && m.state != MachineState::Terminated {
-                dead.push(name);
-            }
-        }
-        for name in dead {
+        leader.fleet.complete_list_started_at = Some(list_started_at);
+        for name in leader.note_listed_hosts(&hosts, list_started_at, now) {
             log::info!("{name}: listed as failed");
-            leader.cluster.settle_machine(&name);
-            if let Some(m) = leader.cluster.machines.get_mut(&name) {
-                m.cordoned = true;
-                m.lease_expired = true;
-                m.failed = true;
-            }
-            leader.plan_soon(now);
+            leader.note_failed_machine(&name, now);
         }
-        let mut gone = Vec::new();
-        for m in leader.cluster.machines.values() {
-            let confirmed_read_at = m.listed_at.or(m.up_at).unwrap_or(m.first_known_at);
-            if m.state != MachineState::Terminated
-                && !listed.contains(&*m.name)
-                && begun > confirmed_read_at + lag
-            {
-                // A worker that reported after that moment is surely there.
-                if m.last_alive_at.is_none_or(|t| begun > t + lag) {
-                    gone.push(m.name.clone());
-                }
-            }
-        }
-        for name in gone {
+        for name in leader.machines_gone(&hosts, list_started_at, lag_ms) {
             log::info!("{name}: gone");
             self.machine_gone(&name);
         }
@@ -145,42 +89,118 @@
     /// A machine and everything on it has surely ceased to be.
     pub(super) fn machine_gone(&mut self, name: &Name) {
         let now = self.now.monotonic_ms;
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
+        let Some(leader) = self.leader.as_mut() else { return };
         leader.fleet.terminated_machines.insert(name.clone());
         leader.cluster.settle_machine(name);
-        if let Some(m) = leader.cluster.machines.get_mut(name) {
-            m.state = MachineState::Terminated;
-            m.images.clear();
+        if let Some(machine) = leader.cluster.machines.get_mut(name) {
+            machine.state = MachineState::Terminated;
+            machine.images.clear();
         }
         leader.plan_soon(now);
     }
 
-    pub(super) fn forget_gone(&mut self) {
+    /// Settles what was never ordered on machines that are gone or silent, and takes the machines
+    /// that are gone out of the state once nothing is left on them.
+    pub(super) fn forget_terminated(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
         // A placement whose commit was under way when its machine was found gone or silent was
         // never ordered; it once stayed for ever, and its task with it.
-        let mut over: Vec<(Name, TaskId)> = Vec::new();
-        for m in leader
-            .cluster
-            .machines
-            .values()
-            .filter(|m| m.state == MachineState::Terminated || m.lease_expired)
-        {
-            // On a silent one only what was not ordered since it expired.
-            let never =
-                |p: &Placement| m.state == MachineState::Terminated || p.start_sent_after.is_none();
-            let open = |p: &Placement| p.settled.is_none() && p.phase == PlacementPhase::Committed;
-            let ids = m.placements.iter().filter(|(_, p)| open(p) && never(p));
-            over.extend(ids.map(|(id, _)| (m.name.clone(), id.clone())));
+        let mut never_ordered: Vec<(Name, TaskId)> = Vec::new();
+        for machine in leader.cluster.machines.values() {
+            let placements = machine.placements.iter();
+            let ids = placements.filter(|(_, placement)| is_never_ordered(machine, placement));
+            never_ordered.extend(ids.map(|(id, _)| (machine.name.clone(), id.clone())));
         }
-        for (name, id) in over {
+        for (name, id) in never_ordered {
             leader.cluster.settle(&name, &id, EndCause::Lost);
         }
-        leader
-            .cluster
-            .machines
-            .retain(|_, m| m.state != MachineState::Terminated || !m.placements.is_empty());
+        leader.cluster.machines.retain(|_, machine| {
+            machine.state != MachineState::Terminated || !machine.placements.is_empty()
+        });
+    }
+}
+
+/// Whether a placement on a machine that is gone or silent was surely never ordered there; on a
+/// silent one that is only sure of what was not ordered since its lease expired.
+fn is_never_ordered(machine: &Machine, placement: &Placement) -> bool {
+    let is_open = placement.settled.is_none() && placement.phase == PlacementPhase::Committed;
+    let is_terminated = machine.state == MachineState::Terminated;
+    is_open && (is_terminated || machine.lease_expired && placement.start_sent_after.is_none())
+}
+
+impl Leader {
+    /// Takes listed machines into the state. Returns those that have newly failed.
+    fn note_listed_hosts(&mut self, hosts: &[Host], list_started_at: u64, now: u64) -> Vec<Name> {
+        let mut failed = Vec::new();
+        for host in hosts {
+            if self.fleet.is_terminated(&host.uid) {
+                continue;
+            }
+            let name: Name = host.uid.as_str().into();
+            let is_new = !self.cluster.machines.contains_key(&name);
+            let machine = self.cluster.machine_entry(&name, now);
+            note_listed_host(machine, host, is_new, list_started_at, now);
+            if host.status == HostStatus::Failed
+                && !machine.failed
+                && machine.state != MachineState::Terminated
+            {
+                failed.push(name);
+            }
+        }
+        failed
+    }
+
+    /// Nothing runs any more on a machine that the cloud lists as failed.
+    fn note_failed_machine(&mut self, name: &Name, now: u64) {
+        self.cluster.settle_machine(name);
+        if let Some(machine) = self.cluster.machines.get_mut(name) {
+            machine.cordoned = true;
+            machine.lease_expired = true;
+            machine.failed = true;
+        }
+        self.plan_soon(now);
+    }
+
+    /// Machines that a list does not name although they were there for longer than it lags.
+    fn machines_gone(&self, hosts: &[Host], list_started_at: u64, lag_ms: u64) -> Vec<Name> {
+        let mut listed: HashSet<&str> = self.cluster.hash_keys().set();
+        listed.extend(hosts.iter().map(|host| host.uid.as_str()));
+        let is_gone = |machine: &&Machine| {
+            let confirmed_at =
+                machine.listed_at.or(machine.up_at).unwrap_or(machine.first_known_at);
+            machine.state != MachineState::Terminated
+                && !listed.contains(&*machine.name)
+                && list_started_at > confirmed_at + lag_ms
+                // A worker that reported after that moment is surely there.
+                && machine.last_alive_at.is_none_or(|at| list_started_at > at + lag_ms)
+        };
+        let machines = self.cluster.machines.values();
+        machines.filter(is_gone).map(|machine| machine.name.clone()).collect()
+    }
+}
+
+/// Takes over what the list says of a machine.
+fn note_listed_host(
+    machine: &mut Machine,
+    host: &Host,
+    is_new: bool,
+    list_started_at: u64,
+    now: u64,
+) {
+    if machine.type_name.is_empty() {
+        machine.type_name = host.machine_type.clone();
+        machine.zone = host.zone.clone();
+        machine.spot = host.spot;
+    }
+    if is_new || machine.listed_at.is_none() {
+        let age_ms = (host.age_s.max(0.0) * MS_PER_S) as u64;
+        machine.rented_at = list_started_at.saturating_sub(age_ms).max(1);
+    }
+    machine.listed_at.get_or_insert(now);
+    // An old machine that has not reported in this term is not one that fails to
+    // boot: a new leader once returned healthy machines for that.
+    if machine.state == MachineState::Booting && host.status == HostStatus::Running {
+        machine.state = MachineState::AwaitingHeartbeat;
+        machine.first_known_at = now;
     }
 }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,102 +1,49 @@
-//! Returning machines: idle, failed, silent or unreachable ones.
+//! Scaling in: idle, failed, silent or unreachable machines are returned.
 
-use super::*;
+use super::forecast::ServiceHeadroom;
+use super::{boot_ms, is_usable};
 use crate::constants::{
     BOOT_LOST, CHARGE_MIN_S, CLOUD_CALL_MS, DELETE_MAX, IDLE_RETURN_BOOTS, LEADER_UNHEARD_MS,
     MS_PER_S, RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_FEW, SILENT_PERIODS, WORKER_RETRY_S,
     WORKER_WAIT_S,
 };
+use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::protocol::cloud::{Catalog, Names};
+use crate::protocol::Resources;
+use crate::settings::Platform;
+use crate::storage::cluster::ClusterState;
+use crate::storage::machine::{Machine, MachineState};
+use crate::storage::records::Name;
+
+/// Report periods in which a worker that can't reach us has surely had its next try.
+const MISSED_ROUND_PERIODS: f64 = 2.5;
 
 impl Controller {
+    /// Returns machines that are not needed or of no use any more.
     pub(super) fn return_machines(&mut self) {
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
-        let Some(catalog) = self.catalog.clone() else {
-            return;
-        };
+        let Some(catalog) = self.catalog.clone() else { return };
         // Leases may be kept in our place for so long after we were last heard.
-        let isolated = self.isolation_budget_ms() + self.lease_ms();
-        let Some(leader) = self.leader.as_mut() else {
-            return;
+        let isolated_ms = self.isolation_budget_ms() + self.lease_ms();
+        let Some(leader) = self.leader.as_mut() else { return };
+        let workers = &self.settings.params.workers;
+        let rules = ReturnRules {
+            now,
+            catalog: &catalog,
+            idle_return_s: operator.idle_return_s,
+            lease_ms: (workers.lease_s * MS_PER_S) as u64,
+            silent_ms: (workers.report_s * SILENT_PERIODS * MS_PER_S) as u64,
+            isolated_ms,
         };
-        let spare = leader.spare_slots(now, &catalog);
         let silent = leader.silent_services(now, &self.settings);
-        let lease = (self.settings.params.workers.lease_s * MS_PER_S) as u64;
-        let silent_ms = (self.settings.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
-        let mut free_slots: f64 = 0.0;
-        for m in leader.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
-            free_slots +=
-                spare.as_ref().map_or(0.0, |(need, _)| leader.cluster.free(m).times(need) as f64);
-        }
+        let mut room = ServiceRoom::new(leader, now, &catalog);
         let mut names = Vec::new();
-        for m in leader.cluster.machines.values() {
-            let ready = boot_ms(&catalog, &m.type_name);
-            let empty = m.is_empty();
-            let age = now.saturating_sub(m.rented_at);
-            // Cut off it may come back, and another one in its place takes a boot before it is of
-            // use: it is kept for that long. A zone that was cut off was once returned whole.
-            let give_up = lease + ready;
-            let idle_ms = match operator.idle_return_s {
-                Some(s) => (s * MS_PER_S) as u64,
-                None => (ready as f64 * IDLE_RETURN_BOOTS) as u64,
-            };
-            let back = match m.state {
-                MachineState::Booting | MachineState::AwaitingHeartbeat | MachineState::Up
-                    if m.failed =>
-                {
-                    true
-                }
-                MachineState::Terminated
-                | MachineState::Deleting
-                | MachineState::AwaitingHeartbeat => false,
-                MachineState::Booting => age as f64 > ready as f64 * BOOT_LOST,
-                MachineState::Up if m.lease_expired => {
-                    m.last_response_at.is_none_or(|t| now > t + give_up) || m.cordoned
-                }
-                // Empty, or past its time and silent: to wait for the list would hold its
-                // tasks for twice its lag.
-                MachineState::Up if m.reclaim_at.is_some() => {
-                    let past = m.reclaim_at.is_some_and(|t| now > t + RECLAIM_PAST_MS);
-                    let quiet = m.last_alive_at.is_none_or(|t| now > t + silent_ms);
-                    empty || (past && quiet)
-                }
-                MachineState::Up if m.cordoned => empty,
-                MachineState::Up if m.draining => empty && age as f64 >= CHARGE_MIN_S * MS_PER_S,
-                MachineState::Up if !empty => false,
-                MachineState::Up => {
-                    let idle = m.idle_since.is_some_and(|t| now >= t + idle_ms);
-                    let paid = age as f64 >= CHARGE_MIN_S * MS_PER_S;
-                    let needed = match &spare {
-                        Some((need, want)) if !m.spot => {
-                            let here = m.total.times(need) as f64;
-                            let enough = free_slots - here >= *want;
-                            if enough && idle && paid {
-                                free_slots -= here;
-                            }
-                            !enough
-                        }
-                        _ => false,
-                    };
-                    idle && paid && !needed
-                }
-            };
-            // Silent since before this term: nobody may tell any more what runs there.
-            let mute = m.state == MachineState::Up
-                && !m.lease_expired
-                && m.last_alive_at.is_some_and(|t| now > t + give_up.max(isolated));
-            let unheard = m.state == MachineState::AwaitingHeartbeat
-                && now > m.first_known_at + lease + SILENT_DELETE_MS;
-            let doubtful = silent.contains(&m.name);
-            // What nobody can order about any more is replaced: with tasks on it once its lease
-            // must be over, so that they start elsewhere.
-            let patience = match empty {
-                true => SILENT_DELETE_MS,
-                false => lease,
-            };
-            let deaf = m.state == MachineState::Up
-                && m.unreachable_since.is_some_and(|t| now > t + patience);
-            if back || mute || unheard || doubtful || deaf {
-                names.push(m.name.clone());
+        for machine in leader.cluster.machines.values() {
+            // Each machine that is not needed takes room from those after it.
+            let is_surplus = rules.is_surplus(machine, &mut room);
+            if is_surplus || rules.is_lost(machine) || silent.contains(&machine.name) {
+                names.push(machine.name.clone());
             }
         }
         // A leader that hears nobody must not take that for the death of all.
@@ -104,46 +51,194 @@
             return;
         }
         names.truncate(DELETE_MAX);
-        if !self.cloud_budget.take(1.0, 0.0, now) {
-            return;
+        if self.cloud_budget.take(1.0, 0.0, now) {
+            self.delete_machines(names);
         }
-        for n in &names {
-            if let Some(m) = leader.cluster.machines.get_mut(n) {
-                m.state = MachineState::Deleting;
+    }
+
+    fn delete_machines(&mut self, names: Vec<Name>) {
+        let Some(leader) = self.leader.as_mut() else { return };
+        for name in &names {
+            if let Some(machine) = leader.cluster.machines.get_mut(name) {
+                machine.state = MachineState::Deleting;
             }
         }
         log::info!("returns {}", names.join(", "));
-        let body = Names { machines: names.iter().map(|n| n.to_string()).collect() };
+        let body = Names { machines: names.iter().map(|name| name.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = CallPurpose::Delete(names);
         self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_CALL_MS, purpose);
     }
 
+    /// Takes in what the cloud answered to a deletion.
     pub(in crate::coordination) fn on_deletion_response(
         &mut self,
         names: Vec<Name>,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         if matches!(reply, Some((200, _))) {
-            for n in names {
-                self.machine_gone(&n);
+            for name in names {
+                self.machine_gone(&name);
             }
             return;
         }
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        for n in names {
+        let Some(leader) = self.leader.as_mut() else { return };
+        for name in names {
+            let machine = leader.cluster.machines.get_mut(&name);
+            let Some(machine) = machine.filter(|machine| machine.state == MachineState::Deleting)
+            else {
+                continue;
+            };
             // Perhaps carried out, perhaps later: asked for again.
-            if let Some(m) =
-                leader.cluster.machines.get_mut(&n).filter(|m| m.state == MachineState::Deleting)
+            machine.state = match machine.up_at {
+                Some(_) => MachineState::Up,
+                None => MachineState::AwaitingHeartbeat,
+            };
+            machine.cordoned = true;
+        }
+    }
+}
+
+/// Room for services to come, on ordinary machines.
+struct ServiceRoom {
+    headroom: Option<ServiceHeadroom>,
+    /// Tasks that find room on what is not returned.
+    free_slots: f64,
+}
+
+impl ServiceRoom {
+    fn new(leader: &Leader, now: u64, catalog: &Catalog) -> ServiceRoom {
+        let headroom = leader.service_headroom(now, catalog);
+        let mut free_slots = 0.0;
+        for machine in leader.usable_ordinary_machines() {
+            free_slots += headroom
+                .as_ref()
+                .map_or(0.0, |headroom| leader.cluster.free(machine).times(&headroom.need) as f64);
+        }
+        ServiceRoom { headroom, free_slots }
+    }
+
+    /// Gives up an empty machine's room if there is enough without it. Returns whether there is.
+    fn try_give_up(&mut self, machine: &Machine) -> bool {
+        let Some(headroom) = self.headroom.as_ref().filter(|_| !machine.spot) else { return true };
+        let here = machine.total.times(&headroom.need) as f64;
+        let is_enough = self.free_slots - here >= headroom.slots;
+        if is_enough {
+            self.free_slots -= here;
+        }
+        is_enough
+    }
+}
+
+/// When a machine is returned.
+struct ReturnRules<'a> {
+    now: u64,
+    catalog: &'a Catalog,
+    /// Seconds after which an idle machine is returned; `None`: by its boot time.
+    idle_return_s: Option<f64>,
+    lease_ms: u64,
+    /// Milliseconds without a sign of life after which a machine counts as silent.
+    silent_ms: u64,
+    /// Milliseconds for which a lease may be kept by others after we were last heard.
+    isolated_ms: u64,
+}
+
+impl ReturnRules<'_> {
+    /// Whether a machine has failed, was never up, is given up or is not needed.
+    fn is_surplus(&self, machine: &Machine, room: &mut ServiceRoom) -> bool {
+        match machine.state {
+            MachineState::Booting | MachineState::AwaitingHeartbeat | MachineState::Up
+                if machine.failed =>
             {
-                m.state = if m.up_at.is_some() {
-                    MachineState::Up
-                } else {
-                    MachineState::AwaitingHeartbeat
-                };
-                m.cordoned = true;
+                true
+            }
+            MachineState::Terminated | MachineState::Deleting | MachineState::AwaitingHeartbeat => {
+                false
+            }
+            MachineState::Booting => {
+                let boot_ms = boot_ms(self.catalog, &machine.type_name);
+                self.age_ms(machine) as f64 > boot_ms as f64 * BOOT_LOST
+            }
+            MachineState::Up => self.is_surplus_while_up(machine, room),
+        }
+    }
+
+    fn is_surplus_while_up(&self, machine: &Machine, room: &mut ServiceRoom) -> bool {
+        let now = self.now;
+        let is_empty = machine.is_empty();
+        if machine.lease_expired {
+            let give_up_ms = self.give_up_ms(machine);
+            return machine.last_response_at.is_none_or(|at| now > at + give_up_ms)
+                || machine.cordoned;
+        }
+        // Empty, or past its time and silent: to wait for the list would hold its
+        // tasks for twice its lag.
+        if let Some(reclaim_at) = machine.reclaim_at {
+            let is_past = now > reclaim_at + RECLAIM_PAST_MS;
+            let is_silent = machine.last_alive_at.is_none_or(|at| now > at + self.silent_ms);
+            return is_empty || (is_past && is_silent);
+        }
+        if machine.cordoned {
+            return is_empty;
+        }
+        if !is_empty {
+            return false;
+        }
+        let is_paid_for = self.age_ms(machine) as f64 >= CHARGE_MIN_S * MS_PER_S;
+        if machine.draining {
+            return is_paid_for;
+        }
+        let idle_ms = self.idle_return_ms(machine);
+        let is_idle = machine.idle_since.is_some_and(|since| now >= since + idle_ms);
+        is_idle && is_paid_for && room.try_give_up(machine)
+    }
+
+    /// Whether nothing can be told or ordered about a machine any more.
+    fn is_lost(&self, machine: &Machine) -> bool {
+        match machine.state {
+            MachineState::AwaitingHeartbeat => self.never_reported(machine),
+            MachineState::Up => self.is_silent(machine) || self.is_unreachable(machine),
+            _ => false,
+        }
+    }
+
+    /// Silent since before this term: nobody may tell any more what runs there.
+    fn is_silent(&self, machine: &Machine) -> bool {
+        let silent_ms = self.give_up_ms(machine).max(self.isolated_ms);
+        !machine.lease_expired && machine.last_alive_at.is_some_and(|at| self.now > at + silent_ms)
+    }
+
+    fn never_reported(&self, machine: &Machine) -> bool {
+        self.now > machine.first_known_at + self.lease_ms + SILENT_DELETE_MS
+    }
+
+    /// What nobody can order about any more is replaced: with tasks on it once its lease
+    /// must be over, so that they start elsewhere.
+    fn is_unreachable(&self, machine: &Machine) -> bool {
+        let patience_ms = match machine.is_empty() {
+            true => SILENT_DELETE_MS,
+            false => self.lease_ms,
+        };
+        machine.unreachable_since.is_some_and(|since| self.now > since + patience_ms)
+    }
+
+    fn age_ms(&self, machine: &Machine) -> u64 {
+        self.now.saturating_sub(machine.rented_at)
+    }
+
+    /// Milliseconds for which a machine that is cut off is kept. It may come back, and another one in
+    /// its place takes a boot before it is of use. A zone that was cut off was once returned whole.
+    fn give_up_ms(&self, machine: &Machine) -> u64 {
+        self.lease_ms + boot_ms(self.catalog, &machine.type_name)
+    }
+
+    /// Milliseconds after which an idle machine is returned.
+    fn idle_return_ms(&self, machine: &Machine) -> u64 {
+        match self.idle_return_s {
+            Some(seconds) => (seconds * MS_PER_S) as u64,
+            None => {
+                let boot_ms = boot_ms(self.catalog, &machine.type_name);
+                (boot_ms as f64 * IDLE_RETURN_BOOTS) as u64
             }
         }
     }
@@ -154,50 +249,54 @@
     /// others report, and whose services have a place elsewhere: deleting them is evidence
     /// at once, where a lease or the list take twice as long. If they were only cut off, their
     /// tasks would have ended with the lease all the same.
-    pub(super) fn silent_services(&self, now: u64, settings: &Platform) -> Vec<Name> {
-        let w = &settings.params.workers;
+    fn silent_services(&self, now: u64, settings: &Platform) -> Vec<Name> {
+        let workers = &settings.params.workers;
         // A report that fails, the worker's wait for it, one at a wrong controller, and back.
-        let round = w.report_s * 2.5 + WORKER_WAIT_S + WORKER_RETRY_S * 2.0;
-        let round_ms = (round * MS_PER_S) as u64;
-        let recent_ms = (w.report_s * SILENT_PERIODS * MS_PER_S) as u64;
+        let round_s =
+            workers.report_s * MISSED_ROUND_PERIODS + WORKER_WAIT_S + WORKER_RETRY_S * 2.0;
+        let round_ms = (round_s * MS_PER_S) as u64;
+        let recent_ms = (workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let cluster = &self.cluster;
-        let last = |m: &Machine| m.last_alive_at.unwrap_or(0).max(self.began_at);
-        let known: Vec<&Machine> = cluster
-            .machines
-            .values()
-            .filter(|m| {
-                matches!(m.state, MachineState::Up | MachineState::AwaitingHeartbeat) && !m.failed
-            })
-            .collect();
-        let quiet: Vec<&&Machine> = known
-            .iter()
-            .filter(|m| !m.lease_expired && now > last(m).max(m.first_known_at) + round_ms)
-            .collect();
-        let heard =
-            known.iter().filter(|m| m.last_alive_at.is_some_and(|t| now <= t + recent_ms)).count();
-        let few = quiet.len() * SILENT_FEW <= known.len();
-        if !few || heard + quiet.len() < known.len() {
+        let is_known = |machine: &&Machine| {
+            matches!(machine.state, MachineState::Up | MachineState::AwaitingHeartbeat)
+                && !machine.failed
+        };
+        let missed_round = |machine: &Machine| {
+            let last_alive_at = machine.last_alive_at.unwrap_or(0).max(self.began_at);
+            !machine.lease_expired && now > last_alive_at.max(machine.first_known_at) + round_ms
+        };
+        let reported_lately =
+            |machine: &Machine| machine.last_alive_at.is_some_and(|at| now <= at + recent_ms);
+        let known: Vec<&Machine> = cluster.machines.values().filter(is_known).collect();
+        let (silent, others): (Vec<&Machine>, Vec<&Machine>) =
+            known.iter().copied().partition(|machine| missed_round(machine));
+        let reporting = known.iter().filter(|machine| reported_lately(machine)).count();
+        let are_few = silent.len() * SILENT_FEW <= known.len();
+        if !are_few || reporting + silent.len() < known.len() {
             return Vec::new();
         }
-        let open: Vec<&&Machine> =
-            known.iter().filter(|m| usable(m) && quiet.iter().all(|q| q.name != m.name)).collect();
-        quiet
+        let targets: Vec<&Machine> =
+            others.into_iter().filter(|machine| is_usable(machine) && !machine.spot).collect();
+        silent
             .into_iter()
-            .filter(|m| {
-                let services: Vec<Resources> = m
-                    .placements
-                    .iter()
-                    .filter(|((uid, _), p)| p.settled.is_none() && cluster.is_service(uid))
-                    .filter_map(|((uid, _), _)| cluster.jobs.get(uid).map(|j| j.need))
-                    .collect();
-                let Some(need) = services.first() else { return false };
-                let mut room = 0;
-                for o in open.iter().filter(|o| !o.spot) {
-                    room += cluster.room_for_services(o).times(need);
-                }
-                room >= services.len() as i64
-            })
-            .map(|m| m.name.clone())
+            .filter(|machine| services_fit_elsewhere(cluster, machine, &targets))
+            .map(|machine| machine.name.clone())
             .collect()
     }
 }
+
+/// Whether a machine has services, and other machines have room for all of them.
+fn services_fit_elsewhere(cluster: &ClusterState, machine: &Machine, targets: &[&Machine]) -> bool {
+    let services: Vec<Resources> = machine
+        .placements
+        .iter()
+        .filter(|((uid, _), placement)| placement.settled.is_none() && cluster.is_service(uid))
+        .filter_map(|((uid, _), _)| cluster.jobs.get(uid).map(|job| job.need))
+        .collect();
+    let Some(need) = services.first() else { return false };
+    let mut slots = 0;
+    for target in targets {
+        slots += cluster.room_for_services(target).times(need);
+    }
+    slots >= services.len() as i64
+}
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,259 +1,133 @@
-//! Renting machines: for tasks without a place, for services to come and for batch work.
+//! Scaling out: machines are rented for tasks without a place and for services to come.
 
-use super::*;
+mod rental_plan;
+
+use super::unplaced::UnplacedTasks;
+use super::{total_of, MachineKind};
 use crate::constants::{
-    ARRIVAL_WINDOW_MS, BOOT_LATE, CAPACITY_REST_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, MS_PER_S,
-    RENT_MAX, SLOT_EPSILON, SPARE_SERVICE_SLOTS, WORK_WINDOW_MS,
+    BOOT_LATE, CAPACITY_REST_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, MS_PER_S, RENT_MAX,
 };
+use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::protocol::cloud::{Catalog, Names, Rent};
+use crate::storage::machine::MachineState;
+use crate::storage::records::Name;
+use rental_plan::{ComingMachine, RentalPlan};
+
+/// A kind of machine, by its type's index in the catalog.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct CatalogKind {
+    type_index: usize,
+    zone: String,
+    spot: bool,
+}
+
+/// Machines of one kind that are wanted.
+struct WantedMachines {
+    kind: CatalogKind,
+    count: usize,
+}
+
+/// A rental under way. Its name is never used for another one.
+#[derive(Debug, Clone)]
+pub(crate) struct Rental {
+    request_id: String,
+    kind: CatalogKind,
+    count: usize,
+}
 
 impl Controller {
+    /// Rents what the work that waits and the services to come need beyond what is there and on its
+    /// way.
     pub(super) fn rent_machines(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else {
-            return;
-        };
-        let rent_spot = self.operator.rent_spot;
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
+        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(leader) = self.leader.as_ref() else { return };
         if !leader.fleet.has_complete_list || now < leader.fleet.next_rental_at {
             return;
         }
-        // Room that is on its way.
-        struct Coming {
-            total: Resources,
-            machine_type: usize,
-            zone: String,
-            spot: bool,
+        let mut plan = RentalPlan::new(leader, &catalog, self.operator.rent_spot, now);
+        for tasks in &leader.scale_out_demand(now, &catalog) {
+            plan.provide_for(tasks);
         }
-        let mut coming: Vec<Coming> = Vec::new();
-        for m in leader.cluster.machines.values().filter(|m| m.state == MachineState::Booting) {
-            let Some(b) = catalog.machine_types.iter().position(|b| b.type_name == m.type_name)
-            else {
-                continue;
-            };
-            let machine_type = &catalog.machine_types[b];
-            let age = now.saturating_sub(m.rented_at) as f64 / MS_PER_S;
-            if age <= machine_type.boot_s * BOOT_LATE {
-                coming.push(Coming {
-                    total: total(machine_type),
-                    machine_type: b,
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                });
-            }
-        }
-        for r in &leader.fleet.pending_rentals {
-            for _ in 0..r.number {
-                let total = total(&catalog.machine_types[r.machine_type]);
-                coming.push(Coming {
-                    total,
-                    machine_type: r.machine_type,
-                    zone: r.zone.clone(),
-                    spot: r.spot,
-                });
-            }
+        let wanted = plan.into_wanted();
+        for rental in self.rentals_within_budget(wanted) {
+            self.send_rental(rental, &catalog);
         }
-        let mut unplaced = leader.fleet.unplaced.clone();
-        // Room for services to come, on ordinary machines: free now, or held by tasks that
-        // may be stopped for them.
-        if let Some((need, want)) = leader.spare_slots(now, &catalog) {
-            let mut have = 0.0;
-            for m in leader.cluster.machines.values().filter(|m| usable(m) && !m.spot) {
-                have += leader.cluster.room_for_services(m).times(&need) as f64;
-            }
-            let missing = want - have;
-            if missing > 0.0 {
-                unplaced.push(UnplacedTasks {
-                    need,
-                    spot_allowed: false,
-                    is_service: true,
-                    allowed_types: vec![true; catalog.machine_types.len()],
-                    zone: None,
-                    slots: missing,
-                    ordinary_slots: missing,
-                    tasks_per_zone: vec![],
-                    max_tasks_per_zone: u32::MAX,
-                    whole_in_one_zone: false,
-                });
-            }
-        }
-        // How many machines of each kind there are: zones with fewer come first.
-        let keys = leader.cluster.hash_keys();
-        let mut counts: HashMap<(&str, bool), usize> = keys.map();
-        for m in leader.cluster.machines.values().filter(|m| m.state != MachineState::Terminated) {
-            *counts.entry((m.zone.as_str(), m.spot)).or_default() += 1;
-        }
-        let mut wanted: HashMap<(usize, String, bool), usize> = keys.map();
-        // Services first: they may not be able to use what the others get.
-        unplaced.sort_by_key(|u| (!u.is_service, u.spot_allowed));
-        for u in &unplaced {
-            let mut slots = u.slots;
-            // Those before this one have no room for such a task any more.
-            let mut from = 0;
-            let mut in_zone: HashMap<String, u32> = keys.map();
-            in_zone.extend(u.tasks_per_zone.iter().cloned());
-            // The zone of a gang that must be in one: that of its first place.
-            let mut only_zone: Option<String> = None;
-            while slots > SLOT_EPSILON {
-                let open = |zone: &str| {
-                    u.zone.as_ref().is_none_or(|y| y == zone)
-                        && only_zone.as_ref().is_none_or(|only| only == zone)
-                        && in_zone.get(zone).copied().unwrap_or(0) < u.max_tasks_per_zone
-                };
-                let on_way = coming.iter().skip(from).position(|x| {
-                    (u.spot_allowed || !x.spot)
-                        && u.allowed_types[x.machine_type]
-                        && open(&x.zone)
-                        && x.total.fits(&u.need)
-                });
-                from = on_way.map_or(coming.len(), |n| from + n);
-                if let Some(x) = coming.get_mut(from) {
-                    x.total -= u.need;
-                    if u.whole_in_one_zone {
-                        only_zone = Some(x.zone.clone());
-                    }
-                    *in_zone.entry(x.zone.clone()).or_default() += 1;
-                    slots -= 1.0;
-                    continue;
-                }
-                // The cheapest kind for such a task; zones with fewer machines first.
-                let mut best: Option<(f64, usize, (usize, String, bool))> = None;
-                for (i, b) in catalog.machine_types.iter().enumerate() {
-                    if !u.allowed_types[i] || !total(b).fits(&u.need) {
-                        continue;
-                    }
-                    let per = total(b).times(&u.need).max(1) as f64;
-                    for zone in b.zones.iter().filter(|y| open(y)) {
-                        for spot in [true, false] {
-                            if spot && !(u.spot_allowed && rent_spot) {
-                                continue;
-                            }
-                            if !spot && u.spot_allowed && slots <= u.slots - u.ordinary_slots {
-                                continue;
-                            }
-                            let kind = (b.type_name.clone(), zone.clone(), spot);
-                            if leader.fleet.no_capacity.get(&kind).is_some_and(|t| now < *t) {
-                                continue;
-                            }
-                            let price = if spot { b.spot_price } else { b.rate } / per;
-                            let same = counts.get(&(zone.as_str(), spot)).copied().unwrap_or(0)
-                                + wanted.get(&(i, zone.clone(), spot)).copied().unwrap_or(0);
-                            let better = best.as_ref().is_none_or(|(p, n, _)| {
-                                price < *p - 1e-9 || (price < *p + 1e-9 && same < *n)
-                            });
-                            if better {
-                                best = Some((price, same, (i, zone.clone(), spot)));
-                            }
-                        }
-                    }
-                }
-                let Some((_, _, kind)) = best else { break };
-                *wanted.entry(kind.clone()).or_default() += 1;
-                let (machine_type, zone, spot) = kind;
-                if u.whole_in_one_zone {
-                    only_zone = Some(zone.clone());
-                    from = 0;
-                }
-                coming.push(Coming {
-                    total: total(&catalog.machine_types[machine_type]),
-                    machine_type,
-                    zone,
-                    spot,
-                });
-            }
-        }
-        let mut rentals: Vec<Rental> = Vec::new();
-        let mut kinds: Vec<_> = wanted.into_iter().collect();
-        kinds.sort();
-        // As many requests as it takes, a kind each in turn, as long as the cloud's rate allows.
-        while let Some(n) = kinds.iter().position(|(_, number)| *number > 0) {
-            for ((machine_type, zone, spot), left) in &mut kinds[n..] {
-                let number = (*left).min(RENT_MAX);
-                if number == 0 {
+    }
+
+    /// As many requests as it takes, a kind each in turn, as long as the cloud's rate allows.
+    fn rentals_within_budget(&mut self, mut wanted: Vec<WantedMachines>) -> Vec<Rental> {
+        let now = self.now.monotonic_ms;
+        let mut rentals = Vec::new();
+        let Some(leader) = self.leader.as_mut() else { return rentals };
+        while let Some(first) = wanted.iter().position(|kind| kind.count > 0) {
+            for WantedMachines { kind, count: left } in &mut wanted[first..] {
+                let count = (*left).min(RENT_MAX);
+                if count == 0 {
                     continue;
                 }
                 if !self.cloud_budget.take(1.0, 1.0, now) {
                     *left = 0;
                     continue;
                 }
-                *left -= number;
-                let (machine_type, zone, spot) = (*machine_type, zone.clone(), *spot);
+                *left -= count;
                 let request_id = format!("mg-{}", leader.unique());
-                rentals.push(Rental { request_id, machine_type, zone, spot, number });
+                rentals.push(Rental { request_id, kind: kind.clone(), count });
             }
         }
-        for r in rentals {
-            log::info!(
-                "rents {} {} in {}{}",
-                r.number,
-                catalog.machine_types[r.machine_type].type_name,
-                r.zone,
-                if r.spot { ", spot" } else { "" }
-            );
-            let body = Rent {
-                request_id: r.request_id.clone(),
-                machine_type: catalog.machine_types[r.machine_type].type_name.clone(),
-                zone: r.zone.clone(),
-                spot: r.spot,
-                number: r.number,
-            };
-            let body = serde_json::to_vec(&body).unwrap_or_default();
-            if let Some(leader) = self.leader.as_mut() {
-                leader.fleet.pending_rentals.push(r.clone());
-            }
-            self.call(
-                Service::Cloud,
-                "POST",
-                "/hosts".into(),
-                body,
-                CLOUD_CALL_MS,
-                CallPurpose::Rent(r),
-            );
+        rentals
+    }
+
+    fn send_rental(&mut self, rental: Rental, catalog: &Catalog) {
+        let type_name = &catalog.machine_types[rental.kind.type_index].type_name;
+        log::info!(
+            "rents {} {} in {}{}",
+            rental.count,
+            type_name,
+            rental.kind.zone,
+            if rental.kind.spot { ", spot" } else { "" }
+        );
+        let body = Rent {
+            request_id: rental.request_id.clone(),
+            machine_type: type_name.clone(),
+            zone: rental.kind.zone.clone(),
+            spot: rental.kind.spot,
+            number: rental.count,
+        };
+        let body = serde_json::to_vec(&body).unwrap_or_default();
+        if let Some(leader) = self.leader.as_mut() {
+            leader.fleet.pending_rentals.push(rental.clone());
         }
+        let purpose = CallPurpose::Rent(rental);
+        self.call(Service::Cloud, "POST", "/hosts".into(), body, CLOUD_CALL_MS, purpose);
     }
 
+    /// Takes in what the cloud answered to a rental.
     pub(in crate::coordination) fn on_rental_response(
         &mut self,
         rental: Rental,
         reply: Option<(u16, Vec<u8>)>,
     ) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(leader) = self.leader.as_mut() else { return };
+        leader.fleet.pending_rentals.retain(|pending| pending.request_id != rental.request_id);
+        let Some(machine_type) = catalog.machine_types.get(rental.kind.type_index) else {
             return;
         };
-        let Some(leader) = self.leader.as_mut() else {
-            return;
-        };
-        leader.fleet.pending_rentals.retain(|r| r.request_id != rental.request_id);
-        let Some(machine_type) = catalog.machine_types.get(rental.machine_type) else {
-            return;
-        };
-        let kind = (machine_type.type_name.clone(), rental.zone.clone(), rental.spot);
+        let CatalogKind { zone, spot, .. } = rental.kind;
+        let kind = MachineKind { type_name: machine_type.type_name.clone(), zone, spot };
         match reply {
             Some((200, body)) => {
-                let Ok(names) = serde_json::from_slice::<Names>(&body) else {
-                    return;
-                };
-                if names.machines.len() < rental.number {
-                    leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
-                }
-                for n in names.machines {
-                    let name: Name = n.as_str().into();
-                    if leader.fleet.is_gone(&n) {
-                        continue;
-                    }
-                    let m = leader.cluster.machine_entry(&name, now);
-                    if m.type_name.is_empty() {
-                        m.type_name = machine_type.type_name.clone();
-                        m.zone = rental.zone.clone();
-                        m.spot = rental.spot;
-                        m.rented_at = now;
-                    }
+                let Ok(names) = serde_json::from_slice::<Names>(&body) else { return };
+                if names.machines.len() < rental.count {
+                    leader.fleet.no_capacity.insert(kind.clone(), now + CAPACITY_REST_MS);
                 }
+                leader.note_rented(&names, &kind, now);
             }
             Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
-                log::info!("no capacity for {} in {}, spot {}", kind.0, kind.1, kind.2);
+                let MachineKind { type_name, zone, spot } = &kind;
+                log::info!("no capacity for {type_name} in {zone}, spot {spot}");
                 leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
             }
             // Perhaps carried out, perhaps later: what comes of it shows up in the list.
@@ -263,62 +137,73 @@
 }
 
 impl Leader {
-    /// Takes note of jobs that came since the last look. What a new leader finds counts at
-    /// the time of day that it was accepted.
-    pub(super) fn note_arrivals(&mut self, now: Clock, catalog: &Catalog) {
-        let Some(whole) = catalog.machine_types.iter().map(total).max_by_key(|t| (t.gpu, t.cpu))
-        else {
-            return;
-        };
-        let from = self.fleet.last_seen_arrival;
-        let mut services = Vec::new();
-        let mut work = Vec::new();
-        let mut last = from;
-        for (mod_revision, uid) in self.cluster.queue.range(from + 1..) {
-            last = *mod_revision;
-            let Some(job) = self.cluster.jobs.get(uid) else { continue };
-            let Some(spec) = &job.spec else { continue };
-            let ago =
-                if from == 0 { now.wall_ms.saturating_sub(job.accepted_at_wall_ms) } else { 0 };
-            let at = now.monotonic_ms.saturating_sub(ago);
-            if ago > ARRIVAL_WINDOW_MS {
+    /// Takes machines that were just rented into the state.
+    fn note_rented(&mut self, names: &Names, kind: &MachineKind, now: u64) {
+        for listed in &names.machines {
+            if self.fleet.is_terminated(listed) {
                 continue;
             }
-            if spec.kind == JobKind::Service {
-                services.push((at, job.tasks));
-            } else {
-                let each = self.run_ms(spec) as f64 * job.need.share_of(&whole);
-                work.push((at, f64::from(job.tasks) * each));
+            let name: Name = listed.as_str().into();
+            let machine = self.cluster.machine_entry(&name, now);
+            if machine.type_name.is_empty() {
+                machine.type_name = kind.type_name.clone();
+                machine.zone = kind.zone.clone();
+                machine.spot = kind.spot;
+                machine.rented_at = now;
             }
         }
-        let f = &mut self.fleet;
-        f.last_seen_arrival = last;
-        f.service_arrivals.extend(services);
-        f.batch_arrivals.extend(work);
-        f.service_arrivals.retain(|(t, _)| now.monotonic_ms <= t + ARRIVAL_WINDOW_MS);
-        f.batch_arrivals.retain(|(t, _)| now.monotonic_ms <= t + WORK_WINDOW_MS);
     }
 
-    /// Over how long arrivals have been watched, in milliseconds.
-    pub(super) fn watched_ms(&self, now: u64, window: u64) -> f64 {
-        (now - self.began_at).clamp(ARRIVAL_WINDOW_MS / 2, ARRIVAL_WINDOW_MS).min(window) as f64
+    /// Tasks that should find room on machines on their way or rented now, services first: they may
+    /// not be able to use what the others get.
+    fn scale_out_demand(&self, now: u64, catalog: &Catalog) -> Vec<UnplacedTasks> {
+        let mut demand = self.fleet.unplaced.clone();
+        demand.extend(self.missing_service_headroom(now, catalog));
+        demand.sort_by_key(|tasks| (!tasks.is_service, tasks.spot_allowed));
+        demand
     }
 
-    /// Machines that batch work keeps busy at the rate at which it has been coming.
-    pub(super) fn batch_machines(&self, now: u64) -> f64 {
-        let work: f64 = self.fleet.batch_arrivals.iter().map(|(_, w)| w).sum();
-        work / self.watched_ms(now, WORK_WINDOW_MS)
+    /// What is missing of the room for services to come, on ordinary machines: room counts that is
+    /// free now, or held by tasks that may be stopped for them.
+    fn missing_service_headroom(&self, now: u64, catalog: &Catalog) -> Option<UnplacedTasks> {
+        let headroom = self.service_headroom(now, catalog)?;
+        let mut slots = 0.0;
+        for machine in self.usable_ordinary_machines() {
+            slots += self.cluster.room_for_services(machine).times(&headroom.need) as f64;
+        }
+        let missing = headroom.slots - slots;
+        (missing > 0.0).then(|| UnplacedTasks {
+            need: headroom.need,
+            spot_allowed: false,
+            is_service: true,
+            allowed_types: vec![true; catalog.machine_types.len()],
+            zone: None,
+            slots: missing,
+            ordinary_slots: missing,
+            tasks_per_zone: vec![],
+            max_tasks_per_zone: u32::MAX,
+            whole_in_one_zone: false,
+        })
     }
 
-    /// Room to keep for services: what one of their tasks takes, and how many are expected
-    /// to arrive while a machine boots.
-    pub(super) fn spare_slots(&self, now: u64, catalog: &Catalog) -> Option<(Resources, f64)> {
-        let cluster = &self.cluster;
-        let newest = cluster.queue.values().rev().find(|uid| cluster.is_service(uid))?;
-        let need = cluster.jobs.get(newest)?.need;
-        let tasks: u32 = self.fleet.service_arrivals.iter().map(|(_, n)| n).sum();
-        let ready = catalog.longest_boot_s() * MS_PER_S;
-        let expected = (f64::from(tasks) / self.watched_ms(now, ARRIVAL_WINDOW_MS) * ready).ceil();
-        Some((need, expected + SPARE_SERVICE_SLOTS))
+    /// Machines that boot and are not late, then those of rentals that are not answered yet.
+    fn coming_machines(&self, now: u64, catalog: &Catalog) -> Vec<ComingMachine> {
+        let mut coming = Vec::new();
+        let type_index =
+            |name: &str| catalog.machine_types.iter().position(|listed| listed.type_name == name);
+        let machines = self.cluster.machines.values();
+        for machine in machines.filter(|machine| machine.state == MachineState::Booting) {
+            let Some(type_index) = type_index(&machine.type_name) else { continue };
+            let age_s = now.saturating_sub(machine.rented_at) as f64 / MS_PER_S;
+            if age_s <= catalog.machine_types[type_index].boot_s * BOOT_LATE {
+                let (zone, spot) = (machine.zone.clone(), machine.spot);
+                coming.push(ComingMachine::new(CatalogKind { type_index, zone, spot }, catalog));
+            }
+        }
+        for rental in &self.fleet.pending_rentals {
+            let machine = ComingMachine::new(rental.kind.clone(), catalog);
+            coming.extend(std::iter::repeat_n(machine, rental.count));
+        }
+        coming
     }
 }
--- /dev/null
+++ b/src/coordination/fleet/scale_out/rental_plan.rs
@@ -0,0 +1,201 @@
+//! Which kinds of machines to rent: the cheapest that a task can use, zones with fewer machines
+//! first.
+
+use super::{total_of, CatalogKind, MachineKind, UnplacedTasks, WantedMachines};
+use crate::constants::SLOT_EPSILON;
+use crate::coordination::Leader;
+use crate::protocol::cloud::Catalog;
+use crate::protocol::Resources;
+use crate::storage::hashing::{HashKeys, HashMap};
+use crate::storage::machine::MachineState;
+
+/// Prices per task that differ by less count as alike.
+const PRICE_EPSILON: f64 = 1e-9;
+
+/// A machine on its way.
+#[derive(Debug, Clone)]
+pub(super) struct ComingMachine {
+    kind: CatalogKind,
+    /// What is left of it for further tasks.
+    free: Resources,
+}
+
+impl ComingMachine {
+    pub(super) fn new(kind: CatalogKind, catalog: &Catalog) -> ComingMachine {
+        let free = total_of(&catalog.machine_types[kind.type_index]);
+        ComingMachine { kind, free }
+    }
+}
+
+/// Machines to rent, as far as they have been worked out.
+pub(super) struct RentalPlan<'a> {
+    catalog: &'a Catalog,
+    no_capacity: &'a HashMap<MachineKind, u64>,
+    rent_spot: bool,
+    now: u64,
+    keys: HashKeys,
+    /// Machines that there are, by zone and whether they are spot machines.
+    machine_counts: HashMap<(&'a str, bool), usize>,
+    coming: Vec<ComingMachine>,
+    wanted: HashMap<CatalogKind, usize>,
+}
+
+/// The tasks of one job for which room is looked for, and what was found so far.
+struct Search<'a> {
+    tasks: &'a UnplacedTasks,
+    slots_left: f64,
+    tasks_per_zone: HashMap<String, u32>,
+    /// The zone of a gang that must be in one: that of its first place.
+    only_zone: Option<String>,
+}
+
+impl Search<'_> {
+    /// Whether one more of the tasks may be in a zone.
+    fn zone_is_open(&self, zone: &str) -> bool {
+        let placed = self.tasks_per_zone.get(zone).copied().unwrap_or(0);
+        self.tasks.zone.as_ref().is_none_or(|required| required == zone)
+            && self.only_zone.as_ref().is_none_or(|only| only == zone)
+            && placed < self.tasks.max_tasks_per_zone
+    }
+
+    /// Whether one of the tasks finds room on a machine that is on its way.
+    fn fits_on(&self, machine: &ComingMachine) -> bool {
+        (self.tasks.spot_allowed || !machine.kind.spot)
+            && self.tasks.allowed_types[machine.kind.type_index]
+            && self.zone_is_open(&machine.kind.zone)
+            && machine.free.fits(&self.tasks.need)
+    }
+
+    fn keep_to_zone(&mut self, zone: &str) {
+        if self.tasks.whole_in_one_zone {
+            self.only_zone = Some(zone.to_string());
+        }
+    }
+}
+
+/// A kind of machine that could be rented, with what it is compared by.
+struct Candidate {
+    kind: CatalogKind,
+    price_per_task: f64,
+    /// Machines like it that there are or that are wanted.
+    same_kind: usize,
+}
+
+impl Candidate {
+    fn is_better_than(&self, other: &Candidate) -> bool {
+        self.price_per_task < other.price_per_task - PRICE_EPSILON
+            || (self.price_per_task < other.price_per_task + PRICE_EPSILON
+                && self.same_kind < other.same_kind)
+    }
+}
+
+impl<'a> RentalPlan<'a> {
+    pub(super) fn new(
+        leader: &'a Leader,
+        catalog: &'a Catalog,
+        rent_spot: bool,
+        now: u64,
+    ) -> RentalPlan<'a> {
+        let keys = leader.cluster.hash_keys();
+        let mut machine_counts: HashMap<(&str, bool), usize> = keys.map();
+        let machines = leader.cluster.machines.values();
+        for machine in machines.filter(|machine| machine.state != MachineState::Terminated) {
+            *machine_counts.entry((machine.zone.as_str(), machine.spot)).or_default() += 1;
+        }
+        RentalPlan {
+            catalog,
+            no_capacity: &leader.fleet.no_capacity,
+            rent_spot,
+            now,
+            keys,
+            machine_counts,
+            coming: leader.coming_machines(now, catalog),
+            wanted: keys.map(),
+        }
+    }
+
+    /// Finds room for tasks on machines on their way, and adds machines to rent for the rest.
+    pub(super) fn provide_for(&mut self, tasks: &UnplacedTasks) {
+        let mut tasks_per_zone: HashMap<String, u32> = self.keys.map();
+        tasks_per_zone.extend(tasks.tasks_per_zone.iter().cloned());
+        let slots_left = tasks.slots;
+        let mut search = Search { tasks, slots_left, tasks_per_zone, only_zone: None };
+        // Those before this one have no room for such a task any more.
+        let mut from = 0;
+        while search.slots_left > SLOT_EPSILON {
+            let found = self.coming[from..].iter().position(|machine| search.fits_on(machine));
+            from = found.map_or(self.coming.len(), |offset| from + offset);
+            if let Some(machine) = self.coming.get_mut(from) {
+                machine.free -= tasks.need;
+                search.keep_to_zone(&machine.kind.zone);
+                *search.tasks_per_zone.entry(machine.kind.zone.clone()).or_default() += 1;
+                search.slots_left -= 1.0;
+                continue;
+            }
+            let Some(kind) = self.cheapest_kind(&search) else { break };
+            *self.wanted.entry(kind.clone()).or_default() += 1;
+            search.keep_to_zone(&kind.zone);
+            if tasks.whole_in_one_zone {
+                from = 0;
+            }
+            self.coming.push(ComingMachine::new(kind, self.catalog));
+        }
+    }
+
+    /// The cheapest kind of machine for one of the tasks; zones with fewer machines first.
+    fn cheapest_kind(&self, search: &Search) -> Option<CatalogKind> {
+        let tasks = search.tasks;
+        let mut best: Option<Candidate> = None;
+        for (type_index, machine_type) in self.catalog.machine_types.iter().enumerate() {
+            if !tasks.allowed_types[type_index] || !total_of(machine_type).fits(&tasks.need) {
+                continue;
+            }
+            for zone in machine_type.zones.iter().filter(|zone| search.zone_is_open(zone)) {
+                for spot in [true, false] {
+                    let kind = CatalogKind { type_index, zone: zone.clone(), spot };
+                    if !self.may_rent(&kind, search) {
+                        continue;
+                    }
+                    let candidate = self.candidate(kind, tasks);
+                    if best.as_ref().is_none_or(|best| candidate.is_better_than(best)) {
+                        best = Some(candidate);
+                    }
+                }
+            }
+        }
+        best.map(|candidate| candidate.kind)
+    }
+
+    /// Whether a machine of this kind may be rented for the next of the tasks.
+    fn may_rent(&self, kind: &CatalogKind, search: &Search) -> bool {
+        let tasks = search.tasks;
+        let is_wanted = match kind.spot {
+            true => tasks.spot_allowed && self.rent_spot,
+            // Only a part of what may use spot machines is worth an ordinary one.
+            false => !tasks.spot_allowed || search.slots_left > tasks.slots - tasks.ordinary_slots,
+        };
+        if !is_wanted {
+            return false;
+        }
+        let type_name = self.catalog.machine_types[kind.type_index].type_name.clone();
+        let kind = MachineKind { type_name, zone: kind.zone.clone(), spot: kind.spot };
+        self.no_capacity.get(&kind).is_none_or(|until| self.now >= *until)
+    }
+
+    fn candidate(&self, kind: CatalogKind, tasks: &UnplacedTasks) -> Candidate {
+        let machine_type = &self.catalog.machine_types[kind.type_index];
+        let tasks_per_machine = total_of(machine_type).times(&tasks.need).max(1) as f64;
+        let price = if kind.spot { machine_type.spot_price } else { machine_type.rate };
+        let zone_key = (kind.zone.as_str(), kind.spot);
+        let same_kind = self.machine_counts.get(&zone_key).copied().unwrap_or(0)
+            + self.wanted.get(&kind).copied().unwrap_or(0);
+        Candidate { price_per_task: price / tasks_per_machine, same_kind, kind }
+    }
+
+    /// The machines to rent, in the order of the catalog, then of zones.
+    pub(super) fn into_wanted(self) -> Vec<WantedMachines> {
+        let mut wanted: Vec<(CatalogKind, usize)> = self.wanted.into_iter().collect();
+        wanted.sort();
+        wanted.into_iter().map(|(kind, count)| WantedMachines { kind, count }).collect()
+    }
+}
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -404,7 +404,7 @@
         {
             // There is nothing to place, to make room for or to reserve.
             leader.reservation = None;
-            leader.fleet.none_unplaced();
+            leader.fleet.clear_unplaced();
             return;
         }
         self.metrics.work.planner_passes += 1;
--- a/src/coordination/recovery/accounting.rs
+++ b/src/coordination/recovery/accounting.rs
@@ -52,7 +52,10 @@
         }
         // A list that was asked for early may lack machines that are up.
         let lag = (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
-        let listed = leader.fleet.listed_begun().is_some_and(|begun| begun > leader.began_at + lag);
+        let listed = leader
+            .fleet
+            .complete_list_started_at()
+            .is_some_and(|begun| begun > leader.began_at + lag);
         listed && leader.cluster.machines.values().all(is_accounted_for)
     }
 
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -117,7 +117,7 @@
             return;
         };
         leader.last_heartbeat_at = now;
-        if leader.fleet.is_gone(&report.machine) {
+        if leader.fleet.is_terminated(&report.machine) {
             // A late report of a machine that was deleted.
             return self.redirect(connection);
         }
