--- a/src/coordination/deadline_triage.rs
+++ b/src/coordination/deadline_triage.rs
@@ -1,116 +1,184 @@
-//! Which of the waiting jobs can be complete in time, all of them together.
+//! Deadline triage: which of the waiting jobs can be complete in time, all of them together.
 //!
 //! In overload arrival order alone makes everyone late: every job begins and none ends. So the
 //! work that waits is laid end to end over the machines, and whenever a job would be late, the
 //! one with the most work of those laid so far gives way (Moore's rule, which leaves the fewest
 //! late). What has little left to place is kept, so that jobs that have begun come to their end.
 
-use super::planner::{JobView, Snapshot};
+use super::planner::{BootingMachine, JobView, Snapshot};
 use crate::constants::{FETCHING_MOST, WORK_UNITS};
 use crate::protocol::Resources;
 use std::collections::BinaryHeap;
 
 /// For each job, how many of the times by which it should be complete it is not expected to
 /// meet. `order` are the jobs as they would be served if none were late.
-pub fn missed_deadlines(s: &Snapshot, order: &[usize], total: &Resources) -> Vec<usize> {
-    let times = |j: &JobView| if j.is_service { 0 } else { j.due_in_ms.len() };
-    let mut missed: Vec<usize> = s.jobs.iter().map(times).collect();
-    let room = Room::new(s, total);
+pub fn missed_deadlines(snapshot: &Snapshot, order: &[usize], total: &Resources) -> Vec<usize> {
+    let deadlines = |job: &JobView| if job.is_service { 0 } else { job.due_in_ms.len() };
+    let mut missed: Vec<usize> = snapshot.jobs.iter().map(deadlines).collect();
     let levels = missed.iter().copied().max().unwrap_or(0);
-    // Work that goes before, of jobs that meet more of their times.
-    let mut ahead = 0.0;
-    let mut open: Vec<usize> = order.iter().copied().filter(|j| !s.jobs[*j].is_service).collect();
+    let mut triage =
+        Triage { snapshot, capacity: Capacity::new(snapshot, total), total, work_ahead: 0.0 };
+    let is_batch = |job: &usize| !snapshot.jobs[*job].is_service;
+    let mut open: Vec<usize> = order.iter().copied().filter(is_batch).collect();
     for level in 0..=levels {
-        let mut kept: BinaryHeap<(u64, usize)> = BinaryHeap::new();
+        open = triage.run_level(level, &open, &mut missed);
+    }
+    missed
+}
+
+/// Work of a job that is in time so far: its amount, and the job's position among those looked at.
+/// The heap gives the most work first.
+type KeptWork = (u64, usize);
+
+/// The work laid over the machines so far.
+struct Triage<'a> {
+    snapshot: &'a Snapshot,
+    capacity: Capacity,
+    total: &'a Resources,
+    /// Work that goes before, of jobs that meet more of their deadlines.
+    work_ahead: f64,
+}
+
+impl Triage<'_> {
+    /// Lays the work of the jobs that are open, each with its deadline of this level. Notes who meets
+    /// it in `missed`, and returns those that are late, in their order.
+    fn run_level(&mut self, level: usize, open: &[usize], missed: &mut [usize]) -> Vec<usize> {
+        let mut kept: BinaryHeap<KeptWork> = BinaryHeap::new();
         let mut late = Vec::new();
-        let mut work = ahead;
-        for (n, &j) in open.iter().enumerate() {
-            let job = &s.jobs[j];
-            let Some(left) = job.due_in_ms.get(level) else {
-                // None of its times is left to be missed: it has its turn, and is never late.
-                work += room.work(job, total);
-                missed[j] = missed[j].min(level);
+        let mut work_laid = self.work_ahead;
+        for (position, &job) in open.iter().enumerate() {
+            let work = self.work(job);
+            work_laid += work;
+            let Some(due_in_ms) = self.snapshot.jobs[job].due_in_ms.get(level) else {
+                // None of its deadlines is left to be missed: it has its turn, and is never late.
+                missed[job] = missed[job].min(level);
                 continue;
             };
-            let mine = room.work(job, total);
-            work += mine;
-            kept.push(((mine * WORK_UNITS) as u64, n));
-            if room.time_for(work).saturating_add(job.run_ms) <= *left {
+            kept.push(((work * WORK_UNITS) as u64, position));
+            if self.end_ms(job, work_laid) <= *due_in_ms {
                 continue;
             }
             // One that would be late even if it were alone drives nobody out.
-            let hopeless = room.time_for(ahead + mine).saturating_add(job.run_ms) > *left;
-            let out = if hopeless { n } else { kept.pop().map_or(n, |(_, n)| n) };
-            if hopeless {
-                kept.retain(|(_, k)| *k != n);
-            }
-            work -= room.work(&s.jobs[open[out]], total);
-            late.push(out);
+            let is_hopeless = self.end_ms(job, self.work_ahead + work) > *due_in_ms;
+            let gives_way = if is_hopeless {
+                kept.retain(|(_, kept_position)| *kept_position != position);
+                position
+            } else {
+                kept.pop().map_or(position, |(_, largest)| largest)
+            };
+            work_laid -= self.work(open[gives_way]);
+            late.push(gives_way);
         }
-        for (_, n) in kept {
-            missed[open[n]] = level;
+        for (_, position) in kept {
+            missed[open[position]] = level;
         }
-        ahead = work;
+        self.work_ahead = work_laid;
         late.sort_unstable();
-        open = late.into_iter().map(|n| open[n]).collect();
+        late.into_iter().map(|position| open[position]).collect()
+    }
+
+    /// What a job's waiting tasks take: milliseconds of all machines.
+    fn work(&self, job: usize) -> f64 {
+        self.capacity.work(&self.snapshot.jobs[job], self.total)
+    }
+
+    /// Milliseconds until a job has ended whose last task starts when so much work has been begun.
+    fn end_ms(&self, job: usize, work: f64) -> u64 {
+        self.capacity.time_for(work).saturating_add(self.snapshot.jobs[job].run_ms)
     }
-    missed
 }
 
 /// What the machines can do for work that ends.
-struct Room {
-    /// From a time on, in milliseconds from now: what was done by then, and how fast it goes
-    /// on, in shares of the machines that are there now.
-    steps: Vec<(f64, f64, f64)>,
-    /// What a task takes of a machine beyond its run, while its image comes, as a factor.
-    fetching: f64,
+struct Capacity {
+    steps: Vec<CapacityStep>,
+    /// What a task takes of a machine with the time while its image comes, as a factor of its run.
+    fetch_factor: f64,
 }
 
-impl Room {
-    fn new(s: &Snapshot, total: &Resources) -> Room {
-        let mut rate = 1.0;
-        let (mut ran, mut fetched) = (0.0, 0.0);
-        for r in s.machines.iter().flat_map(|m| &m.running) {
-            let share = r.need.share_of(total);
-            match (r.is_service, r.ran_ms) {
-                (true, _) => rate -= share,
-                (false, Some(_)) => ran += share,
-                (false, None) => fetched += share,
-            }
-        }
-        for j in s.jobs.iter().filter(|j| j.is_service) {
-            rate -= j.need.share_of(total) * f64::from(j.waiting_tasks);
+/// How work goes on from a time on.
+struct CapacityStep {
+    /// Milliseconds from now.
+    at_ms: f64,
+    /// Work that was done by then, in milliseconds of all machines.
+    done: f64,
+    /// Work that is done in a millisecond, as a share of the machines that are there now.
+    rate: f64,
+}
+
+impl Capacity {
+    fn new(snapshot: &Snapshot, total: &Resources) -> Capacity {
+        let load = RunningLoad::new(snapshot, total);
+        let mut rate = load.left_by_services;
+        for job in snapshot.jobs.iter().filter(|job| job.is_service) {
+            rate -= job.need.share_of(total) * f64::from(job.waiting_tasks);
         }
-        let mut coming = s.booting.clone();
-        coming.sort_unstable_by_key(|(ms, _)| *ms);
-        let (mut at, mut done) = (0.0, 0.0);
-        let mut steps = vec![(at, done, f64::max(rate, 0.0))];
-        for (ms, with) in &coming {
-            let to = *ms as f64;
-            done += (to - at) * f64::max(rate, 0.0);
-            at = to;
-            rate += with.share_of(total);
-            steps.push((at, done, f64::max(rate, 0.0)));
+        let fetch_share = if load.ran > 0.0 { load.fetched / load.ran } else { 0.0 };
+        Capacity {
+            steps: capacity_steps(rate, &snapshot.booting, total),
+            fetch_factor: 1.0 + fetch_share.min(FETCHING_MOST),
         }
-        let fetching = if ran > 0.0 { fetched / ran } else { 0.0 };
-        Room { steps, fetching: 1.0 + fetching.min(FETCHING_MOST) }
     }
 
     /// What a job's waiting tasks take: milliseconds of all machines.
     fn work(&self, job: &JobView, total: &Resources) -> f64 {
-        let each = job.need.share_of(total) * job.run_ms as f64 * self.fetching;
-        f64::from(job.waiting_tasks) * each
+        let work_per_task = job.need.share_of(total) * job.run_ms as f64 * self.fetch_factor;
+        f64::from(job.waiting_tasks) * work_per_task
     }
 
     /// Milliseconds after which so much work has been begun.
     fn time_for(&self, work: f64) -> u64 {
-        let n = self.steps.partition_point(|(_, done, _)| *done <= work).max(1);
-        let (at, done, rate) = self.steps[n - 1];
+        let next = self.steps.partition_point(|step| step.done <= work).max(1);
+        let CapacityStep { at_ms, done, rate } = self.steps[next - 1];
         if rate <= 0.0 {
             return u64::MAX;
         }
-        (at + (work - done) / rate) as u64
+        (at_ms + (work - done) / rate) as u64
+    }
+}
+
+/// What running tasks take of the machines, in shares of all of them.
+struct RunningLoad {
+    /// What services leave.
+    left_by_services: f64,
+    /// Of tasks that run.
+    ran: f64,
+    /// Of tasks that wait for their images.
+    fetched: f64,
+}
+
+impl RunningLoad {
+    fn new(snapshot: &Snapshot, total: &Resources) -> RunningLoad {
+        let mut load = RunningLoad { left_by_services: 1.0, ran: 0.0, fetched: 0.0 };
+        for task in snapshot.machines.iter().flat_map(|machine| &machine.running) {
+            let share = task.need.share_of(total);
+            match (task.is_service, task.ran_ms) {
+                (true, _) => load.left_by_services -= share,
+                (false, Some(_)) => load.ran += share,
+                (false, None) => load.fetched += share,
+            }
+        }
+        load
+    }
+}
+
+/// What is done by when: each machine on its way adds to the rate once it is up.
+fn capacity_steps(
+    rate_now: f64,
+    booting: &[BootingMachine],
+    total: &Resources,
+) -> Vec<CapacityStep> {
+    let mut booting = booting.to_vec();
+    booting.sort_unstable_by_key(|machine| machine.ready_in_ms);
+    let (mut rate, mut at_ms, mut done) = (rate_now, 0.0, 0.0);
+    let mut steps = vec![CapacityStep { at_ms, done, rate: f64::max(rate, 0.0) }];
+    for machine in &booting {
+        let ready_in_ms = machine.ready_in_ms as f64;
+        done += (ready_in_ms - at_ms) * f64::max(rate, 0.0);
+        at_ms = ready_in_ms;
+        rate += machine.total.share_of(total);
+        steps.push(CapacityStep { at_ms, done, rate: f64::max(rate, 0.0) });
     }
+    steps
 }
 
 #[cfg(test)]
--- a/src/coordination/deadline_triage/tests.rs
+++ b/src/coordination/deadline_triage/tests.rs
@@ -37,6 +37,6 @@
     m.running.iter_mut().for_each(|r| r.is_service = true);
     let mut s = snapshot(vec![m], vec![j]);
     assert_eq!(missed_deadlines(&s, &[0], &gpus(4)), vec![1], "eight tasks on two slots take 40 s");
-    s.booting = vec![(5_000, gpus(4))];
+    s.booting = vec![BootingMachine { ready_in_ms: 5_000, total: gpus(4) }];
     assert_eq!(missed_deadlines(&s, &[0], &gpus(4)), vec![0]);
 }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -426,15 +426,17 @@
         }
         let plan = planner::plan(&view.snapshot);
         self.metrics.work.planner_places += plan.candidates_examined;
-        leader.reservation =
-            plan.reservation.map(|(j, m, _)| (view.jobs[j].clone(), view.machines[m].clone()));
+        leader.reservation = plan.reservation.map(|reserved| {
+            (view.jobs[reserved.job].clone(), view.machines[reserved.machine].clone())
+        });
         let mut gangs: BTreeMap<usize, Vec<Name>> = BTreeMap::new();
-        for (j, m) in &plan.placements {
-            if view.snapshot.jobs[*j].is_gang {
-                gangs.entry(*j).or_default().push(view.machines[*m].clone());
+        for placed in &plan.placements {
+            let machine = view.machines[placed.machine].clone();
+            if view.snapshot.jobs[placed.job].is_gang {
+                gangs.entry(placed.job).or_default().push(machine);
                 continue;
             }
-            let (uid, machine) = (view.jobs[*j].clone(), view.machines[*m].clone());
+            let uid = view.jobs[placed.job].clone();
             let Some(task) = leader.cluster.jobs.get(&uid).and_then(|j| j.next_waiting()) else {
                 continue;
             };
@@ -450,9 +452,9 @@
                 log::error!("{uid}: a part of a gang is not placed");
             }
         }
-        for (m, handle) in &plan.preemptions {
-            let id = view.handles[*m][*handle].clone();
-            let machine = &view.machines[*m];
+        for preempted in &plan.preemptions {
+            let id = view.handles[preempted.machine][preempted.handle].clone();
+            let machine = &view.machines[preempted.machine];
             if leader.cluster.jobs.get(&id.0).is_some_and(|job| job.is_gang()) {
                 log::debug!("{}: gang stopped to make room", id.0);
                 leader.stop_gang(&id.0, StopReason::Eviction, now);
--- a/src/coordination/planner/gang/tests.rs
+++ b/src/coordination/planner/gang/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::STARVING_MS;
 use crate::coordination::planner::tests::{gpus, job, machine, running, snapshot};
-use crate::coordination::planner::{plan, JobView, MachineView, Plan, Snapshot};
+use crate::coordination::planner::{plan, JobOnMachine, JobView, MachineView, Plan, Snapshot};
 
 /// A gang of tasks of one GPU each.
 fn gang(arrival: u64, tasks: u32, run_ms: u64) -> JobView {
@@ -18,7 +18,8 @@
 
 /// Tasks of the job that each machine gets.
 fn shares(plan: &Plan, job: usize, machines: usize) -> Vec<usize> {
-    let on = |m| plan.placements.iter().filter(|place| **place == (job, m)).count();
+    let on =
+        |m| plan.placements.iter().filter(|place| (place.job, place.machine) == (job, m)).count();
     (0..machines).map(on).collect()
 }
 
@@ -88,8 +89,11 @@
     let machines = vec![taken(2, 10_000), taken(2, 10_000), machine(1)];
     let jobs = vec![gang(1, 5, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
     let decided = plan(&snapshot(machines, jobs));
-    assert_eq!(decided.placements, vec![(2, 2)]);
-    assert_eq!(decided.reservation.map(|(job, _, start)| (job, start)), Some((0, 10_000)));
+    assert_eq!(decided.placements, vec![JobOnMachine { job: 2, machine: 2 }]);
+    assert_eq!(
+        decided.reservation.map(|reserved| (reserved.job, reserved.start_ms)),
+        Some((0, 10_000))
+    );
     assert_eq!(decided.expected_wait_ms[0], vec![10_000; 5]);
 }
 
@@ -107,10 +111,14 @@
         half.running = vec![running(8_000)];
         plan(&snapshot(vec![half], others))
     };
-    assert_eq!(waited(1_000).placements, vec![(0, 0)], "the first of the others");
+    assert_eq!(
+        waited(1_000).placements,
+        vec![JobOnMachine { job: 0, machine: 0 }],
+        "the first of the others"
+    );
     let starving = waited(STARVING_MS);
     assert!(starving.placements.is_empty(), "{:?}", starving.placements);
-    assert_eq!(starving.reservation.map(|(job, ..)| job), Some(4));
+    assert_eq!(starving.reservation.map(|reserved| reserved.job), Some(4));
 }
 
 #[test]
--- a/src/coordination/planner/offers.rs
+++ b/src/coordination/planner/offers.rs
@@ -2,16 +2,16 @@
 //!
 //! The tasks of a job are placed one after the other, and each placement changes one machine. So
 //! an offer is worked out again only when its machine has changed, or when something else did
-//! that all offers to the job rest on. What is chosen is the same as if every offer were worked out
+//! that all offers to the job depend on. What is chosen is the same as if every offer were worked out
 //! anew for each task; the tests compare the two.
 
+use super::allocation::Allocation;
 use super::pass::Pass;
-use super::search::Allocation;
 
-/// What offers rest on beside the machines themselves. A reservation concerns its own machine alone,
+/// What offers depend on beside the machines themselves. A reservation concerns its own machine alone,
 /// which changes with the claim that goes with it.
 #[derive(Debug, PartialEq)]
-pub(super) struct Basis {
+pub(super) struct OfferContext {
     job: usize,
     /// The zones in which one more task of the job may be.
     zones: Vec<bool>,
@@ -19,7 +19,7 @@
 
 /// Something worked out at a version of a machine; 0 for nothing yet.
 #[derive(Debug, Clone, Default)]
-struct Kept<T> {
+struct Cached<T> {
     version: u32,
     value: T,
 }
@@ -27,34 +27,35 @@
 /// The offers of all machines to the job that was looked at last.
 #[derive(Debug, Default)]
 pub(super) struct Offers {
-    basis: Option<Basis>,
-    now: Vec<Kept<Option<Allocation>>>,
-    later: Vec<Kept<Vec<Allocation>>>,
+    context: Option<OfferContext>,
+    now: Vec<Cached<Option<Allocation>>>,
+    later: Vec<Cached<Vec<Allocation>>>,
     /// The factor under which later offers are worth having, when they were worked out.
     bound: f64,
 }
 
 impl Offers {
-    /// Forgets what does not rest on this.
-    pub(super) fn rest_on(&mut self, basis: Basis, machines: usize) {
-        if self.basis.as_ref() == Some(&basis) {
+    /// Forgets the offers unless they were worked out in the same context.
+    pub(super) fn set_context(&mut self, context: OfferContext, machines: usize) {
+        if self.context.as_ref() == Some(&context) {
             return;
         }
-        self.basis = Some(basis);
-        self.now.resize_with(machines, Kept::default);
-        self.later.resize_with(machines, Kept::default);
-        self.now.iter_mut().for_each(|kept| kept.version = 0);
-        self.later.iter_mut().for_each(|kept| kept.version = 0);
+        self.context = Some(context);
+        self.now.resize_with(machines, Cached::default);
+        self.later.resize_with(machines, Cached::default);
+        self.now.iter_mut().for_each(|cached| cached.version = 0);
+        self.later.iter_mut().for_each(|cached| cached.version = 0);
     }
 
     /// The place that a machine offers now.
     pub(super) fn now(&mut self, pass: &Pass, job: usize, machine: usize) -> Option<Allocation> {
-        let kept = &mut self.now[machine];
-        if kept.version != pass.versions[machine] {
-            kept.version = pass.versions[machine];
-            kept.value = pass.offer_now(job, machine);
+        let cached = &mut self.now[machine];
+        let version = pass.machines[machine].version;
+        if cached.version != version {
+            cached.version = version;
+            cached.value = pass.offer_now(job, machine);
         }
-        kept.value
+        cached.value
     }
 
     /// The places that a machine offers later, of a factor under the bound.
@@ -67,22 +68,23 @@
     ) -> &[Allocation] {
         if self.bound != bound {
             self.bound = bound;
-            self.later.iter_mut().for_each(|kept| kept.version = 0);
+            self.later.iter_mut().for_each(|cached| cached.version = 0);
         }
-        let kept = &mut self.later[machine];
-        if kept.version != pass.versions[machine] {
-            kept.version = pass.versions[machine];
-            kept.value.clear();
-            kept.value.extend(pass.offers_later(job, machine, bound));
+        let cached = &mut self.later[machine];
+        let version = pass.machines[machine].version;
+        if cached.version != version {
+            cached.version = version;
+            cached.value.clear();
+            cached.value.extend(pass.offers_later(job, machine, bound));
         }
-        &kept.value
+        &cached.value
     }
 }
 
 impl Pass<'_> {
-    /// What offers to a job rest on at present.
-    pub(super) fn basis(&self, job: usize) -> Basis {
-        let zones = self.tasks_per_zone[job].len();
-        Basis { job, zones: (0..zones).map(|zone| self.zone_allowed(job, zone)).collect() }
+    /// What offers to a job depend on at present.
+    pub(super) fn offer_context(&self, job: usize) -> OfferContext {
+        let zones = 0..self.jobs[job].tasks_per_zone.len();
+        OfferContext { job, zones: zones.map(|zone| self.is_zone_allowed(job, zone)).collect() }
     }
 }
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -1,49 +1,28 @@
-//! One planning pass: heads first, then the reservation, then backfill.
+//! One planning pass: what has been decided so far, and how a decision is entered.
 
-use super::super::deadline_triage;
+use super::allocation::Allocation;
 use super::offers::Offers;
-use super::search::Allocation;
-use super::shares::thousandths;
-use super::{Plan, Snapshot};
-use crate::constants::{
-    CLAIMS_PER_PASS, CLAIM_HORIZON_MS, JOBS_PER_PASS, JOB_TASKS_PER_PASS, PLACES_PER_MACHINE,
-    PLACES_PER_PASS, STARVING_PLACES_PART,
-};
-use crate::protocol::Resources;
+use super::plan::{Plan, Reservation};
+use super::snapshot::{CachedImage, JobOnMachine, JobView, MachineView, Snapshot};
+use crate::constants::{PLACES_PER_MACHINE, PLACES_PER_PASS};
+use crate::protocol::{Resources, MILLI};
 use crate::storage::reservation::{Bucket, ReservationRow};
 use std::cell::Cell;
 
 /// A pass under way: the snapshot, and what has been decided so far.
 pub(super) struct Pass<'a> {
     pub(super) snapshot: &'a Snapshot,
-    pub(super) rows: Vec<ReservationRow>,
-    pub(super) free_task_slots: Vec<usize>,
-    /// Service tasks on each machine.
-    pub(super) service_tasks: Vec<i64>,
-    pub(super) images: Vec<Vec<(usize, u64)>>,
-    /// Milliseconds until a machine has fetched all images that it waits for.
-    pub(super) images_done_in: Vec<u64>,
-    pub(super) tasks_per_zone: Vec<Vec<u32>>,
-    pub(super) waiting_tasks: Vec<u32>,
-    /// How many of its times each job is not expected to meet.
-    pub(super) missed_deadlines: Vec<usize>,
-    /// Tasks per job for which room is being made: they wait for it.
-    pub(super) awaiting_room: Vec<u32>,
+    pub(super) machines: Vec<MachineProgress>,
+    pub(super) jobs: Vec<JobProgress>,
+    /// What each team's tasks take, with those placed by this pass.
     pub(super) team_usage: Vec<Resources>,
     /// All machines together.
     pub(super) cluster_total: Resources,
-    /// Room on machines that is being made for higher ranks.
-    pub(super) held_for_priority: Vec<Resources>,
     /// What is kept for the head of the queue: one place, or all those of a gang.
     pub(super) reserved_rooms: Vec<ReservedRoom>,
     pub(super) claims_made: usize,
     /// Machines with anything free: only these are looked at for a start now.
     pub(super) machines_with_room: Vec<usize>,
-    /// How often something was placed on each machine in this pass: tells whether a choice
-    /// worked out earlier still holds.
-    pub(super) placement_counts: Vec<u32>,
-    /// Grows with every change of a machine, from 1 on: tells whether what it offers still holds.
-    pub(super) versions: Vec<u32>,
     /// What the machines offer to the job that was looked at last.
     pub(super) offers: Offers,
     /// Places worked out so far.
@@ -53,6 +32,82 @@
     pub(super) plan: Plan,
 }
 
+/// A machine as it stands after the decisions so far.
+pub(super) struct MachineProgress {
+    /// Its row of the reservation table.
+    pub(super) row: ReservationRow,
+    pub(super) free_task_slots: usize,
+    pub(super) service_tasks: i64,
+    pub(super) images: Vec<CachedImage>,
+    /// Milliseconds until it has fetched all images that it waits for.
+    pub(super) images_ready_in_ms: u64,
+    /// Room that is being made on it for higher ranks.
+    pub(super) held_for_priority: Resources,
+    /// How often something was placed on it in this pass: tells whether a choice worked out earlier
+    /// still holds.
+    pub(super) placements: u32,
+    /// Grows with every change, from 1 on: tells whether what it offers still holds.
+    pub(super) version: u32,
+}
+
+impl MachineProgress {
+    fn new(view: &MachineView, now_ms: u64) -> MachineProgress {
+        let mut row = ReservationRow {
+            free: view.total,
+            bandwidth_capacity: view.total.cpu as f64 / MILLI,
+            ..ReservationRow::default()
+        };
+        for task in &view.running {
+            let end_ms = task.end_ms.max(now_ms + 1);
+            row.add(Bucket { end_ms, need: task.need, bandwidth: task.bandwidth });
+        }
+        MachineProgress {
+            row,
+            free_task_slots: view.free_task_slots,
+            service_tasks: view.running.iter().filter(|task| task.is_service).count() as i64,
+            images: view.images.clone(),
+            images_ready_in_ms: images_ready_in_ms(&view.images),
+            held_for_priority: Resources::default(),
+            placements: 0,
+            version: 1,
+        }
+    }
+
+    /// The state of an image on the machine; `None` if it neither holds nor fetches it.
+    pub(super) fn image(&self, image: usize) -> Option<&CachedImage> {
+        self.images.iter().find(|known| known.image == image)
+    }
+
+    /// Notes that an image will be there after so many milliseconds.
+    fn note_image(&mut self, image: usize, ready_in_ms: u64) {
+        if self.image(image).is_none() {
+            self.images.push(CachedImage { image, ready_in_ms });
+        }
+        self.images_ready_in_ms = images_ready_in_ms(&self.images);
+    }
+}
+
+/// A job as it stands after the decisions so far.
+pub(super) struct JobProgress {
+    pub(super) tasks_per_zone: Vec<u32>,
+    pub(super) waiting_tasks: u32,
+    /// How many of the times by which it should be complete it is not expected to meet.
+    pub(super) missed_deadlines: usize,
+    /// Tasks for which room is being made: they wait for it.
+    pub(super) awaiting_room: u32,
+}
+
+impl JobProgress {
+    fn new(view: &JobView) -> JobProgress {
+        JobProgress {
+            tasks_per_zone: view.tasks_per_zone.clone(),
+            waiting_tasks: view.waiting_tasks,
+            missed_deadlines: 0,
+            awaiting_room: 0,
+        }
+    }
+}
+
 /// Room on a machine that is kept from a time on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReservedRoom {
@@ -62,320 +117,117 @@
 }
 
 /// Runs one pass.
-pub fn plan(s: &Snapshot) -> Plan {
-    let rows: Vec<ReservationRow> = s
-        .machines
-        .iter()
-        .map(|m| {
-            let mut row = ReservationRow {
-                free: m.total,
-                bandwidth_capacity: m.total.cpu as f64 / crate::protocol::MILLI,
-                ..ReservationRow::default()
-            };
-            for r in &m.running {
-                row.add(Bucket {
-                    end_ms: r.end_ms.max(s.now_ms + 1),
-                    need: r.need,
-                    bandwidth: r.bandwidth,
-                });
-            }
-            row
-        })
-        .collect();
-    let least = least_need(s);
-    let with_room = (0..rows.len()).filter(|m| rows[*m].free.fits(&least)).collect();
-    let mut pass = Pass {
-        snapshot: s,
-        rows,
-        machines_with_room: with_room,
-        placement_counts: vec![0; s.machines.len()],
-        versions: vec![1; s.machines.len()],
-        offers: Offers::default(),
-        candidates_examined: Cell::new(0),
-        starving_budget: 0,
-        free_task_slots: s.machines.iter().map(|m| m.free_task_slots).collect(),
-        service_tasks: s
-            .machines
-            .iter()
-            .map(|m| m.running.iter().filter(|r| r.is_service).count() as i64)
-            .collect(),
-        images: s.machines.iter().map(|m| m.images.clone()).collect(),
-        images_done_in: s.machines.iter().map(|m| images_done_in(&m.images)).collect(),
-        tasks_per_zone: s.jobs.iter().map(|j| j.tasks_per_zone.clone()).collect(),
-        waiting_tasks: s.jobs.iter().map(|j| j.waiting_tasks).collect(),
-        missed_deadlines: Vec::new(),
-        awaiting_room: vec![0; s.jobs.len()],
-        team_usage: s.teams.iter().map(|t| t.used).collect(),
-        cluster_total: all_machines(s),
-        held_for_priority: vec![Resources::default(); s.machines.len()],
-        reserved_rooms: Vec::new(),
-        claims_made: 0,
-        plan: Plan { expected_wait_ms: vec![Vec::new(); s.jobs.len()], ..Plan::default() },
-    };
+pub fn plan(snapshot: &Snapshot) -> Plan {
+    let mut pass = Pass::new(snapshot);
     pass.run();
-    Plan { candidates_examined: pass.candidates_examined.get(), ..pass.plan }
+    let unplaced = pass.jobs.iter().map(|job| job.waiting_tasks + job.awaiting_room).collect();
+    let candidates_examined = pass.candidates_examined.get();
+    Plan { unplaced, candidates_examined, ..pass.plan }
 }
 
-impl Pass<'_> {
-    fn run(&mut self) {
-        let mut order: Vec<usize> = (0..self.snapshot.jobs.len()).collect();
-        let turn = |pass: &Self, j: usize| {
-            let job = &pass.snapshot.jobs[j];
-            (job.priority, !job.within_guarantee, pass.over_share(j))
-        };
-        order.sort_by_key(|j| (turn(self, *j), self.snapshot.jobs[*j].arrival));
-        self.missed_deadlines =
-            deadline_triage::missed_deadlines(self.snapshot, &order, &self.cluster_total);
-        order.sort_by_key(|j| {
-            (turn(self, *j), self.missed_deadlines[*j], self.snapshot.jobs[*j].arrival)
-        });
-        // Whoever has waited too long goes first, the oldest ahead, for a part of the places:
-        // jobs that are late in any case would otherwise wait for ever behind those that can
-        // still be in time.
-        let mut starving: Vec<usize> =
-            order.iter().copied().filter(|j| self.snapshot.jobs[*j].starving()).collect();
-        starving
-            .sort_by_key(|j| (self.snapshot.jobs[*j].has_started, self.snapshot.jobs[*j].arrival));
-        order.truncate(JOBS_PER_PASS);
-        starving.truncate(JOBS_PER_PASS);
-        self.starving_budget = match starving.is_empty() {
-            true => 0,
-            false => (self.places_now() / STARVING_PLACES_PART).max(1),
-        };
-        for &j in &starving {
-            self.start_starving(j);
+impl<'a> Pass<'a> {
+    fn new(snapshot: &'a Snapshot) -> Pass<'a> {
+        let now_ms = snapshot.now_ms;
+        let machines: Vec<MachineProgress> =
+            snapshot.machines.iter().map(|view| MachineProgress::new(view, now_ms)).collect();
+        let least_need = snapshot.least_need();
+        let has_room = |machine: &usize| machines[*machine].row.free.fits(&least_need);
+        let machines_with_room = (0..machines.len()).filter(has_room).collect();
+        let expected_wait_ms = vec![Vec::new(); snapshot.jobs.len()];
+        Pass {
+            snapshot,
+            machines,
+            jobs: snapshot.jobs.iter().map(JobProgress::new).collect(),
+            team_usage: snapshot.teams.iter().map(|team| team.used).collect(),
+            cluster_total: snapshot.total(),
+            reserved_rooms: Vec::new(),
+            claims_made: 0,
+            machines_with_room,
+            offers: Offers::default(),
+            candidates_examined: Cell::new(0),
+            starving_budget: 0,
+            plan: Plan { expected_wait_ms, ..Plan::default() },
         }
-        self.make_room(&order);
-        // Heads that can start now start; the first that can't gets the reservation.
-        let mut rest = Vec::new();
-        for (n, &j) in order.iter().enumerate() {
-            if !self.reserved_rooms.is_empty() {
-                rest.extend_from_slice(&order[n..]);
-                break;
-            }
-            if self.snapshot.jobs[j].is_gang {
-                self.start_or_reserve_gang(j);
-                continue;
-            }
-            let mut started = 0;
-            while self.waiting_tasks[j] > 0 && started < JOB_TASKS_PER_PASS && !self.full() {
-                match self.allocate(j, true) {
-                    Some(a) if a.start_ms <= self.snapshot.now_ms => {
-                        self.place(j, a);
-                        started += 1;
-                    }
-                    Some(a) => {
-                        let need = self.snapshot.jobs[j].need;
-                        self.reserved_rooms.push(ReservedRoom {
-                            machine: a.machine,
-                            start_ms: a.start_ms,
-                            need,
-                        });
-                        self.plan.reservation = Some((j, a.machine, a.start_ms));
-                        self.plan.expected_wait_ms[j].push(a.start_ms - self.snapshot.now_ms);
-                        self.claim(j, a.machine, a.start_ms, a.length_ms);
-                        break;
-                    }
-                    // At its limit, or no machine for it yet: skipped.
-                    None => break,
-                }
-            }
-            if self.waiting_tasks[j] > 0 {
-                rest.push(j);
-            }
-        }
-        self.backfill(&rest);
-        self.plan.unplaced = self
-            .waiting_tasks
-            .iter()
-            .zip(&self.awaiting_room)
-            .map(|(waiting, n)| waiting + n)
-            .collect();
     }
 
-    /// Places for a task like the smallest that waits.
-    fn places_now(&self) -> usize {
-        let least = least_need(self.snapshot);
-        self.machines_with_room
-            .iter()
-            .map(|m| self.rows[*m].free.times(&least).max(0) as usize)
-            .sum()
+    /// A job as the snapshot shows it.
+    pub(super) fn job_view(&self, job: usize) -> &'a JobView {
+        &self.snapshot.jobs[job]
     }
 
-    /// Starts tasks of a job that has waited too long: one if none ever started, whatever
-    /// its rank, and the next ones as long as the part kept for such jobs lasts.
-    ///
-    /// A gang needs all its places at once. Where they never fall free together, because others take
-    /// each of them before, it gets the reservation.
-    fn start_starving(&mut self, j: usize) {
-        if self.snapshot.jobs[j].is_gang {
-            if self.starving_budget > 0 && self.reserved_rooms.is_empty() {
-                self.start_or_reserve_gang(j);
-                let placed = self.snapshot.jobs[j].waiting_tasks - self.waiting_tasks[j];
-                self.starving_budget = self.starving_budget.saturating_sub(placed as usize);
-            }
-            return;
-        }
-        while self.starving_budget > 0 && self.waiting_tasks[j] > 0 && !self.full() {
-            let Some(a) = self.allocate(j, false) else { return };
-            self.place(j, a);
-            self.starving_budget -= 1;
-        }
-    }
-
-    /// Starts a gang if all its tasks find room, else reserves for all of them.
-    fn start_or_reserve_gang(&mut self, j: usize) {
-        if self.waiting_tasks[j] == 0 || self.full() {
-            return;
-        }
-        if let Some(allocation) = self.gang_now(j) {
-            self.place_gang(j, &allocation);
-        } else if let Some(allocation) = self.gang_later(j) {
-            self.reserve_gang(j, &allocation);
-        }
+    /// A machine as the snapshot shows it.
+    pub(super) fn machine_view(&self, machine: usize) -> &'a MachineView {
+        &self.snapshot.machines[machine]
     }
 
-    fn full(&self) -> bool {
-        let most = PLACES_PER_PASS as f64 + self.rows.len() as f64 * PLACES_PER_MACHINE;
+    /// Whether the pass has placed as much as one may.
+    pub(super) fn is_full(&self) -> bool {
+        let most = PLACES_PER_PASS as f64 + self.machines.len() as f64 * PLACES_PER_MACHINE;
         self.plan.placements.len() >= most as usize
     }
 
-    /// Whether its team has filled its share, and so borrows from here on.
-    fn over_share(&self, j: usize) -> bool {
-        let team = self.snapshot.jobs[j].team;
-        let mut with = self.team_usage[team];
-        with += self.snapshot.jobs[j].need;
-        thousandths(&with, &self.cluster_total) > self.snapshot.teams[team].share_permille
+    /// What the job's team uses with that many more tasks of the job.
+    pub(super) fn usage_with(&self, job: usize, tasks: u32) -> Resources {
+        let view = self.job_view(job);
+        let mut usage = self.team_usage[view.team];
+        usage += view.need * i64::from(tasks);
+        usage
     }
 
-    fn place(&mut self, j: usize, a: Allocation) {
-        self.place_task(j, a.machine, a.start_ms + a.length_ms);
+    /// Whether the job's team stays within its limit with that many more tasks of the job.
+    pub(super) fn is_within_limit(&self, job: usize, tasks: u32) -> bool {
+        let limit = &self.snapshot.teams[self.job_view(job).team].limit;
+        self.usage_with(job, tasks).under(limit)
     }
 
-    /// Counts a task on a machine until its end, as placed by this pass.
-    pub(super) fn place_task(&mut self, j: usize, m: usize, end: u64) {
-        let job = &self.snapshot.jobs[j];
-        let fetch = self.fetch_ms(j, m, self.snapshot.now_ms);
-        self.rows[m].add(Bucket { end_ms: end, need: job.need, bandwidth: job.bandwidth });
-        self.free_task_slots[m] -= 1;
-        self.service_tasks[m] += i64::from(job.is_service);
-        self.note_image(m, job.image, fetch);
-        self.placement_counts[m] += 1;
-        self.versions[m] += 1;
-        self.tasks_per_zone[j][self.snapshot.machines[m].zone] += 1;
-        self.waiting_tasks[j] -= 1;
-        self.team_usage[job.team] += job.need;
-        self.plan.placements.push((j, m));
+    /// Places the job's next task.
+    pub(super) fn place(&mut self, job: usize, allocation: Allocation) {
+        self.place_task(job, allocation.machine, allocation.end_ms());
     }
 
-    /// Notes that an image will be on a machine after so many milliseconds.
-    fn note_image(&mut self, m: usize, image: usize, fetch_ms: u64) {
-        if !self.images[m].iter().any(|(known, _)| *known == image) {
-            self.images[m].push((image, fetch_ms));
-        }
-        self.images_done_in[m] = images_done_in(&self.images[m]);
-    }
-
-    /// Counts a place that a task waits for, so that others see that they would not be alone. Whatever
-    /// else has just changed on the machine for it counts as changed with that.
-    pub(super) fn claim(&mut self, j: usize, m: usize, start: u64, length: u64) {
-        self.rows[m].claim(start, length, self.snapshot.jobs[j].need);
-        self.versions[m] += 1;
+    /// Counts a task on a machine until its end, as placed by this pass.
+    pub(super) fn place_task(&mut self, job: usize, machine: usize, end_ms: u64) {
+        let view = self.job_view(job);
+        let fetch_ms = self.fetch_ms(job, machine, self.snapshot.now_ms);
+        let on = &mut self.machines[machine];
+        on.row.add(Bucket { end_ms, need: view.need, bandwidth: view.bandwidth });
+        on.free_task_slots -= 1;
+        on.service_tasks += i64::from(view.is_service);
+        on.note_image(view.image, fetch_ms);
+        on.placements += 1;
+        on.version += 1;
+        let zone = self.machine_view(machine).zone;
+        self.jobs[job].tasks_per_zone[zone] += 1;
+        self.jobs[job].waiting_tasks -= 1;
+        self.team_usage[view.team] += view.need;
+        self.plan.placements.push(JobOnMachine { job, machine });
     }
 
-    /// Jobs that start now without delaying the reservation, by penalty factor, then length.
-    fn backfill(&mut self, rest: &[usize]) {
-        // One computed choice per job. What is placed only takes room, so a choice whose
-        // machine has changed since is worked out anew only when its turn comes.
-        let mut choice: Vec<(usize, Option<Allocation>, u32)> = Vec::with_capacity(rest.len());
-        for &j in rest {
-            let a = match self.snapshot.jobs[j].is_gang {
-                true => self.gang_start_now(j),
-                false => self.start_now(j),
-            };
-            choice.push((j, a, a.map_or(0, |a| self.placement_counts[a.machine])));
-        }
-        while !self.full() {
-            let best = choice
-                .iter()
-                .enumerate()
-                .filter_map(|(n, (j, a, seen))| a.map(|a| (n, *j, a, *seen)))
-                .min_by(|(_, j, a, _), (_, k, b, _)| {
-                    // The rank first: else what was stopped for a service takes its place again
-                    // while the service's image is still to come.
-                    let turn =
-                        |j: &usize| (self.snapshot.jobs[*j].priority, self.missed_deadlines[*j]);
-                    turn(j)
-                        .cmp(&turn(k))
-                        .then(a.penalty_factor.total_cmp(&b.penalty_factor))
-                        .then(a.length_ms.cmp(&b.length_ms))
-                });
-            let Some((n, j, a, seen)) = best else { return };
-            if self.snapshot.jobs[j].is_gang {
-                // Others may have taken some of its places: it is worked out anew as a whole.
-                if let Some(allocation) = self.gang_now(j) {
-                    self.place_gang(j, &allocation);
-                }
-                choice[n] = (j, None, 0);
-                continue;
-            }
-            if self.placement_counts[a.machine] == seen && self.within_limit(j) {
-                self.place(j, a);
-            }
-            let a = self.start_now(j);
-            choice[n] = (j, a, a.map_or(0, |a| self.placement_counts[a.machine]));
-        }
+    /// Reserves a later place for the job's next task.
+    pub(super) fn reserve(&mut self, job: usize, allocation: Allocation) {
+        let Allocation { machine, start_ms, length_ms, .. } = allocation;
+        let need = self.job_view(job).need;
+        self.reserved_rooms.push(ReservedRoom { machine, start_ms, need });
+        self.plan.reservation = Some(Reservation { job, machine, start_ms });
+        self.expect_start(job, start_ms);
+        self.claim(job, machine, start_ms, length_ms);
     }
 
-    /// The allocation of a gang that starts now, as that of its first task: what its turn among
-    /// other jobs depends on.
-    fn gang_start_now(&self, j: usize) -> Option<Allocation> {
-        let gang = self.gang_now(j).filter(|_| self.waiting_tasks[j] > 0)?;
-        let machine = gang.shares.first()?.machine;
-        let (start, length, factor) = (gang.start_ms, gang.length_ms, gang.penalty_factor);
-        Some(Allocation { machine, start_ms: start, length_ms: length, penalty_factor: factor })
+    /// Notes that a waiting task can count on a place from a time on.
+    pub(super) fn expect_start(&mut self, job: usize, start_ms: u64) {
+        self.plan.expected_wait_ms[job].push(start_ms - self.snapshot.now_ms);
     }
 
-    /// The allocation of the job's next task that starts now, if that is its best. Tasks
-    /// that do better to wait, for a machine that holds their image, say, claim their place,
-    /// so that not all of them count on the same one.
-    fn start_now(&mut self, j: usize) -> Option<Allocation> {
-        let now = self.snapshot.now_ms;
-        while (self.plan.expected_wait_ms[j].len() as u32)
-            < self.waiting_tasks[j] + self.awaiting_room[j]
-        {
-            // With enough claims worked out, only what can start now is of interest.
-            let may_wait = self.claims_made < CLAIMS_PER_PASS;
-            let a = self.allocate(j, may_wait)?;
-            if a.start_ms <= now {
-                return Some(a);
-            }
-            if a.start_ms > now + CLAIM_HORIZON_MS {
-                return None;
-            }
-            self.claims_made += 1;
-            self.plan.expected_wait_ms[j].push(a.start_ms - now);
-            self.claim(j, a.machine, a.start_ms, a.length_ms);
-        }
-        None
+    /// Counts a place that a task waits for, so that others see that they would not be alone. Whatever
+    /// else has just changed on the machine for it counts as changed with that.
+    pub(super) fn claim(&mut self, job: usize, machine: usize, start_ms: u64, length_ms: u64) {
+        let need = self.job_view(job).need;
+        self.machines[machine].row.claim(start_ms, length_ms, need);
+        self.machines[machine].version += 1;
     }
 }
 
 /// Milliseconds until the last of a machine's images is there.
-fn images_done_in(images: &[(usize, u64)]) -> u64 {
-    images.iter().map(|(_, ms)| *ms).max().unwrap_or(0)
-}
-
-/// The least that any waiting task takes, in each dimension.
-fn least_need(s: &Snapshot) -> Resources {
-    let of = |f: fn(&Resources) -> i64| s.jobs.iter().map(|j| f(&j.need)).min().unwrap_or(0);
-    Resources { cpu: of(|r| r.cpu), gpu: of(|r| r.gpu), ram: of(|r| r.ram) }
-}
-
-pub(super) fn all_machines(s: &Snapshot) -> Resources {
-    let mut total = Resources::default();
-    for m in &s.machines {
-        total += m.total;
-    }
-    total
+fn images_ready_in_ms(images: &[CachedImage]) -> u64 {
+    images.iter().map(|image| image.ready_in_ms).max().unwrap_or(0)
 }
--- a/src/coordination/planner/plain.rs
+++ b/src/coordination/planner/plain.rs
@@ -1,9 +1,10 @@
 //! The plain form of the choice of a place: every machine and every time is looked at anew for each
 //! task. The planner's own form keeps what still holds; in unit tests each of its choices is
-//! compared with this one.
+//! compared with this one. It has neither the kept offers nor the shortcuts.
 
+use super::allocation::Allocation;
 use super::pass::Pass;
-use super::search::{Allocation, Preference, Search};
+use super::threshold_search::{Candidate, ThresholdSearch};
 use crate::protocol::users::Priority;
 
 /// Panics unless the plain form chooses the same.
@@ -14,133 +15,154 @@
 }
 
 impl Pass<'_> {
-    fn plain_fetch_ms(&self, j: usize, m: usize, start: u64) -> u64 {
-        let job = &self.snapshot.jobs[j];
-        match self.images[m].iter().find(|(k, _)| *k == job.image) {
-            Some((_, in_ms)) => in_ms.saturating_sub(start.saturating_sub(self.snapshot.now_ms)),
+    fn plain_fetch_ms(&self, job: usize, machine: usize, start_ms: u64) -> u64 {
+        let view = self.job_view(job);
+        let images = &self.machines[machine].images;
+        match images.iter().find(|known| known.image == view.image) {
+            Some(known) => {
+                known.ready_in_ms.saturating_sub(start_ms.saturating_sub(self.snapshot.now_ms))
+            }
             None => {
                 // Images fetched at the same time share the rate.
-                let others = self.images[m].iter().map(|(_, ms)| *ms).max().unwrap_or(0);
-                (job.image_gb * self.snapshot.machines[m].fetch_ms_per_gb) as u64 + others
+                let others_ms = images.iter().map(|known| known.ready_in_ms).max().unwrap_or(0);
+                (view.image_gb * self.machine_view(machine).fetch_ms_per_gb) as u64 + others_ms
             }
         }
     }
 
-    fn plain_better_on_the_way(&self, j: usize, m: usize) -> bool {
-        let job = &self.snapshot.jobs[j];
-        let images = &self.images[m];
-        if images.iter().any(|(k, _)| *k == job.image) {
+    fn plain_better_on_the_way(&self, job: usize, machine: usize) -> bool {
+        let view = self.job_view(job);
+        let images = &self.machines[machine].images;
+        if images.iter().any(|known| known.image == view.image) {
             return false;
         }
-        let ahead = images.iter().map(|(_, ms)| *ms).max().unwrap_or(0);
-        let [ordinary, spot] = self.snapshot.mean_boot_wait;
-        let soon = ordinary.into_iter().chain(spot.filter(|_| job.spot_allowed)).min();
-        soon.is_some_and(|ms| ms < ahead)
+        let ahead_ms = images.iter().map(|known| known.ready_in_ms).max().unwrap_or(0);
+        let wait = self.snapshot.mean_boot_wait;
+        let spot_ms = wait.spot_ms.filter(|_| view.spot_allowed);
+        let soonest_ms = wait.ordinary_ms.into_iter().chain(spot_ms).min();
+        soonest_ms.is_some_and(|ms| ms < ahead_ms)
     }
 
-    fn plain_at(&self, j: usize, m: usize, start: u64) -> Option<Allocation> {
-        let job = &self.snapshot.jobs[j];
-        let row = &self.rows[m];
-        let now = self.snapshot.now_ms;
-        let mut free = row.free_at(start);
-        if job.priority > Priority::High {
-            free -= self.held_for_priority[m];
+    fn plain_allocation_at(&self, job: usize, machine: usize, start_ms: u64) -> Option<Allocation> {
+        let view = self.job_view(job);
+        let row = &self.machines[machine].row;
+        let now_ms = self.snapshot.now_ms;
+        let mut free = row.free_at(start_ms);
+        if view.priority > Priority::High {
+            free -= self.machines[machine].held_for_priority;
         }
-        if !free.fits(&job.need) {
+        if !free.fits(&view.need) {
             return None;
         }
-        let fetch = self.plain_fetch_ms(j, m, start);
-        if start == now && self.plain_better_on_the_way(j, m) {
+        let fetch_ms = self.plain_fetch_ms(job, machine, start_ms);
+        if start_ms == now_ms && self.plain_better_on_the_way(job, machine) {
             return None;
         }
-        let run = job.run_ms.max(1);
-        let penalized = row.penalized_ms(start, run + fetch, job.bandwidth);
-        let length = run + fetch + penalized as u64;
-        if start > now && !row.fits_later(start, length, &job.need) {
+        let run_ms = view.run_ms.max(1);
+        let penalized_ms = row.penalized_ms(start_ms, run_ms + fetch_ms, view.bandwidth);
+        let length_ms = run_ms + fetch_ms + penalized_ms as u64;
+        if start_ms > now_ms && !row.fits_later(start_ms, length_ms, &view.need) {
             return None;
         }
-        for kept in
-            self.reserved_rooms.iter().filter(|r| r.machine == m && start + length > r.start_ms)
-        {
-            let mut at = row.free_at(kept.start_ms);
-            at -= job.need;
-            if !at.fits(&kept.need) {
-                return None;
+        for reserved in &self.reserved_rooms {
+            if reserved.machine == machine && start_ms + length_ms > reserved.start_ms {
+                let mut left = row.free_at(reserved.start_ms);
+                left -= view.need;
+                if !left.fits(&reserved.need) {
+                    return None;
+                }
             }
         }
-        let factor = (run + fetch) as f64 / run as f64 + penalized / run as f64;
-        Some(Allocation { machine: m, start_ms: start, length_ms: length, penalty_factor: factor })
+        let penalty_factor =
+            (run_ms + fetch_ms) as f64 / run_ms as f64 + penalized_ms / run_ms as f64;
+        Some(Allocation { machine, start_ms, length_ms, penalty_factor })
     }
 
-    fn plain_allocate(&self, j: usize, may_wait: bool) -> Option<Allocation> {
-        if !self.within_limit(j) {
+    fn plain_allocate(&self, job: usize, may_wait: bool) -> Option<Allocation> {
+        if !self.is_within_limit(job, 1) {
             return None;
         }
-        let now = self.snapshot.now_ms;
-        let need = &self.snapshot.jobs[j].need;
+        let now_ms = self.snapshot.now_ms;
+        let need = &self.job_view(job).need;
         // Among places that are free now, the least factor, then preference.
-        let mut least: Option<(Allocation, Preference)> = None;
-        let mut first: Option<(Allocation, Preference)> = None;
-        for &m in &self.machines_with_room {
-            if !self.rows[m].free.fits(need) || !self.allowed(j, m) {
+        let mut least: Option<Candidate> = None;
+        let mut first: Option<Candidate> = None;
+        for &machine in &self.machines_with_room {
+            if !self.machines[machine].row.free.fits(need) || !self.is_allowed(job, machine) {
                 continue;
             }
-            let Some(a) = self.plain_at(j, m, now) else { continue };
-            let preference = self.preference(j, m);
-            if first.as_ref().is_none_or(|(_, t)| preference < *t) {
-                first = Some((a, preference));
+            let Some(allocation) = self.plain_allocation_at(job, machine, now_ms) else { continue };
+            let preference = self.preference(job, machine);
+            let candidate = Candidate { allocation, preference };
+            if first.as_ref().is_none_or(|first| preference < first.preference) {
+                first = Some(candidate);
             }
-            let better = least.as_ref().is_none_or(|(b, t)| {
-                a.penalty_factor < b.penalty_factor
-                    || (a.penalty_factor == b.penalty_factor && preference < *t)
+            let factor = allocation.penalty_factor;
+            let is_better = least.as_ref().is_none_or(|least| {
+                factor < least.allocation.penalty_factor
+                    || (factor == least.allocation.penalty_factor && preference < least.preference)
             });
-            if better {
-                least = Some((a, preference));
+            if is_better {
+                least = Some(candidate);
             }
         }
         let lowest = self.snapshot.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
-        if !may_wait || least.as_ref().is_some_and(|(a, _)| a.penalty_factor < lowest) {
-            return least.map(|(a, _)| a);
+        if !may_wait || least.as_ref().is_some_and(|least| least.allocation.penalty_factor < lowest)
+        {
+            return least.map(|least| least.allocation);
         }
         // For each threshold the earliest place under it, of the least factor at that time; if
         // there is none, the least factor of all. First fit is the earliest place of all.
-        let mut search = Search::new(&self.snapshot.thresholds);
-        for (a, preference) in first.into_iter().chain(least) {
-            search.see(a, preference);
+        let mut search = ThresholdSearch::new(&self.snapshot.thresholds);
+        for candidate in first.into_iter().chain(least) {
+            search.add(candidate);
         }
-        let bound = least.map_or(f64::INFINITY, |(a, _)| a.penalty_factor);
+        let bound = least.map_or(f64::INFINITY, |least| least.allocation.penalty_factor);
         let mut only = None;
-        if let Some((_, m)) = self.snapshot.previous_reservation.filter(|(rj, _)| *rj == j) {
+        if let Some(reserved) = self.snapshot.previous_reservation.filter(|it| it.job == job) {
             // What is reserved stays where it is, if it can.
-            only = self.plain_later(j, m, bound).next().map(|_| m);
+            let machine = reserved.machine;
+            only = self.plain_offers_later(job, machine, bound).next().map(|_| machine);
         }
-        for m in 0..self.snapshot.machines.len() {
-            if only.is_none_or(|x| x == m) {
-                self.plain_later(j, m, bound).for_each(|a| search.see(a, self.preference(j, m)));
+        for machine in 0..self.snapshot.machines.len() {
+            if only.is_none_or(|only| only == machine) {
+                self.plain_offers_later(job, machine, bound).for_each(|allocation| {
+                    search.add(Candidate { allocation, preference: self.preference(job, machine) })
+                });
             }
         }
         search.best()
     }
 
-    fn plain_later(&self, j: usize, m: usize, bound: f64) -> impl Iterator<Item = Allocation> + '_ {
-        let now = self.snapshot.now_ms;
-        let run = self.snapshot.jobs[j].run_ms.max(1) as f64;
-        let lowest = (run + self.plain_fetch_ms(j, m, u64::MAX) as f64) / run;
-        let row = &self.rows[m];
+    fn plain_offers_later(
+        &self,
+        job: usize,
+        machine: usize,
+        bound: f64,
+    ) -> impl Iterator<Item = Allocation> + '_ {
+        let now_ms = self.snapshot.now_ms;
+        let run_ms = self.job_view(job).run_ms.max(1) as f64;
+        let lowest = (run_ms + self.plain_fetch_ms(job, machine, u64::MAX) as f64) / run_ms;
+        let row = &self.machines[machine].row;
         let mut last = bound;
-        let times =
-            if lowest < bound && self.allowed(j, m) { &row.change_times_ms[..] } else { &[] };
-        times
+        let times_ms = if lowest < bound && self.is_allowed(job, machine) {
+            &row.change_times_ms[..]
+        } else {
+            &[]
+        };
+        times_ms
             .iter()
-            .filter(move |t| **t > now)
-            .map_while(move |t| {
+            .filter(move |time_ms| **time_ms > now_ms)
+            .map_while(move |time_ms| {
                 // Nothing can lower it any further.
                 if last <= lowest {
                     return None;
                 }
-                let a = self.plain_at(j, m, *t).filter(|a| a.penalty_factor < last);
-                last = a.map_or(last, |a| a.penalty_factor);
-                Some(a)
+                let allocation = self
+                    .plain_allocation_at(job, machine, *time_ms)
+                    .filter(|offered| offered.penalty_factor < last);
+                last = allocation.map_or(last, |offered| offered.penalty_factor);
+                Some(allocation)
             })
             .flatten()
     }
--- /dev/null
+++ b/src/coordination/planner/queue.rs
@@ -0,0 +1,142 @@
+//! The order of the waiting jobs, and the heads of the queue: they start now, and the first that can't
+//! gets the reservation.
+
+use super::pass::Pass;
+use super::shares::permille_of;
+use crate::constants::{JOBS_PER_PASS, JOB_TASKS_PER_PASS, STARVING_PLACES_PART};
+use crate::coordination::deadline_triage::missed_deadlines;
+use crate::protocol::users::Priority;
+
+impl Pass<'_> {
+    /// Runs the pass: jobs that have waited too long, room for higher ranks, the heads, backfill.
+    pub(super) fn run(&mut self) {
+        let mut queue = self.order_jobs();
+        let mut starving = self.starving_jobs(&queue);
+        queue.truncate(JOBS_PER_PASS);
+        starving.truncate(JOBS_PER_PASS);
+        if !starving.is_empty() {
+            self.starving_budget = (self.places_now() / STARVING_PLACES_PART).max(1);
+        }
+        for &job in &starving {
+            self.start_starving(job);
+        }
+        self.make_room(&queue);
+        let rest = self.start_heads(&queue);
+        self.backfill(&rest);
+    }
+
+    /// All jobs in the order in which they are served: by rank and share, then those that can be in
+    /// time, then by arrival.
+    fn order_jobs(&mut self) -> Vec<usize> {
+        let arrival = |pass: &Self, job: usize| pass.job_view(job).arrival;
+        let mut queue: Vec<usize> = (0..self.jobs.len()).collect();
+        queue.sort_by_key(|&job| (self.turn(job), arrival(self, job)));
+        let missed = missed_deadlines(self.snapshot, &queue, &self.cluster_total);
+        for (job, missed) in self.jobs.iter_mut().zip(missed) {
+            job.missed_deadlines = missed;
+        }
+        queue.sort_by_key(|&job| {
+            (self.turn(job), self.jobs[job].missed_deadlines, arrival(self, job))
+        });
+        queue
+    }
+
+    /// A job's turn, before its deadlines and its arrival count.
+    fn turn(&self, job: usize) -> (Priority, bool, bool) {
+        let view = self.job_view(job);
+        (view.priority, !view.within_guarantee, self.is_over_share(job))
+    }
+
+    /// Whether its team has filled its share, and so borrows from here on.
+    fn is_over_share(&self, job: usize) -> bool {
+        let share = self.snapshot.teams[self.job_view(job).team].share_permille;
+        permille_of(&self.usage_with(job, 1), &self.cluster_total) > share
+    }
+
+    /// Jobs that have waited too long. They go first, the oldest ahead, for a part of the places:
+    /// jobs that are late in any case would otherwise wait for ever behind those that can
+    /// still be in time.
+    fn starving_jobs(&self, queue: &[usize]) -> Vec<usize> {
+        let is_starving = |job: &usize| self.job_view(*job).is_starving();
+        let mut starving: Vec<usize> = queue.iter().copied().filter(is_starving).collect();
+        starving.sort_by_key(|&job| (self.job_view(job).has_started, self.job_view(job).arrival));
+        starving
+    }
+
+    /// Places for a task like the smallest that waits.
+    fn places_now(&self) -> usize {
+        let least_need = self.snapshot.least_need();
+        let places =
+            |machine: &usize| self.machines[*machine].row.free.times(&least_need).max(0) as usize;
+        self.machines_with_room.iter().map(places).sum()
+    }
+
+    /// Starts tasks of a job that has waited too long: one if none ever started, whatever
+    /// its rank, and the next ones as long as the part kept for such jobs lasts.
+    ///
+    /// A gang needs all its places at once. Where they never fall free together, because others take
+    /// each of them before, it gets the reservation.
+    fn start_starving(&mut self, job: usize) {
+        if self.job_view(job).is_gang {
+            if self.starving_budget > 0 && self.reserved_rooms.is_empty() {
+                self.start_or_reserve_gang(job);
+                let placed = self.job_view(job).waiting_tasks - self.jobs[job].waiting_tasks;
+                self.starving_budget = self.starving_budget.saturating_sub(placed as usize);
+            }
+            return;
+        }
+        while self.starving_budget > 0 && self.jobs[job].waiting_tasks > 0 && !self.is_full() {
+            let Some(allocation) = self.allocate(job, false) else { return };
+            self.place(job, allocation);
+            self.starving_budget -= 1;
+        }
+    }
+
+    /// Starts heads that can start now; the first that can't gets the reservation. Returns the jobs
+    /// that are left for backfilling.
+    fn start_heads(&mut self, queue: &[usize]) -> Vec<usize> {
+        let mut rest = Vec::new();
+        for (position, &job) in queue.iter().enumerate() {
+            if !self.reserved_rooms.is_empty() {
+                rest.extend_from_slice(&queue[position..]);
+                break;
+            }
+            if self.job_view(job).is_gang {
+                self.start_or_reserve_gang(job);
+                continue;
+            }
+            self.start_or_reserve_tasks(job);
+            if self.jobs[job].waiting_tasks > 0 {
+                rest.push(job);
+            }
+        }
+        rest
+    }
+
+    /// Starts a head's tasks, and reserves for the first that has to wait.
+    fn start_or_reserve_tasks(&mut self, job: usize) {
+        for _ in 0..JOB_TASKS_PER_PASS {
+            if self.jobs[job].waiting_tasks == 0 || self.is_full() {
+                return;
+            }
+            // At its limit, or no machine for it yet: skipped.
+            let Some(allocation) = self.allocate(job, true) else { return };
+            if allocation.start_ms > self.snapshot.now_ms {
+                return self.reserve(job, allocation);
+            }
+            self.place(job, allocation);
+        }
+    }
+
+    /// Starts a gang if all its tasks find room, else reserves for all of them.
+    fn start_or_reserve_gang(&mut self, job: usize) {
+        if self.jobs[job].waiting_tasks == 0 || self.is_full() {
+            return;
+        }
+        if let Some(allocation) = self.gang_now(job) {
+            self.place_gang(job, &allocation);
+        } else if let Some(allocation) = self.gang_later(job) {
+            self.reserve_gang(job, &allocation);
+        }
+    }
+}
--- a/src/coordination/planner/shares.rs
+++ b/src/coordination/planner/shares.rs
@@ -1,52 +1,38 @@
 //! The teams' shares of the machines.
 
-use super::pass::all_machines;
-use super::Snapshot;
+use super::snapshot::Snapshot;
 use crate::protocol::Resources;
 
-pub(super) fn thousandths(used: &Resources, total: &Resources) -> i64 {
-    (used.share_of(total) * 1_000.0).round() as i64
+/// All machines, in thousandths.
+const WHOLE: i64 = 1_000;
+
+/// What is used of the machines, in thousandths.
+pub(super) fn permille_of(used: &Resources, total: &Resources) -> i64 {
+    (used.share_of(total) * WHOLE as f64).round() as i64
 }
 
 /// Moves shares between teams: the team of the oldest waiting job gets what its head lacks
-/// from the teams that leave most of theirs unused. Shares sum up to the whole fleet.
-pub fn move_shares(s: &Snapshot, mut shares: Vec<i64>) -> Vec<i64> {
-    let total = all_machines(s);
-    let n = s.teams.len();
-    if n == 0 {
+/// from the teams that leave most of theirs unused. Shares are in thousandths and sum up to the whole
+/// fleet.
+pub fn move_shares(snapshot: &Snapshot, mut shares: Vec<i64>) -> Vec<i64> {
+    let teams = snapshot.teams.len();
+    if teams == 0 {
         return shares;
     }
-    if shares.len() != n || shares.iter().sum::<i64>() != 1_000 {
-        // To start with, in proportion to the guarantees, and alike where there are none.
-        let mut guaranteed = Resources::default();
-        for t in &s.teams {
-            guaranteed += t.guarantee;
-        }
-        shares = s
-            .teams
-            .iter()
-            .map(|t| {
-                let g = t.guarantee.share_of(&guaranteed);
-                if g > 0.0 {
-                    (g * 1_000.0) as i64
-                } else {
-                    1_000 / n as i64
-                }
-            })
-            .collect();
-        let sum: i64 = shares.iter().sum::<i64>().max(1);
-        shares.iter_mut().for_each(|x| *x = *x * 1_000 / sum);
-        shares[0] += 1_000 - shares.iter().sum::<i64>();
+    if shares.len() != teams || shares.iter().sum::<i64>() != WHOLE {
+        shares = initial_shares(snapshot);
     }
-    let Some(head) = s.jobs.iter().min_by_key(|j| (j.priority, j.arrival)) else { return shares };
-    let mut with = s.teams[head.team].used;
-    with += head.need;
-    let mut lacks = thousandths(&with, &total) - shares[head.team];
+    let head = snapshot.jobs.iter().min_by_key(|job| (job.priority, job.arrival));
+    let Some(head) = head else { return shares };
+    let total = snapshot.total();
+    let mut used_with_head = snapshot.teams[head.team].used;
+    used_with_head += head.need;
+    let mut lacks = permille_of(&used_with_head, &total) - shares[head.team];
     while lacks > 0 {
-        let spare = |t: usize| shares[t] - thousandths(&s.teams[t].used, &total);
-        let others = (0..n).filter(|t| *t != head.team && spare(*t) > 0);
-        let Some(from) = others.max_by_key(|t| spare(*t)) else { break };
-        let moved = lacks.min(spare(from));
+        let unused = |team: usize| shares[team] - permille_of(&snapshot.teams[team].used, &total);
+        let others = (0..teams).filter(|team| *team != head.team && unused(*team) > 0);
+        let Some(from) = others.max_by_key(|team| unused(*team)) else { break };
+        let moved = lacks.min(unused(from));
         shares[from] -= moved;
         shares[head.team] += moved;
         lacks -= moved;
@@ -54,6 +40,30 @@
     shares
 }
 
+/// Shares to start with: in proportion to the guarantees, and alike where there are none.
+fn initial_shares(snapshot: &Snapshot) -> Vec<i64> {
+    let teams = &snapshot.teams;
+    let mut guaranteed = Resources::default();
+    for team in teams {
+        guaranteed += team.guarantee;
+    }
+    let in_proportion = |guarantee: &Resources| {
+        let share = guarantee.share_of(&guaranteed);
+        if share > 0.0 {
+            (share * WHOLE as f64) as i64
+        } else {
+            WHOLE / teams.len() as i64
+        }
+    };
+    let mut shares: Vec<i64> = teams.iter().map(|team| in_proportion(&team.guarantee)).collect();
+    let sum = shares.iter().sum::<i64>().max(1);
+    for share in &mut shares {
+        *share = *share * WHOLE / sum;
+    }
+    shares[0] += WHOLE - shares.iter().sum::<i64>();
+    shares
+}
+
 /// Whether a use lies within a guarantee; a team with none has nothing within it.
 pub fn is_within_guarantee(used: &Resources, guarantee: &Resources) -> bool {
     (guarantee.cpu != 0 || guarantee.gpu != 0) && used.under(guarantee)
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 use crate::constants::{STARVING_BEGUN_MS, STARVING_MS, THRESHOLDS};
+use crate::protocol::users::Priority;
+use crate::protocol::Resources;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
 const GPU: Resources = Resources { cpu: 1_000, gpu: 1_000, ram: 0 };
@@ -18,7 +20,7 @@
         total: gpus(n),
         free_task_slots: 100,
         running: vec![],
-        images: vec![(0, 0)],
+        images: vec![CachedImage::ready(0)],
         fetch_ms_per_gb: 4_000.0,
         next_report_ms: 0,
     }
@@ -76,12 +78,25 @@
         jobs,
         teams: vec![TeamView { share_permille: 1_000, ..TeamView::default() }],
         gang_wait_ms: 0,
-        mean_boot_wait: [None, None],
+        mean_boot_wait: MeanBootWait::default(),
         booting: vec![],
         previous_reservation: None,
     }
 }
 
+/// An image that is there after so many milliseconds.
+fn fetched(image: usize, ready_in_ms: u64) -> CachedImage {
+    CachedImage { image, ready_in_ms }
+}
+
+fn placed(job: usize, machine: usize) -> JobOnMachine {
+    JobOnMachine { job, machine }
+}
+
+fn reserved(job: usize, machine: usize, start_ms: u64) -> Option<Reservation> {
+    Some(Reservation { job, machine, start_ms })
+}
+
 #[test]
 fn what_delays_the_reservation_of_the_head_is_not_backfilled() {
     let mut m = machine(4);
@@ -89,8 +104,8 @@
     // The head wants all four in 10 s. Beside it, 5 s fit before and 60 s don't.
     let jobs = vec![job(1, 4, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
     let p = plan(&snapshot(vec![m], jobs));
-    assert_eq!(p.reservation, Some((0, 0, 10_000)));
-    assert_eq!(p.placements, vec![(2, 0)]);
+    assert_eq!(p.reservation, reserved(0, 0, 10_000));
+    assert_eq!(p.placements, vec![placed(2, 0)]);
 }
 
 #[test]
@@ -99,11 +114,11 @@
     a.running = vec![running(12_000)];
     b.running = vec![running(10_000)];
     let mut s = snapshot(vec![a, b], vec![job(1, 1, 5_000)]);
-    assert_eq!(plan(&s).reservation, Some((0, 1, 10_000)));
-    s.previous_reservation = Some((0, 0));
-    assert_eq!(plan(&s).reservation, Some((0, 0, 12_000)));
+    assert_eq!(plan(&s).reservation, reserved(0, 1, 10_000));
+    s.previous_reservation = Some(placed(0, 0));
+    assert_eq!(plan(&s).reservation, reserved(0, 0, 12_000));
     s.machines[1].running.clear();
-    assert_eq!(plan(&s).placements, vec![(0, 1)], "room now is taken all the same");
+    assert_eq!(plan(&s).placements, vec![placed(0, 1)], "room now is taken all the same");
 }
 
 #[test]
@@ -115,7 +130,11 @@
     loud.bandwidth = 2.0;
     let jobs = vec![job(1, 4, 1_000), loud, job(3, 1, 20_000), job(4, 1, 10_000)];
     let p = plan(&snapshot(vec![m], jobs));
-    assert_eq!(p.placements, vec![(3, 0), (2, 0)], "the shorter of the quiet ones first");
+    assert_eq!(
+        p.placements,
+        vec![placed(3, 0), placed(2, 0)],
+        "the shorter of the quiet ones first"
+    );
 }
 
 #[test]
@@ -126,7 +145,7 @@
     m.running[0].bandwidth = 2.0;
     let mut j = job(1, 1, 10_000);
     j.bandwidth = 1.0;
-    assert_eq!(plan(&snapshot(vec![m], vec![j])).placements, vec![(0, 0)]);
+    assert_eq!(plan(&snapshot(vec![m], vec![j])).placements, vec![placed(0, 0)]);
     // Over five times what there is for 9 s costs far more than the wait.
     let mut m = machine(2);
     m.running = vec![running(9_000)];
@@ -134,7 +153,7 @@
     let mut j = job(1, 1, 10_000);
     j.bandwidth = 2.0;
     let p = plan(&snapshot(vec![m], vec![j]));
-    assert_eq!(p.reservation, Some((0, 0, 9_000)));
+    assert_eq!(p.reservation, reserved(0, 0, 9_000));
 }
 
 #[test]
@@ -147,7 +166,7 @@
     let mut j = job(1, 1, 40_000);
     j.waiting_tasks = 3;
     let p = plan(&snapshot(vec![here, cold], vec![j]));
-    assert_eq!(p.placements, vec![(0, 1), (0, 1)], "one waits, the others fetch");
+    assert_eq!(p.placements, vec![placed(0, 1), placed(0, 1)], "one waits, the others fetch");
     assert_eq!(p.expected_wait_ms[0], vec![5_000]);
 }
 
@@ -158,7 +177,7 @@
     s.teams[0].used = GPU;
     s.teams.push(TeamView { share_permille: 0, ..TeamView::default() });
     s.jobs[1].team = 1;
-    assert_eq!(plan(&s).placements, vec![(1, 0)]);
+    assert_eq!(plan(&s).placements, vec![placed(1, 0)]);
 }
 
 #[test]
@@ -171,7 +190,7 @@
     let mut s = snapshot(vec![m], vec![job(1, 1, 1_000)]);
     assert!(plan(&s).preemptions.is_empty(), "not for the same rank");
     s.jobs[0].priority = Priority::Production;
-    assert_eq!(plan(&s).preemptions, vec![(0, 7)]);
+    assert_eq!(plan(&s).preemptions, vec![Preemption { machine: 0, handle: 7 }]);
     s.machines[0].running[1].is_stopping = true;
     s.machines[0].running[1].end_ms = 2_000;
     assert!(plan(&s).preemptions.is_empty(), "room that is being made counts");
@@ -180,37 +199,37 @@
 #[test]
 fn images_are_not_queued_on_one_machine_while_others_come_up() {
     let mut m = machine(2);
-    m.images = vec![(7, 30_000)];
+    m.images = vec![fetched(7, 30_000)];
     let mut s = snapshot(vec![m], vec![job(1, 1, 30_000)]);
     s.jobs[0].spot_allowed = false;
-    s.mean_boot_wait = [Some(10_000), Some(1_000)];
+    s.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: Some(1_000) };
     assert!(plan(&s).placements.is_empty(), "an ordinary machine is up before that image is here");
-    s.mean_boot_wait[0] = Some(40_000);
-    assert_eq!(plan(&s).placements, vec![(0, 0)], "not that soon");
-    s.mean_boot_wait[0] = Some(10_000);
-    s.machines[0].images = vec![(0, 5_000), (7, 30_000)];
-    assert_eq!(plan(&s).placements, vec![(0, 0)], "its own is on its way");
+    s.mean_boot_wait.ordinary_ms = Some(40_000);
+    assert_eq!(plan(&s).placements, vec![placed(0, 0)], "not that soon");
+    s.mean_boot_wait.ordinary_ms = Some(10_000);
+    s.machines[0].images = vec![fetched(0, 5_000), fetched(7, 30_000)];
+    assert_eq!(plan(&s).placements, vec![placed(0, 0)], "its own is on its way");
 }
 
 #[test]
 fn a_task_starts_where_its_image_is_on_its_way_rather_than_wait_for_the_image() {
     let mut m = machine(2);
-    m.images = vec![(0, 20_000)];
+    m.images = vec![fetched(0, 20_000)];
     m.running = vec![running(10_000)];
     let p = plan(&snapshot(vec![m], vec![job(1, 1, 30_000)]));
-    assert_eq!(p.placements, vec![(0, 0)]);
+    assert_eq!(p.placements, vec![placed(0, 0)]);
 }
 
 #[test]
 fn room_is_not_made_where_a_task_would_not_start_for_its_image() {
     let mut m = machine(1);
-    m.images = vec![(7, 30_000)];
+    m.images = vec![fetched(7, 30_000)];
     m.running = vec![running(90_000)];
     let mut s = snapshot(vec![m], vec![job(1, 1, 30_000)]);
     s.jobs[0].priority = Priority::Production;
-    s.mean_boot_wait = [Some(10_000), None];
+    s.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: None };
     assert!(plan(&s).preemptions.is_empty(), "it waits for the machine that is on its way");
-    s.mean_boot_wait = [None, None];
+    s.mean_boot_wait = MeanBootWait { ordinary_ms: None, spot_ms: None };
     assert_eq!(plan(&s).preemptions.len(), 1);
 }
 
@@ -229,7 +248,7 @@
     s.jobs[1].image = 5;
     s.jobs[2].image = 6;
     s.jobs[2].image_gb = 0.1;
-    assert_eq!(plan(&s).placements, vec![(1, 0)]);
+    assert_eq!(plan(&s).placements, vec![placed(1, 0)]);
 }
 
 #[test]
@@ -248,14 +267,14 @@
     s.machines[0].running[0].is_stopping = true;
     assert_eq!(plan(&s).placements, vec![], "still");
     s.machines[0].running.clear();
-    assert_eq!(plan(&s).placements, vec![(0, 0)]);
+    assert_eq!(plan(&s).placements, vec![placed(0, 0)]);
 }
 
 #[test]
 fn a_job_that_can_still_be_in_time_goes_before_one_that_can_not() {
     let mut s = snapshot(vec![machine(1)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
     s.jobs[0].due_in_ms = vec![500];
-    assert_eq!(plan(&s).placements, vec![(1, 0)]);
+    assert_eq!(plan(&s).placements, vec![placed(1, 0)]);
 }
 
 #[test]
@@ -269,15 +288,15 @@
     higher.priority = Priority::High;
     higher.waiting_tasks = 100;
     let mut s = snapshot(vec![machine(8)], vec![late, higher, job(3, 1, 1_000)]);
-    assert!(plan(&s).placements.iter().all(|(j, _)| *j != 0), "late, and lower");
+    assert!(plan(&s).placements.iter().all(|place| place.job != 0), "late, and lower");
     s.jobs[0].waited_ms = STARVING_MS;
     let places = plan(&s).placements;
-    let of = |j: usize| places.iter().filter(|(k, _)| *k == j).count();
+    let of = |j: usize| places.iter().filter(|place| place.job == j).count();
     assert_eq!((of(0), of(1)), (2, 6), "a part of the places, not all of them");
     s.jobs[0].has_started = true;
-    assert!(plan(&s).placements.iter().all(|(j, _)| *j != 0), "it has begun");
+    assert!(plan(&s).placements.iter().all(|place| place.job != 0), "it has begun");
     s.jobs[0].waited_ms = STARVING_BEGUN_MS;
-    assert!(plan(&s).placements.iter().any(|(j, _)| *j == 0), "and goes on after a while");
+    assert!(plan(&s).placements.iter().any(|place| place.job == 0), "and goes on after a while");
 }
 
 #[test]
@@ -302,7 +321,7 @@
         m.zone = rng.random_range(0..ZONES);
         m.spot = rng.random_bool(0.3);
         m.free_task_slots = rng.random_range(0..5);
-        m.images = (0..3).map(|k| (k, rng.random_range(0..2) * 7_000)).collect();
+        m.images = (0..3).map(|image| fetched(image, rng.random_range(0..2) * 7_000)).collect();
         m.images.retain(|_| rng.random_bool(0.5));
         for handle in 0..rng.random_range(0..=m.total.gpu / 1_000) {
             let mut r = running(rng.random_range(0..40) * 1_000);
@@ -347,9 +366,10 @@
         team.used = gpus(rng.random_range(0..6));
         team.limit = if rng.random_bool(0.3) { gpus(rng.random_range(1..20)) } else { gpus(0) };
     }
-    s.mean_boot_wait = [0, 1].map(|_| rng.random_bool(0.3).then(|| rng.random_range(0..20_000)));
+    let mut boot_wait = || rng.random_bool(0.3).then(|| rng.random_range(0..20_000));
+    s.mean_boot_wait = MeanBootWait { ordinary_ms: boot_wait(), spot_ms: boot_wait() };
     s.previous_reservation =
-        rng.random_bool(0.3).then(|| (0, rng.random_range(0..s.machines.len())));
+        rng.random_bool(0.3).then(|| placed(0, rng.random_range(0..s.machines.len())));
     s
 }
 
--- /dev/null
+++ b/src/coordination/planner/threshold_search.rs
@@ -0,0 +1,91 @@
+//! LessConsume Threshold for all thresholds at once (sections 4 and 5 of the paper).
+
+use super::allocation::{Allocation, Preference};
+use std::cmp::Ordering;
+
+/// A place, and how much it is liked.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Candidate {
+    pub(super) allocation: Allocation,
+    pub(super) preference: Preference,
+}
+
+impl Candidate {
+    /// Order of places that are alike but for their penalty: the least first.
+    pub(super) fn has_lower_penalty_than(&self, other: &Candidate) -> bool {
+        let (factor, other_factor) =
+            (self.allocation.penalty_factor, other.allocation.penalty_factor);
+        factor < other_factor || (factor == other_factor && self.preference < other.preference)
+    }
+}
+
+/// The places that LessConsume Threshold chooses between, one for each threshold.
+pub(super) struct ThresholdSearch<'a> {
+    thresholds: &'a [f64],
+    /// For each threshold the earliest place under it, of the least factor at that time.
+    under: Vec<Option<Candidate>>,
+    /// The place of the least factor.
+    least: Option<Candidate>,
+    /// First fit: the earliest place.
+    first: Option<Candidate>,
+}
+
+impl<'a> ThresholdSearch<'a> {
+    pub(super) fn new(thresholds: &'a [f64]) -> ThresholdSearch<'a> {
+        let under = vec![None; thresholds.len()];
+        ThresholdSearch { thresholds, under, least: None, first: None }
+    }
+
+    /// Takes a place into account.
+    pub(super) fn add(&mut self, candidate: Candidate) {
+        let factor = candidate.allocation.penalty_factor;
+        for (kept, threshold) in self.under.iter_mut().zip(self.thresholds) {
+            if factor < *threshold {
+                keep_lesser(kept, candidate, by_start_and_factor);
+            }
+        }
+        keep_lesser(&mut self.first, candidate, by_start);
+        keep_lesser(&mut self.least, candidate, by_factor);
+    }
+
+    /// The one of least slowdown, that is, for one task, the one that ends first. First fit itself
+    /// stands beside the thresholds: with all factors high they would only wait.
+    ///
+    /// Of places that end alike the earlier start: to start where the image is on its way ends
+    /// no later than to wait for the image first. Services waited so, the places went to tasks
+    /// of lower ranks, and these were stopped for them in the next pass, again and again.
+    pub(super) fn best(self) -> Option<Allocation> {
+        let least = self.least;
+        let under = self.under.into_iter().filter_map(|kept| kept.or(least));
+        let allocations = under.chain(self.first).map(|candidate| candidate.allocation);
+        allocations.min_by_key(|allocation| (allocation.end_ms(), allocation.start_ms))
+    }
+}
+
+/// Keeps the lesser of two places; the one that is there if they are equal.
+fn keep_lesser(
+    kept: &mut Option<Candidate>,
+    candidate: Candidate,
+    order: fn(&Candidate, &Candidate) -> Ordering,
+) {
+    if kept.as_ref().is_none_or(|kept| order(&candidate, kept).is_lt()) {
+        *kept = Some(candidate);
+    }
+}
+
+fn by_start(left: &Candidate, right: &Candidate) -> Ordering {
+    let key = |candidate: &Candidate| (candidate.allocation.start_ms, candidate.preference);
+    key(left).cmp(&key(right))
+}
+
+fn by_start_and_factor(left: &Candidate, right: &Candidate) -> Ordering {
+    let (first, second) = (&left.allocation, &right.allocation);
+    (first.start_ms.cmp(&second.start_ms))
+        .then(first.penalty_factor.total_cmp(&second.penalty_factor))
+        .then(left.preference.cmp(&right.preference))
+}
+
+fn by_factor(left: &Candidate, right: &Candidate) -> Ordering {
+    let (first, second) = (left.allocation.penalty_factor, right.allocation.penalty_factor);
+    first.total_cmp(&second).then(by_start(left, right))
+}
--- /dev/null
+++ b/src/coordination/planner_input/jobs.rs
@@ -0,0 +1,173 @@
+//! Jobs with waiting tasks, and the teams that they belong to.
+
+use super::InputBuilder;
+use crate::constants::{GANG_AVOID_MAX, MS_PER_S};
+use crate::coordination::planner::{is_within_guarantee, JobView, TeamView};
+use crate::protocol::cloud::Catalog;
+use crate::protocol::users::{JobKind, JobSpec};
+use crate::protocol::Resources;
+use crate::settings::{Objective, Team};
+use crate::storage::hashing::HashMap;
+use crate::storage::job::Job;
+use crate::storage::records::Name;
+
+impl InputBuilder<'_> {
+    /// Adds the jobs with waiting tasks, in the order of their arrival.
+    pub(super) fn add_waiting_jobs(&mut self) {
+        // What each team's unfinished jobs take together, up to the one looked at.
+        let mut claimed = vec![Resources::default(); self.settings.params.teams.len()];
+        let cluster = self.cluster;
+        for uid in cluster.queue.values() {
+            let Some(job) = cluster.jobs.get(uid) else { continue };
+            let Some(spec) = &job.spec else { continue };
+            let Some(team) = self.indices.team(&spec.team) else { continue };
+            claimed[team] += job.need * i64::from(job.tasks - job.done_count.min(job.tasks));
+            if waiting_tasks(job) == 0 || is_paused(job, self.now_ms) {
+                continue;
+            }
+            let guarantee = guarantee(&self.settings.params.teams[team]);
+            let within_guarantee = is_within_guarantee(&claimed[team], &guarantee);
+            let Some(placement) = self.zone_constraints(job, spec) else { continue };
+            let waited_ms = self.clock.wall_ms.saturating_sub(job.accepted_at_wall_ms);
+            let run_ms = self.leader.run_ms(spec);
+            self.input.snapshot.jobs.push(JobView {
+                priority: spec.priority,
+                team,
+                is_service: spec.kind == JobKind::Service,
+                is_gang: spec.is_gang(),
+                arrival: job.arrival,
+                waited_ms,
+                due_in_ms: due_in_ms(&self.settings.params.objectives, spec, run_ms, waited_ms),
+                within_guarantee,
+                need: job.need,
+                bandwidth: spec.cores * self.operator.bandwidth(&spec.class),
+                run_ms,
+                allowed_types: allowed_types(self.catalog, spec),
+                zone: placement.required_zone,
+                spot_allowed: spec.spot_allowed,
+                tasks_per_zone: placement.tasks_per_zone,
+                max_tasks_per_zone: spec.zone_cap(),
+                one_zone: spec.one_zone,
+                waiting_tasks: waiting_tasks(job),
+                has_started: job.has_started || job.done_count > 0 || !job.placed_on.is_empty(),
+                image: self.indices.image(&spec.image),
+                image_gb: spec.size_gb,
+                avoided_machines: avoided_machines(job, &self.machine_indices),
+            });
+            self.input.jobs.push(uid.clone());
+        }
+    }
+
+    /// Where the zones come into a job's placement; `None` if it can't be placed for now.
+    fn zone_constraints(&self, job: &Job, spec: &JobSpec) -> Option<ZoneConstraints> {
+        let tasks_per_zone = self.tasks_per_zone(job, spec)?;
+        let required_zone = match &spec.zone {
+            Some(name) => Some(self.indices.zone(name)?),
+            None => None,
+        };
+        Some(ZoneConstraints { tasks_per_zone, required_zone })
+    }
+
+    /// Unsettled tasks of a job per zone, where its placement depends on them. `None` if it depends on a
+    /// machine whose zone is not known yet: the job can neither be spread nor kept in one zone.
+    fn tasks_per_zone(&self, job: &Job, spec: &JobSpec) -> Option<Vec<u32>> {
+        let mut tasks_per_zone = vec![0; self.indices.zone_count()];
+        let must_know_all = spec.spread || spec.one_zone;
+        if !must_know_all && spec.kind != JobKind::Service {
+            return Some(tasks_per_zone);
+        }
+        for machine in job.placed_on.values() {
+            let machine = self.cluster.machines.get(machine);
+            match machine.and_then(|machine| self.indices.zone(&machine.zone)) {
+                Some(zone) => tasks_per_zone[zone] += 1,
+                None if must_know_all => return None,
+                None => {}
+            }
+        }
+        Some(tasks_per_zone)
+    }
+
+    /// Adds all teams.
+    pub(super) fn add_teams(&mut self) {
+        let unknown = self.cluster.used_by_unknown_tasks();
+        for team in &self.settings.params.teams {
+            let mut used = self.cluster.usage.get(&team.name).copied().unwrap_or_default();
+            used += unknown;
+            self.input.snapshot.teams.push(TeamView {
+                used,
+                guarantee: guarantee(team),
+                limit: Resources::new(team.cpus_max, team.gpus_max, 0.0),
+                share_permille: 0,
+            });
+        }
+    }
+}
+
+/// What zones mean for a job.
+struct ZoneConstraints {
+    /// Unsettled tasks per zone.
+    tasks_per_zone: Vec<u32>,
+    /// The only zone in which the job may run.
+    required_zone: Option<usize>,
+}
+
+/// Tasks of a job that are offered to the planner.
+pub(super) fn waiting_tasks(job: &Job) -> u32 {
+    // A job that fails everywhere is tried one task at a time.
+    match job.fails_everywhere() && !job.is_gang() {
+        true => job.waiting().min(1),
+        false => job.waiting(),
+    }
+}
+
+/// Whether a job pauses after failures of its tasks or of its gang.
+fn is_paused(job: &Job, now_ms: u64) -> bool {
+    let gang_retry_at = job.gang.as_ref().map_or(0, |gang| gang.retry_at);
+    job.paused_until.max(gang_retry_at) > now_ms
+}
+
+/// Which machine types a job may use, in the order of the catalog.
+fn allowed_types(catalog: &Catalog, spec: &JobSpec) -> Vec<bool> {
+    let is_allowed =
+        |name: &String| spec.machine_types.as_ref().is_none_or(|list| list.contains(name));
+    let types = catalog.machine_types.iter();
+    types.map(|machine_type| is_allowed(&machine_type.type_name)).collect()
+}
+
+/// Machines on which a job failed; none once it has failed on so many that it is tried everywhere.
+fn avoided_machines(job: &Job, machine_indices: &HashMap<&Name, usize>) -> Vec<usize> {
+    let tries_everywhere = match job.is_gang() {
+        true => job.failed_on.len() > GANG_AVOID_MAX,
+        false => job.fails_everywhere(),
+    };
+    if tries_everywhere {
+        return Vec::new();
+    }
+    job.failed_on.iter().filter_map(|machine| machine_indices.get(machine).copied()).collect()
+}
+
+/// Milliseconds until each of the times by which a job should be complete, the soonest first.
+pub(super) fn due_in_ms(
+    objectives: &[Objective],
+    spec: &JobSpec,
+    run_ms: u64,
+    waited_ms: u64,
+) -> Vec<u64> {
+    let of_class =
+        |objective: &&Objective| objective.class.as_deref().is_none_or(|class| class == spec.class);
+    let run_s = run_ms as f64 / MS_PER_S;
+    let mut due_in_ms: Vec<u64> = objectives
+        .iter()
+        .filter(of_class)
+        .filter_map(|objective| objective.complete_within(spec.deadline_s, run_s))
+        .chain(spec.deadline_s)
+        .map(|seconds| ((seconds * MS_PER_S) as u64).saturating_sub(waited_ms))
+        .collect();
+    due_in_ms.sort_unstable();
+    due_in_ms.dedup();
+    due_in_ms
+}
+
+fn guarantee(team: &Team) -> Resources {
+    Resources::new(team.cpus, team.gpus, 0.0)
+}
--- /dev/null
+++ b/src/coordination/planner_input/machines.rs
@@ -0,0 +1,135 @@
+//! Machines: which may get tasks, and which are on their way.
+
+use super::placements::MachineTasks;
+use super::InputBuilder;
+use crate::constants::{
+    BOOT_LATE, BOOT_SOON_PART, COMING_MANY, HTTP_BODY_MAX, MS_PER_S, REPORT_JITTER,
+    REPORT_TASK_BYTES,
+};
+use crate::coordination::planner::{BootingMachine, MachineView, MeanBootWait};
+use crate::protocol::cloud::MachineType;
+use crate::protocol::Resources;
+use crate::storage::hashing::HashSet;
+use crate::storage::machine::{Machine, MachineState};
+use crate::storage::records::Name;
+
+/// Most tasks that a machine's report can name.
+const TASKS_PER_REPORT: usize = HTTP_BODY_MAX / REPORT_TASK_BYTES;
+
+impl InputBuilder<'_> {
+    /// Adds the machines on their way: ordinary ones, then spot ones.
+    pub(super) fn add_booting_machines(&mut self) {
+        let ordinary = self.booting_machines(false);
+        let spot = self.booting_machines(true);
+        self.input.snapshot.mean_boot_wait =
+            MeanBootWait { ordinary_ms: mean_wait_ms(&ordinary), spot_ms: mean_wait_ms(&spot) };
+        self.input.snapshot.booting.extend(ordinary);
+        self.input.snapshot.booting.extend(spot);
+    }
+
+    fn booting_machines(&self, spot: bool) -> Vec<BootingMachine> {
+        let machines = self.cluster.machines.values();
+        machines
+            .filter(|machine| machine.state == MachineState::Booting && machine.spot == spot)
+            .filter_map(|machine| {
+                let type_index = self.indices.machine_type(&machine.type_name)?;
+                booting_machine(machine, &self.catalog.machine_types[type_index], self.now_ms)
+            })
+            .collect()
+    }
+
+    /// Adds the machines that may get tasks.
+    pub(super) fn add_open_machines(&mut self) {
+        let mut deferred_heartbeats: HashSet<&Name> = self.cluster.hash_keys().set();
+        deferred_heartbeats
+            .extend(self.leader.deferred_heartbeats.iter().map(|deferred| &deferred.machine));
+        let cluster = self.cluster;
+        for machine in cluster.machines.values() {
+            let zone = self.indices.zone(&machine.zone);
+            let type_index = self.indices.machine_type(&machine.type_name);
+            let (Some(zone), Some(type_index)) = (zone, type_index) else { continue };
+            if !may_get_tasks(machine, self.now_ms, self.silent_ms) {
+                continue;
+            }
+            let fetch_ms_per_gb = fetch_ms_per_gb(&self.catalog.machine_types[type_index]);
+            let next_report_ms = match deferred_heartbeats.contains(&machine.name) {
+                true => 0,
+                false => {
+                    next_report_ms(machine, self.settings.params.workers.report_s, self.now_ms)
+                }
+            };
+            let MachineTasks { running, handles, images } = self.tasks_on(machine, fetch_ms_per_gb);
+            self.input.snapshot.machines.push(MachineView {
+                zone,
+                type_index,
+                spot: machine.spot,
+                total: machine.total,
+                free_task_slots: TASKS_PER_REPORT.saturating_sub(machine.placements.len()),
+                running,
+                images,
+                fetch_ms_per_gb,
+                next_report_ms,
+            });
+            self.machine_indices.insert(&machine.name, self.input.machines.len());
+            self.input.machines.push(machine.name.clone());
+            self.input.handles.push(handles);
+        }
+    }
+}
+
+/// A machine on its way; `None` for one that is late, which may come at any time.
+pub(super) fn booting_machine(
+    machine: &Machine,
+    machine_type: &MachineType,
+    now_ms: u64,
+) -> Option<BootingMachine> {
+    let boot_ms = (machine_type.boot_s * MS_PER_S) as u64;
+    let left_ms = (machine.rented_at + boot_ms).saturating_sub(now_ms);
+    let is_late = now_ms > machine.rented_at + (boot_ms as f64 * BOOT_LATE) as u64;
+    let total = Resources::new(machine_type.cores, machine_type.gpus, machine_type.ram_gb);
+    (!is_late)
+        .then_some(BootingMachine { ready_in_ms: left_ms.max(boot_ms / BOOT_SOON_PART), total })
+}
+
+/// Mean milliseconds until machines are up, where many are on their way.
+pub(super) fn mean_wait_ms(booting: &[BootingMachine]) -> Option<u64> {
+    let count = booting.len() as u64;
+    (count >= COMING_MANY)
+        .then(|| booting.iter().map(|machine| machine.ready_in_ms).sum::<u64>() / count)
+}
+
+/// Whether a machine may get new tasks.
+pub(super) fn may_get_tasks(machine: &Machine, now_ms: u64, silent_ms: u64) -> bool {
+    machine.state == MachineState::Up
+        && !machine.cordoned
+        && !machine.draining
+        && !machine.lease_expired
+        // What is to be taken gets nothing more: it would not be stored, and the same tasks
+        // were placed there pass after pass while others had room for them.
+        && machine.reclaim_at.is_none()
+        // Nothing goes to a machine before it has shown our token: what reports may be
+        // a late copy of one that is gone, or a machine that hears nobody.
+        && machine.has_our_token
+        // What a task of an unknown job takes of its machine is not known either.
+        && machine.unknown_tasks.is_empty()
+        && machine.unreachable_since.is_none()
+        && machine.last_alive_at.is_some_and(|at| now_ms - at <= silent_ms)
+}
+
+/// Milliseconds that a machine of a type takes to fetch a gigabyte of an image.
+fn fetch_ms_per_gb(machine_type: &MachineType) -> f64 {
+    if machine_type.fetch_gb_per_s > 0.0 {
+        MS_PER_S / machine_type.fetch_gb_per_s
+    } else {
+        0.0
+    }
+}
+
+/// Milliseconds until a machine's next report is to be expected.
+pub(super) fn next_report_ms(machine: &Machine, report_s: f64, now_ms: u64) -> u64 {
+    let period = report_s * MS_PER_S;
+    let since = machine.last_heartbeat_at.map_or(0, |at| now_ms - at) as f64;
+    let earliest = (period * (1.0 - REPORT_JITTER) - since).max(0.0);
+    let latest = (period * (1.0 + REPORT_JITTER) - since).max(period * REPORT_JITTER);
+    ((earliest + latest) / 2.0) as u64
+}
--- a/src/storage/reservation.rs
+++ b/src/storage/reservation.rs
@@ -2,14 +2,15 @@
 //!
 //! After the paper, sections 3.2 and 3.3: the ends of running tasks cut a machine's time
 //! into shared windows; in each, the demand beyond capacity is a penalty, and the
-//! penalized time is the penalty times the window's length.
+//! penalized time is the penalty times the window's length. All times are in milliseconds on the
+//! planner's clock.
 
 use crate::protocol::Resources;
 
-/// A task on a machine until an estimated end.
+/// The paper's bucket (section 3.2): a task on a machine until an estimated end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
-    /// Milliseconds on the planner's clock.
+    /// Estimated end.
     pub end_ms: u64,
     /// What it takes.
     pub need: Resources,
@@ -17,6 +18,24 @@
     pub bandwidth: f64,
 }
 
+/// A place that a waiting task counts on, until its estimated end. It holds nothing: it only tells
+/// others that they would not be alone.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Claim {
+    /// When the task is expected to start.
+    pub start_ms: u64,
+    /// When it is expected to end.
+    pub end_ms: u64,
+    /// What it takes.
+    pub need: Resources,
+}
+
+impl Claim {
+    fn covers(&self, time_ms: u64) -> bool {
+        self.start_ms <= time_ms && time_ms < self.end_ms
+    }
+}
+
 /// One machine's row of the table.
 #[derive(Debug, Clone, Default)]
 pub struct ReservationRow {
@@ -28,90 +47,99 @@
     pub bandwidth_demand: f64,
     /// Tasks that run.
     pub buckets: Vec<Bucket>,
-    /// Places that waiting tasks count on: start, end, what they take. They hold nothing;
-    /// they only tell others that they would not be alone.
-    pub claims: Vec<(u64, u64, Resources)>,
+    /// Places that waiting tasks count on.
+    pub claims: Vec<Claim>,
     /// The times at which room may come up, in order: every end of the above.
     pub change_times_ms: Vec<u64>,
 }
 
 impl ReservationRow {
-    /// Whether a task would fit from `start` for `length`, beside what runs and what is
+    /// Whether a task would fit from `start_ms` for `length_ms`, beside what runs and what is
     /// claimed by then.
-    pub fn fits_later(&self, start: u64, length: u64, need: &Resources) -> bool {
-        let free = |t: u64| {
-            let mut free = self.free_at(t);
-            for (_, _, n) in self.claims.iter().filter(|(s, e, _)| *s <= t && t < *e) {
-                free -= *n;
-            }
-            free
-        };
-        free(start).fits(need)
+    pub fn fits_later(&self, start_ms: u64, length_ms: u64, need: &Resources) -> bool {
+        let end_ms = start_ms + length_ms;
+        self.unclaimed_at(start_ms).fits(need)
             && self
                 .claims
                 .iter()
-                .filter(|(s, _, _)| *s > start && *s < start + length)
-                .all(|(s, _, _)| free(*s).fits(need))
+                .filter(|claim| claim.start_ms > start_ms && claim.start_ms < end_ms)
+                .all(|claim| self.unclaimed_at(claim.start_ms).fits(need))
     }
 
     /// What is free at a time not before now, when nothing more is added.
-    pub fn free_at(&self, t: u64) -> Resources {
+    pub fn free_at(&self, time_ms: u64) -> Resources {
         let mut free = self.free;
-        for b in self.buckets.iter().filter(|b| b.end_ms <= t) {
-            free += b.need;
+        for bucket in self.buckets.iter().filter(|bucket| bucket.end_ms <= time_ms) {
+            free += bucket.need;
+        }
+        free
+    }
+
+    /// What is free at a time not before now, beside what is claimed.
+    fn unclaimed_at(&self, time_ms: u64) -> Resources {
+        let mut free = self.free_at(time_ms);
+        for claim in self.claims.iter().filter(|claim| claim.covers(time_ms)) {
+            free -= claim.need;
         }
         free
     }
 
     /// Adds a task from now on.
-    pub fn add(&mut self, b: Bucket) {
-        self.free -= b.need;
-        self.bandwidth_demand += b.bandwidth;
-        self.note_time(b.end_ms);
-        self.buckets.push(b);
+    pub fn add(&mut self, bucket: Bucket) {
+        self.free -= bucket.need;
+        self.bandwidth_demand += bucket.bandwidth;
+        self.note_change(bucket.end_ms);
+        self.buckets.push(bucket);
     }
 
     /// Adds a place that a waiting task counts on.
-    pub fn claim(&mut self, start: u64, length: u64, need: Resources) {
-        self.note_time(start + length);
-        self.claims.push((start, start + length, need));
+    pub fn claim(&mut self, start_ms: u64, length_ms: u64, need: Resources) {
+        let end_ms = start_ms + length_ms;
+        self.note_change(end_ms);
+        self.claims.push(Claim { start_ms, end_ms, need });
     }
 
     /// A task ends at another time than was thought.
-    pub fn end_at(&mut self, bucket: usize, end: u64) {
-        self.note_time(end);
-        self.buckets[bucket].end_ms = end;
+    pub fn end_at(&mut self, bucket: usize, end_ms: u64) {
+        self.note_change(end_ms);
+        self.buckets[bucket].end_ms = end_ms;
     }
 
-    fn note_time(&mut self, t: u64) {
-        if let Err(i) = self.change_times_ms.binary_search(&t) {
-            self.change_times_ms.insert(i, t);
+    fn note_change(&mut self, time_ms: u64) {
+        if let Err(position) = self.change_times_ms.binary_search(&time_ms) {
+            self.change_times_ms.insert(position, time_ms);
         }
     }
 
-    /// Penalized milliseconds of a task that would run in `[start, start + length]`.
-    pub fn penalized_ms(&self, start: u64, length: u64, bandwidth: f64) -> f64 {
+    /// Penalized milliseconds of a task that would run in `[start_ms, start_ms + length_ms]`.
+    pub fn penalized_ms(&self, start_ms: u64, length_ms: u64, bandwidth: f64) -> f64 {
         if self.bandwidth_capacity <= 0.0
             || self.bandwidth_demand + bandwidth <= self.bandwidth_capacity
         {
             return 0.0;
         }
-        let end = start + length;
-        let mut cuts: Vec<u64> =
-            self.buckets.iter().map(|b| b.end_ms).filter(|t| *t > start && *t < end).collect();
-        cuts.push(end);
-        cuts.sort_unstable();
-        let mut from = start;
-        let mut total = 0.0;
-        for to in cuts {
-            let others: f64 =
-                self.buckets.iter().filter(|b| b.end_ms > from).map(|b| b.bandwidth).sum();
+        let end_ms = start_ms + length_ms;
+        let mut window_start_ms = start_ms;
+        let mut total_ms = 0.0;
+        for window_end_ms in self.window_ends(start_ms, end_ms) {
+            let others = self.buckets.iter().filter(|bucket| bucket.end_ms > window_start_ms);
+            let others: f64 = others.map(|bucket| bucket.bandwidth).sum();
             let demand = others + bandwidth;
             let penalty = demand.max(self.bandwidth_capacity) / self.bandwidth_capacity - 1.0;
-            total += (to - from) as f64 * penalty;
-            from = to;
+            total_ms += (window_end_ms - window_start_ms) as f64 * penalty;
+            window_start_ms = window_end_ms;
         }
-        total
+        total_ms
+    }
+
+    /// The ends of the shared windows between two times, in order.
+    fn window_ends(&self, start_ms: u64, end_ms: u64) -> Vec<u64> {
+        let ends_ms = self.buckets.iter().map(|bucket| bucket.end_ms);
+        let mut cuts: Vec<u64> =
+            ends_ms.filter(|cut_ms| *cut_ms > start_ms && *cut_ms < end_ms).collect();
+        cuts.push(end_ms);
+        cuts.sort_unstable();
+        cuts
     }
 }
 
