--- /dev/null
+++ b/src/coordination/fleet/catalog.rs
@@ -0,0 +1,26 @@
+//! Requests for the cloud's catalog of machine types; [`crate::coordination::cloud_client`] owns what is known.
+
+use crate::constants::CLOUD_CALL_MS;
+use crate::coordination::{CallPurpose, Controller, Service};
+use crate::protocol::cloud::Catalog;
+use crate::protocol::http::Response;
+
+impl Controller {
+    /// Asks for the catalog when that is due.
+    pub(in crate::coordination) fn catalog_due(&mut self) {
+        if self.cloud.begin_catalog_request(self.leader.is_some(), self.now.monotonic_ms) {
+            let path = "/catalog".into();
+            self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, CallPurpose::Catalog);
+        }
+    }
+
+    /// Takes a catalog in. One that can't be read leaves the last one in place.
+    pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<Response>) {
+        self.cloud.end_catalog_request();
+        let Some(Response { status: 200, body }) = reply else { return };
+        match serde_json::from_slice::<Catalog>(&body) {
+            Ok(catalog) => self.cloud.set_catalog(catalog),
+            Err(error) => log::error!("catalogue can't be read: {error}"),
+        }
+    }
+}
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -93,7 +93,7 @@
         if !leader.cluster.has_waiting_tasks() && shares_are_known {
             // There is nothing to place, to make room for or to reserve.
             leader.reservation = None;
-            leader.fleet.none_unplaced();
+            leader.fleet.clear_unplaced();
             return;
         }
         let work = &mut self.metrics.work;
@@ -123,23 +123,24 @@
 
     /// Proposes and stops what a pass has decided.
     fn adopt_plan(&mut self, plan: &Plan, input: &PlannerInput, catalog: &Catalog, now: u64) {
-        self.reservation = plan
-            .reservation
-            .map(|(job, machine, _)| (input.jobs[job].clone(), input.machines[machine].clone()));
+        self.reservation = plan.reservation.map(|reserved| {
+            (input.jobs[reserved.job].clone(), input.machines[reserved.machine].clone())
+        });
         let mut gangs: BTreeMap<usize, Vec<MachineName>> = BTreeMap::new();
-        for (job, machine) in &plan.placements {
-            let machine_name = &input.machines[*machine];
-            if input.snapshot.jobs[*job].is_gang {
-                gangs.entry(*job).or_default().push(machine_name.clone());
+        for placed in &plan.placements {
+            let machine = &input.machines[placed.machine];
+            if input.snapshot.jobs[placed.job].is_gang {
+                gangs.entry(placed.job).or_default().push(machine.clone());
             } else {
-                self.propose_task(&input.jobs[*job], machine_name, now);
+                self.propose_task(&input.jobs[placed.job], machine, now);
             }
         }
         for (job, machines) in gangs {
             self.propose_attempt_of_gang(&input.jobs[job], &machines, now);
         }
-        for (machine, handle) in &plan.preemptions {
-            self.preempt(&input.machines[*machine], &input.handles[*machine][*handle], now);
+        for preempted in &plan.preemptions {
+            let id = &input.handles[preempted.machine][preempted.handle];
+            self.preempt(&input.machines[preempted.machine], id, now);
         }
         self.fleet.note_unplaced(input, plan, catalog);
     }
