--- a/src/coordination/commit_places/tests.rs
+++ b/src/coordination/commit_places/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::protocol::users::JobKind;
-use crate::storage::cluster::Group;
+use crate::storage::cluster::PlacementGroup;
 use crate::storage::hashing::HashKeys;
 use crate::storage::records::gang_batch_key;
 use crate::storage::replica::Replica;
@@ -77,7 +77,7 @@
 fn a_commit_for_a_gang_leaves_urgent_groups_to_the_next() {
     let mut cluster = proposed(20);
     let bytes = VALUE_BYTES - GROUP_FRAME_BYTES;
-    cluster.groups.insert(0, Group { bytes, urgent: true, ..Group::default() });
+    cluster.groups.insert(0, PlacementGroup { bytes, urgent: true, ..PlacementGroup::default() });
     let (mut p, mut f) = (packer(1), PendingTransaction::default());
     cluster.pack_places(&mut p, &mut f, false, TransactionScope::Everything);
     assert!(f.additions.is_empty() && cluster.gang_is_deferred);
--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -478,8 +478,8 @@
             .queue
             .values()
             .filter_map(|uid| self.jobs.get(uid))
-            .filter(|j| !f.finished_jobs.contains(&j.uid))
-            .flat_map(|j| j.dirty_chunks.iter().map(|n| (j.uid.clone(), *n)))
+            .filter(|j| !f.finished_jobs.contains(&j.id))
+            .flat_map(|j| j.dirty_chunks.iter().map(|n| (j.id.clone(), *n)))
             .collect();
         for (uid, chunk) in dirty {
             let Some(job) = self.jobs.get_mut(&uid) else { continue };
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -17,7 +17,7 @@
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::EndCause;
 use crate::protocol::Resources;
-use crate::storage::budget::Bucket;
+use crate::storage::token_bucket::TokenBucket;
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Machine, MachineState, PlacementPhase, StopReason};
@@ -203,7 +203,7 @@
 
     /// When it has to look again if nothing comes in before. Answers to commits come in; what
     /// waits for a pass, for a write to spare or for its longest time does not.
-    pub(super) fn next_wake(&self, now: u64, writes: &Bucket) -> Option<u64> {
+    pub(super) fn next_wake(&self, now: u64, writes: &TokenBucket) -> Option<u64> {
         let write = match &self.pending_transaction {
             Some(f) if f.in_flight || f.awaiting_read_since.is_some() => None,
             Some(f) => Some(f.not_before.max(writes.available_at(f.commit.writes.len() as f64))),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -35,7 +35,7 @@
 use crate::protocol::recovery::RECOVERY_PATH;
 use crate::protocol::state::Transaction;
 use crate::settings::{Operator, Platform};
-use crate::storage::budget::Bucket;
+use crate::storage::token_bucket::TokenBucket;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::limits::StoreLimits;
 use crate::storage::records::{JobId, MachineName};
@@ -187,9 +187,9 @@
     replica: Replica,
     store_sync: sync::Sync,
     limits: StoreLimits,
-    read_budget: Bucket,
-    write_budget: Bucket,
-    cloud_budget: Bucket,
+    read_budget: TokenBucket,
+    write_budget: TokenBucket,
+    cloud_budget: TokenBucket,
     catalog: Option<Rc<Catalog>>,
     catalog_at: Option<u64>,
     catalog_asked: bool,
@@ -222,12 +222,12 @@
         let share = election::follower_write_share(settings.controllers());
         Controller {
             process_id: rng.random(),
-            read_budget: Bucket::new(
+            read_budget: TokenBucket::new(
                 limits.requests_per_s * STATE_RPS_SHARE / n,
                 clock.monotonic_ms,
             ),
-            write_budget: Bucket::new(limits.writes_per_s * share, clock.monotonic_ms),
-            cloud_budget: Bucket::new(
+            write_budget: TokenBucket::new(limits.writes_per_s * share, clock.monotonic_ms),
+            cloud_budget: TokenBucket::new(
                 settings.params.cloud.rps * STATE_RPS_SHARE / n,
                 clock.monotonic_ms,
             ),
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -195,7 +195,7 @@
         let line = |job: &Job| {
             let why = self.wait_reason(leader, job)?.to_string();
             let (waiting, done, tasks) = (job.waiting(), job.done_count, job.tasks);
-            Some(WaitingLine { uid: job.uid.to_string(), waiting, done, tasks, why })
+            Some(WaitingLine { uid: job.id.to_string(), waiting, done, tasks, why })
         };
         jobs.filter_map(line).take(WAITING_SHOWN).collect()
     }
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -74,7 +74,7 @@
         if job.waiting() == 0 {
             return None;
         }
-        let reserved = leader.reservation.as_ref().filter(|(uid, _)| *uid == job.uid);
+        let reserved = leader.reservation.as_ref().filter(|(uid, _)| *uid == job.id);
         Some(match reserved {
             Some((_, machine)) => WaitReason::Reserved(machine.clone()),
             None if job.paused_until > self.now.monotonic_ms => WaitReason::Paused,
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -21,7 +21,7 @@
 
 /// A stored group of placements: one key of the store.
 #[derive(Debug, Default)]
-pub struct Group {
+pub struct PlacementGroup {
     /// Revision of its key.
     pub mod_revision: u64,
     /// What the store has, with the machine and the length of the text.
@@ -59,7 +59,7 @@
     /// What each team uses.
     pub usage: Usage,
     /// Stored groups of placements, by number.
-    pub groups: BTreeMap<u32, Group>,
+    pub groups: BTreeMap<u32, PlacementGroup>,
     /// Stored groups of bitmaps, by number.
     pub done_groups: BTreeMap<u32, DoneGroup>,
     /// Placements that wait to be stored, in the order decided.
@@ -112,7 +112,7 @@
         }
         let mut placed: HashMap<JobId, Vec<(u32, MachineName)>> = r.hash_keys().map();
         for (n, rec) in &r.places {
-            let mut group = Group { mod_revision: rec.mod_revision, ..Group::default() };
+            let mut group = PlacementGroup { mod_revision: rec.mod_revision, ..PlacementGroup::default() };
             for p in rec.value.placed() {
                 let id = TaskId::new(p.uid(), p.task);
                 let name: MachineName = p.machine.into();
@@ -149,7 +149,7 @@
                 let bytes = job.chunk_bytes(chunk);
                 job.chunk_groups.insert(chunk, *n);
                 group.bytes += bytes;
-                group.chunks.insert((job.uid.clone(), chunk), bytes);
+                group.chunks.insert((job.id.clone(), chunk), bytes);
             }
             b.done_groups.insert(*n, group);
         }
@@ -180,7 +180,7 @@
         let gang = spec.as_ref().filter(|s| s.is_gang()).map(|_| GangState::default());
         let keys = self.hash_keys();
         let mut job = Job {
-            uid: uid.clone(),
+            id: uid.clone(),
             gang,
             need: spec.as_ref().map(|s| s.need()).unwrap_or_default(),
             spec,
@@ -403,7 +403,7 @@
             job.fail_pause_ms = 0;
             m.successes += 1;
             if job.complete() {
-                self.completed_jobs.insert(job.uid.clone());
+                self.completed_jobs.insert(job.id.clone());
             }
         }
         if job.is_gang() {
@@ -501,7 +501,7 @@
     /// A job's tasks on machines.
     pub fn placements_of<'a>(&'a self, job: &'a Job) -> impl Iterator<Item = &'a Placement> {
         job.placed_on.iter().filter_map(|(task, machine)| {
-            self.machines.get(machine)?.placements.get(&TaskId::new(job.uid.clone(), *task))
+            self.machines.get(machine)?.placements.get(&TaskId::new(job.id.clone(), *task))
         })
     }
 
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -165,7 +165,7 @@
             job.is_gang() && !job.attempt_is_over() && job.placed_on.len() < job.tasks as usize
         };
         let gangs: Vec<JobId> =
-            self.jobs.values().filter(incomplete).map(|job| job.uid.clone()).collect();
+            self.jobs.values().filter(incomplete).map(|job| job.id.clone()).collect();
         for uid in gangs {
             self.stop_gang(&uid, StopReason::NotNeeded);
         }
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Job {
     /// Its id.
-    pub uid: JobId,
+    pub id: JobId,
     /// None only for a job whose record was reduced at its end.
     pub spec: Option<Rc<JobSpec>>,
     /// What each task takes.
@@ -93,7 +93,7 @@
     /// Bytes that a chunk of its bitmap takes in the store, at the most.
     pub fn chunk_bytes(&self, chunk: u32) -> usize {
         let tasks = self.tasks.saturating_sub(chunk * DONE_CHUNK_TASKS).min(DONE_CHUNK_TASKS);
-        chunk_name(&self.uid, chunk).len() + 16 * tasks.div_ceil(64) as usize + 6
+        chunk_name(&self.id, chunk).len() + 16 * tasks.div_ceil(64) as usize + 6
     }
 
     /// Whether every task is done.
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -6,7 +6,7 @@
 //! allows, [`gangs`] what holds for tasks that run together.
 
 pub mod adoption;
-pub mod budget;
+pub mod token_bucket;
 pub mod cluster;
 pub mod gangs;
 pub mod hashing;
--- a/src/storage/budget.rs
+++ b/src/storage/token_bucket.rs
@@ -2,18 +2,18 @@
 
 /// A bucket with a burst of one second's worth.
 #[derive(Debug, Clone)]
-pub struct Bucket {
+pub struct TokenBucket {
     per_s: f64,
     burst: f64,
     tokens: f64,
     at: u64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
-    pub fn new(per_s: f64, now: u64) -> Bucket {
+    pub fn new(per_s: f64, now: u64) -> TokenBucket {
         let burst = per_s.max(1.0);
-        Bucket { per_s, burst, tokens: burst, at: now }
+        TokenBucket { per_s, burst, tokens: burst, at: now }
     }
 
     /// Changes the rate from now on.
--- a/src/storage/budget/tests.rs
+++ b/src/storage/token_bucket/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of [`super`], the module `budget`.
+//! Tests of [`super`], the module `token_bucket`.
 
 use super::*;
 
 #[test]
 fn a_bucket_gives_its_rate_and_no_more() {
-    let mut b = Bucket::new(10.0, 0);
+    let mut b = TokenBucket::new(10.0, 0);
     let mut given = 0;
     for ms in 0..2_000 {
         given += u32::from(b.take(1.0, 0.0, ms));
