--- a/src/coordination/commit_places/tests.rs
+++ b/src/coordination/commit_places/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::protocol::users::JobKind;
-use crate::storage::cluster::PlacementGroup;
 use crate::storage::hashing::HashKeys;
+use crate::storage::placement_group::PlacementGroup;
 use crate::storage::records::gang_batch_key;
 use crate::storage::replica::Replica;
 use crate::storage::testing::batch_of;
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -17,11 +17,11 @@
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::EndCause;
 use crate::protocol::Resources;
-use crate::storage::token_bucket::TokenBucket;
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Machine, MachineState, PlacementPhase, StopReason};
 use crate::storage::records::{JobId, MachineName};
+use crate::storage::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
 
 /// A commit that is under way.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -35,11 +35,11 @@
 use crate::protocol::recovery::RECOVERY_PATH;
 use crate::protocol::state::Transaction;
 use crate::settings::{Operator, Platform};
-use crate::storage::token_bucket::TokenBucket;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::limits::StoreLimits;
 use crate::storage::records::{JobId, MachineName};
 use crate::storage::replica::Replica;
+use crate::storage::token_bucket::TokenBucket;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::rc::Rc;
 
--- a/src/coordination/workers.rs
+++ b/src/coordination/workers.rs
@@ -17,8 +17,8 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::workers::*;
 use crate::settings::Platform;
-use crate::storage::adoption::{make_returned_up_to, Adoption};
-use crate::storage::cluster::ClusterState;
+
+use crate::storage::cluster::{Adoption, ClusterState};
 use crate::storage::gangs::GangState;
 use crate::storage::machine::{
     HeartbeatId, MachineState, Placement, PlacementPhase, StopReason, TaskId,
@@ -480,7 +480,7 @@
         if !free {
             return;
         }
-        make_returned_up_to(job, id.index);
+        job.requeue_up_to(id.index);
         self.propose(&id.job, id.index, machine, attempt, now);
         if let Some(p) = self.machines.get_mut(machine).and_then(|m| m.placements.get_mut(id)) {
             p.phase = PlacementPhase::Committed;
--- a/src/storage/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -3,11 +3,11 @@
 //! Before a store has been rebuilt there are none. After it a task may have been placed in the part
 //! of the history that is lost, and a report with the present term shows where it runs.
 
-use super::cluster::ClusterState;
-use super::job::Job;
-use super::machine::{PlacementPhase, StopReason, TaskId};
-use super::records::{JobId, JobStage, MachineName};
+use super::ClusterState;
 use crate::protocol::workers::{EndCause, TaskStatus};
+use crate::storage::job::PlacedTask;
+use crate::storage::machine::{PlacementPhase, StopReason, TaskId};
+use crate::storage::records::{JobId, MachineName};
 
 /// What becomes of a task that runs and has no placement that we know of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,24 +21,28 @@
 }
 
 impl ClusterState {
-    /// Placements of a job that is not known yet, by task and machine.
-    pub(super) fn placed_tasks_of(&self, uid: &JobId) -> Vec<(u32, MachineName)> {
-        let tasks = TaskId::new(uid.clone(), 0)..=TaskId::new(uid.clone(), u32::MAX);
+    /// Unsettled placements of a job that is not known yet.
+    pub(super) fn placed_tasks_of(&self, job: &JobId) -> Vec<PlacedTask> {
+        let tasks = TaskId::new(job.clone(), 0)..=TaskId::new(job.clone(), u32::MAX);
         let mut placed = Vec::new();
         for machine in self.machines.values() {
-            let open = machine.placements.range(tasks.clone()).filter(|(_, p)| p.settled.is_none());
-            placed.extend(open.map(|(id, _)| (id.index, machine.name.clone())));
+            let placements = machine.placements.range(tasks.clone());
+            let unsettled = placements.filter(|(_, placement)| placement.settled.is_none());
+            placed.extend(
+                unsettled
+                    .map(|(id, _)| PlacedTask { index: id.index, machine: machine.name.clone() }),
+            );
         }
         placed
     }
 
     /// A job is known by now whose tasks were found running before.
-    pub(super) fn adopt_tasks_of(&mut self, uid: &JobId, now: u64) {
+    pub(super) fn adopt_tasks_of(&mut self, job: &JobId, now: u64) {
         let mut found: Vec<(MachineName, TaskId, u64)> = Vec::new();
         for machine in self.machines.values_mut() {
-            let tasks = machine.unknown_tasks.iter().filter(|(id, _)| id.job == *uid);
+            let tasks = machine.unknown_tasks.iter().filter(|(id, _)| id.job == *job);
             found.extend(tasks.map(|(id, attempt)| (machine.name.clone(), id.clone(), *attempt)));
-            machine.unknown_tasks.retain(|(id, _)| id.job != *uid);
+            machine.unknown_tasks.retain(|(id, _)| id.job != *job);
         }
         for (machine, id, attempt) in found {
             self.adopt(&machine, &id, attempt, now);
@@ -54,8 +58,8 @@
         attempt: u64,
         now: u64,
     ) -> Adoption {
-        let Some(job) = self.jobs.get(&id.job) else { return Adoption::Refused };
-        if job.stage != JobStage::Live || id.index >= job.tasks || job.done.get(id.index) {
+        let Some(job) = self.jobs.get_mut(&id.job) else { return Adoption::Refused };
+        if !job.is_live() || id.index >= job.tasks || job.done.get(id.index) {
             return Adoption::Refused;
         }
         if job.settling.contains(&id.index) {
@@ -64,16 +68,13 @@
         if let Some(other) = job.placed_on.get(&id.index).cloned() {
             return self.settle_earlier(&other, id, attempt);
         }
-        let withheld = job.quarantined;
-        if let Some(job) = self.jobs.get_mut(&id.job) {
-            make_returned_up_to(job, id.index);
-        }
+        job.requeue_up_to(id.index);
+        let stop_reason = job.quarantined.then_some(StopReason::Eviction);
         self.propose(&id.job, id.index, machine, attempt, now);
-        let placements = self.machines.get_mut(machine).map(|m| &mut m.placements);
-        if let Some(placement) = placements.and_then(|p| p.get_mut(id)) {
+        if let Some(placement) = self.placement_mut(machine, id) {
             placement.phase = PlacementPhase::Committed;
             placement.reported_status = Some(TaskStatus::Running);
-            placement.stop_reason = withheld.then_some(StopReason::Eviction);
+            placement.stop_reason = stop_reason;
         }
         Adoption::Adopted
     }
@@ -81,24 +82,13 @@
     /// A task that is placed runs with another attempt. Attempts rise, and the next is placed only once the
     /// last is settled and that is committed: a higher one proves that ours is over.
     fn settle_earlier(&mut self, machine: &MachineName, id: &TaskId, attempt: u64) -> Adoption {
-        let known = self.machines.get(machine).and_then(|m| m.placements.get(id));
-        let earlier =
-            known.is_some_and(|p| p.attempt < attempt && p.phase == PlacementPhase::Committed);
-        if !earlier {
+        let is_earlier = self.placement(machine, id).is_some_and(|placement| {
+            placement.attempt < attempt && placement.phase == PlacementPhase::Committed
+        });
+        if !is_earlier {
             return Adoption::Refused;
         }
         self.settle(machine, id, EndCause::Lost);
         Adoption::Waits
     }
 }
-
-/// Tasks between the fresh ones and this one wait like returned ones.
-pub fn make_returned_up_to(job: &mut Job, task: u32) {
-    while job.first_never_placed <= task {
-        let fresh = job.first_never_placed;
-        if !job.done.get(fresh) {
-            job.requeued.insert(fresh);
-        }
-        job.first_never_placed += 1;
-    }
-}
--- /dev/null
+++ b/src/storage/cluster/gangs.rs
@@ -0,0 +1,95 @@
+//! Gangs among the jobs: attempts are placed whole and stopped whole.
+
+use super::ClusterState;
+use crate::protocol::workers::EndCause;
+use crate::storage::gangs::GangPhase;
+use crate::storage::job::Job;
+use crate::storage::machine::{Placement, PlacementPhase, StopReason, TaskId};
+use crate::storage::records::{JobId, MachineName};
+
+impl ClusterState {
+    /// Where a gang stands.
+    pub fn gang_phase(&self, job: &Job) -> GangPhase {
+        if job.attempt_is_over() {
+            return GangPhase::Unplaced;
+        }
+        let all = job.placed_on.len() == job.tasks as usize;
+        let any = |test: &dyn Fn(&Placement) -> bool| self.placements_of(job).any(test);
+        if !all || any(&|placement| placement.stop_reason.is_some()) {
+            return GangPhase::Stopping;
+        }
+        if any(&|placement| placement.phase == PlacementPhase::Proposed) {
+            return GangPhase::Storing;
+        }
+        if any(&|placement| placement.running_since.is_none()) {
+            return GangPhase::Assembling;
+        }
+        GangPhase::Running
+    }
+
+    /// Proposes an attempt of a gang: task by task on the machines given. Nothing is proposed
+    /// unless all its tasks wait and each gets a machine.
+    pub fn propose_gang(
+        &mut self,
+        id: &JobId,
+        machines: &[MachineName],
+        attempt: u64,
+        now: u64,
+    ) -> bool {
+        let Some(job) = self.jobs.get_mut(id) else { return false };
+        let whole = job.waiting() == job.tasks && machines.len() == job.tasks as usize;
+        let known = machines.iter().all(|name| self.machines.contains_key(name));
+        let Some(gang) = job.gang.as_mut().filter(|_| whole && known) else { return false };
+        gang.note_attempt(now);
+        for (index, machine) in machines.iter().enumerate() {
+            self.propose(id, index as u32, machine, attempt, now);
+        }
+        true
+    }
+
+    /// Stops all tasks of a gang. Those that have been told to save are left to it.
+    pub fn stop_gang(&mut self, id: &JobId, reason: StopReason) {
+        let Some(job) = self.jobs.get(id) else { return };
+        for task in job.placed_tasks() {
+            let placement = self.placement_mut(&task.machine, &TaskId::new(id.clone(), task.index));
+            if let Some(placement) = placement.filter(|placement| placement.settled.is_none()) {
+                placement.stop_reason.get_or_insert(reason);
+            }
+        }
+    }
+
+    /// Evidence has settled a task of a gang. One that is done shows that all are; with any other
+    /// end the attempt is over.
+    pub(super) fn gang_task_settled(&mut self, id: &JobId, cause: EndCause) {
+        let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else {
+            return;
+        };
+        if cause != EndCause::Done {
+            if !job.is_complete() {
+                self.stop_gang(id, StopReason::NotNeeded);
+            }
+            return;
+        }
+        for index in 0..job.tasks {
+            job.mark_done(index);
+        }
+        if job.is_complete() {
+            self.completed_jobs.insert(id.clone());
+        }
+    }
+
+    /// Stops gangs of which the store has only a part: an earlier leader has seen a task gone.
+    pub fn stop_incomplete_gangs(&mut self) {
+        let incomplete = |job: &&Job| {
+            job.is_gang() && !job.attempt_is_over() && job.placed_on.len() < job.tasks as usize
+        };
+        let gangs: Vec<JobId> =
+            self.jobs.values().filter(incomplete).map(|job| job.id.clone()).collect();
+        for id in gangs {
+            self.stop_gang(&id, StopReason::NotNeeded);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/storage/cluster/gangs/tests.rs
@@ -0,0 +1,110 @@
+//! Tests of [`super`], the module `cluster::gangs`.
+
+use super::*;
+use crate::protocol::state::raw;
+use crate::protocol::users::JobKind;
+use crate::storage::hashing::HashKeys;
+use crate::storage::records::{
+    gang_batch_key, job_end_key, placements_key, JobEndRecord, JobStage, PlacementsRecord,
+    StoredPlacement,
+};
+use crate::storage::replica::Replica;
+use crate::storage::testing::batch_of;
+use std::rc::Rc;
+
+/// A replica with one gang, job-1, whose first tasks are placed on two machines with attempt 7.
+fn replica(tasks: u32, placed: u32) -> Replica {
+    let mut batch = batch_of("job-1", tasks);
+    let spec = Rc::make_mut(&mut batch.jobs[0]);
+    spec.kind = JobKind::Gang;
+    let mut replica = Replica::new(HashKeys::from_seed(1));
+    replica.write(&gang_batch_key("a"), &raw(&batch), 3);
+    let text =
+        |n| StoredPlacement::text("job-1", n, ["n-a", "n-b"][n as usize % 2], 7).expect("a text");
+    let tasks: Vec<String> = (0..placed).map(text).collect();
+    replica.write(&placements_key(0), &raw(&PlacementsRecord { tasks: tasks.join(" ") }), 4);
+    replica
+}
+
+fn job_id() -> JobId {
+    "job-1".into()
+}
+
+fn stop_reasons(cluster: &ClusterState) -> Vec<Option<StopReason>> {
+    let machines = cluster.machines.values();
+    machines.flat_map(|m| m.placements.values()).map(|p| p.stop_reason).collect()
+}
+
+/// Settles a task and, if `stored`, takes it out of the store.
+fn settle(cluster: &mut ClusterState, task: u32, cause: EndCause, stored: bool) {
+    let machine = cluster.jobs[&job_id()].placed_on[&task].clone();
+    let id = TaskId::new(job_id(), task);
+    let attempt = cluster.machines[&machine].placements[&id].attempt;
+    cluster.settle(&machine, &id, cause);
+    if stored {
+        cluster.settlement_committed(&machine, &id, attempt);
+    }
+}
+
+#[test]
+fn a_gang_that_is_stored_whole_goes_on_and_one_that_is_not_is_stopped() {
+    let whole = ClusterState::from_replica(&replica(4, 4), 0);
+    assert_eq!(stop_reasons(&whole), vec![None; 4]);
+    let part = ClusterState::from_replica(&replica(4, 3), 0);
+    assert_eq!(stop_reasons(&part), vec![Some(StopReason::NotNeeded); 3]);
+}
+
+#[test]
+fn the_next_attempt_waits_until_the_last_is_out_of_the_store() {
+    let mut cluster = ClusterState::from_replica(&replica(2, 2), 0);
+    assert_eq!(cluster.jobs[&job_id()].waiting(), 0);
+    settle(&mut cluster, 0, EndCause::Lost, true);
+    assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "one task is left");
+    assert_eq!(stop_reasons(&cluster), vec![Some(StopReason::NotNeeded)]);
+    settle(&mut cluster, 1, EndCause::MatesGone, false);
+    assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "and stands in the store");
+    let machines: Vec<MachineName> = vec!["n-a".into(), "n-b".into()];
+    assert!(!cluster.propose_gang(&job_id(), &machines, 8, 0));
+    let on: MachineName = "n-b".into();
+    cluster.settlement_committed(&on, &TaskId::new(job_id(), 1), 7);
+    assert_eq!(cluster.jobs[&job_id()].waiting(), 2);
+    assert!(!cluster.propose_gang(&job_id(), &machines[..1], 8, 0), "not a part of it");
+    assert!(cluster.propose_gang(&job_id(), &machines, 8, 0));
+    assert_eq!(cluster.jobs[&job_id()].placed_on.len(), 2);
+    assert_eq!(cluster.gang_phase(&cluster.jobs[&job_id()]), GangPhase::Storing);
+}
+
+#[test]
+fn one_task_that_is_done_shows_that_all_are() {
+    let mut cluster = ClusterState::from_replica(&replica(4, 4), 0);
+    settle(&mut cluster, 2, EndCause::Done, false);
+    assert!(cluster.jobs[&job_id()].is_complete());
+    assert!(cluster.completed_jobs.contains(&job_id()));
+    settle(&mut cluster, 0, EndCause::Lost, false);
+    assert!(cluster.jobs[&job_id()].is_complete(), "a machine that is lost later changes nothing");
+}
+
+#[test]
+fn a_stop_that_saves_is_not_cut_short_by_the_first_task_that_has_saved() {
+    let mut cluster = ClusterState::from_replica(&replica(4, 4), 0);
+    cluster.stop_gang(&job_id(), StopReason::Eviction);
+    settle(&mut cluster, 1, EndCause::Halted, true);
+    assert_eq!(stop_reasons(&cluster), vec![Some(StopReason::Eviction); 3]);
+}
+
+#[test]
+fn a_gang_that_is_cancelled_stops_and_starts_no_more() {
+    let mut replica = replica(2, 2);
+    let mut cluster = ClusterState::from_replica(&replica, 0);
+    let end = JobEndRecord { at: 0, stage: JobStage::Cancelled, tasks: 2, done: 0 };
+    replica.write(&job_end_key("job-1"), &raw(&end), 9);
+    cluster.job_changed(&replica, &job_id(), 0);
+    assert_eq!(stop_reasons(&cluster), vec![Some(StopReason::NotNeeded); 2]);
+    settle(&mut cluster, 0, EndCause::Halted, true);
+    settle(&mut cluster, 1, EndCause::Halted, true);
+    assert!(!cluster.jobs.contains_key(&job_id()));
+    let held = |m: &MachineName| {
+        cluster.machines[m].placements.values().any(|p| p.phase != PlacementPhase::Proposed)
+    };
+    assert!(!held(&"n-a".into()) && !held(&"n-b".into()));
+}
--- /dev/null
+++ b/src/storage/cluster/placements.rs
@@ -0,0 +1,173 @@
+//! The life cycle of a placement: proposed, committed, settled, taken out.
+
+use super::resources::{charge, release};
+use super::ClusterState;
+use crate::protocol::workers::EndCause;
+use crate::storage::machine::{Placement, PlacementPhase, TaskId};
+use crate::storage::records::{JobId, MachineName};
+
+impl ClusterState {
+    /// Proposes a placement. It counts for place and quota at once, and waits to be stored.
+    pub fn propose(
+        &mut self,
+        job_id: &JobId,
+        index: u32,
+        machine_name: &MachineName,
+        attempt: u64,
+        now: u64,
+    ) {
+        let Some(job) = self.jobs.get_mut(job_id) else { return };
+        let Some(machine) = self.machines.get_mut(machine_name) else { return };
+        job.take_from_waiting(index);
+        job.placed_on.insert(index, machine_name.clone());
+        charge(&mut self.usage, job, 1);
+        let id = TaskId::new(job_id.clone(), index);
+        let placement = Placement::new(attempt, PlacementPhase::Proposed, now);
+        machine.placements.insert(id.clone(), placement);
+        machine.idle_since = None;
+        machine.uncommitted_placements += 1;
+        self.proposals.push_back((machine_name.clone(), id));
+    }
+
+    /// Takes back a proposal that never reached the store.
+    pub fn retract(&mut self, machine: &MachineName, id: &TaskId) {
+        let Some(machine) = self.machines.get_mut(machine) else { return };
+        machine.uncommitted_placements = machine.uncommitted_placements.saturating_sub(1);
+        let is_open = |placement: &Placement| {
+            placement.phase == PlacementPhase::Proposed && placement.settled.is_none()
+        };
+        if !machine.placements.get(id).is_some_and(is_open) {
+            return;
+        }
+        machine.placements.remove(id);
+        let Some(job) = self.jobs.get_mut(&id.job) else { return };
+        job.placed_on.remove(&id.index);
+        release(&mut self.usage, job);
+        job.requeue(id.index);
+        self.forget_if_finished(&id.job);
+    }
+
+    /// A placement is in the store.
+    pub fn committed(&mut self, machine: &MachineName, id: &TaskId, attempt: u64, group: u32) {
+        let Some(machine) = self.machines.get_mut(machine) else { return };
+        machine.uncommitted_placements = machine.uncommitted_placements.saturating_sub(1);
+        let placement = machine.placements.get_mut(id);
+        let Some(placement) = placement.filter(|placement| placement.attempt == attempt) else {
+            return;
+        };
+        placement.phase = PlacementPhase::Committed;
+        placement.group = Some(group);
+        // Settled while the commit was under way.
+        if let (Some(cause), Some(group)) = (placement.settled, self.groups.get_mut(&group)) {
+            group.settle(id.clone(), attempt, cause != EndCause::Done);
+        }
+    }
+
+    /// Evidence has settled a placement: it no longer counts for place and quota, and its
+    /// task is free again once the settlement is committed.
+    pub fn settle(&mut self, machine_name: &MachineName, id: &TaskId, cause: EndCause) {
+        let placement = self.placement_mut(machine_name, id);
+        let Some(placement) = placement.filter(|placement| placement.settled.is_none()) else {
+            return;
+        };
+        placement.settled = Some(cause);
+        let (attempt, group) = (placement.attempt, placement.group);
+        self.mark_for_removal(machine_name, id, attempt, group, cause);
+        let Some(job) = self.jobs.get_mut(&id.job) else { return };
+        if job.placed_on.get(&id.index) == Some(machine_name) {
+            job.placed_on.remove(&id.index);
+        }
+        job.settling.insert(id.index);
+        release(&mut self.usage, job);
+        let is_gang = job.is_gang();
+        if cause == EndCause::Done && job.is_live() {
+            self.count_success(machine_name, id);
+        }
+        if is_gang {
+            self.gang_task_settled(&id.job, cause);
+        }
+    }
+
+    /// Marks a settled placement to be taken out of the store, or as one that never was there.
+    fn mark_for_removal(
+        &mut self,
+        machine: &MachineName,
+        id: &TaskId,
+        attempt: u64,
+        group: Option<u32>,
+        cause: EndCause,
+    ) {
+        match group.and_then(|number| self.groups.get_mut(&number)) {
+            Some(group) => {
+                // Its task may start again only once this is in the store.
+                let starts_again = self.jobs.get(&id.job).is_some_and(|job| job.is_live());
+                group.settle(id.clone(), attempt, starts_again && cause != EndCause::Done);
+            }
+            None => self.unstored_settlements.push((machine.clone(), id.clone())),
+        }
+    }
+
+    /// A task of a live job has ended well.
+    fn count_success(&mut self, machine: &MachineName, id: &TaskId) {
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.successes += 1;
+        }
+        let Some(job) = self.jobs.get_mut(&id.job) else { return };
+        job.mark_done(id.index);
+        job.successes += 1;
+        job.failed_on.clear();
+        job.fail_pause_ms = 0;
+        if job.is_complete() {
+            self.completed_jobs.insert(job.id.clone());
+        }
+    }
+
+    /// A settlement is committed: the placement is taken out and the task, unless it is
+    /// done or not wanted any more, waits again.
+    ///
+    /// Only the attempt that was settled: its task may have been placed again since, even on
+    /// the same machine. Settling one attempt twice once let a task wait that was placed.
+    pub fn settlement_committed(&mut self, machine: &MachineName, id: &TaskId, attempt: u64) {
+        let Some(machine) = self.machines.get_mut(machine) else { return };
+        let is_over =
+            |placement: &Placement| placement.attempt == attempt && placement.settled.is_some();
+        if !machine.placements.get(id).is_some_and(is_over) {
+            return;
+        }
+        machine.placements.remove(id);
+        if let Some(job) = self.jobs.get_mut(&id.job) {
+            if job.settling.remove(&id.index) && !job.placed_on.contains_key(&id.index) {
+                job.requeue(id.index);
+            }
+        }
+        self.forget_if_finished(&id.job);
+    }
+
+    /// Takes out placements that ended without ever being in the store. Tells whether there were any.
+    pub fn drop_unstored_settlements(&mut self) -> bool {
+        let settlements = std::mem::take(&mut self.unstored_settlements);
+        let any = !settlements.is_empty();
+        for (machine, id) in settlements {
+            let placement = self.placement(&machine, &id);
+            // One that was stored meanwhile is taken out of its group first.
+            let unstored = placement.filter(|placement| placement.group.is_none());
+            if let Some(attempt) = unstored.map(|placement| placement.attempt) {
+                self.settlement_committed(&machine, &id, attempt);
+            }
+        }
+        any
+    }
+
+    /// Settles all placements of a machine: they are surely gone.
+    pub fn settle_machine(&mut self, machine_name: &MachineName) {
+        let Some(machine) = self.machines.get(machine_name) else { return };
+        let is_open = |placement: &Placement| {
+            placement.settled.is_none() && placement.phase == PlacementPhase::Committed
+        };
+        let open = machine.placements.iter().filter(|(_, placement)| is_open(placement));
+        let ids: Vec<TaskId> = open.map(|(id, _)| id.clone()).collect();
+        for id in ids {
+            self.settle(machine_name, &id, EndCause::Lost);
+        }
+    }
+}
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 use crate::protocol::state::raw;
-use crate::storage::hashing::HashKeys;
+use crate::protocol::workers::EndCause;
 use crate::storage::records::batch_key;
+use crate::storage::replica::Replica;
 use crate::storage::testing::batch_of;
 
 #[test]
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -5,12 +5,7 @@
 //! last is proved gone and that is in the store. So an attempt never gets a replacement, and an
 //! attempt number is still used only once on a machine for a task.
 
-use super::cluster::ClusterState;
-use super::job::Job;
-use super::machine::{Placement, StopReason, TaskId};
-use super::records::{JobId, JobStage, MachineName};
-use crate::constants::{DONE_CHUNK_TASKS, GANG_RETRY_MAX_MS, GANG_RETRY_MS};
-use crate::protocol::workers::EndCause;
+use crate::constants::{GANG_RETRY_MAX_MS, GANG_RETRY_MS};
 
 /// What a leader knows of a gang beside what it knows of any job.
 #[derive(Debug, Clone, Default)]
@@ -38,26 +33,6 @@
     Stopping,
 }
 
-impl Job {
-    /// Whether its tasks all run at the same time.
-    pub fn is_gang(&self) -> bool {
-        self.gang.is_some()
-    }
-
-    /// Whether nothing of an earlier attempt is left, neither on machines nor in the store.
-    pub fn attempt_is_over(&self) -> bool {
-        self.placed_on.is_empty() && self.settling.is_empty()
-    }
-
-    /// Tasks of a gang that wait for machines: all or none.
-    pub(super) fn gang_waiting(&self) -> u32 {
-        match self.attempt_is_over() && self.done_count == 0 {
-            true => self.tasks,
-            false => 0,
-        }
-    }
-}
-
 impl GangState {
     /// Notes that an attempt is placed, and when the next one may be if this one fails before it
     /// runs: at once after the first, later after each further one.
@@ -84,93 +59,5 @@
     }
 }
 
-impl ClusterState {
-    /// Where a gang stands.
-    pub fn gang_phase(&self, job: &Job) -> GangPhase {
-        if job.attempt_is_over() {
-            return GangPhase::Unplaced;
-        }
-        let all = job.placed_on.len() == job.tasks as usize;
-        let any = |test: &dyn Fn(&Placement) -> bool| self.placements_of(job).any(test);
-        if !all || any(&|p| p.stop_reason.is_some()) {
-            return GangPhase::Stopping;
-        }
-        if any(&|p| p.phase == super::machine::PlacementPhase::Proposed) {
-            return GangPhase::Storing;
-        }
-        if any(&|p| p.running_since.is_none()) {
-            return GangPhase::Assembling;
-        }
-        GangPhase::Running
-    }
-
-    /// Proposes an attempt of a gang: task by task on the machines given. Nothing is proposed
-    /// unless all its tasks wait and each gets a machine.
-    pub fn propose_gang(
-        &mut self,
-        uid: &JobId,
-        machines: &[MachineName],
-        attempt: u64,
-        now: u64,
-    ) -> bool {
-        let Some(job) = self.jobs.get_mut(uid) else { return false };
-        let whole = job.waiting() == job.tasks && machines.len() == job.tasks as usize;
-        let known = machines.iter().all(|name| self.machines.contains_key(name));
-        let Some(gang) = job.gang.as_mut().filter(|_| whole && known) else { return false };
-        gang.note_attempt(now);
-        for (task, machine) in machines.iter().enumerate() {
-            self.propose(uid, task as u32, machine, attempt, now);
-        }
-        true
-    }
-
-    /// Stops all tasks of a gang. Those that have been told to save are left to it.
-    pub fn stop_gang(&mut self, uid: &JobId, halt: StopReason) {
-        let Some(job) = self.jobs.get(uid) else { return };
-        for (task, machine) in &job.placed_on {
-            let machine = self.machines.get_mut(machine);
-            let held = machine.and_then(|m| m.placements.get_mut(&TaskId::new(uid.clone(), *task)));
-            if let Some(placement) = held.filter(|p| p.settled.is_none()) {
-                placement.stop_reason.get_or_insert(halt);
-            }
-        }
-    }
-
-    /// Evidence has settled a task of a gang. One that is done shows that all are; with any other
-    /// end the attempt is over.
-    pub(super) fn gang_task_settled(&mut self, uid: &JobId, cause: EndCause) {
-        let Some(job) = self.jobs.get_mut(uid).filter(|job| job.stage == JobStage::Live) else {
-            return;
-        };
-        if cause != EndCause::Done {
-            if !job.complete() {
-                self.stop_gang(uid, StopReason::NotNeeded);
-            }
-            return;
-        }
-        for task in 0..job.tasks {
-            if job.done.set(task) {
-                job.done_count += 1;
-                job.dirty_chunks.insert(task / DONE_CHUNK_TASKS);
-            }
-        }
-        if job.complete() {
-            self.completed_jobs.insert(uid.clone());
-        }
-    }
-
-    /// Stops gangs of which the store has only a part: an earlier leader has seen a task gone.
-    pub fn stop_incomplete_gangs(&mut self) {
-        let incomplete = |job: &&Job| {
-            job.is_gang() && !job.attempt_is_over() && job.placed_on.len() < job.tasks as usize
-        };
-        let gangs: Vec<JobId> =
-            self.jobs.values().filter(incomplete).map(|job| job.id.clone()).collect();
-        for uid in gangs {
-            self.stop_gang(&uid, StopReason::NotNeeded);
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -1,14 +1,33 @@
 //! Jobs as the leader of a term knows them: which tasks wait, are placed, or are done.
 
 use super::gangs::GangState;
-use super::hashing::{HashMap, HashSet};
-use super::records::{chunk_name, Bitmap, JobId, JobStage, MachineName};
+use super::hashing::{HashKeys, HashMap, HashSet};
+use super::records::{chunk_name, Bitmap, JobId, JobRecord, JobStage, MachineName};
+use super::replica::Versioned;
 use crate::constants::{BAD_JOB_MACHINES, DONE_CHUNK_TASKS};
-use crate::protocol::users::JobSpec;
+use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
+/// Tasks in one word of a bitmap's text form.
+const WORD_TASKS: u32 = 64;
+
+/// Bytes of such a word, in hexadecimal digits.
+const WORD_TEXT_BYTES: usize = 16;
+
+/// Bytes that quotes, colon and comma take around a chunk's name and text in a stored group.
+const CHUNK_FRAME_BYTES: usize = 6;
+
+/// A task of a job, and the machine that it is placed on.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct PlacedTask {
+    /// The task's number within its job.
+    pub index: u32,
+    /// The machine.
+    pub machine: MachineName,
+}
+
 /// A job that is not over, or still has tasks on machines.
 #[derive(Debug)]
 pub struct Job {
@@ -44,7 +63,7 @@
     pub settling: HashSet<u32>,
     /// Machines on which a task failed since the last success.
     pub failed_on: HashSet<MachineName>,
-    /// How long the next pause after a failure lasts.
+    /// How long the next pause after a failure lasts, in milliseconds.
     pub fail_pause_ms: u64,
     /// Until when none of its tasks is started.
     pub paused_until: u64,
@@ -59,9 +78,82 @@
 }
 
 impl Job {
-    /// Tasks that wait for a machine.
+    /// A job of the store, none of whose tasks is placed yet.
+    pub fn new(
+        id: JobId,
+        record: &Versioned<JobRecord>,
+        done: Bitmap,
+        quarantined: bool,
+        keys: HashKeys,
+    ) -> Job {
+        let spec = record.value.spec.clone();
+        Job {
+            id,
+            gang: spec.as_ref().filter(|spec| spec.is_gang()).map(|_| GangState::default()),
+            need: spec.as_ref().map(|spec| spec.need()).unwrap_or_default(),
+            spec,
+            stage: record.value.stage,
+            arrival: record.mod_revision,
+            accepted_at_wall_ms: record.value.at,
+            tasks: record.value.tasks,
+            done_count: done.count(),
+            done,
+            dirty_chunks: BTreeSet::new(),
+            chunk_groups: keys.map(),
+            first_never_placed: 0,
+            requeued: BTreeSet::new(),
+            placed_on: BTreeMap::new(),
+            settling: keys.set(),
+            failed_on: keys.set(),
+            fail_pause_ms: 0,
+            paused_until: 0,
+            successes: 0,
+            has_started: false,
+            quarantined,
+        }
+    }
+
+    /// Whether it is neither done nor cancelled.
+    pub fn is_live(&self) -> bool {
+        self.stage == JobStage::Live
+    }
+
+    /// Whether its tasks run until it is cancelled.
+    pub fn is_service(&self) -> bool {
+        self.spec.as_ref().is_some_and(|spec| spec.kind == JobKind::Service)
+    }
+
+    /// Whether its tasks all run at the same time.
+    pub fn is_gang(&self) -> bool {
+        self.gang.is_some()
+    }
+
+    /// Whether every task is done.
+    pub fn is_complete(&self) -> bool {
+        self.is_live() && !self.quarantined && self.done_count >= self.tasks
+    }
+
+    /// Whether nothing of an earlier attempt is left, neither on machines nor in the store.
+    pub fn attempt_is_over(&self) -> bool {
+        self.placed_on.is_empty() && self.settling.is_empty()
+    }
+
+    /// Whether the job failed on several machines and nowhere succeeded since.
+    pub fn fails_everywhere(&self) -> bool {
+        self.failed_on.len() >= BAD_JOB_MACHINES
+    }
+
+    /// Its unsettled placements.
+    pub fn placed_tasks(&self) -> Vec<PlacedTask> {
+        let placed = self.placed_on.iter();
+        placed
+            .map(|(index, machine)| PlacedTask { index: *index, machine: machine.clone() })
+            .collect()
+    }
+
+    /// How many tasks wait for a machine.
     pub fn waiting(&self) -> u32 {
-        if self.stage != JobStage::Live || self.quarantined {
+        if !self.is_live() || self.quarantined {
             return 0;
         }
         if self.is_gang() {
@@ -70,39 +162,76 @@
         self.requeued.len() as u32 + (self.tasks - self.first_never_placed)
     }
 
+    /// Tasks of a gang that wait for machines: all or none.
+    fn gang_waiting(&self) -> u32 {
+        match self.attempt_is_over() && self.done_count == 0 {
+            true => self.tasks,
+            false => 0,
+        }
+    }
+
     /// The next waiting task.
     pub fn next_waiting(&self) -> Option<u32> {
-        if self.stage != JobStage::Live || self.quarantined {
+        if !self.is_live() || self.quarantined {
             return None;
         }
-        self.requeued
-            .first()
-            .copied()
-            .or((self.first_never_placed < self.tasks).then_some(self.first_never_placed))
+        let never_placed =
+            (self.first_never_placed < self.tasks).then_some(self.first_never_placed);
+        self.requeued.first().copied().or(never_placed)
     }
 
-    pub(super) fn take_from_waiting(&mut self, task: u32) {
-        if !self.requeued.remove(&task) && task == self.first_never_placed {
+    /// A waiting task gets a machine.
+    pub(super) fn take_from_waiting(&mut self, index: u32) {
+        if self.requeued.remove(&index) || index != self.first_never_placed {
+            return;
+        }
+        self.first_never_placed += 1;
+        while self.first_never_placed < self.tasks && self.done.get(self.first_never_placed) {
             self.first_never_placed += 1;
-            while self.first_never_placed < self.tasks && self.done.get(self.first_never_placed) {
-                self.first_never_placed += 1;
+        }
+    }
+
+    /// A task that was placed waits again, unless it is done or the job is over.
+    pub(super) fn requeue(&mut self, index: u32) {
+        if self.is_live() && !self.done.get(index) {
+            self.requeued.insert(index);
+        }
+    }
+
+    /// Tasks that were never placed, up to and including this one, wait like requeued ones.
+    pub fn requeue_up_to(&mut self, index: u32) {
+        while self.first_never_placed <= index {
+            if !self.done.get(self.first_never_placed) {
+                self.requeued.insert(self.first_never_placed);
             }
+            self.first_never_placed += 1;
         }
     }
 
-    /// Bytes that a chunk of its bitmap takes in the store, at the most.
-    pub fn chunk_bytes(&self, chunk: u32) -> usize {
-        let tasks = self.tasks.saturating_sub(chunk * DONE_CHUNK_TASKS).min(DONE_CHUNK_TASKS);
-        chunk_name(&self.id, chunk).len() + 16 * tasks.div_ceil(64) as usize + 6
+    /// Works out which tasks wait, once `done` and `placed_on` are known: those below the last task
+    /// that is either have been placed before.
+    pub(super) fn requeue_unplaced(&mut self) {
+        let is_known = |index: &u32| self.done.get(*index) || self.placed_on.contains_key(index);
+        self.first_never_placed = (0..self.tasks).rev().find(is_known).map_or(0, |last| last + 1);
+        for index in 0..self.first_never_placed {
+            if !self.done.get(index) && !self.placed_on.contains_key(&index) {
+                self.requeued.insert(index);
+            }
+        }
     }
 
-    /// Whether every task is done.
-    pub fn complete(&self) -> bool {
-        self.stage == JobStage::Live && !self.quarantined && self.done_count >= self.tasks
+    /// A task is done: its chunk of the bitmap has to be stored.
+    pub(super) fn mark_done(&mut self, index: u32) {
+        if self.done.set(index) {
+            self.done_count += 1;
+            self.dirty_chunks.insert(index / DONE_CHUNK_TASKS);
+        }
     }
 
-    /// Whether the job failed on several machines and nowhere succeeded since.
-    pub fn fails_everywhere(&self) -> bool {
-        self.failed_on.len() >= BAD_JOB_MACHINES
+    /// Bytes that a chunk of its bitmap takes in the store, at the most.
+    pub fn chunk_bytes(&self, chunk: u32) -> usize {
+        let tasks = self.tasks.saturating_sub(chunk * DONE_CHUNK_TASKS).min(DONE_CHUNK_TASKS);
+        let text_bytes = WORD_TEXT_BYTES * tasks.div_ceil(WORD_TASKS) as usize;
+        chunk_name(&self.id, chunk).len() + text_bytes + CHUNK_FRAME_BYTES
     }
 }
