--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -19,11 +19,11 @@
 use super::transactions::Transactions;
 use super::Controller;
 use crate::constants::{ATTEMPT_BITS, POLL_SOON_MS, STATUS_LOG_PERIOD_MS};
-use crate::storage::budget::Bucket;
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Placement, PlacementPhase};
 use crate::storage::records::{JobId, MachineName};
+use crate::storage::token_bucket::TokenBucket;
 use planning::PassSchedule;
 use run_times::RunTimes;
 
@@ -109,7 +109,7 @@
 
     /// When it has to look again if nothing comes in before. Answers to transactions come in; what
     /// waits for a pass, for a write to spare or for its longest time does not.
-    pub(super) fn next_wake(&self, now: u64, writes: &Bucket) -> Option<u64> {
+    pub(super) fn next_wake(&self, now: u64, writes: &TokenBucket) -> Option<u64> {
         let has_proposals = !self.cluster.proposals.is_empty();
         let write = self.transactions.next_wake(has_proposals, writes);
         // Whatever comes in answers those that have waited long enough too: in a large fleet a heartbeat
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -17,10 +17,10 @@
     COMMIT_PATH,
 };
 use crate::protocol::users::{JobSpec, JobStatus, JobStatusResponse};
-use crate::storage::budget::Bucket;
 use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::limits::StoreLimits;
 use crate::storage::records::{batch_key, gang_batch_key, job_end_key, BatchRecord};
+use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
 
 /// A submission that gathers for a batch, with everyone who asked for it.
@@ -144,7 +144,7 @@
     }
 
     /// When they have to be looked at again if nothing comes in before.
-    pub(in crate::coordination) fn next_wake(&self, writes: &Bucket) -> Option<u64> {
+    pub(in crate::coordination) fn next_wake(&self, writes: &TokenBucket) -> Option<u64> {
         let gathered = self.gathering.first().map(|first| {
             let plenty = writes.available_at(writes.burst() * WRITES_SHORT_SHARE);
             let one = writes.available_at(WRITE_KEEP_USERS + 1.0);
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -14,11 +14,11 @@
 use crate::constants::{STATE_LOST_MS, STATE_RETRY_MS, STATE_RPS_SHARE, WRITES_SHORT_SHARE};
 use crate::protocol::state::{Mutation, Transaction};
 use crate::settings::StateLimits;
-use crate::storage::budget::Bucket;
 use crate::storage::hashing::HashKeys;
 use crate::storage::limits::StoreLimits;
 use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
+use crate::storage::token_bucket::TokenBucket;
 
 /// How far the store had been read when a request went out. Its answer counts only in the same
 /// epoch, and must show a later revision if it names a commit.
@@ -56,8 +56,8 @@
 pub(super) struct StoreClient {
     replica: Replica,
     limits: StoreLimits,
-    read_budget: Bucket,
-    write_budget: Bucket,
+    read_budget: TokenBucket,
+    write_budget: TokenBucket,
     /// The whole store has been read, and changes are followed.
     loaded: bool,
     listing: Listing,
@@ -91,8 +91,8 @@
         let reads_per_s = limits.requests_per_s * STATE_RPS_SHARE / controllers as f64;
         StoreClient {
             replica: Replica::new(keys),
-            read_budget: Bucket::new(reads_per_s, now),
-            write_budget: Bucket::new(limits.writes_per_s * write_share, now),
+            read_budget: TokenBucket::new(reads_per_s, now),
+            write_budget: TokenBucket::new(limits.writes_per_s * write_share, now),
             limits,
             loaded: false,
             listing: Listing::default(),
@@ -123,7 +123,7 @@
     }
 
     /// The rate of this controller's writes.
-    pub(super) fn write_budget(&self) -> &Bucket {
+    pub(super) fn write_budget(&self) -> &TokenBucket {
         &self.write_budget
     }
 
--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -4,7 +4,8 @@
 use super::pending::PendingTransaction;
 use crate::constants::GROUP_FRAME_BYTES;
 use crate::protocol::state::raw_json;
-use crate::storage::cluster::{ClusterState, DoneGroup};
+use crate::storage::cluster::ClusterState;
+use crate::storage::done_tasks_group::DoneTasksGroup;
 use crate::storage::records::{chunk_name, done_tasks_key, DoneTasksRecord, JobId};
 
 /// A chunk of a job's bitmap, with the bytes that it takes at the most.
@@ -19,7 +20,7 @@
         writes_kept: usize,
     ) {
         self.mark_groups_of_changed_chunks(pending, builder.value_bytes_max - GROUP_FRAME_BYTES);
-        let is_dirty = |(_, group): &(&u32, &DoneGroup)| group.dirty;
+        let is_dirty = |(_, group): &(&u32, &DoneTasksGroup)| group.dirty;
         let dirty_groups: Vec<u32> =
             self.done_groups.iter().filter(is_dirty).map(|(number, _)| *number).collect();
         for number in dirty_groups {
@@ -39,8 +40,8 @@
             .queue
             .values()
             .filter_map(|uid| self.jobs.get(uid))
-            .filter(|job| !pending.finished_jobs.contains(&job.uid))
-            .flat_map(|job| job.dirty_chunks.iter().map(|chunk| (job.uid.clone(), *chunk)))
+            .filter(|job| !pending.finished_jobs.contains(&job.id))
+            .flat_map(|job| job.dirty_chunks.iter().map(|chunk| (job.id.clone(), *chunk)))
             .collect();
         for (uid, chunk) in changed_chunks {
             let Some(job) = self.jobs.get(&uid) else { continue };
@@ -149,7 +150,7 @@
 
 /// What has to leave a group so that it takes no more than `bytes_max`, in parts that take no more
 /// either.
-fn parts_to_move(group: &DoneGroup, bytes_max: usize) -> Vec<Vec<SizedChunk>> {
+fn parts_to_move(group: &DoneTasksGroup, bytes_max: usize) -> Vec<Vec<SizedChunk>> {
     let mut parts: Vec<Vec<SizedChunk>> = Vec::new();
     let mut bytes_kept = 0;
     let mut bytes_of_last = 0;
