--- a/src/coordination/membership/ended_jobs.rs
+++ b/src/coordination/membership/ended_jobs.rs
@@ -8,7 +8,7 @@
 use crate::constants::{ENDS_NAMED_MAX, ISOLATED_ASK_MS};
 use crate::coordination::Controller;
 use crate::protocol::peers::Gossip;
-use crate::protocol::users::{Status, Told};
+use crate::protocol::users::{JobStatus, JobStatusResponse};
 
 impl Controller {
     /// The revision after which peers are asked for ends: none while we read the store ourselves.
@@ -56,8 +56,8 @@
 
     /// What a relayed answer says of a job counts like what a peer says of it.
     pub(in crate::coordination) fn record_relayed_status(&mut self, body: &[u8]) {
-        let Ok(answer) = serde_json::from_slice::<Told>(body) else { return };
-        if matches!(answer.status, Status::Done | Status::Cancelled) {
+        let Ok(answer) = serde_json::from_slice::<JobStatusResponse>(body) else { return };
+        if matches!(answer.status, JobStatus::Done | JobStatus::Cancelled) {
             self.record_ended_job(answer.uid);
         }
     }
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -17,9 +17,9 @@
 use super::interface::ConnectionId;
 use super::Controller;
 use crate::constants::{PEER_VERSION, RETRY_AFTER_BUSY_S, RETRY_AFTER_S, USER_WAIT_MAX};
-use crate::protocol::peers::{encode, Relayed};
+use crate::protocol::peers::{encode, RelayResponse};
 use crate::protocol::routes::{RouteError, UserRoute};
-use crate::protocol::users::{Accepted, Refusal, Status};
+use crate::protocol::users::{ErrorResponse, JobStatus, JobStatusResponse};
 use crate::storage::records::{JobRecord, JobStage};
 use crate::storage::replica::Versioned;
 
@@ -60,7 +60,7 @@
         body: Vec<u8>,
     ) {
         if requester.relayed {
-            let answer = Relayed { version: PEER_VERSION, status, retry_after_s, body };
+            let answer = RelayResponse { version: PEER_VERSION, status, retry_after_s, body };
             self.respond(requester.connection, 200, None, encode(&answer));
         } else {
             self.respond(requester.connection, status, retry_after_s, body);
@@ -88,7 +88,7 @@
         if status >= 429 {
             self.metrics.work.refused += 1;
         }
-        let body = serde_json::to_vec(&Refusal { error }).unwrap_or_default();
+        let body = serde_json::to_vec(&ErrorResponse { error }).unwrap_or_default();
         self.answer(requester, status, retry_after_s, body);
     }
 
@@ -139,12 +139,12 @@
         true
     }
 
-    fn status_of(&self, uid: &str, job: &Versioned<JobRecord>) -> Status {
+    fn status_of(&self, uid: &str, job: &Versioned<JobRecord>) -> JobStatus {
         match job.value.stage {
-            JobStage::Done => Status::Done,
-            JobStage::Cancelled => Status::Cancelled,
-            JobStage::Live if self.store.replica().placed(uid) > 0 => Status::Running,
-            JobStage::Live => Status::Queued,
+            JobStage::Done => JobStatus::Done,
+            JobStage::Cancelled => JobStatus::Cancelled,
+            JobStage::Live if self.store.replica().placed(uid) > 0 => JobStatus::Running,
+            JobStage::Live => JobStatus::Queued,
         }
     }
 
@@ -155,7 +155,7 @@
         }
         if let Some(job) = self.store.replica().jobs.get(uid) {
             let status = self.status_of(uid, job);
-            self.answer_json(requester, 200, &Accepted { uid, status });
+            self.answer_json(requester, 200, &JobStatusResponse { uid, status });
         }
     }
 
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -7,7 +7,9 @@
 };
 use crate::coordination::{CallPurpose, Controller, Service};
 use crate::protocol::http::Response;
-use crate::protocol::state::{changes_path, list_path, Changes, Page, Transaction, COMMIT_PATH};
+use crate::protocol::state::{
+    changes_path, list_path, KeyPage, Transaction, WatchResponse, COMMIT_PATH,
+};
 use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
 
@@ -165,7 +167,7 @@
         let Some(Response { status: 200, body }) = reply else {
             return self.store.retry_later(self.now.monotonic_ms);
         };
-        let Ok(page) = serde_json::from_slice::<Page>(&body) else {
+        let Ok(page) = serde_json::from_slice::<KeyPage>(&body) else {
             return self.store.retry_later(self.now.monotonic_ms);
         };
         self.metrics.work.state_bytes_read += body.len() as u64;
@@ -232,7 +234,7 @@
     }
 
     fn apply_changes_body(&mut self, asked: ReadPoint, body: &[u8]) -> ReadOutcome {
-        let Ok(changes) = serde_json::from_slice::<Changes>(body) else {
+        let Ok(changes) = serde_json::from_slice::<WatchResponse>(body) else {
             return ReadOutcome::Failed;
         };
         let work = &mut self.metrics.work;
