--- a/src/coordination/commits.rs
+++ b/src/coordination/commits.rs
@@ -10,9 +10,9 @@
 use super::{CallPurpose, Controller};
 use crate::constants::{
     COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, DONE_BATCH_MS, GARBAGE_PERIOD_MS,
-    GROUP_FRAME_BYTES, IMAGES_PERIOD_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITES_SHORT_SHARE,
-    WRITE_RESERVE,
+    GROUP_FRAME_BYTES, IMAGES_PERIOD_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITE_RESERVE,
 };
+use crate::protocol::http::Response;
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
     raw, Condition, Mutation, TransactionApplied, TransactionConflict, COMMIT_PATH,
@@ -21,9 +21,10 @@
 use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
 use crate::storage::records::{
     catalog_key, chunk_name, done_tasks_key, images_key, job_end_key, leader_key, placements_key,
-    shares_key, DoneTasksRecord, ImagesRecord, JobEndRecord, JobStage, Name, SharesRecord,
+    shares_key, DoneTasksRecord, ImagesRecord, JobEndRecord, JobId, JobStage, MachineName,
+    SharesRecord,
 };
-use mountgap_recovery::audit::Loss;
+use mountgap_recovery::audit::DataLoss;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A placement that a commit stores or takes out.
@@ -32,7 +33,7 @@
     /// The group of placements that it is stored in.
     pub group: u32,
     /// The machine it is on.
-    pub machine: Name,
+    pub machine: MachineName,
     /// The task.
     pub id: TaskId,
     /// Its attempt.
@@ -120,7 +121,7 @@
         let urgent = !leader.cluster.proposals.is_empty()
             || !leader.cluster.completed_jobs.is_empty()
             || leader.cluster.groups.values().any(|g| g.urgent);
-        let oversized = leader.cluster.has_oversized_group(self.limits.value_bytes);
+        let oversized = leader.cluster.has_oversized_group(self.store.limits().value_bytes);
         // Every second commit divides until no group is too large. Such a commit, and one for a gang that
         // did not fit beside other changes, holds nothing else that can wait, and waits itself for
         // as many writes as a transaction may have.
@@ -130,9 +131,9 @@
             (false, false) => TransactionScope::Everything,
         };
         if (urgent || batch) && self.store_is_usable() {
-            let left = (self.write_budget.left(now) - WRITE_RESERVE).max(0.0) as usize;
-            let most = self.limits.transaction_ops;
-            let burst = (self.write_budget.burst() - WRITE_RESERVE).max(1.0) as usize;
+            let left = (self.store.writes_left(now) - WRITE_RESERVE).max(0.0) as usize;
+            let most = self.store.limits().transaction_ops;
+            let burst = (self.store.write_budget().burst() - WRITE_RESERVE).max(1.0) as usize;
             let least = if focus == TransactionScope::Everything { 1 } else { most.min(burst) };
             if left >= least {
                 self.build_commit(batch, focus, left.min(most));
@@ -144,7 +145,7 @@
     /// Packs what is to be written into one commit, the most urgent first.
     fn build_commit(&mut self, batch: bool, focus: TransactionScope, max_ops: usize) {
         let now = self.now.monotonic_ms;
-        let cap = self.limits.value_bytes;
+        let cap = self.store.limits().value_bytes;
         let Some(leader) = self.leader.as_mut() else { return };
         leader.divided_last = focus == TransactionScope::DivideGroup;
         let mut p = TransactionBuilder {
@@ -152,7 +153,7 @@
             writes: Vec::new(),
             bytes: 0,
             max_ops,
-            max_ifs: self.limits.transaction_ops * CONDITIONS_PER_CHANGE,
+            max_ifs: self.store.limits().transaction_ops * CONDITIONS_PER_CHANGE,
             value_bytes_max: cap,
         };
         let mut f = PendingTransaction::default();
@@ -183,8 +184,7 @@
         leader.cluster.pack_places(&mut p, &mut f, batch, focus);
         if batch && focus == TransactionScope::Everything {
             // Hints and tidying up only with writes to spare.
-            let plenty =
-                self.write_budget.left(now) >= self.write_budget.burst() * WRITES_SHORT_SHARE;
+            let plenty = !self.store.writes_are_short(now);
             if plenty {
                 self.pack_rest(&mut p, &mut f);
             }
@@ -208,8 +208,8 @@
     fn pack_rest(&mut self, p: &mut TransactionBuilder, f: &mut PendingTransaction) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
-        if let Some(catalog) = self.catalog.as_ref().filter(|_| !leader.catalog_written) {
-            let known = self.replica.catalog.as_ref();
+        if let Some(catalog) = self.cloud.catalog().filter(|_| !leader.catalog_written) {
+            let known = self.store.replica().catalog.as_ref();
             let alike = known.is_some_and(|k| {
                 k.value
                     .machine_types
@@ -226,14 +226,14 @@
                 term: leader.term,
                 teams: names.zip(leader.shares.clone()).collect(),
             };
-            let mod_revision = self.replica.shares.as_ref().map_or(0, |s| s.mod_revision);
+            let mod_revision = self.store.replica().shares.as_ref().map_or(0, |s| s.mod_revision);
             leader.shares_written = p.put(shares_key(), raw(&rec), mod_revision);
         }
         if now >= leader.images_at {
             let mut all = true;
             for (n, rec) in leader.cluster.image_records(p.value_bytes_max).into_iter().enumerate()
             {
-                let known = self.replica.images.get(&(n as u32));
+                let known = self.store.replica().images.get(&(n as u32));
                 if known.is_none_or(|k| k.value != rec) {
                     let mod_revision = known.map_or(0, |k| k.mod_revision);
                     all &= p.put(images_key(n as u32), raw(&rec), mod_revision);
@@ -246,9 +246,10 @@
         if now >= leader.garbage_at && leader.cluster.stale_keys.is_empty() {
             leader.garbage_at = now + GARBAGE_PERIOD_MS;
             // Batches whose jobs are all over, with nothing left on machines.
-            let over =
-                |uid: &Name| self.replica.has_ended(uid) && !leader.cluster.jobs.contains_key(uid);
-            for (key, batch) in &self.replica.batches {
+            let over = |uid: &JobId| {
+                self.store.replica().has_ended(uid) && !leader.cluster.jobs.contains_key(uid)
+            };
+            for (key, batch) in &self.store.replica().batches {
                 if batch.value.iter().all(over) {
                     leader.cluster.stale_keys.push((key.to_string(), batch.mod_revision));
                 }
@@ -267,7 +268,7 @@
         let Some(leader) = self.leader.as_mut() else { return };
         let Some(f) = leader.pending_transaction.as_mut() else { return };
         let n = f.commit.writes.len() as f64;
-        if !self.write_budget.take(n, 0.0, now) {
+        if !self.store.take_writes(n, 0.0, now) {
             return;
         }
         f.in_flight = true;
@@ -277,7 +278,7 @@
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
-    pub(super) fn on_leader_commit_response(&mut self, term: u64, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn on_leader_commit_response(&mut self, term: u64, reply: Option<Response>) {
         let now = self.now.monotonic_ms;
         // An answer to a commit of an earlier term of ours says nothing about this one's.
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else {
@@ -286,41 +287,46 @@
         let Some(f) = leader.pending_transaction.as_mut() else { return };
         f.in_flight = false;
         match reply {
-            Some((200, body)) => match serde_json::from_slice::<TransactionApplied>(&body) {
-                Ok(done) => {
-                    let (known, shown) = (leader.mod_revision, done.revision);
-                    if shown <= known && self.recovery.notices_losses() {
-                        return self.suspect_store_loss(Some(Loss::RevisionFell { known, shown }));
+            Some(Response { status: 200, body }) => {
+                match serde_json::from_slice::<TransactionApplied>(&body) {
+                    Ok(done) => {
+                        let (known, shown) = (leader.mod_revision, done.revision);
+                        if shown <= known && self.recovery.notices_losses() {
+                            return self.suspect_data_loss(Some(DataLoss::RevisionRegressed {
+                                known,
+                                shown,
+                            }));
+                        }
+                        self.apply_pending_transaction(shown)
                     }
-                    self.apply_pending_transaction(shown)
+                    Err(_) => f.outcome_unknown = true,
                 }
-                Err(_) => f.outcome_unknown = true,
-            },
-            Some((409, body)) => {
+            }
+            Some(Response { status: 409, body }) => {
                 let failed = serde_json::from_slice::<TransactionConflict>(&body)
                     .map(|c| c.failed)
                     .unwrap_or_default();
                 log::debug!("commit refused: {failed:?}");
                 if !f.outcome_unknown && failed.contains(&leader_key()) {
                     self.step_down("the leader key has changed");
-                    return self.doubt_leader_key();
+                    return self.suspect_stale_leader_key();
                 }
                 f.awaiting_read_since = Some(now);
                 self.request_leader_read();
             }
             // Not executed: if no earlier copy can have been, it is built anew.
-            Some((429 | 503, _)) => {
+            Some(Response { status: 429 | 503, .. }) => {
                 f.not_before = now + STATE_RETRY_MS;
                 if !f.outcome_unknown {
                     self.discard_pending_transaction();
                 }
             }
-            Some((status, body)) => {
+            Some(Response { status, body }) => {
                 log::error!("commit answered {status}: {}", String::from_utf8_lossy(&body));
                 f.not_before = now + STATE_RETRY_MS;
                 let unclear = f.outcome_unknown;
                 if status == 400 {
-                    self.limits.halve_sizes();
+                    self.store.halve_size_limits();
                 }
                 match unclear {
                     // Sent again it would be refused for ever, and built anew it might be stored
@@ -348,13 +354,13 @@
         f.awaiting_read_since = None;
         if !f.outcome_unknown {
             let agrees = |condition: &Condition| {
-                self.replica.mod_revision(&condition.key) == condition.mod_revision
+                self.store.replica().mod_revision(&condition.key) == condition.mod_revision
             };
             let refused_for_nothing = f.commit.conditions.iter().all(agrees);
             self.discard_pending_transaction();
             if refused_for_nothing {
                 // The copy holds what the store denies: one of them is wrong.
-                self.suspect_store_loss(None);
+                self.suspect_data_loss(None);
             }
             return;
         }
@@ -364,11 +370,11 @@
                 return None;
             };
             let before = f.commit.conditions.iter().find(|i| i.key == *key)?.mod_revision;
-            let mod_revision = self.replica.mod_revision(key);
+            let mod_revision = self.store.replica().mod_revision(key);
             if mod_revision <= before {
                 return None;
             }
-            self.replica.holds(key, value).then_some(mod_revision)
+            self.store.replica().holds(key, value).then_some(mod_revision)
         });
         match applied {
             Some(rev) => self.apply_pending_transaction(rev),
@@ -400,7 +406,7 @@
                 false => leader.cluster.retract(&e.machine, &e.id),
             }
         }
-        let gangs: BTreeSet<&Name> = f.additions.iter().map(|e| &e.id.0).collect();
+        let gangs: BTreeSet<&JobId> = f.additions.iter().map(|e| &e.id.job).collect();
         for uid in gangs {
             let gang = leader.cluster.jobs.get_mut(uid).and_then(|job| job.gang.as_mut());
             if let Some(gang) = gang {
@@ -411,18 +417,18 @@
         // earlier commits and users' requests write, so nothing is lost by that.
         for n in f.groups {
             if let Some(g) = leader.cluster.groups.get_mut(&n) {
-                g.mod_revision = self.replica.mod_revision(&placements_key(n));
+                g.mod_revision = self.store.replica().mod_revision(&placements_key(n));
                 g.urgent |= !g.settled.is_empty();
             }
         }
         for n in f.done_groups {
             if let Some(g) = leader.cluster.done_groups.get_mut(&n) {
-                g.mod_revision = self.replica.mod_revision(&done_tasks_key(n));
+                g.mod_revision = self.store.replica().mod_revision(&done_tasks_key(n));
             }
         }
         for (key, before) in f.stale_keys {
             // Only what is still as it was: it may have come into use again.
-            if self.replica.mod_revision(&key) == before && before != 0 {
+            if self.store.replica().mod_revision(&key) == before && before != 0 {
                 leader.cluster.stale_keys.push((key, before));
             }
         }
@@ -473,7 +479,7 @@
     /// Bitmaps that changed, as far as they fit beside `keep` other writes.
     fn pack_done(&mut self, p: &mut TransactionBuilder, f: &mut PendingTransaction, keep: usize) {
         let cap = p.value_bytes_max - GROUP_FRAME_BYTES;
-        let dirty: Vec<(Name, u32)> = self
+        let dirty: Vec<(JobId, u32)> = self
             .queue
             .values()
             .filter_map(|uid| self.jobs.get(uid))
@@ -546,7 +552,7 @@
     ) -> bool {
         let cap = p.value_bytes_max - GROUP_FRAME_BYTES;
         let Some(group) = self.done_groups.get(&n).filter(|g| g.bytes > cap) else { return true };
-        let mut parts: Vec<Vec<((Name, u32), usize)>> = Vec::new();
+        let mut parts: Vec<Vec<((JobId, u32), usize)>> = Vec::new();
         let (mut kept, mut filled) = (0, cap);
         for (chunk, bytes) in &group.chunks {
             if kept + bytes <= cap {
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,12 +1,12 @@
 //! Leadership: a leased key, and a term that only grows, taken in one commit.
 
-use super::recovery::SentAt;
+use super::store_client::ReadPoint;
 use super::{CallPurpose, Controller, Leader};
 use crate::constants::{
     ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_REST_MS, LEADER_LIFE_MS,
-    LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS, STATE_RPS_SHARE,
-    WRITE_SHARE_LEADER,
+    LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS, WRITE_SHARE_LEADER,
 };
+use crate::protocol::http::Response;
 use crate::protocol::state::Transaction;
 use crate::protocol::state::{
     raw, Condition, Lease, Mutation, NewLease, TransactionApplied, COMMIT_PATH,
@@ -32,12 +32,12 @@
         let now = self.now.monotonic_ms;
         if self.leader.is_some()
             || self.election.busy
-            || !self.may_stand()
+            || !self.may_campaign()
             || now < self.election.rest_until
         {
             return;
         }
-        let vacant = match &self.replica.leader {
+        let vacant = match &self.store.replica().leader {
             None => true,
             // An earlier life of this very controller: it is surely over.
             Some(leader) => {
@@ -66,23 +66,23 @@
         self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, CallPurpose::Lease);
     }
 
-    pub(super) fn on_lease_granted(&mut self, reply: Option<(u16, Vec<u8>)>) {
+    pub(super) fn on_lease_granted(&mut self, reply: Option<Response>) {
         self.election.busy = false;
         self.election.stand_at = None;
         let hold: Option<Lease> = match reply {
-            Some((200 | 201, body)) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 200 | 201, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
         let Some(hold) = hold else { return };
         let own = |leader: &LeaderRecord| {
             leader.label == self.settings.label && leader.incarnation != self.process_id
         };
-        let leader_key_revision = match &self.replica.leader {
+        let leader_key_revision = match &self.store.replica().leader {
             None => 0,
             Some(leader) if own(&leader.value) => leader.mod_revision,
             Some(_) => return,
         };
-        if self.recovery.holds() && !self.may_stand() {
+        if self.recovery.is_suspended() && !self.may_campaign() {
             return;
         }
         let term = self.next_term();
@@ -91,7 +91,10 @@
         let mut commit = Transaction {
             conditions: vec![
                 Condition { key: leader_key(), mod_revision: leader_key_revision },
-                Condition { key: term_key(), mod_revision: self.replica.mod_revision(&term_key()) },
+                Condition {
+                    key: term_key(),
+                    mod_revision: self.store.replica().mod_revision(&term_key()),
+                },
             ],
             writes: vec![
                 Mutation::Put {
@@ -102,11 +105,12 @@
                 Mutation::put(term_key(), &TermRecord { term }),
             ],
         };
-        self.add_to_election(&mut commit, term);
+        self.add_recovery_writes(&mut commit, term);
         self.election.busy = true;
-        self.write_budget.take(2.0, f64::MIN, self.now.monotonic_ms);
+        self.store.take_writes(2.0, f64::MIN, self.now.monotonic_ms);
         let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = CallPurpose::Elect { lease_id: hold.lease_id, term, sent: self.sent_at() };
+        let purpose =
+            CallPurpose::Elect { lease_id: hold.lease_id, term, sent: self.store.read_point() };
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
     }
 
@@ -114,20 +118,20 @@
         &mut self,
         lease_id: u64,
         term: u64,
-        sent: SentAt,
-        reply: Option<(u16, Vec<u8>)>,
+        sent: ReadPoint,
+        reply: Option<Response>,
     ) {
         self.election.busy = false;
         let won: Option<TransactionApplied> = match reply {
-            Some((200, body)) => serde_json::from_slice(&body).ok(),
-            Some((409, _)) => return self.election_refused(),
+            Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 409, .. }) => return self.election_refused(),
             // An unanswered commit may still apply. Nobody renews its lease then, so it
             // ends by itself, and the next attempt takes a new term.
             _ => None,
         };
         let Some(won) = won else { return };
         self.election.refusals = 0;
-        if !self.won_in_present_store(sent, won.revision) {
+        if !self.applied_to_current_store(sent, won.revision) {
             return;
         }
         if self.leader_revision_was_used(won.revision) {
@@ -137,24 +141,23 @@
         }
         // The watch may have told of our own term before this answer came: only a higher one
         // counts. Taking an equal one for someone else's once cost three terms in a row.
-        if self.highest_term > term {
+        if self.membership.highest_term() > term {
             return;
         }
         log::info!("leads in term {term}");
-        self.highest_term = term;
-        self.store_sync.max_rev = self.store_sync.max_rev.max(won.revision);
-        let all = self.settings.params.cloud.rps * STATE_RPS_SHARE;
-        self.cloud_budget.set_rate(all, self.now.monotonic_ms);
+        self.membership.note_term(term);
+        self.store.note_revision(won.revision);
+        self.cloud.set_leader_rate(self.now.monotonic_ms);
         self.leader = Some(Leader::new(
             term,
             won.revision,
             lease_id,
-            self.peers.len(),
+            self.membership.peer_count(),
             self.now.monotonic_ms,
-            self.replica.hash_keys(),
+            self.store.replica().hash_keys(),
         ));
         self.set_state_rates();
-        self.begin_rebuild_if_lost();
+        self.start_rebuild_if_lost();
         self.request_leader_read();
     }
 
@@ -164,20 +167,18 @@
         self.election.refusals += 1;
         if self.election.refusals >= ELECTION_REFUSALS_MAX {
             self.election.refusals = 0;
-            self.suspect_store_loss(None);
+            self.suspect_data_loss(None);
         }
     }
 
     /// Sets this controller's part of what the state service allows all of them.
     pub(super) fn set_state_rates(&mut self) {
         let controllers = self.settings.controllers();
-        let share = match self.leader.is_some() {
+        let write_share = match self.leader.is_some() {
             true => leader_write_share(controllers),
             false => follower_write_share(controllers),
         };
-        self.write_budget.set_rate(self.limits.writes_per_s * share, self.now.monotonic_ms);
-        let reads = self.limits.requests_per_s * STATE_RPS_SHARE / controllers as f64;
-        self.read_budget.set_rate(reads, self.now.monotonic_ms);
+        self.store.set_rates(controllers, write_share, self.now.monotonic_ms);
     }
 
     pub(super) fn renew_due(&mut self) {
@@ -196,21 +197,17 @@
         self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEW_CALL_MS, purpose);
     }
 
-    pub(super) fn on_lease_renewal_response(
-        &mut self,
-        lease_id: u64,
-        reply: Option<(u16, Vec<u8>)>,
-    ) {
+    pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, reply: Option<Response>) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.lease_id == lease_id) else {
             return;
         };
         leader.renewing = false;
         match reply {
-            Some((200..=299, _)) => {}
-            Some((404, _)) => {
+            Some(Response { status: 200..=299, .. }) => {}
+            Some(Response { status: 404, .. }) => {
                 self.step_down("the lease has ended");
-                self.doubt_leader_key();
+                self.suspect_stale_leader_key();
             }
             _ => leader.renew_at = now + STATE_RETRY_MS,
         }
@@ -219,25 +216,23 @@
     /// Steps down when someone has a higher term, or our key is not ours any more.
     pub(super) fn check_term(&mut self) {
         let Some(leader) = &self.leader else { return };
-        if self.highest_term > leader.term {
+        if self.membership.highest_term() > leader.term {
             return self.step_down("there is a higher term");
         }
-        let known = self.replica.revision >= leader.mod_revision;
-        if known && self.replica.mod_revision(&leader_key()) != leader.mod_revision {
+        let known = self.store.replica().revision >= leader.mod_revision;
+        if known && self.store.replica().mod_revision(&leader_key()) != leader.mod_revision {
             self.step_down("the leader key is not ours");
         }
     }
 
     pub(super) fn step_down(&mut self, why: &str) {
         let Some(leader) = self.leader.take() else { return };
-        self.leave_rebuild();
+        self.abandon_rebuild();
         log::info!("no longer leads in term {}: {why}", leader.term);
         self.set_state_rates();
-        let rps =
-            self.settings.params.cloud.rps * STATE_RPS_SHARE / self.settings.controllers() as f64;
-        self.cloud_budget.set_rate(rps, self.now.monotonic_ms);
+        self.cloud.set_follower_rate(self.settings.controllers(), self.now.monotonic_ms);
         for held in leader.deferred_heartbeats {
-            self.redirect(held.connection);
+            self.redirect(held.connection());
         }
     }
 
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -13,7 +13,7 @@
 use crate::protocol::Resources;
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{Machine, MachineState, Placement, StopReason, TaskId};
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 
 /// A machine and the share of it that is in use.
 struct LoadedMachine<'a> {
@@ -42,7 +42,7 @@
     /// time grows with the fleet.
     pub(super) fn consolidate(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(catalog) = self.cloud.catalog().cloned() else { return };
         let Some(leader) = self.leader.as_mut() else { return };
         let open = leader.open_machines();
         let most = ((open.len() as f64 * CLOSE_SHARE) as usize).max(1);
@@ -88,7 +88,7 @@
             else {
                 continue;
             };
-            log::debug!("{}/{}: moves off {name}", id.0, id.1);
+            log::debug!("{id}: moves off {name}");
             placement.stop_reason = Some(StopReason::Eviction);
         }
     }
@@ -132,7 +132,7 @@
     fn reopen_machines(&mut self, most: usize, now: u64) {
         self.fleet.excess_since = None;
         let cluster = &self.cluster;
-        let mut drained: Vec<(f64, Name)> = cluster
+        let mut drained: Vec<(f64, MachineName)> = cluster
             .machines
             .values()
             .filter(|machine| {
@@ -158,7 +158,7 @@
         most: usize,
         catalog: &Catalog,
         now: u64,
-    ) -> Vec<Name> {
+    ) -> Vec<MachineName> {
         let headroom = self.service_headroom(now, catalog);
         let service_slots = |machine: &Machine| match &headroom {
             Some(headroom) if !machine.spot => {
@@ -217,7 +217,7 @@
     }
 
     /// Running services on machines that are being emptied for which another machine has room.
-    fn services_to_move(&self) -> Vec<(Name, TaskId)> {
+    fn services_to_move(&self) -> Vec<(MachineName, TaskId)> {
         let cluster = &self.cluster;
         let mut drained: Vec<(f64, &Machine)> = cluster
             .machines
@@ -265,7 +265,7 @@
         id: &TaskId,
         placement: &Placement,
     ) -> bool {
-        let Some(job) = cluster.jobs.get(&id.0) else { return false };
+        let Some(job) = cluster.jobs.get(&id.job) else { return false };
         let Some(spec) = job.spec.as_ref().filter(|spec| spec.kind == JobKind::Service) else {
             return false;
         };
@@ -297,18 +297,18 @@
 fn service_count(cluster: &ClusterState, machine: &Machine) -> f64 {
     let placements = machine.placements.iter();
     let services = placements
-        .filter(|((uid, _), placement)| placement.settled.is_none() && cluster.is_service(uid));
+        .filter(|(id, placement)| placement.settled.is_none() && cluster.is_service(&id.job));
     services.count() as f64
 }
 
 /// The part of a machine's load that services make up.
 fn service_share(cluster: &ClusterState, machine: &Machine) -> f64 {
     let (mut service_load, mut whole_load) = (0.0, 0.0);
-    for ((uid, _), placement) in &machine.placements {
-        let (None, Some(job)) = (placement.settled, cluster.jobs.get(uid)) else { continue };
+    for (id, placement) in &machine.placements {
+        let (None, Some(job)) = (placement.settled, cluster.jobs.get(&id.job)) else { continue };
         let share = job.need.share_of(&machine.total);
         whole_load += share;
-        if cluster.is_service(uid) {
+        if cluster.is_service(&id.job) {
             service_load += share;
         }
     }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -3,12 +3,14 @@
 use crate::constants::{
     CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, LIST_PERIOD_MS, MS_PER_S,
 };
-use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::coordination::outbox::CallPurpose;
+use crate::coordination::{Controller, Leader, Service};
 use crate::protocol::cloud::{hosts_path, Host, HostStatus, Hosts};
+use crate::protocol::http::Response;
 use crate::protocol::workers::EndCause;
 use crate::storage::hashing::HashSet;
 use crate::storage::machine::{Machine, MachineState, Placement, PlacementPhase, TaskId};
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 
 impl Controller {
     /// Asks for the first page of the list when that is due.
@@ -17,7 +19,7 @@
         let Some(leader) = self.leader.as_mut() else { return };
         let fleet = &mut leader.fleet;
         let is_due = !fleet.list_in_progress && now >= fleet.next_list_at;
-        if !is_due || !self.cloud_budget.take(1.0, 0.0, now) {
+        if !is_due || !self.cloud.take_request(0.0, now) {
             return;
         }
         fleet.list_in_progress = true;
@@ -38,7 +40,7 @@
     pub(in crate::coordination) fn on_machine_list_response(
         &mut self,
         list_started_at: u64,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -47,7 +49,7 @@
             return;
         }
         let hosts: Option<Hosts> = match reply {
-            Some((200, body)) => serde_json::from_slice(&body).ok(),
+            Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
         let Some(hosts) = hosts else {
@@ -59,7 +61,7 @@
         fleet.listed_hosts.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
             // A list that was begun is finished, whatever the cloud's rate is.
-            self.cloud_budget.take(1.0, f64::MIN, now);
+            self.cloud.take_request(f64::MIN, now);
             return self.ask_for_page(Some(&last), list_started_at);
         }
         fleet.list_in_progress = false;
@@ -87,7 +89,7 @@
     }
 
     /// A machine and everything on it has surely ceased to be.
-    pub(super) fn machine_gone(&mut self, name: &Name) {
+    pub(super) fn machine_gone(&mut self, name: &MachineName) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         leader.fleet.terminated_machines.insert(name.clone());
@@ -105,7 +107,7 @@
         let Some(leader) = self.leader.as_mut() else { return };
         // A placement whose commit was under way when its machine was found gone or silent was
         // never ordered; it once stayed for ever, and its task with it.
-        let mut never_ordered: Vec<(Name, TaskId)> = Vec::new();
+        let mut never_ordered: Vec<(MachineName, TaskId)> = Vec::new();
         for machine in leader.cluster.machines.values() {
             let placements = machine.placements.iter();
             let ids = placements.filter(|(_, placement)| is_never_ordered(machine, placement));
@@ -130,13 +132,18 @@
 
 impl Leader {
     /// Takes listed machines into the state. Returns those that have newly failed.
-    fn note_listed_hosts(&mut self, hosts: &[Host], list_started_at: u64, now: u64) -> Vec<Name> {
+    fn note_listed_hosts(
+        &mut self,
+        hosts: &[Host],
+        list_started_at: u64,
+        now: u64,
+    ) -> Vec<MachineName> {
         let mut failed = Vec::new();
         for host in hosts {
             if self.fleet.is_terminated(&host.uid) {
                 continue;
             }
-            let name: Name = host.uid.as_str().into();
+            let name: MachineName = host.uid.as_str().into();
             let is_new = !self.cluster.machines.contains_key(&name);
             let machine = self.cluster.machine_entry(&name, now);
             note_listed_host(machine, host, is_new, list_started_at, now);
@@ -151,7 +158,7 @@
     }
 
     /// Nothing runs any more on a machine that the cloud lists as failed.
-    fn note_failed_machine(&mut self, name: &Name, now: u64) {
+    fn note_failed_machine(&mut self, name: &MachineName, now: u64) {
         self.cluster.settle_machine(name);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.cordoned = true;
@@ -162,7 +169,7 @@
     }
 
     /// Machines that a list does not name although they were there for longer than it lags.
-    fn machines_gone(&self, hosts: &[Host], list_started_at: u64, lag_ms: u64) -> Vec<Name> {
+    fn machines_gone(&self, hosts: &[Host], list_started_at: u64, lag_ms: u64) -> Vec<MachineName> {
         let mut listed: HashSet<&str> = self.cluster.hash_keys().set();
         listed.extend(hosts.iter().map(|host| host.uid.as_str()));
         let is_gone = |machine: &&Machine| {
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -26,7 +26,7 @@
 use crate::protocol::Resources;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::machine::{Machine, MachineState};
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 use forecast::{BatchArrival, ServiceArrival};
 use std::collections::VecDeque;
 use unplaced::UnplacedTasks;
@@ -62,7 +62,7 @@
     /// Kinds of machines that the cloud had none of, and until when it is not asked for them.
     no_capacity: HashMap<MachineKind, u64>,
     /// Machines that have surely ceased to be: their names are never used again.
-    terminated_machines: HashSet<Name>,
+    terminated_machines: HashSet<MachineName>,
     unplaced: Vec<UnplacedTasks>,
     service_arrivals: VecDeque<ServiceArrival>,
     batch_arrivals: VecDeque<BatchArrival>,
@@ -124,7 +124,7 @@
     }
 
     fn scan_fleet(&mut self) {
-        if let (Some(leader), Some(catalog)) = (self.leader.as_mut(), &self.catalog) {
+        if let (Some(leader), Some(catalog)) = (self.leader.as_mut(), self.cloud.catalog()) {
             leader.note_arrivals(self.now, catalog);
         }
         self.forget_terminated();
@@ -132,7 +132,7 @@
         self.move_services();
         // One that the state service does not serve may not lead any more: it must not
         // take machines away.
-        if self.store_is_usable() && !self.starts_are_held() {
+        if self.store_is_usable() && !self.starts_are_blocked() {
             self.return_machines();
             self.rent_machines();
         }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -7,13 +7,15 @@
     MS_PER_S, RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_FEW, SILENT_PERIODS, WORKER_RETRY_S,
     WORKER_WAIT_S,
 };
-use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::coordination::outbox::CallPurpose;
+use crate::coordination::{Controller, Leader, Service};
 use crate::protocol::cloud::{Catalog, Names};
+use crate::protocol::http::Response;
 use crate::protocol::Resources;
 use crate::settings::Platform;
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{Machine, MachineState};
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 
 /// Report periods in which a worker that can't reach us has surely had its next try.
 const MISSED_ROUND_PERIODS: f64 = 2.5;
@@ -23,7 +25,7 @@
     pub(super) fn return_machines(&mut self) {
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
-        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(catalog) = self.cloud.catalog().cloned() else { return };
         // Leases may be kept in our place for so long after we were last heard.
         let isolated_ms = self.isolation_budget_ms() + self.lease_ms();
         let Some(leader) = self.leader.as_mut() else { return };
@@ -51,12 +53,12 @@
             return;
         }
         names.truncate(DELETE_MAX);
-        if self.cloud_budget.take(1.0, 0.0, now) {
+        if self.cloud.take_request(0.0, now) {
             self.delete_machines(names);
         }
     }
 
-    fn delete_machines(&mut self, names: Vec<Name>) {
+    fn delete_machines(&mut self, names: Vec<MachineName>) {
         let Some(leader) = self.leader.as_mut() else { return };
         for name in &names {
             if let Some(machine) = leader.cluster.machines.get_mut(name) {
@@ -73,10 +75,10 @@
     /// Takes in what the cloud answered to a deletion.
     pub(in crate::coordination) fn on_deletion_response(
         &mut self,
-        names: Vec<Name>,
-        reply: Option<(u16, Vec<u8>)>,
+        names: Vec<MachineName>,
+        reply: Option<Response>,
     ) {
-        if matches!(reply, Some((200, _))) {
+        if matches!(reply, Some(Response { status: 200, .. })) {
             for name in names {
                 self.machine_gone(&name);
             }
@@ -249,7 +251,7 @@
     /// others report, and whose services have a place elsewhere: deleting them is evidence
     /// at once, where a lease or the list take twice as long. If they were only cut off, their
     /// tasks would have ended with the lease all the same.
-    fn silent_services(&self, now: u64, settings: &Platform) -> Vec<Name> {
+    fn silent_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
         let workers = &settings.params.workers;
         // A report that fails, the worker's wait for it, one at a wrong controller, and back.
         let round_s =
@@ -290,8 +292,8 @@
     let services: Vec<Resources> = machine
         .placements
         .iter()
-        .filter(|((uid, _), placement)| placement.settled.is_none() && cluster.is_service(uid))
-        .filter_map(|((uid, _), _)| cluster.jobs.get(uid).map(|job| job.need))
+        .filter(|(id, placement)| placement.settled.is_none() && cluster.is_service(&id.job))
+        .filter_map(|(id, _)| cluster.jobs.get(&id.job).map(|job| job.need))
         .collect();
     let Some(need) = services.first() else { return false };
     let mut slots = 0;
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -7,10 +7,12 @@
 use crate::constants::{
     BOOT_LATE, CAPACITY_REST_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, MS_PER_S, RENT_MAX,
 };
-use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::coordination::outbox::CallPurpose;
+use crate::coordination::{Controller, Leader, Service};
 use crate::protocol::cloud::{Catalog, Names, Rent};
+use crate::protocol::http::Response;
 use crate::storage::machine::MachineState;
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 use rental_plan::{ComingMachine, RentalPlan};
 
 /// A kind of machine, by its type's index in the catalog.
@@ -40,7 +42,7 @@
     /// way.
     pub(super) fn rent_machines(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(catalog) = self.cloud.catalog().cloned() else { return };
         let Some(leader) = self.leader.as_ref() else { return };
         if !leader.fleet.has_complete_list || now < leader.fleet.next_rental_at {
             return;
@@ -66,7 +68,7 @@
                 if count == 0 {
                     continue;
                 }
-                if !self.cloud_budget.take(1.0, 1.0, now) {
+                if !self.cloud.take_request(1.0, now) {
                     *left = 0;
                     continue;
                 }
@@ -106,10 +108,10 @@
     pub(in crate::coordination) fn on_rental_response(
         &mut self,
         rental: Rental,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else { return };
+        let Some(catalog) = self.cloud.catalog().cloned() else { return };
         let Some(leader) = self.leader.as_mut() else { return };
         leader.fleet.pending_rentals.retain(|pending| pending.request_id != rental.request_id);
         let Some(machine_type) = catalog.machine_types.get(rental.kind.type_index) else {
@@ -118,14 +120,16 @@
         let CatalogKind { zone, spot, .. } = rental.kind;
         let kind = MachineKind { type_name: machine_type.type_name.clone(), zone, spot };
         match reply {
-            Some((200, body)) => {
+            Some(Response { status: 200, body }) => {
                 let Ok(names) = serde_json::from_slice::<Names>(&body) else { return };
                 if names.machines.len() < rental.count {
                     leader.fleet.no_capacity.insert(kind.clone(), now + CAPACITY_REST_MS);
                 }
                 leader.note_rented(&names, &kind, now);
             }
-            Some((503, body)) if String::from_utf8_lossy(&body).contains("capacity") => {
+            Some(Response { status: 503, body })
+                if String::from_utf8_lossy(&body).contains("capacity") =>
+            {
                 let MachineKind { type_name, zone, spot } = &kind;
                 log::info!("no capacity for {type_name} in {zone}, spot {spot}");
                 leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
@@ -143,7 +147,7 @@
             if self.fleet.is_terminated(listed) {
                 continue;
             }
-            let name: Name = listed.as_str().into();
+            let name: MachineName = listed.as_str().into();
             let machine = self.cluster.machine_entry(&name, now);
             if machine.type_name.is_empty() {
                 machine.type_name = kind.type_name.clone();
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -2,15 +2,15 @@
 
 use super::commits::{PlacementEntry, PlacementMove};
 use super::fleet::Fleet;
+use super::heartbeats::DeferredHeartbeat;
 use super::planner;
 use super::planner_input::PlannerInput;
-use super::workers::DeferredHeartbeat;
 use super::{Clock, Controller};
 use crate::constants::{
     ATTEMPT_BITS, AVERAGE_WEIGHT, CLOCK_DRIFT, ESTIMATE_MIN_S, FLEET_MACHINE_MS, FLEET_PERIOD_MS,
     GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS, LEADER_RENEW_MS, LEADER_UNHEARD_MS, LEASE_MARGIN_MS,
     LEASE_SCAN_MS, MS_PER_S, PASS_GAP_MACHINE_MS, PASS_GAP_MS, POLL_SOON_MS, RATIO_SAMPLES_MIN,
-    REPORT_HOLD_MS, SERVICE_REFERENCE_S, STATUS_LOG_PERIOD_MS, WRITE_RESERVE,
+    SERVICE_REFERENCE_S, STATUS_LOG_PERIOD_MS, WRITE_RESERVE,
 };
 use crate::protocol::state::Transaction;
 use crate::protocol::users::JobKind;
@@ -21,7 +21,7 @@
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Machine, MachineState, PlacementPhase, StopReason};
-use crate::storage::records::Name;
+use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeMap;
 
 /// A commit that is under way.
@@ -37,8 +37,8 @@
     pub moves: Vec<PlacementMove>,
     /// Groups of bitmaps that it writes, and the chunks that changed.
     pub done_groups: Vec<u32>,
-    pub chunks: Vec<(Name, u32)>,
-    pub finished_jobs: Vec<Name>,
+    pub chunks: Vec<(JobId, u32)>,
+    pub finished_jobs: Vec<JobId>,
     pub stale_keys: Vec<(String, u64)>,
     /// It was sent at least once with no answer: it may have been applied.
     pub outcome_unknown: bool,
@@ -98,7 +98,7 @@
     pub(super) images_at: u64,
     pub(super) garbage_at: u64,
     pub(super) runs: BTreeMap<String, RunStats>,
-    pub(super) reservation: Option<(Name, Name)>,
+    pub(super) reservation: Option<(JobId, MachineName)>,
     /// The teams' shares, in thousandths of the fleet, and whether they are in the store.
     pub(super) shares: Vec<i64>,
     pub(super) shares_written: bool,
@@ -212,8 +212,7 @@
         };
         // Whatever comes in answers those that have waited long enough too: in a large fleet a report
         // comes every few milliseconds, and to wake for each of them alone is mostly for nothing.
-        let held =
-            self.deferred_heartbeats.iter().map(|h| h.since + REPORT_HOLD_MS + POLL_SOON_MS).min();
+        let held = self.deferred_heartbeats.iter().map(|h| h.answer_by() + POLL_SOON_MS).min();
         // A pass waits until what the last one decided is stored.
         let pass = (held.is_some() && self.cluster.proposals.is_empty()).then_some(self.plan_at);
         let pass = pass.map(|t| t.max(now + 1));
@@ -260,7 +259,7 @@
             return;
         }
         self.renew_due();
-        if self.rebuilds() {
+        if self.is_rebuilding() {
             return;
         }
         if !self.leader.as_ref().is_some_and(|leader| leader.ready) {
@@ -281,7 +280,7 @@
         }
         // What the last pass decided is stored first: to decide more would only queue it.
         let due = |leader: &Leader| leader.plan_at <= now && leader.cluster.proposals.is_empty();
-        let plans = self.store_is_usable() && !self.starts_are_held();
+        let plans = self.store_is_usable() && !self.starts_are_blocked();
         if self.leader.as_ref().is_some_and(due) && plans {
             self.plan_pass();
         }
@@ -296,17 +295,17 @@
             return;
         };
         if !leader.ready {
-            if self.recovery.holds() {
+            if self.recovery.is_suspended() {
                 // The store is written back first.
                 return;
             }
-            if self.replica.revision < leader.mod_revision {
+            if self.store.replica().revision < leader.mod_revision {
                 return self.request_leader_read();
             }
-            leader.cluster = ClusterState::from_replica(&self.replica, now);
+            leader.cluster = ClusterState::from_replica(self.store.replica(), now);
             leader.ready = true;
             leader.ready_at = now;
-            if let Some(rec) = &self.replica.shares {
+            if let Some(rec) = &self.store.replica().shares {
                 let of = |t: &str| rec.value.teams.iter().find(|(n, _)| n == t).map(|(_, s)| *s);
                 leader.shares =
                     self.settings.params.teams.iter().map(|t| of(&t.name).unwrap_or(0)).collect();
@@ -335,7 +334,7 @@
             return;
         }
         self.metrics.work.lease_scans += 1;
-        let alone_since = self.nobody_else_answered_before();
+        let alone_since = self.leases_not_extended_before();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
@@ -378,8 +377,10 @@
         let Some(leader) = &self.leader else { return };
         let quiet = now > leader.last_heartbeat_at + LEADER_UNHEARD_MS
             && now > leader.began_at + LEADER_UNHEARD_MS;
-        let peers_hear =
-            self.fresh_gossip().any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
+        let peers_hear = self
+            .membership
+            .fresh_gossip(self.now.monotonic_ms)
+            .any(|g| g.workers_seen > 0 && g.served_ago_ms.is_some());
         if quiet && peers_hear {
             self.hand_over("no worker reports here, but to others they do");
         }
@@ -389,7 +390,7 @@
 
     fn plan_pass(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.cloud.catalog().cloned() else {
             return;
         };
         let wall_ms = self.now.wall_ms;
@@ -429,7 +430,7 @@
         leader.reservation = plan.reservation.map(|reserved| {
             (view.jobs[reserved.job].clone(), view.machines[reserved.machine].clone())
         });
-        let mut gangs: BTreeMap<usize, Vec<Name>> = BTreeMap::new();
+        let mut gangs: BTreeMap<usize, Vec<MachineName>> = BTreeMap::new();
         for placed in &plan.placements {
             let machine = view.machines[placed.machine].clone();
             if view.snapshot.jobs[placed.job].is_gang {
@@ -455,15 +456,15 @@
         for preempted in &plan.preemptions {
             let id = view.handles[preempted.machine][preempted.handle].clone();
             let machine = &view.machines[preempted.machine];
-            if leader.cluster.jobs.get(&id.0).is_some_and(|job| job.is_gang()) {
-                log::debug!("{}: gang stopped to make room", id.0);
-                leader.stop_gang(&id.0, StopReason::Eviction, now);
+            if leader.cluster.jobs.get(&id.job).is_some_and(|job| job.is_gang()) {
+                log::debug!("{}: gang stopped to make room", id.job);
+                leader.stop_gang(&id.job, StopReason::Eviction, now);
                 continue;
             }
             let held =
                 leader.cluster.machines.get_mut(machine).and_then(|m| m.placements.get_mut(&id));
             let Some(p) = held else { continue };
-            log::debug!("{}/{}: stopped on {machine} to make room", id.0, id.1);
+            log::debug!("{id}: stopped on {machine} to make room");
             p.stop_reason = p.stop_reason.max(Some(StopReason::Eviction));
             // Stored but never ordered by us: it can't be there, so its place is free at once.
             let ours = p.attempt >> ATTEMPT_BITS == leader.term;
@@ -478,8 +479,3 @@
         leader.fleet.note_unplaced(&view, &plan, &catalog);
     }
 }
-
-/// Whether a cause means that the machine or the job is at fault.
-pub(super) fn is_failure(cause: EndCause) -> bool {
-    matches!(cause, EndCause::Error)
-}
--- a/src/coordination/planner_input.rs
+++ b/src/coordination/planner_input.rs
@@ -16,7 +16,7 @@
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashMap;
 use crate::storage::machine::TaskId;
-use crate::storage::records::Name;
+use crate::storage::records::{JobId, MachineName};
 use indices::Indices;
 use placements::PlacedJob;
 
@@ -25,9 +25,9 @@
     /// What the planner looks at.
     pub snapshot: Snapshot,
     /// Names of the snapshot's jobs.
-    pub jobs: Vec<Name>,
+    pub jobs: Vec<JobId>,
     /// Names of the snapshot's machines.
-    pub machines: Vec<Name>,
+    pub machines: Vec<MachineName>,
     /// The tasks behind the handles of the running tasks, by machine.
     pub handles: Vec<Vec<TaskId>>,
     /// Names of the zones.
@@ -90,20 +90,20 @@
     silent_ms: u64,
     indices: Indices<'a>,
     /// Indices of the machines that may get tasks.
-    machine_indices: HashMap<&'a Name, usize>,
+    machine_indices: HashMap<&'a MachineName, usize>,
     /// What all placements of a job share: worked out once a job, not once a placement.
-    placed_jobs: HashMap<&'a Name, Option<PlacedJob>>,
+    placed_jobs: HashMap<&'a JobId, Option<PlacedJob>>,
     input: PlannerInput,
 }
 
 impl InputBuilder<'_> {
     fn add_previous_reservation(&mut self) {
-        let position = |names: &[Name], name: &Name| names.iter().position(|other| other == name);
         let input = &mut self.input;
         input.snapshot.previous_reservation =
             self.leader.reservation.as_ref().and_then(|(job, machine)| {
-                let job = position(&input.jobs, job)?;
-                Some(JobOnMachine { job, machine: position(&input.machines, machine)? })
+                let job = input.jobs.iter().position(|listed| listed == job)?;
+                let machine = input.machines.iter().position(|listed| listed == machine)?;
+                Some(JobOnMachine { job, machine })
             });
     }
 }
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -9,7 +9,7 @@
 use crate::settings::{Objective, Team};
 use crate::storage::hashing::HashMap;
 use crate::storage::job::Job;
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 
 impl InputBuilder<'_> {
     /// Adds the jobs with waiting tasks, in the order of their arrival.
@@ -135,7 +135,7 @@
 }
 
 /// Machines on which a job failed; none once it has failed on so many that it is tried everywhere.
-fn avoided_machines(job: &Job, machine_indices: &HashMap<&Name, usize>) -> Vec<usize> {
+fn avoided_machines(job: &Job, machine_indices: &HashMap<&MachineName, usize>) -> Vec<usize> {
     let tries_everywhere = match job.is_gang() {
         true => job.failed_on.len() > GANG_AVOID_MAX,
         false => job.fails_everywhere(),
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -11,7 +11,7 @@
 use crate::protocol::Resources;
 use crate::storage::hashing::HashSet;
 use crate::storage::machine::{Machine, MachineState};
-use crate::storage::records::Name;
+use crate::storage::records::MachineName;
 
 /// Most tasks that a machine's report can name.
 const TASKS_PER_REPORT: usize = HTTP_BODY_MAX / REPORT_TASK_BYTES;
@@ -40,9 +40,9 @@
 
     /// Adds the machines that may get tasks.
     pub(super) fn add_open_machines(&mut self) {
-        let mut deferred_heartbeats: HashSet<&Name> = self.cluster.hash_keys().set();
+        let mut deferred_heartbeats: HashSet<&MachineName> = self.cluster.hash_keys().set();
         deferred_heartbeats
-            .extend(self.leader.deferred_heartbeats.iter().map(|deferred| &deferred.machine));
+            .extend(self.leader.deferred_heartbeats.iter().map(|deferred| deferred.machine()));
         let cluster = self.cluster;
         for machine in cluster.machines.values() {
             let zone = self.indices.zone(&machine.zone);
--- a/src/coordination/planner_input/placements.rs
+++ b/src/coordination/planner_input/placements.rs
@@ -7,7 +7,7 @@
 use crate::protocol::users::{JobKind, Priority};
 use crate::protocol::Resources;
 use crate::storage::machine::{Machine, Placement, TaskId};
-use crate::storage::records::Name;
+use crate::storage::records::JobId;
 
 /// What a pass needs to know of a job for each of its placements.
 #[derive(Debug, Clone, Copy)]
@@ -43,7 +43,7 @@
             if placement.settled.is_some() {
                 continue;
             }
-            let Some(job) = self.placed_job(&id.0) else { continue };
+            let Some(job) = self.placed_job(&id.job) else { continue };
             let fetch_ms = (job.image_gb * fetch_ms_per_gb) as u64;
             if placement.running_since.is_none() {
                 let fetched_at = placement.placed_at + fetch_ms;
@@ -69,7 +69,7 @@
     }
 
     /// What all placements of a job share; `None` if the job or its specification is not known.
-    fn placed_job(&mut self, uid: &'a Name) -> Option<PlacedJob> {
+    fn placed_job(&mut self, uid: &'a JobId) -> Option<PlacedJob> {
         let InputBuilder { leader, settings, operator, silent_ms, indices, .. } = self;
         let cluster = self.cluster;
         *self.placed_jobs.entry(uid).or_insert_with(|| {
--- a/src/coordination/recovery/gather.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -1,10 +1,11 @@
 //! Passing images of the lost store to the controller that rebuilds it.
 
-use super::Phase;
+use super::RecoveryPhase;
 use crate::constants::{IMAGE_CALL_MS, IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
+use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
-use mountgap_recovery::audit::Loss;
+use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::image::StoreImage;
 
 /// The image that a peer hands over.
@@ -19,7 +20,7 @@
     /// All pages are in.
     pub complete: bool,
     /// Its memory reaches back to before the loss.
-    pub remembers: bool,
+    pub history_complete: bool,
 }
 
 impl PeerImage {
@@ -38,7 +39,7 @@
         if let Some((key, _, _)) = page.values.last() {
             self.after = key.clone();
         }
-        self.remembers = page.remembers;
+        self.history_complete = page.remembers;
         self.complete = page.last;
         if page.last {
             self.image.advance(page.revision);
@@ -50,7 +51,7 @@
     /// Asks peers for what is missing of their images.
     pub(super) fn gather_due(&mut self) {
         let now = self.now.monotonic_ms;
-        for peer in 0..self.peers.len() {
+        for peer in 0..self.membership.peer_count() {
             let Some(rebuild) = self.recovery.rebuild.as_mut() else { return };
             let image = &mut rebuild.peers[peer];
             if image.complete || image.asking || now < image.next_at {
@@ -73,19 +74,19 @@
     pub(in crate::coordination) fn on_image_response(
         &mut self,
         peer: usize,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
         let Some(rebuild) = self.recovery.rebuild.as_mut() else { return };
         let image = &mut rebuild.peers[peer];
         image.asking = false;
         let page = match reply {
-            Some((200, body)) => decode::<ImagePage>(&body).ok(),
+            Some(Response { status: 200, body }) => decode::<ImagePage>(&body).ok(),
             _ => None,
         };
         let label = &self.settings.peers[peer].label;
         let valid = |page: &ImagePage| page.version == PEER_VERSION && page.label == *label;
         let Some(page) = page.filter(valid) else { return };
-        self.highest_term = self.highest_term.max(page.term);
+        self.membership.note_term(page.term);
         if page.holds {
             image.next_at = 0;
             image.take(page);
@@ -104,8 +105,8 @@
             Ok(request) if request.version == PEER_VERSION && self.recovery.enabled => request,
             _ => return self.respond(connection, 404, None, vec![]),
         };
-        if matches!(self.recovery.phase, Phase::Following) && self.store_sync.loaded {
-            self.suspect_store_loss(Some(Loss::RebuildBegun));
+        if matches!(self.recovery.phase, RecoveryPhase::Following) && self.store.is_loaded() {
+            self.suspect_data_loss(Some(DataLoss::RebuildStarted));
         }
         let page = self.image_page(&request.after);
         self.respond(connection, 200, None, encode(&page));
@@ -116,9 +117,9 @@
         let mut page = ImagePage {
             version: PEER_VERSION,
             label: self.settings.label.clone(),
-            holds: recovery.holds(),
-            remembers: recovery.remembers,
-            term: self.highest_term,
+            holds: recovery.is_suspended(),
+            remembers: recovery.history_complete,
+            term: self.membership.highest_term(),
             revision: 0,
             values: Vec::new(),
             removed: Vec::new(),
