--- a/src/coordination/deadline_triage/tests.rs
+++ b/src/coordination/deadline_triage/tests.rs
@@ -6,14 +6,14 @@
 /// What the jobs of these sizes miss on four slots, where each task runs for 10 s.
 fn missed_by(sizes: &[u32], times: &[u64]) -> Vec<usize> {
     let jobs = sizes.iter().enumerate().map(|(n, size)| {
-        let mut j = job(n as u64, 1, 10_000);
-        j.waiting_tasks = *size;
-        j.due_in_ms = times.to_vec();
-        j
+        let mut pending = job(n as u64, 1, 10_000);
+        pending.waiting_tasks = *size;
+        pending.due_in_ms = times.to_vec();
+        pending
     });
-    let s = snapshot(vec![machine(4)], jobs.collect());
+    let cluster = snapshot(vec![machine(4)], jobs.collect());
     let order: Vec<usize> = (0..sizes.len()).collect();
-    missed_deadlines(&s, &order, &gpus(4))
+    missed_deadlines(&cluster, &order, &gpus(4))
 }
 
 #[test]
@@ -29,14 +29,18 @@
 
 #[test]
 fn services_take_their_part_and_machines_on_their_way_add_theirs() {
-    let mut j = job(1, 1, 10_000);
-    j.waiting_tasks = 8;
-    j.due_in_ms = vec![35_000];
-    let mut m = machine(4);
-    m.running = vec![running(90_000), running(90_000)];
-    m.running.iter_mut().for_each(|r| r.is_service = true);
-    let mut s = snapshot(vec![m], vec![j]);
-    assert_eq!(missed_deadlines(&s, &[0], &gpus(4)), vec![1], "eight tasks on two slots take 40 s");
-    s.booting = vec![BootingMachine { ready_in_ms: 5_000, total: gpus(4) }];
-    assert_eq!(missed_deadlines(&s, &[0], &gpus(4)), vec![0]);
+    let mut pending = job(1, 1, 10_000);
+    pending.waiting_tasks = 8;
+    pending.due_in_ms = vec![35_000];
+    let mut host = machine(4);
+    host.running = vec![running(90_000), running(90_000)];
+    host.running.iter_mut().for_each(|r| r.is_service = true);
+    let mut cluster = snapshot(vec![host], vec![pending]);
+    assert_eq!(
+        missed_deadlines(&cluster, &[0], &gpus(4)),
+        vec![1],
+        "eight tasks on two slots take 40 s"
+    );
+    cluster.booting = vec![BootingMachine { ready_in_ms: 5_000, total: gpus(4) }];
+    assert_eq!(missed_deadlines(&cluster, &[0], &gpus(4)), vec![0]);
 }
--- a/src/coordination/planner/gang/tests.rs
+++ b/src/coordination/planner/gang/tests.rs
@@ -35,8 +35,12 @@
 #[test]
 fn a_gang_is_placed_on_as_few_machines_as_hold_it() {
     let machines = vec![machine(2), machine(1), machine(4), machine(8)];
-    let s = snapshot(machines, vec![gang(1, 4, 5_000)]);
-    assert_eq!(shares(&plan(&s), 0, 4), vec![0, 0, 4, 0], "the fullest of those that hold it all");
+    let cluster = snapshot(machines, vec![gang(1, 4, 5_000)]);
+    assert_eq!(
+        shares(&plan(&cluster), 0, 4),
+        vec![0, 0, 4, 0],
+        "the fullest of those that hold it all"
+    );
 }
 
 #[test]
@@ -44,17 +48,17 @@
     let (mut cold, mut late, soon) = (machine(4), machine(4), machine(4));
     cold.images.clear();
     late.next_report_ms = 3_000;
-    let s = snapshot(vec![cold, late, soon], vec![gang(1, 4, 5_000)]);
-    assert_eq!(shares(&plan(&s), 0, 3), vec![0, 0, 4]);
+    let cluster = snapshot(vec![cold, late, soon], vec![gang(1, 4, 5_000)]);
+    assert_eq!(shares(&plan(&cluster), 0, 3), vec![0, 0, 4]);
 }
 
 #[test]
 fn a_team_gets_a_whole_gang_within_its_limit_or_none() {
     let with_limit = |limit: i64| {
-        let mut s = snapshot(vec![machine(8)], vec![gang(1, 4, 5_000)]);
-        s.teams[0].used = gpus(2);
-        s.teams[0].limit = gpus(limit);
-        plan(&s).placements.len()
+        let mut cluster = snapshot(vec![machine(8)], vec![gang(1, 4, 5_000)]);
+        cluster.teams[0].used = gpus(2);
+        cluster.teams[0].limit = gpus(limit);
+        plan(&cluster).placements.len()
     };
     assert_eq!((with_limit(5), with_limit(6)), (0, 4));
 }
@@ -126,9 +130,9 @@
     let waits = |gang_wait_ms| {
         let mut cold = machine(2);
         cold.images.clear();
-        let mut s = snapshot(vec![machine(2), cold], vec![gang(1, 4, 5_000)]);
-        s.gang_wait_ms = gang_wait_ms;
-        plan(&s).placements.len()
+        let mut cluster = snapshot(vec![machine(2), cold], vec![gang(1, 4, 5_000)]);
+        cluster.gang_wait_ms = gang_wait_ms;
+        plan(&cluster).placements.len()
     };
     // The image takes 20 s to fetch.
     assert_eq!((waits(60_000), waits(10_000)), (4, 0));
--- a/src/coordination/planner/plain.rs
+++ b/src/coordination/planner/plain.rs
@@ -78,13 +78,10 @@
         Some(Allocation { machine, start_ms, length_ms, penalty_factor })
     }
 
-    fn plain_allocate(&self, job: usize, may_wait: bool) -> Option<Allocation> {
-        if !self.is_within_limit(job, 1) {
-            return None;
-        }
+    /// Among places that are free now, the one of the least factor, and the one that is liked most.
+    fn plain_free_now(&self, job: usize) -> (Option<Candidate>, Option<Candidate>) {
         let now_ms = self.snapshot.now_ms;
         let need = &self.job_view(job).need;
-        // Among places that are free now, the least factor, then preference.
         let mut least: Option<Candidate> = None;
         let mut first: Option<Candidate> = None;
         for &machine in &self.machines_with_room {
@@ -106,6 +103,14 @@
                 least = Some(candidate);
             }
         }
+        (least, first)
+    }
+
+    fn plain_allocate(&self, job: usize, may_wait: bool) -> Option<Allocation> {
+        if !self.is_within_limit(job, 1) {
+            return None;
+        }
+        let (least, first) = self.plain_free_now(job);
         let lowest = self.snapshot.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
         if !may_wait || least.as_ref().is_some_and(|least| least.allocation.penalty_factor < lowest)
         {
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -99,13 +99,13 @@
 
 #[test]
 fn what_delays_the_reservation_of_the_head_is_not_backfilled() {
-    let mut m = machine(4);
-    m.running = vec![running(10_000), running(10_000)];
+    let mut host = machine(4);
+    host.running = vec![running(10_000), running(10_000)];
     // The head wants all four in 10 s. Beside it, 5 s fit before and 60 s don't.
     let jobs = vec![job(1, 4, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
-    let p = plan(&snapshot(vec![m], jobs));
-    assert_eq!(p.reservation, reserved(0, 0, 10_000));
-    assert_eq!(p.placements, vec![placed(2, 0)]);
+    let decided = plan(&snapshot(vec![host], jobs));
+    assert_eq!(decided.reservation, reserved(0, 0, 10_000));
+    assert_eq!(decided.placements, vec![placed(2, 0)]);
 }
 
 #[test]
@@ -113,25 +113,25 @@
     let (mut a, mut b) = (machine(1), machine(1));
     a.running = vec![running(12_000)];
     b.running = vec![running(10_000)];
-    let mut s = snapshot(vec![a, b], vec![job(1, 1, 5_000)]);
-    assert_eq!(plan(&s).reservation, reserved(0, 1, 10_000));
-    s.previous_reservation = Some(placed(0, 0));
-    assert_eq!(plan(&s).reservation, reserved(0, 0, 12_000));
-    s.machines[1].running.clear();
-    assert_eq!(plan(&s).placements, vec![placed(0, 1)], "room now is taken all the same");
+    let mut cluster = snapshot(vec![a, b], vec![job(1, 1, 5_000)]);
+    assert_eq!(plan(&cluster).reservation, reserved(0, 1, 10_000));
+    cluster.previous_reservation = Some(placed(0, 0));
+    assert_eq!(plan(&cluster).reservation, reserved(0, 0, 12_000));
+    cluster.machines[1].running.clear();
+    assert_eq!(plan(&cluster).placements, vec![placed(0, 1)], "room now is taken all the same");
 }
 
 #[test]
 fn backfill_goes_by_penalty_factor_then_length() {
-    let mut m = machine(4);
-    m.running = vec![running(60_000), running(60_000)];
-    m.running[0].bandwidth = 3.5;
+    let mut host = machine(4);
+    host.running = vec![running(60_000), running(60_000)];
+    host.running[0].bandwidth = 3.5;
     let mut loud = job(2, 1, 1_000);
     loud.bandwidth = 2.0;
     let jobs = vec![job(1, 4, 1_000), loud, job(3, 1, 20_000), job(4, 1, 10_000)];
-    let p = plan(&snapshot(vec![m], jobs));
+    let decided = plan(&snapshot(vec![host], jobs));
     assert_eq!(
-        p.placements,
+        decided.placements,
         vec![placed(3, 0), placed(2, 0)],
         "the shorter of the quiet ones first"
     );
@@ -140,20 +140,20 @@
 #[test]
 fn the_threshold_with_the_least_slowdown_decides_between_now_and_later() {
     // Half more than there is for 2 s costs 1 s; the wait would cost 2 s.
-    let mut m = machine(2);
-    m.running = vec![running(2_000)];
-    m.running[0].bandwidth = 2.0;
-    let mut j = job(1, 1, 10_000);
-    j.bandwidth = 1.0;
-    assert_eq!(plan(&snapshot(vec![m], vec![j])).placements, vec![placed(0, 0)]);
+    let mut host = machine(2);
+    host.running = vec![running(2_000)];
+    host.running[0].bandwidth = 2.0;
+    let mut pending = job(1, 1, 10_000);
+    pending.bandwidth = 1.0;
+    assert_eq!(plan(&snapshot(vec![host], vec![pending])).placements, vec![placed(0, 0)]);
     // Over five times what there is for 9 s costs far more than the wait.
-    let mut m = machine(2);
-    m.running = vec![running(9_000)];
-    m.running[0].bandwidth = 9.0;
-    let mut j = job(1, 1, 10_000);
-    j.bandwidth = 2.0;
-    let p = plan(&snapshot(vec![m], vec![j]));
-    assert_eq!(p.reservation, reserved(0, 0, 9_000));
+    let mut host = machine(2);
+    host.running = vec![running(9_000)];
+    host.running[0].bandwidth = 9.0;
+    let mut pending = job(1, 1, 10_000);
+    pending.bandwidth = 2.0;
+    let decided = plan(&snapshot(vec![host], vec![pending]));
+    assert_eq!(decided.reservation, reserved(0, 0, 9_000));
 }
 
 #[test]
@@ -163,74 +163,77 @@
     here.running = vec![running(5_000)];
     let mut cold = machine(2);
     cold.images = vec![];
-    let mut j = job(1, 1, 40_000);
-    j.waiting_tasks = 3;
-    let p = plan(&snapshot(vec![here, cold], vec![j]));
-    assert_eq!(p.placements, vec![placed(0, 1), placed(0, 1)], "one waits, the others fetch");
-    assert_eq!(p.expected_wait_ms[0], vec![5_000]);
+    let mut pending = job(1, 1, 40_000);
+    pending.waiting_tasks = 3;
+    let decided = plan(&snapshot(vec![here, cold], vec![pending]));
+    assert_eq!(decided.placements, vec![placed(0, 1), placed(0, 1)], "one waits, the others fetch");
+    assert_eq!(decided.expected_wait_ms[0], vec![5_000]);
 }
 
 #[test]
 fn a_team_at_its_limit_is_skipped_and_holds_nobody_up() {
-    let mut s = snapshot(vec![machine(4)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
-    s.teams[0].limit.gpu = 1_000;
-    s.teams[0].used = GPU;
-    s.teams.push(TeamView { share_permille: 0, ..TeamView::default() });
-    s.jobs[1].team = 1;
-    assert_eq!(plan(&s).placements, vec![placed(1, 0)]);
+    let mut cluster = snapshot(vec![machine(4)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
+    cluster.teams[0].limit.gpu = 1_000;
+    cluster.teams[0].used = GPU;
+    cluster.teams.push(TeamView { share_permille: 0, ..TeamView::default() });
+    cluster.jobs[1].team = 1;
+    assert_eq!(plan(&cluster).placements, vec![placed(1, 0)]);
 }
 
 #[test]
 fn room_is_made_for_higher_ranks_only_and_where_least_is_lost() {
-    let mut m = machine(2);
-    m.running = vec![running(90_000), running(90_000)];
-    m.running[0].ran_ms = Some(80_000);
-    m.running[1].ran_ms = Some(40_000);
-    m.running[1].handle = 7;
-    let mut s = snapshot(vec![m], vec![job(1, 1, 1_000)]);
-    assert!(plan(&s).preemptions.is_empty(), "not for the same rank");
-    s.jobs[0].priority = Priority::Production;
-    assert_eq!(plan(&s).preemptions, vec![Preemption { machine: 0, handle: 7 }]);
-    s.machines[0].running[1].is_stopping = true;
-    s.machines[0].running[1].end_ms = 2_000;
-    assert!(plan(&s).preemptions.is_empty(), "room that is being made counts");
+    let mut host = machine(2);
+    host.running = vec![running(90_000), running(90_000)];
+    host.running[0].ran_ms = Some(80_000);
+    host.running[1].ran_ms = Some(40_000);
+    host.running[1].handle = 7;
+    let mut cluster = snapshot(vec![host], vec![job(1, 1, 1_000)]);
+    assert!(plan(&cluster).preemptions.is_empty(), "not for the same rank");
+    cluster.jobs[0].priority = Priority::Production;
+    assert_eq!(plan(&cluster).preemptions, vec![Preemption { machine: 0, handle: 7 }]);
+    cluster.machines[0].running[1].is_stopping = true;
+    cluster.machines[0].running[1].end_ms = 2_000;
+    assert!(plan(&cluster).preemptions.is_empty(), "room that is being made counts");
 }
 
 #[test]
 fn images_are_not_queued_on_one_machine_while_others_come_up() {
-    let mut m = machine(2);
-    m.images = vec![fetched(7, 30_000)];
-    let mut s = snapshot(vec![m], vec![job(1, 1, 30_000)]);
-    s.jobs[0].spot_allowed = false;
-    s.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: Some(1_000) };
-    assert!(plan(&s).placements.is_empty(), "an ordinary machine is up before that image is here");
-    s.mean_boot_wait.ordinary_ms = Some(40_000);
-    assert_eq!(plan(&s).placements, vec![placed(0, 0)], "not that soon");
-    s.mean_boot_wait.ordinary_ms = Some(10_000);
-    s.machines[0].images = vec![fetched(0, 5_000), fetched(7, 30_000)];
-    assert_eq!(plan(&s).placements, vec![placed(0, 0)], "its own is on its way");
+    let mut host = machine(2);
+    host.images = vec![fetched(7, 30_000)];
+    let mut cluster = snapshot(vec![host], vec![job(1, 1, 30_000)]);
+    cluster.jobs[0].spot_allowed = false;
+    cluster.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: Some(1_000) };
+    assert!(
+        plan(&cluster).placements.is_empty(),
+        "an ordinary machine is up before that image is here"
+    );
+    cluster.mean_boot_wait.ordinary_ms = Some(40_000);
+    assert_eq!(plan(&cluster).placements, vec![placed(0, 0)], "not that soon");
+    cluster.mean_boot_wait.ordinary_ms = Some(10_000);
+    cluster.machines[0].images = vec![fetched(0, 5_000), fetched(7, 30_000)];
+    assert_eq!(plan(&cluster).placements, vec![placed(0, 0)], "its own is on its way");
 }
 
 #[test]
 fn a_task_starts_where_its_image_is_on_its_way_rather_than_wait_for_the_image() {
-    let mut m = machine(2);
-    m.images = vec![fetched(0, 20_000)];
-    m.running = vec![running(10_000)];
-    let p = plan(&snapshot(vec![m], vec![job(1, 1, 30_000)]));
-    assert_eq!(p.placements, vec![placed(0, 0)]);
+    let mut host = machine(2);
+    host.images = vec![fetched(0, 20_000)];
+    host.running = vec![running(10_000)];
+    let decided = plan(&snapshot(vec![host], vec![job(1, 1, 30_000)]));
+    assert_eq!(decided.placements, vec![placed(0, 0)]);
 }
 
 #[test]
 fn room_is_not_made_where_a_task_would_not_start_for_its_image() {
-    let mut m = machine(1);
-    m.images = vec![fetched(7, 30_000)];
-    m.running = vec![running(90_000)];
-    let mut s = snapshot(vec![m], vec![job(1, 1, 30_000)]);
-    s.jobs[0].priority = Priority::Production;
-    s.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: None };
-    assert!(plan(&s).preemptions.is_empty(), "it waits for the machine that is on its way");
-    s.mean_boot_wait = MeanBootWait { ordinary_ms: None, spot_ms: None };
-    assert_eq!(plan(&s).preemptions.len(), 1);
+    let mut host = machine(1);
+    host.images = vec![fetched(7, 30_000)];
+    host.running = vec![running(90_000)];
+    let mut cluster = snapshot(vec![host], vec![job(1, 1, 30_000)]);
+    cluster.jobs[0].priority = Priority::Production;
+    cluster.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: None };
+    assert!(plan(&cluster).preemptions.is_empty(), "it waits for the machine that is on its way");
+    cluster.mean_boot_wait = MeanBootWait { ordinary_ms: None, spot_ms: None };
+    assert_eq!(plan(&cluster).preemptions.len(), 1);
 }
 
 #[test]
@@ -239,16 +242,17 @@
     // there and theirs was not, and stopped again: thousands of times in a minute.
     let mut here = machine(1);
     here.images = vec![];
-    let mut s = snapshot(vec![here], vec![job(1, 8, 1_000), job(2, 1, 30_000), job(3, 1, 60_000)]);
-    s.machines.push(machine(8));
-    s.machines[1].running =
+    let mut cluster =
+        snapshot(vec![here], vec![job(1, 8, 1_000), job(2, 1, 30_000), job(3, 1, 60_000)]);
+    cluster.machines.push(machine(8));
+    cluster.machines[1].running =
         vec![RunningTask { priority: Priority::Production, ..running(9_000) }; 8];
-    s.jobs[0].priority = Priority::Production;
-    s.jobs[1].priority = Priority::Production;
-    s.jobs[1].image = 5;
-    s.jobs[2].image = 6;
-    s.jobs[2].image_gb = 0.1;
-    assert_eq!(plan(&s).placements, vec![placed(1, 0)]);
+    cluster.jobs[0].priority = Priority::Production;
+    cluster.jobs[1].priority = Priority::Production;
+    cluster.jobs[1].image = 5;
+    cluster.jobs[2].image = 6;
+    cluster.jobs[2].image_gb = 0.1;
+    assert_eq!(plan(&cluster).placements, vec![placed(1, 0)]);
 }
 
 #[test]
@@ -259,22 +263,26 @@
     here.running[0].keeps_progress = true;
     let mut free = machine(1);
     free.images = vec![];
-    let mut j = job(1, 1, 30_000);
-    j.priority = Priority::Production;
-    let mut s = snapshot(vec![here, free], vec![j]);
-    let p = plan(&s);
-    assert_eq!((p.preemptions.len(), p.placements.len()), (1, 0), "stopped for it, and it waits");
-    s.machines[0].running[0].is_stopping = true;
-    assert_eq!(plan(&s).placements, vec![], "still");
-    s.machines[0].running.clear();
-    assert_eq!(plan(&s).placements, vec![placed(0, 0)]);
+    let mut pending = job(1, 1, 30_000);
+    pending.priority = Priority::Production;
+    let mut cluster = snapshot(vec![here, free], vec![pending]);
+    let decided = plan(&cluster);
+    assert_eq!(
+        (decided.preemptions.len(), decided.placements.len()),
+        (1, 0),
+        "stopped for it, and it waits"
+    );
+    cluster.machines[0].running[0].is_stopping = true;
+    assert_eq!(plan(&cluster).placements, vec![], "still");
+    cluster.machines[0].running.clear();
+    assert_eq!(plan(&cluster).placements, vec![placed(0, 0)]);
 }
 
 #[test]
 fn a_job_that_can_still_be_in_time_goes_before_one_that_can_not() {
-    let mut s = snapshot(vec![machine(1)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
-    s.jobs[0].due_in_ms = vec![500];
-    assert_eq!(plan(&s).placements, vec![placed(1, 0)]);
+    let mut cluster = snapshot(vec![machine(1)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
+    cluster.jobs[0].due_in_ms = vec![500];
+    assert_eq!(plan(&cluster).placements, vec![placed(1, 0)]);
 }
 
 #[test]
@@ -287,90 +295,105 @@
     let mut higher = job(2, 1, 60_000);
     higher.priority = Priority::High;
     higher.waiting_tasks = 100;
-    let mut s = snapshot(vec![machine(8)], vec![late, higher, job(3, 1, 1_000)]);
-    assert!(plan(&s).placements.iter().all(|place| place.job != 0), "late, and lower");
-    s.jobs[0].waited_ms = STARVING_MS;
-    let places = plan(&s).placements;
-    let of = |j: usize| places.iter().filter(|place| place.job == j).count();
+    let mut cluster = snapshot(vec![machine(8)], vec![late, higher, job(3, 1, 1_000)]);
+    assert!(plan(&cluster).placements.iter().all(|place| place.job != 0), "late, and lower");
+    cluster.jobs[0].waited_ms = STARVING_MS;
+    let places = plan(&cluster).placements;
+    let of = |pending: usize| places.iter().filter(|place| place.job == pending).count();
     assert_eq!((of(0), of(1)), (2, 6), "a part of the places, not all of them");
-    s.jobs[0].has_started = true;
-    assert!(plan(&s).placements.iter().all(|place| place.job != 0), "it has begun");
-    s.jobs[0].waited_ms = STARVING_BEGUN_MS;
-    assert!(plan(&s).placements.iter().any(|place| place.job == 0), "and goes on after a while");
+    cluster.jobs[0].has_started = true;
+    assert!(plan(&cluster).placements.iter().all(|place| place.job != 0), "it has begun");
+    cluster.jobs[0].waited_ms = STARVING_BEGUN_MS;
+    assert!(
+        plan(&cluster).placements.iter().any(|place| place.job == 0),
+        "and goes on after a while"
+    );
 }
 
 #[test]
 fn shares_grow_for_the_head_by_what_others_leave_unused() {
-    let mut s = snapshot(vec![machine(10)], vec![job(1, 3, 1_000)]);
-    s.teams = vec![TeamView::default(), TeamView::default()];
-    s.teams[0].used = gpus(4);
-    s.teams[1].used = gpus(2);
-    let shares = move_shares(&s, vec![]);
+    let mut cluster = snapshot(vec![machine(10)], vec![job(1, 3, 1_000)]);
+    cluster.teams = vec![TeamView::default(), TeamView::default()];
+    cluster.teams[0].used = gpus(4);
+    cluster.teams[1].used = gpus(2);
+    let shares = move_shares(&cluster, vec![]);
     assert_eq!(shares, vec![700, 300], "half each, and 200 moved for the head");
-    s.teams[1].used = gpus(5);
-    assert_eq!(move_shares(&s, vec![500, 500]), vec![500, 500], "nothing is unused");
+    cluster.teams[1].used = gpus(5);
+    assert_eq!(move_shares(&cluster, vec![500, 500]), vec![500, 500], "nothing is unused");
+}
+
+/// Zones of a random snapshot.
+const ZONES: usize = 2;
+
+fn random_priority(rng: &mut SmallRng) -> Priority {
+    let ranks = [Priority::Production, Priority::High, Priority::Standard, Priority::BestEffort];
+    ranks[rng.random_range(0..ranks.len())]
+}
+
+fn random_running_task(rng: &mut SmallRng, handle: usize) -> RunningTask {
+    let mut task = running(rng.random_range(0..40) * 1_000);
+    task.priority = random_priority(rng);
+    task.team = Some(rng.random_range(0..2));
+    task.bandwidth = f64::from(rng.random_range(0..3));
+    task.is_service = rng.random_bool(0.2);
+    task.ran_ms = rng.random_bool(0.8).then(|| rng.random_range(0..90_000));
+    task.keeps_progress = rng.random_bool(0.5);
+    task.is_stopping = rng.random_bool(0.1);
+    task.handle = handle;
+    task
+}
+
+fn random_machine(rng: &mut SmallRng) -> MachineView {
+    let mut view = machine(rng.random_range(1..5));
+    view.zone = rng.random_range(0..ZONES);
+    view.spot = rng.random_bool(0.3);
+    view.free_task_slots = rng.random_range(0..5);
+    view.images = (0..3).map(|image| fetched(image, rng.random_range(0..2) * 7_000)).collect();
+    view.images.retain(|_| rng.random_bool(0.5));
+    for handle in 0..rng.random_range(0..=view.total.gpu / 1_000) {
+        view.running.push(random_running_task(rng, handle as usize));
+    }
+    view
+}
+
+fn random_job(rng: &mut SmallRng, arrival: u64) -> JobView {
+    let mut view = job(arrival, rng.random_range(1..3), rng.random_range(1..60) * 1_000);
+    view.priority = random_priority(rng);
+    view.team = rng.random_range(0..2);
+    view.within_guarantee = rng.random_bool(0.2);
+    view.is_service = rng.random_bool(0.3);
+    view.waited_ms = rng.random_range(0..2) * STARVING_MS;
+    view.due_in_ms = if rng.random_bool(0.5) { vec![rng.random_range(0..90_000)] } else { vec![] };
+    view.bandwidth = f64::from(rng.random_range(0..3));
+    view.spot_allowed = rng.random_bool(0.7);
+    view.zone = rng.random_bool(0.1).then(|| rng.random_range(0..ZONES));
+    view.waiting_tasks = rng.random_range(1..9);
+    view.tasks_per_zone = vec![rng.random_range(0..2), rng.random_range(0..2)];
+    view.one_zone = rng.random_bool(0.2);
+    view.max_tasks_per_zone = if rng.random_bool(0.3) { rng.random_range(1..5) } else { 100 };
+    view.has_started = rng.random_bool(0.5);
+    view.image = rng.random_range(0..4);
+    view.image_gb = f64::from(rng.random_range(0..8));
+    view.avoided_machines = if rng.random_bool(0.1) { vec![0] } else { vec![] };
+    view
 }
 
 /// A small snapshot drawn at random, with all that a job or a machine can differ in.
 fn random_snapshot(rng: &mut SmallRng) -> Snapshot {
-    const ZONES: usize = 2;
-    let ranks = [Priority::Production, Priority::High, Priority::Standard, Priority::BestEffort];
-    let priority = |rng: &mut SmallRng| ranks[rng.random_range(0..ranks.len())];
-    let machines = (0..rng.random_range(1..9)).map(|_| {
-        let mut m = machine(rng.random_range(1..5));
-        m.zone = rng.random_range(0..ZONES);
-        m.spot = rng.random_bool(0.3);
-        m.free_task_slots = rng.random_range(0..5);
-        m.images = (0..3).map(|image| fetched(image, rng.random_range(0..2) * 7_000)).collect();
-        m.images.retain(|_| rng.random_bool(0.5));
-        for handle in 0..rng.random_range(0..=m.total.gpu / 1_000) {
-            let mut r = running(rng.random_range(0..40) * 1_000);
-            r.priority = priority(rng);
-            r.team = Some(rng.random_range(0..2));
-            r.bandwidth = f64::from(rng.random_range(0..3));
-            r.is_service = rng.random_bool(0.2);
-            r.ran_ms = rng.random_bool(0.8).then(|| rng.random_range(0..90_000));
-            r.keeps_progress = rng.random_bool(0.5);
-            r.is_stopping = rng.random_bool(0.1);
-            r.handle = handle as usize;
-            m.running.push(r);
-        }
-        m
-    });
-    let machines: Vec<MachineView> = machines.collect();
-    let jobs = (0..rng.random_range(1..10)).map(|n| {
-        let mut j = job(n, rng.random_range(1..3), rng.random_range(1..60) * 1_000);
-        j.priority = priority(rng);
-        j.team = rng.random_range(0..2);
-        j.within_guarantee = rng.random_bool(0.2);
-        j.is_service = rng.random_bool(0.3);
-        j.waited_ms = rng.random_range(0..2) * STARVING_MS;
-        j.due_in_ms = if rng.random_bool(0.5) { vec![rng.random_range(0..90_000)] } else { vec![] };
-        j.bandwidth = f64::from(rng.random_range(0..3));
-        j.spot_allowed = rng.random_bool(0.7);
-        j.zone = rng.random_bool(0.1).then(|| rng.random_range(0..ZONES));
-        j.waiting_tasks = rng.random_range(1..9);
-        j.tasks_per_zone = vec![rng.random_range(0..2), rng.random_range(0..2)];
-        j.one_zone = rng.random_bool(0.2);
-        j.max_tasks_per_zone = if rng.random_bool(0.3) { rng.random_range(1..5) } else { 100 };
-        j.has_started = rng.random_bool(0.5);
-        j.image = rng.random_range(0..4);
-        j.image_gb = f64::from(rng.random_range(0..8));
-        j.avoided_machines = if rng.random_bool(0.1) { vec![0] } else { vec![] };
-        j
-    });
-    let mut s = snapshot(machines, jobs.collect());
-    s.teams.push(TeamView { share_permille: 400, guarantee: gpus(2), ..TeamView::default() });
-    s.teams[0].share_permille = 600;
-    for team in &mut s.teams {
+    let machines = (0..rng.random_range(1..9)).map(|_| random_machine(rng)).collect();
+    let jobs = (0..rng.random_range(1..10)).map(|arrival| random_job(rng, arrival)).collect();
+    let mut cluster = snapshot(machines, jobs);
+    cluster.teams.push(TeamView { share_permille: 400, guarantee: gpus(2), ..TeamView::default() });
+    cluster.teams[0].share_permille = 600;
+    for team in &mut cluster.teams {
         team.used = gpus(rng.random_range(0..6));
         team.limit = if rng.random_bool(0.3) { gpus(rng.random_range(1..20)) } else { gpus(0) };
     }
     let mut boot_wait = || rng.random_bool(0.3).then(|| rng.random_range(0..20_000));
-    s.mean_boot_wait = MeanBootWait { ordinary_ms: boot_wait(), spot_ms: boot_wait() };
-    s.previous_reservation =
-        rng.random_bool(0.3).then(|| placed(0, rng.random_range(0..s.machines.len())));
-    s
+    cluster.mean_boot_wait = MeanBootWait { ordinary_ms: boot_wait(), spot_ms: boot_wait() };
+    cluster.previous_reservation =
+        rng.random_bool(0.3).then(|| placed(0, rng.random_range(0..cluster.machines.len())));
+    cluster
 }
 
 #[test]
@@ -396,20 +419,24 @@
     const MACHINES: usize = 200;
     let mut wide = job(1, 1, 30_000);
     wide.waiting_tasks = 60;
-    let s = snapshot(vec![machine(4); MACHINES], vec![wide]);
-    let p = plan(&s);
-    assert_eq!(p.placements.len(), 60);
-    assert!(p.candidates_examined < MACHINES as u64 + 2 * 60, "{} places", p.candidates_examined);
+    let cluster = snapshot(vec![machine(4); MACHINES], vec![wide]);
+    let decided = plan(&cluster);
+    assert_eq!(decided.placements.len(), 60);
+    assert!(
+        decided.candidates_examined < MACHINES as u64 + 2 * 60,
+        "{} places",
+        decided.candidates_examined
+    );
     // All are taken: the tasks wait, each for another place.
-    let mut full = s;
-    for m in &mut full.machines {
-        m.running = vec![running(20_000); 4];
+    let mut full = cluster;
+    for host in &mut full.machines {
+        host.running = vec![running(20_000); 4];
     }
-    let p = plan(&full);
-    assert!(p.expected_wait_ms[0].len() > 50);
+    let decided = plan(&full);
+    assert!(decided.expected_wait_ms[0].len() > 50);
     assert!(
-        p.candidates_examined < 3 * MACHINES as u64 + 4 * 60,
+        decided.candidates_examined < 3 * MACHINES as u64 + 4 * 60,
         "{} places",
-        p.candidates_examined
+        decided.candidates_examined
     );
 }
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -11,7 +11,7 @@
 use crate::storage::job::Job;
 use crate::storage::records::MachineName;
 
-impl InputBuilder<'_> {
+impl<'a> InputBuilder<'a> {
     /// Adds the jobs with waiting tasks, in the order of their arrival.
     pub(super) fn add_waiting_jobs(&mut self) {
         // What each team's unfinished jobs take together, up to the one looked at.
@@ -27,37 +27,49 @@
             }
             let guarantee = guarantee(&self.settings.params.teams[team]);
             let within_guarantee = is_within_guarantee(&claimed[team], &guarantee);
-            let Some(placement) = self.zone_constraints(job, spec) else { continue };
-            let waited_ms = self.clock.wall_ms.saturating_sub(job.accepted_at_wall_ms);
-            let run_ms = self.leader.run_ms(spec);
-            self.input.snapshot.jobs.push(JobView {
-                priority: spec.priority,
-                team,
-                is_service: spec.kind == JobKind::Service,
-                is_gang: spec.is_gang(),
-                arrival: job.arrival,
-                waited_ms,
-                due_in_ms: due_in_ms(&self.settings.params.objectives, spec, run_ms, waited_ms),
-                within_guarantee,
-                need: job.need,
-                bandwidth: spec.cores * self.operator.bandwidth(&spec.class),
-                run_ms,
-                allowed_types: allowed_types(self.catalog, spec),
-                zone: placement.required_zone,
-                spot_allowed: spec.spot_allowed,
-                tasks_per_zone: placement.tasks_per_zone,
-                max_tasks_per_zone: spec.zone_cap(),
-                one_zone: spec.one_zone,
-                waiting_tasks: waiting_tasks(job),
-                has_started: job.has_started || job.done_count > 0 || !job.placed_on.is_empty(),
-                image: self.indices.image(&spec.image),
-                image_gb: spec.size_gb,
-                avoided_machines: avoided_machines(job, &self.machine_indices),
-            });
+            let Some(view) = self.job_view(job, spec, team, within_guarantee) else { continue };
+            self.input.snapshot.jobs.push(view);
             self.input.jobs.push(uid.clone());
         }
     }
 
+    /// Describes a job; `None` if it can't be placed for now.
+    fn job_view(
+        &mut self,
+        job: &'a Job,
+        spec: &'a JobSpec,
+        team: usize,
+        within_guarantee: bool,
+    ) -> Option<JobView> {
+        let zones = self.zone_constraints(job, spec)?;
+        let waited_ms = self.clock.wall_ms.saturating_sub(job.accepted_at_wall_ms);
+        let run_ms = self.leader.run_ms(spec);
+        Some(JobView {
+            priority: spec.priority,
+            team,
+            is_service: spec.kind == JobKind::Service,
+            is_gang: spec.is_gang(),
+            arrival: job.arrival,
+            waited_ms,
+            due_in_ms: due_in_ms(&self.settings.params.objectives, spec, run_ms, waited_ms),
+            within_guarantee,
+            need: job.need,
+            bandwidth: spec.cores * self.operator.bandwidth(&spec.class),
+            run_ms,
+            allowed_types: allowed_types(self.catalog, spec),
+            zone: zones.required_zone,
+            spot_allowed: spec.spot_allowed,
+            tasks_per_zone: zones.tasks_per_zone,
+            max_tasks_per_zone: spec.zone_cap(),
+            one_zone: spec.one_zone,
+            waiting_tasks: waiting_tasks(job),
+            has_started: job.has_started || job.done_count > 0 || !job.placed_on.is_empty(),
+            image: self.indices.image(&spec.image),
+            image_gb: spec.size_gb,
+            avoided_machines: avoided_machines(job, &self.machine_indices),
+        })
+    }
+
     /// Where the zones come into a job's placement; `None` if it can't be placed for now.
     fn zone_constraints(&self, job: &Job, spec: &JobSpec) -> Option<ZoneConstraints> {
         let tasks_per_zone = self.tasks_per_zone(job, spec)?;
--- a/src/storage/reservation/tests.rs
+++ b/src/storage/reservation/tests.rs
@@ -5,14 +5,14 @@
 #[test]
 fn penalized_time_sums_the_saturated_windows() {
     let need = Resources::new(1.0, 0.0, 0.0);
-    let b = |end, bandwidth| Bucket { end_ms: end, need, bandwidth };
+    let bucket = |end_ms, bandwidth| Bucket { end_ms, need, bandwidth };
     let mut row = ReservationRow {
         free: Resources::new(8.0, 0.0, 0.0),
         bandwidth_capacity: 4.0,
         ..ReservationRow::default()
     };
-    row.add(b(1_000, 3.0));
-    row.add(b(3_000, 2.0));
+    row.add(bucket(1_000, 3.0));
+    row.add(bucket(3_000, 2.0));
     // Until 1 s: 3 + 2 + 1 over 4; until 3 s: 2 + 1 fits.
     assert_eq!(row.penalized_ms(0, 5_000, 1.0), 500.0);
     assert_eq!(row.penalized_ms(1_000, 1_000, 1.0), 0.0);
