--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -5,7 +5,7 @@
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
-use crate::protocol::cloud::{hosts_path, Host, HostStatus, Hosts};
+use crate::protocol::cloud::{machine_list_path, ListedMachine, ListedMachineStatus, MachineList};
 use crate::protocol::http::Response;
 use crate::protocol::workers::EndCause;
 use crate::storage::hashing::HashSet;
@@ -24,14 +24,14 @@
         }
         fleet.list_in_progress = true;
         fleet.list_started_at = now;
-        fleet.listed_hosts.clear();
+        fleet.listed_machines.clear();
         fleet.next_list_at = now + LIST_PERIOD_MS;
         self.ask_for_page(None, now);
     }
 
     /// Asks for the page of the list that follows a machine; `None`: the first one.
     fn ask_for_page(&mut self, after: Option<&str>, list_started_at: u64) {
-        let path = hosts_path(after, LIST_LIMIT);
+        let path = machine_list_path(after, LIST_LIMIT);
         let purpose = CallPurpose::Hosts { begun: list_started_at };
         self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
     }
@@ -48,7 +48,7 @@
         if fleet.list_started_at != list_started_at {
             return;
         }
-        let hosts: Option<Hosts> = match reply {
+        let hosts: Option<MachineList> = match reply {
             Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
@@ -58,7 +58,7 @@
             return;
         };
         let last = hosts.machines.last().map(|host| host.uid.clone());
-        fleet.listed_hosts.extend(hosts.machines);
+        fleet.listed_machines.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
             // A list that was begun is finished, whatever the cloud's rate is.
             self.cloud.take_request(f64::MIN, now);
@@ -75,10 +75,10 @@
         let lag_ms =
             (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
         let Some(leader) = self.leader.as_mut() else { return };
-        let hosts = std::mem::take(&mut leader.fleet.listed_hosts);
+        let hosts = std::mem::take(&mut leader.fleet.listed_machines);
         leader.fleet.has_complete_list = true;
         leader.fleet.complete_list_started_at = Some(list_started_at);
-        for name in leader.note_listed_hosts(&hosts, list_started_at, now) {
+        for name in leader.note_listed_machines(&hosts, list_started_at, now) {
             log::info!("{name}: listed as failed");
             leader.note_failed_machine(&name, now);
         }
@@ -132,9 +132,9 @@
 
 impl Leader {
     /// Takes listed machines into the state. Returns those that have newly failed.
-    fn note_listed_hosts(
+    fn note_listed_machines(
         &mut self,
-        hosts: &[Host],
+        hosts: &[ListedMachine],
         list_started_at: u64,
         now: u64,
     ) -> Vec<MachineName> {
@@ -147,7 +147,7 @@
             let is_new = !self.cluster.machines.contains_key(&name);
             let machine = self.cluster.machine_entry(&name, now);
             note_listed_host(machine, host, is_new, list_started_at, now);
-            if host.status == HostStatus::Failed
+            if host.status == ListedMachineStatus::Failed
                 && !machine.failed
                 && machine.state != MachineState::Terminated
             {
@@ -169,7 +169,12 @@
     }
 
     /// Machines that a list does not name although they were there for longer than it lags.
-    fn machines_gone(&self, hosts: &[Host], list_started_at: u64, lag_ms: u64) -> Vec<MachineName> {
+    fn machines_gone(
+        &self,
+        hosts: &[ListedMachine],
+        list_started_at: u64,
+        lag_ms: u64,
+    ) -> Vec<MachineName> {
         let mut listed: HashSet<&str> = self.cluster.hash_keys().set();
         listed.extend(hosts.iter().map(|host| host.uid.as_str()));
         let is_gone = |machine: &&Machine| {
@@ -189,7 +194,7 @@
 /// Takes over what the list says of a machine.
 fn note_listed_host(
     machine: &mut Machine,
-    host: &Host,
+    host: &ListedMachine,
     is_new: bool,
     list_started_at: u64,
     now: u64,
@@ -206,7 +211,7 @@
     machine.listed_at.get_or_insert(now);
     // An old machine that has not reported in this term is not one that fails to
     // boot: a new leader once returned healthy machines for that.
-    if machine.state == MachineState::Booting && host.status == HostStatus::Running {
+    if machine.state == MachineState::Booting && host.status == ListedMachineStatus::Running {
         machine.state = MachineState::AwaitingHeartbeat;
         machine.first_known_at = now;
     }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -22,7 +22,7 @@
 
 use super::{Controller, Leader};
 use crate::constants::MS_PER_S;
-use crate::protocol::cloud::{Catalog, Host, MachineType};
+use crate::protocol::cloud::{Catalog, ListedMachine, MachineType};
 use crate::protocol::Resources;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::machine::{Machine, MachineState};
@@ -51,7 +51,7 @@
     /// When the list in progress was asked for: answers to an earlier one are ignored.
     list_started_at: u64,
     /// Machines on the pages of the list that have come in.
-    listed_hosts: Vec<Host>,
+    listed_machines: Vec<ListedMachine>,
     has_complete_list: bool,
     /// When the last complete list was asked for.
     complete_list_started_at: Option<u64>,
@@ -82,7 +82,7 @@
             next_list_at: now,
             list_in_progress: false,
             list_started_at: 0,
-            listed_hosts: Vec::new(),
+            listed_machines: Vec::new(),
             has_complete_list: false,
             complete_list_started_at: None,
             next_scan_at: now,
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -9,7 +9,7 @@
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
-use crate::protocol::cloud::{Catalog, Names};
+use crate::protocol::cloud::{Catalog, MachineNames};
 use crate::protocol::http::Response;
 use crate::protocol::Resources;
 use crate::settings::Platform;
@@ -66,7 +66,7 @@
             }
         }
         log::info!("returns {}", names.join(", "));
-        let body = Names { machines: names.iter().map(|name| name.to_string()).collect() };
+        let body = MachineNames { machines: names.iter().map(|name| name.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = CallPurpose::Delete(names);
         self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_CALL_MS, purpose);
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -9,7 +9,7 @@
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
-use crate::protocol::cloud::{Catalog, Names, Rent};
+use crate::protocol::cloud::{Catalog, MachineNames, RentalRequest};
 use crate::protocol::http::Response;
 use crate::storage::machine::MachineState;
 use crate::storage::records::MachineName;
@@ -89,7 +89,7 @@
             rental.kind.zone,
             if rental.kind.spot { ", spot" } else { "" }
         );
-        let body = Rent {
+        let body = RentalRequest {
             request_id: rental.request_id.clone(),
             machine_type: type_name.clone(),
             zone: rental.kind.zone.clone(),
@@ -121,7 +121,7 @@
         let kind = MachineKind { type_name: machine_type.type_name.clone(), zone, spot };
         match reply {
             Some(Response { status: 200, body }) => {
-                let Ok(names) = serde_json::from_slice::<Names>(&body) else { return };
+                let Ok(names) = serde_json::from_slice::<MachineNames>(&body) else { return };
                 if names.machines.len() < rental.count {
                     leader.fleet.no_capacity.insert(kind.clone(), now + CAPACITY_REST_MS);
                 }
@@ -142,7 +142,7 @@
 
 impl Leader {
     /// Takes machines that were just rented into the state.
-    fn note_rented(&mut self, names: &Names, kind: &MachineKind, now: u64) {
+    fn note_rented(&mut self, names: &MachineNames, kind: &MachineKind, now: u64) {
         for listed in &names.machines {
             if self.fleet.is_terminated(listed) {
                 continue;
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -5,7 +5,7 @@
 use crate::coordination::interface::{ConnectionId, Service};
 use crate::coordination::{CallPurpose, Controller};
 use crate::protocol::http::Response;
-use crate::protocol::peers::{decode, encode, Relay, Relayed};
+use crate::protocol::peers::{decode, encode, RelayRequest, RelayResponse};
 use crate::protocol::routes::{UserRoute, RELAY_PATH};
 
 impl Controller {
@@ -24,7 +24,7 @@
         let Some(peer) = peer else {
             return self.unavailable(requester);
         };
-        let request = Relay { version: PEER_VERSION, method: method.into(), path, body };
+        let request = RelayRequest { version: PEER_VERSION, method: method.into(), path, body };
         let purpose = CallPurpose::Relay { requester };
         let body = encode(&request);
         self.call(Service::Peer(peer), "POST", RELAY_PATH.into(), body, RELAY_CALL_MS, purpose);
@@ -36,7 +36,7 @@
         reply: Option<Response>,
     ) {
         let answer = match reply {
-            Some(Response { status: 200, body }) => decode::<Relayed>(&body).ok(),
+            Some(Response { status: 200, body }) => decode::<RelayResponse>(&body).ok(),
             _ => None,
         };
         match answer.filter(|answer| answer.version == PEER_VERSION) {
@@ -54,7 +54,7 @@
         connection: ConnectionId,
         body: &[u8],
     ) {
-        match decode::<Relay>(body) {
+        match decode::<RelayRequest>(body) {
             Ok(request) if request.version == PEER_VERSION => {
                 let requester = Requester::relayed(connection, self.now.monotonic_ms);
                 match UserRoute::parse(&request.method, &request.path) {
