--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -1,16 +1,18 @@
 //! Requests for the cloud's catalog of machine types; [`crate::coordination::cloud_client`] owns what is known.
 
 use crate::constants::CLOUD_CALL_MS;
-use crate::coordination::{CallPurpose, Controller, Service};
+use crate::coordination::outbox::CallPurpose;
+use crate::coordination::{Controller, Service};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::http::Response;
 
 impl Controller {
     /// Asks for the catalog when that is due.
     pub(in crate::coordination) fn catalog_due(&mut self) {
-        if self.cloud.begin_catalog_request(self.leader.is_some(), self.now.monotonic_ms) {
-            let path = "/catalog".into();
-            self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, CallPurpose::Catalog);
+        let now = self.now.monotonic_ms;
+        if self.cloud.begin_catalog_request(self.leader.is_some(), now) {
+            let (path, purpose) = ("/catalog".into(), CallPurpose::Catalog);
+            self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
         }
     }
 
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -3,7 +3,8 @@
 use crate::constants::{
     CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, LIST_PERIOD_MS, MS_PER_S,
 };
-use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::coordination::outbox::CallPurpose;
+use crate::coordination::{Controller, Leader, Service};
 use crate::protocol::cloud::{machine_list_path, ListedMachine, ListedMachineStatus, MachineList};
 use crate::protocol::http::Response;
 use crate::protocol::workers::EndCause;
@@ -23,7 +24,7 @@
         }
         fleet.list_in_progress = true;
         fleet.list_started_at = now;
-        fleet.listed_hosts.clear();
+        fleet.listed_machines.clear();
         fleet.next_list_at = now + LIST_PERIOD_MS;
         self.ask_for_page(None, now);
     }
@@ -57,7 +58,7 @@
             return;
         };
         let last = hosts.machines.last().map(|host| host.uid.clone());
-        fleet.listed_hosts.extend(hosts.machines);
+        fleet.listed_machines.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
             // A list that was begun is finished, whatever the cloud's rate is.
             self.cloud.take_request(f64::MIN, now);
@@ -74,10 +75,10 @@
         let lag_ms =
             (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
         let Some(leader) = self.leader.as_mut() else { return };
-        let hosts = std::mem::take(&mut leader.fleet.listed_hosts);
+        let hosts = std::mem::take(&mut leader.fleet.listed_machines);
         leader.fleet.has_complete_list = true;
         leader.fleet.complete_list_started_at = Some(list_started_at);
-        for name in leader.note_listed_hosts(&hosts, list_started_at, now) {
+        for name in leader.note_listed_machines(&hosts, list_started_at, now) {
             log::info!("{name}: listed as failed");
             leader.note_failed_machine(&name, now);
         }
@@ -131,7 +132,7 @@
 
 impl Leader {
     /// Takes listed machines into the state. Returns those that have newly failed.
-    fn note_listed_hosts(
+    fn note_listed_machines(
         &mut self,
         hosts: &[ListedMachine],
         list_started_at: u64,
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -7,7 +7,8 @@
     MS_PER_S, RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_FEW, SILENT_PERIODS, WORKER_RETRY_S,
     WORKER_WAIT_S,
 };
-use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::coordination::outbox::CallPurpose;
+use crate::coordination::{Controller, Leader, Service};
 use crate::protocol::cloud::{Catalog, MachineNames};
 use crate::protocol::http::Response;
 use crate::protocol::Resources;
--- a/src/coordination/planner_input.rs
+++ b/src/coordination/planner_input.rs
@@ -24,9 +24,9 @@
 pub(crate) struct PlannerInput {
     /// What the planner looks at.
     pub snapshot: Snapshot,
-    /// MachineNames of the snapshot's jobs.
+    /// Names of the snapshot's jobs.
     pub jobs: Vec<JobId>,
-    /// MachineNames of the snapshot's machines.
+    /// Names of the snapshot's machines.
     pub machines: Vec<MachineName>,
     /// The tasks behind the handles of the running tasks, by machine.
     pub handles: Vec<Vec<TaskId>>,
@@ -101,11 +101,9 @@
         let input = &mut self.input;
         input.snapshot.previous_reservation =
             self.leader.reservation.as_ref().and_then(|(job, machine)| {
-                let job = input.jobs.iter().position(|uid| uid == job)?;
-                Some(JobOnMachine {
-                    job,
-                    machine: input.machines.iter().position(|name| name == machine)?,
-                })
+                let job = input.jobs.iter().position(|listed| listed == job)?;
+                let machine = input.machines.iter().position(|listed| listed == machine)?;
+                Some(JobOnMachine { job, machine })
             });
     }
 }
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -52,7 +52,7 @@
         let listed = leader
             .fleet
             .complete_list_started_at()
-            .is_some_and(|begun| begun > leader.began_at + lag);
+            .is_some_and(|started_at| started_at > leader.began_at + lag);
         listed && leader.cluster.machines.values().all(is_reconciled)
     }
 
