--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,58 +1,48 @@
-//! The daemon: the poll loop around the core.
+//! The daemon: the poll loop that joins the core with sockets, clocks and snapshot files.
+//!
+//! Everything runs on one thread, but for the writing of snapshots. The loop decides nothing: what
+//! comes in is handed to the core, and what the core asks for is carried out.
 
 use crate::constants::POLL_MAX_MS;
 use crate::coordination::{Clock, Command, Controller, Effect, Service};
 use crate::protocol::http::Response;
-use crate::settings::{Operator, Platform};
+use crate::settings::{Operator, Platform, SnapshotSettings};
 use crate::snapshots::{deployment, SnapshotDirectory, SnapshotWriter};
-use crate::transport::net::{Call, Incoming, Net, Origin};
+use crate::transport::{Call, Incoming, Origin, Target, Transport};
+use rand::{rngs::SmallRng, Rng, SeedableRng};
+use std::net::SocketAddrV4;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-const STATE: usize = 0;
-const CLOUD: usize = 1;
-const FIRST_PEER: usize = 2;
+/// The steady clock begins ahead of zero, so that differences to "long ago" stay in range.
+const CLOCK_START_MS: u64 = 1_000;
 
-fn clock(start: Instant) -> Clock {
-    let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    // One second ahead of zero, so that differences to "long ago" stay in range.
-    Clock {
-        monotonic_ms: start.elapsed().as_millis() as u64 + 1_000,
-        wall_ms: wall_ms.as_millis() as u64,
-    }
-}
+/// Places that the transport sends calls to, in the order of [`targets`].
+const STATE: Target = 0;
+const CLOUD: Target = 1;
+const FIRST_PEER: Target = 2;
 
 /// Runs a controller until the process is killed.
+///
+/// # Errors
+///
+/// If a listener can't be opened, or waiting for sockets fails.
 pub fn serve(platform: Platform, operator: Operator) -> anyhow::Result<()> {
-    let mut targets = vec![platform.services.state, platform.services.cloud];
-    targets.extend(platform.peers.iter().map(|p| p.address));
     let sockets = platform.params.machine_limits.sockets;
-    let mut net = Net::new(platform.listen, platform.peer_bind, targets, sockets)?;
+    let mut transport =
+        Transport::new(platform.listen, platform.peer_bind, targets(&platform), sockets)?;
     let start = Instant::now();
     log::info!("{} listens on {} and {}", platform.label, platform.listen, platform.peer_bind);
-    let mut snapshots = operator.recovery.snapshots.as_ref().map(|settings| {
-        let directory = SnapshotDirectory {
-            path: settings.directory.clone(),
-            kept: settings.kept,
-            deployment: deployment(&platform),
-            controller: platform.label.clone(),
-        };
-        (directory, SnapshotWriter::start(settings, &platform))
-    });
-    let mut core = Controller::new(platform, operator, clock(start), seed());
+    let snapshots = operator.recovery.snapshots.as_ref();
+    let mut snapshots = snapshots.map(|settings| open_snapshots(settings, &platform));
+    let mut core = Controller::new(platform, operator, clock(start), process_seed());
     if let Some((directory, _)) = &snapshots {
-        if let Some((header, image)) = directory.read_newest(clock(start).wall_ms) {
-            log::info!("snapshot of revision {}, {} keys", header.revision, header.keys);
-            core.restore_snapshot(image);
-        }
+        restore_snapshot(&mut core, directory, clock(start));
     }
     loop {
-        let now = clock(start).monotonic_ms;
-        let wait = if net.has_incoming() { 0 } else { core.next_wake().saturating_sub(now) };
-        let incoming = net.poll(Duration::from_millis(wait.min(POLL_MAX_MS)))?;
-        core.note_transport(net.counts());
-        let commands = incoming.into_iter().map(command).collect();
+        let commands = wait_for_commands(&mut transport, &core, clock(start))?;
+        core.note_transport(transport.counts());
         for effect in core.batch(clock(start), commands) {
-            perform(&mut net, effect);
+            perform(&mut transport, effect);
         }
         if let Some((_, writer)) = &mut snapshots {
             write_snapshot_if_due(&mut core, writer, clock(start));
@@ -60,6 +50,45 @@
     }
 }
 
+fn targets(platform: &Platform) -> Vec<SocketAddrV4> {
+    let services = [platform.services.state, platform.services.cloud];
+    let peers = platform.peers.iter().map(|peer| peer.address);
+    services.into_iter().chain(peers).collect()
+}
+
+fn clock(start: Instant) -> Clock {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Clock {
+        monotonic_ms: start.elapsed().as_millis() as u64 + CLOCK_START_MS,
+        wall_ms: since_epoch.as_millis() as u64,
+    }
+}
+
+/// A seed that differs from one process to the next.
+fn process_seed() -> u64 {
+    SmallRng::from_os_rng().random()
+}
+
+fn open_snapshots(
+    settings: &SnapshotSettings,
+    platform: &Platform,
+) -> (SnapshotDirectory, SnapshotWriter) {
+    let directory = SnapshotDirectory {
+        path: settings.directory.clone(),
+        kept: settings.kept,
+        deployment: deployment(platform),
+        controller: platform.label.clone(),
+    };
+    (directory, SnapshotWriter::start(settings, platform))
+}
+
+fn restore_snapshot(core: &mut Controller, directory: &SnapshotDirectory, now: Clock) {
+    if let Some((header, image)) = directory.read_newest(now.wall_ms) {
+        log::info!("snapshot of revision {}, {} keys", header.revision, header.keys);
+        core.restore_snapshot(image);
+    }
+}
+
 fn write_snapshot_if_due(core: &mut Controller, writer: &mut SnapshotWriter, now: Clock) {
     if !writer.is_due(now.monotonic_ms) {
         return;
@@ -70,39 +99,57 @@
     }
 }
 
-fn command(i: Incoming) -> Command {
-    match i {
-        Incoming::Request { connection, origin: Origin::Public, request: r } => {
-            Command::Public { connection, method: r.method, path: r.path, body: r.body }
-        }
-        Incoming::Request { connection, origin: Origin::Peer, request: r } => {
-            Command::Peer { connection, method: r.method, path: r.path, body: r.body }
-        }
-        Incoming::Reply { call, reply } => Command::Reply {
-            call,
-            reply: reply.map(|reply| Response::new(reply.status, reply.body)),
+/// Waits until something comes in or the core has something due.
+fn wait_for_commands(
+    transport: &mut Transport,
+    core: &Controller,
+    now: Clock,
+) -> anyhow::Result<Vec<Command>> {
+    let wait_ms = match transport.has_incoming() {
+        true => 0,
+        false => core.next_wake().saturating_sub(now.monotonic_ms),
+    };
+    let incoming = transport.poll(Duration::from_millis(wait_ms.min(POLL_MAX_MS)))?;
+    Ok(incoming.into_iter().map(command).collect())
+}
+
+fn command(incoming: Incoming) -> Command {
+    match incoming {
+        Incoming::Request { connection, origin: Origin::Public, request } => Command::Public {
+            connection,
+            method: request.method,
+            path: request.path,
+            body: request.body,
+        },
+        Incoming::Request { connection, origin: Origin::Peer, request } => Command::Peer {
+            connection,
+            method: request.method,
+            path: request.path,
+            body: request.body,
         },
+        Incoming::Reply { call, reply } => {
+            let reply = reply.map(|reply| Response::new(reply.status, reply.body));
+            Command::Reply { call, reply }
+        }
     }
 }
 
-fn perform(net: &mut Net, effect: Effect) {
+fn perform(transport: &mut Transport, effect: Effect) {
     match effect {
         Effect::Respond { connection, status, retry_after_s, body } => {
-            net.respond(connection, status, retry_after_s, &body)
+            transport.respond(connection, status, retry_after_s, &body);
         }
         Effect::Call { id, service, method, path, body, timeout_ms } => {
-            let target = match service {
-                Service::State => STATE,
-                Service::Cloud => CLOUD,
-                Service::Peer(i) => FIRST_PEER + i,
-            };
-            net.call(Call { id, target, method, path, body, timeout_ms });
+            let target = target(service);
+            transport.call(Call { id, target, method, path, body, timeout_ms });
         }
     }
 }
 
-/// A seed that differs from one life of a process to the next.
-fn seed() -> u64 {
-    use rand::{rngs::SmallRng, Rng, SeedableRng};
-    SmallRng::from_os_rng().random()
+fn target(service: Service) -> Target {
+    match service {
+        Service::State => STATE,
+        Service::Cloud => CLOUD,
+        Service::Peer(index) => FIRST_PEER + index,
+    }
 }
--- a/src/transport/counts.rs
+++ b/src/transport/counts.rs
@@ -42,6 +42,11 @@
 }
 
 impl TransportCounts {
+    /// Takes note of the size of a message's body, in bytes.
+    pub(super) fn record_message(&mut self, body_bytes: usize) {
+        self.largest_message = self.largest_message.max(body_bytes as u64);
+    }
+
     /// What was done between an earlier reading and this one; what is held now stays as it is.
     pub fn since(&self, earlier: &TransportCounts) -> TransportCounts {
         TransportCounts {
--- /dev/null
+++ b/src/transport/deadlines.rs
@@ -0,0 +1,89 @@
+//! All that happens because of the time: idle connections are closed, slow requests refused, calls
+//! without a reply given up.
+//!
+//! No timer stands for any single connection: all are looked at every [`SWEEP_MS`] milliseconds, so a
+//! deadline may be overrun by that.
+
+use super::connection::{Connection, Role};
+use super::net::{ConnectionKey, Transport};
+use crate::constants::{
+    CROWDED_SHARE, HTTP_IDLE_CROWDED_MS, HTTP_IDLE_MS, HTTP_REQUEST_MS, SWEEP_MS,
+};
+use std::time::{Duration, Instant};
+
+/// Status of the answer to a request that did not come in time.
+const REQUEST_TIMEOUT: u16 = 408;
+
+/// What becomes of a connection whose time is over.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Overdue {
+    /// Its request has taken too long to arrive.
+    Refused,
+    /// It is closed without a word.
+    Closed,
+}
+
+impl Transport {
+    pub(super) fn sweep_if_due(&mut self, now: Instant) {
+        if now < self.next_sweep_at {
+            return;
+        }
+        self.next_sweep_at = now + Duration::from_millis(SWEEP_MS);
+        self.counts.buffered_bytes =
+            self.connections.values().map(Connection::buffered_bytes).sum();
+        self.end_overdue_connections(now);
+        self.give_up_late_calls(now);
+    }
+
+    fn end_overdue_connections(&mut self, now: Instant) {
+        let overdue = self.overdue_connections(now);
+        for (key, _) in overdue.iter().filter(|(_, end)| *end == Overdue::Refused) {
+            if let Some(connection) = self.connections.get_mut(key) {
+                connection.refuse(REQUEST_TIMEOUT, "too slow");
+                let _ = self.flush(*key);
+            }
+        }
+        for (key, _) in overdue.iter().filter(|(_, end)| *end == Overdue::Closed) {
+            self.close(*key);
+        }
+    }
+
+    fn overdue_connections(&self, now: Instant) -> Vec<(ConnectionKey, Overdue)> {
+        let idle_ms = if self.is_crowded() { HTTP_IDLE_CROWDED_MS } else { HTTP_IDLE_MS };
+        let end = |connection: &Connection| overdue(connection, now, idle_ms);
+        let connections = self.connections.iter();
+        connections.filter_map(|(key, connection)| Some((*key, end(connection)?))).collect()
+    }
+
+    /// Few inbound connections are left, so idle ones make room for others sooner.
+    fn is_crowded(&self) -> bool {
+        self.inbound.len() as f64 >= self.inbound_max as f64 * CROWDED_SHARE
+    }
+
+    fn give_up_late_calls(&mut self, now: Instant) {
+        for target in 0..self.destinations.len() {
+            for call in self.destinations[target].take_late_calls(now) {
+                self.report_unanswered(call);
+            }
+        }
+    }
+}
+
+/// Whether a connection's time is over; an inbound one may be idle for `inbound_idle_ms`.
+fn overdue(connection: &Connection, now: Instant, inbound_idle_ms: u64) -> Option<Overdue> {
+    let age = now.duration_since(connection.since);
+    let closed_after = |ms| (age > Duration::from_millis(ms)).then_some(Overdue::Closed);
+    match &connection.role {
+        // Whoever answers it has deadlines of their own.
+        Role::Inbound(inbound) if inbound.is_busy => None,
+        Role::Inbound(_) if !connection.output.is_empty() => closed_after(HTTP_REQUEST_MS),
+        Role::Inbound(_) if !connection.input.is_empty() => {
+            closed_after(HTTP_REQUEST_MS).map(|_| Overdue::Refused)
+        }
+        Role::Inbound(_) => closed_after(inbound_idle_ms),
+        Role::Outbound(outbound) => match &outbound.call {
+            Some(call) => (now >= call.deadline).then_some(Overdue::Closed),
+            None => closed_after(HTTP_IDLE_MS),
+        },
+    }
+}
--- /dev/null
+++ b/src/transport/http/mod.rs
@@ -0,0 +1,183 @@
+//! HTTP/1.1: the project's own parser and writer, for both sides of a connection.
+//!
+//! Both parsers work on a growing buffer: they say "not yet" until a message is whole,
+//! take exactly its bytes, and refuse what goes over the limits. No input makes them panic.
+
+mod body;
+mod error;
+mod head;
+mod write;
+
+pub use error::HttpError;
+pub use write::{write_request, write_response};
+
+use crate::constants::HTTP_REPLY_MAX;
+use body::Framing;
+use head::Head;
+
+/// What a parser found; `None`: the message is not whole yet.
+pub type Parsed<T> = Result<Option<T>, HttpError>;
+
+/// A whole request.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Request {
+    /// Method, in capital letters.
+    pub method: String,
+    /// Path with its query.
+    pub path: String,
+    /// Body, decoded.
+    pub body: Vec<u8>,
+    /// The client keeps the connection open.
+    pub keep_alive: bool,
+}
+
+/// A whole response.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Response {
+    /// Status.
+    pub status: u16,
+    /// Body, decoded.
+    pub body: Vec<u8>,
+    /// The connection can carry another request.
+    pub keep_alive: bool,
+}
+
+/// Takes one request with a body of at most `max_body` bytes from the front of the buffer.
+pub fn take_request(buffer: &mut Vec<u8>, max_body: usize) -> Parsed<Request> {
+    skip_empty_lines(buffer);
+    let Some(head) = Head::parse(buffer)? else {
+        return Ok(None);
+    };
+    let line = RequestLine::parse(head.first_line)?;
+    let encoded_body = &buffer[head.end..];
+    let Some(body) = body::parse(encoded_body, request_framing(&head), max_body, false)? else {
+        return Ok(None);
+    };
+    let end = head.end + body.encoded_length;
+    let request = Request {
+        method: line.method.to_string(),
+        path: line.path.to_string(),
+        body: body.bytes,
+        keep_alive: line.keeps_alive(&head),
+    };
+    buffer.drain(..end);
+    Ok(Some(request))
+}
+
+/// Whether the client waits for `100 Continue` before it sends the body.
+pub fn wants_continue(buffer: &[u8]) -> bool {
+    matches!(Head::parse(buffer), Ok(Some(head)) if head.expects_continue && buffer.len() == head.end)
+}
+
+/// Takes one response from the front of the buffer; `closed`: no more bytes will come.
+pub fn take_response(buffer: &mut Vec<u8>, closed: bool) -> Parsed<Response> {
+    loop {
+        let Some(head) = Head::parse(buffer)? else {
+            return Ok(None);
+        };
+        let line = StatusLine::parse(head.first_line)?;
+        let end = head.end;
+        if line.is_interim() {
+            buffer.drain(..end);
+            continue;
+        }
+        let status = line.status;
+        let framing = response_framing(status, &head);
+        let keep_alive = line.keeps_alive(&head) && framing != Framing::UntilClose;
+        let Some(body) = body::parse(&buffer[end..], framing, HTTP_REPLY_MAX, closed)? else {
+            return Ok(None);
+        };
+        buffer.drain(..end + body.encoded_length);
+        return Ok(Some(Response { status, body: body.bytes, keep_alive }));
+    }
+}
+
+/// Empty lines before a request line are skipped, as old clients send them.
+fn skip_empty_lines(buffer: &mut Vec<u8>) {
+    let empty = buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+    buffer.drain(..empty);
+}
+
+/// The first line of a request.
+struct RequestLine<'a> {
+    method: &'a str,
+    path: &'a str,
+    is_http_1_0: bool,
+}
+
+impl<'a> RequestLine<'a> {
+    fn parse(line: &'a str) -> Result<RequestLine<'a>, HttpError> {
+        let mut parts = line.split(' ');
+        let (Some(method), Some(path), Some(version), None) =
+            (parts.next(), parts.next(), parts.next(), parts.next())
+        else {
+            return Err(HttpError::MalformedRequestLine);
+        };
+        if method.is_empty() || !method.bytes().all(|byte| byte.is_ascii_uppercase()) {
+            return Err(HttpError::MalformedMethod);
+        }
+        if !path.starts_with('/') || path.bytes().any(|byte| byte <= b' ' || byte == 0x7f) {
+            return Err(HttpError::MalformedPath);
+        }
+        let is_http_1_0 = match version {
+            "HTTP/1.1" => false,
+            "HTTP/1.0" => true,
+            _ => return Err(HttpError::VersionNotSupported),
+        };
+        Ok(RequestLine { method, path, is_http_1_0 })
+    }
+
+    fn keeps_alive(&self, head: &Head) -> bool {
+        !head.asks_close && (!self.is_http_1_0 || head.asks_keep_alive)
+    }
+}
+
+/// The first line of a response.
+struct StatusLine<'a> {
+    version: &'a str,
+    status: u16,
+}
+
+impl<'a> StatusLine<'a> {
+    fn parse(line: &'a str) -> Result<StatusLine<'a>, HttpError> {
+        let mut parts = line.splitn(3, ' ');
+        let version = parts.next().unwrap_or("");
+        if !version.starts_with("HTTP/1.") {
+            return Err(HttpError::MalformedStatusLine);
+        }
+        let status = parts.next().and_then(|status| status.parse().ok());
+        let status = status.filter(|status| (100..=999).contains(status));
+        Ok(StatusLine { version, status: status.ok_or(HttpError::MalformedStatus)? })
+    }
+
+    /// Another response follows for the same request.
+    fn is_interim(&self) -> bool {
+        (100..200).contains(&self.status)
+    }
+
+    fn keeps_alive(&self, head: &Head) -> bool {
+        !head.asks_close && (self.version != "HTTP/1.0" || head.asks_keep_alive)
+    }
+}
+
+/// A request without a length has no body.
+fn request_framing(head: &Head) -> Framing {
+    match head.is_chunked {
+        true => Framing::Chunked,
+        false => Framing::Length(head.content_length.unwrap_or(0)),
+    }
+}
+
+/// A response without a length ends with the connection.
+fn response_framing(status: u16, head: &Head) -> Framing {
+    match (status, head.content_length) {
+        // These never have a body, whatever their headers say.
+        (204 | 304, _) => Framing::Length(0),
+        _ if head.is_chunked => Framing::Chunked,
+        (_, Some(length)) => Framing::Length(length),
+        (_, None) => Framing::UntilClose,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn limits_have_their_own_answers() {
-    let status = |text: &str| request(text).unwrap_err().status;
+    let status = |text: &str| request(text).unwrap_err().status();
     assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), 413);
     assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n"), 413);
     assert_eq!(status("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n"), 413);
@@ -72,7 +72,7 @@
             buf.extend_from_slice(parts[rng.random_range(0..parts.len())]);
         }
         match take_request(&mut buf.clone(), 100) {
-            Err(e) => refused += u32::from(e.status >= 400),
+            Err(e) => refused += u32::from(e.status() >= 400),
             Ok(r) => whole += u32::from(r.is_some()),
         }
         let _ = take_response(&mut buf, true);
@@ -87,3 +87,51 @@
     let r = take_response(&mut text.clone(), true).unwrap().unwrap();
     assert_eq!((r.status, r.body.as_slice(), r.keep_alive), (200, &b"body"[..], false));
 }
+
+#[test]
+fn a_chunked_body_split_at_every_byte_is_whole_only_at_the_end() {
+    let text = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x\nde\n0\r\nA: b\r\n\r\n";
+    for length in 0..text.len() {
+        assert_eq!(take_request(&mut text[..length].to_vec(), 100), Ok(None), "{length} bytes");
+    }
+    let mut buffer = text.to_vec();
+    let request = take_request(&mut buffer, 100).unwrap().unwrap();
+    assert_eq!((request.body.as_slice(), buffer.len()), (&b"abcde"[..], 0));
+}
+
+#[test]
+fn malformed_messages_are_refused_with_their_reason() {
+    let head = "POST / HTTP/1.1\r\n";
+    let chunked = format!("{head}Transfer-Encoding: chunked\r\n\r\n");
+    let cases = [
+        ("GET /\r\n\r\n".to_string(), "malformed request line"),
+        ("get / HTTP/1.1\r\n\r\n".to_string(), "malformed method"),
+        ("GET x HTTP/1.1\r\n\r\n".to_string(), "malformed path"),
+        ("GET / HTTP/2.0\r\n\r\n".to_string(), "version not supported"),
+        (format!("{head}Host\r\n\r\n"), "header without colon"),
+        (format!("{head}A b: c\r\n\r\n"), "malformed header name"),
+        (format!("{head}Content-Length: x\r\n\r\n"), "malformed content-length"),
+        (format!("{head}Content-Length: 1\r\nContent-Length: 2\r\n\r\n"), "two lengths"),
+        (format!("{head}Transfer-Encoding: gzip\r\n\r\n"), "unknown transfer coding"),
+        (format!("{chunked}x\r\n"), "malformed chunk size"),
+        (format!("{chunked}{}", "1".repeat(128)), "chunk size line too long"),
+        (format!("{chunked}1\r\nab"), "chunk not ended"),
+        (format!("{chunked}1\r\na\rb"), "chunk not ended"),
+        (format!("{chunked}0\r\n{}", "a".repeat(HTTP_HEAD_MAX + 1)), "trailers too long"),
+    ];
+    for (text, reason) in cases {
+        assert_eq!(request(&text).expect_err(reason).to_string(), reason, "{text}");
+    }
+}
+
+#[test]
+fn the_connection_stays_open_as_version_and_headers_say() {
+    let keeps = |version: &str, header: &str| {
+        let text = format!("GET / HTTP/{version}\r\n{header}\r\n");
+        request(&text).expect("it is whole").expect("it is whole").keep_alive
+    };
+    assert!(keeps("1.1", "") && !keeps("1.0", ""));
+    assert!(keeps("1.0", "Connection: Keep-Alive\r\n"));
+    assert!(!keeps("1.1", "Connection: upgrade, Close\r\n"));
+    assert!(!keeps("1.0", "Connection: keep-alive, close\r\n"));
+}
--- /dev/null
+++ b/src/transport/outbound.rs
@@ -0,0 +1,196 @@
+//! Calls: a few connections to each target, kept open between calls, and a queue for calls that
+//! none of them is free for. A connection carries one call at a time.
+
+use super::connection::{CallInFlight, Outbound, Role};
+use super::http;
+use super::messages::{Call, CallId, Incoming, Target};
+use super::net::{Closed, ConnectionKey, Transport};
+use super::readiness::Interest;
+use crate::constants::{OUTBOUND_PER_TARGET, OUTBOUND_QUEUE};
+use rustix::io::Errno;
+use socket2::{Domain, SockAddr, Socket, Type};
+use std::collections::VecDeque;
+use std::io;
+use std::net::{SocketAddrV4, TcpStream};
+use std::time::{Duration, Instant};
+
+/// A place that calls go to.
+pub(super) struct Destination {
+    address: SocketAddrV4,
+    /// Open connections that carry no call.
+    idle: Vec<ConnectionKey>,
+    /// Open connections in all.
+    open: usize,
+    queue: VecDeque<QueuedCall>,
+}
+
+/// A call that waits for a connection.
+struct QueuedCall {
+    call: Call,
+    deadline: Instant,
+}
+
+impl Destination {
+    /// A place that nothing was sent to yet.
+    pub fn new(address: SocketAddrV4) -> Destination {
+        Destination { address, idle: Vec::new(), open: 0, queue: VecDeque::new() }
+    }
+
+    /// Takes the calls out of the queue whose time is over.
+    pub fn take_late_calls(&mut self, now: Instant) -> Vec<CallId> {
+        let is_late = |queued: &QueuedCall| queued.deadline <= now;
+        let late = self.queue.iter().filter(|queued| is_late(queued));
+        let late = late.map(|queued| queued.call.id).collect();
+        self.queue.retain(|queued| !is_late(queued));
+        late
+    }
+}
+
+impl Transport {
+    /// Sends a request; its reply comes from [`Transport::poll`].
+    pub fn call(&mut self, call: Call) {
+        let deadline = Instant::now() + Duration::from_millis(call.timeout_ms);
+        if let Some(key) = self.take_idle(call.target) {
+            return self.send(key, call, deadline);
+        }
+        if self.destinations[call.target].open >= OUTBOUND_PER_TARGET {
+            return self.enqueue(QueuedCall { call, deadline });
+        }
+        match self.connect(call.target) {
+            Some(key) => self.send(key, call, deadline),
+            None => self.report_unanswered(call.id),
+        }
+    }
+
+    fn take_idle(&mut self, target: Target) -> Option<ConnectionKey> {
+        while let Some(key) = self.destinations[target].idle.pop() {
+            if self.connections.contains_key(&key) {
+                return Some(key);
+            }
+        }
+        None
+    }
+
+    fn enqueue(&mut self, queued: QueuedCall) {
+        let queue = &mut self.destinations[queued.call.target].queue;
+        if queue.len() < OUTBOUND_QUEUE {
+            queue.push_back(queued);
+        } else {
+            self.report_unanswered(queued.call.id);
+        }
+    }
+
+    /// The next call of the queue that still has time; those that have none are given up.
+    fn next_queued(&mut self, target: Target) -> Option<QueuedCall> {
+        let now = Instant::now();
+        while let Some(queued) = self.destinations[target].queue.pop_front() {
+            if queued.deadline > now {
+                return Some(queued);
+            }
+            self.report_unanswered(queued.call.id);
+        }
+        None
+    }
+
+    pub(super) fn report_unanswered(&mut self, call: CallId) {
+        self.incoming.push(Incoming::Reply { call, reply: None });
+    }
+
+    fn connect(&mut self, target: Target) -> Option<ConnectionKey> {
+        self.counts.connects += 1;
+        let stream = start_connecting(self.destinations[target].address).ok()?;
+        let role = Role::Outbound(Outbound { target, call: None, is_connecting: true });
+        let key = self.add(stream, role, Interest::BOTH)?;
+        self.destinations[target].open += 1;
+        Some(key)
+    }
+
+    fn send(&mut self, key: ConnectionKey, call: Call, deadline: Instant) {
+        let host = self.destinations[call.target].address.to_string();
+        let Some(connection) = self.connections.get_mut(&key) else {
+            return;
+        };
+        let Role::Outbound(outbound) = &mut connection.role else {
+            return;
+        };
+        outbound.call = Some(CallInFlight { id: call.id, deadline });
+        http::write_request(&mut connection.output, call.method, &call.path, &host, &call.body);
+        connection.since = Instant::now();
+        if outbound.is_connecting || self.flush(key).is_ok() {
+            self.update_interest(key);
+        }
+    }
+
+    /// Takes the reply to the call that a connection carries, once it is whole.
+    pub(super) fn take_reply(&mut self, key: ConnectionKey) -> Result<(), Closed> {
+        let connection = self.connections.get_mut(&key).ok_or(Closed)?;
+        let Role::Outbound(outbound) = &connection.role else {
+            return Ok(());
+        };
+        if outbound.call.is_none() {
+            // Bytes or an end that nobody asked for.
+            return Err(self.close(key));
+        }
+        match http::take_response(&mut connection.input, connection.is_ended) {
+            Ok(Some(response)) => self.finish_call(key, response),
+            Ok(None) if !connection.is_ended => Ok(()),
+            Ok(None) | Err(_) => Err(self.close(key)),
+        }
+    }
+
+    /// Passes a reply on, and has its connection carry the next call if it can.
+    fn finish_call(&mut self, key: ConnectionKey, response: http::Response) -> Result<(), Closed> {
+        let connection = self.connections.get_mut(&key).ok_or(Closed)?;
+        let Role::Outbound(outbound) = &mut connection.role else {
+            return Ok(());
+        };
+        let (target, Some(call)) = (outbound.target, outbound.call.take()) else {
+            return Ok(());
+        };
+        self.counts.replies += 1;
+        self.counts.record_message(response.body.len());
+        let is_reusable =
+            response.keep_alive && !connection.is_ended && connection.input.is_empty();
+        connection.input = Vec::new();
+        connection.since = Instant::now();
+        self.incoming.push(Incoming::Reply { call: call.id, reply: Some(response) });
+        if !is_reusable {
+            return Err(self.close(key));
+        }
+        match self.next_queued(target) {
+            Some(queued) => self.send(key, queued.call, queued.deadline),
+            None => self.destinations[target].idle.push(key),
+        }
+        // Sending may have found that it is broken.
+        self.connections.contains_key(&key).then_some(()).ok_or(Closed)
+    }
+
+    /// Gives up the call of a closed connection, and has another one carry the next of the queue.
+    pub(super) fn release(&mut self, key: ConnectionKey, outbound: Outbound) {
+        let destination = &mut self.destinations[outbound.target];
+        destination.open -= 1;
+        destination.idle.retain(|idle| *idle != key);
+        if let Some(call) = outbound.call {
+            self.report_unanswered(call.id);
+        }
+        if let Some(queued) = self.next_queued(outbound.target) {
+            self.call(queued.call);
+        }
+    }
+}
+
+/// Starts to connect without waiting; whether it came about shows when the socket can be written.
+fn start_connecting(address: SocketAddrV4) -> io::Result<TcpStream> {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+    socket.set_nonblocking(true)?;
+    let _ = socket.set_tcp_nodelay(true);
+    match socket.connect(&SockAddr::from(address)) {
+        Err(error) if !goes_on(&error) => Err(error),
+        Ok(()) | Err(_) => Ok(socket.into()),
+    }
+}
+
+fn goes_on(error: &io::Error) -> bool {
+    error.kind() == io::ErrorKind::WouldBlock
+        || error.raw_os_error() == Some(Errno::INPROGRESS.raw_os_error())
+}
