--- a/src/coordination/fleet/returning.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -6,12 +6,13 @@
     MS_PER_S, RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_FEW, SILENT_PERIODS, WORKER_RETRY_S,
     WORKER_WAIT_S,
 };
+use crate::protocol::http::Response;
 
 impl Controller {
     pub(super) fn return_machines(&mut self) {
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
-        let Some(catalog) = self.catalog.clone() else {
+        let Some(catalog) = self.cloud.catalog().cloned() else {
             return;
         };
         // Leases may be kept in our place for so long after we were last heard.
@@ -104,7 +105,7 @@
             return;
         }
         names.truncate(DELETE_MAX);
-        if !self.cloud_budget.take(1.0, 0.0, now) {
+        if !self.cloud.take_request(0.0, now) {
             return;
         }
         for n in &names {
@@ -113,7 +114,7 @@
             }
         }
         log::info!("returns {}", names.join(", "));
-        let body = Names { machines: names.iter().map(|n| n.to_string()).collect() };
+        let body = MachineNames { machines: names.iter().map(|n| n.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = CallPurpose::Delete(names);
         self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_CALL_MS, purpose);
@@ -122,9 +123,9 @@
     pub(in crate::coordination) fn on_deletion_response(
         &mut self,
         names: Vec<MachineName>,
-        reply: Option<(u16, Vec<u8>)>,
+        reply: Option<Response>,
     ) {
-        if matches!(reply, Some((200, _))) {
+        if matches!(reply, Some(Response { status: 200, .. })) {
             for n in names {
                 self.machine_gone(&n);
             }
--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -58,7 +58,7 @@
         attempt: u64,
         now: u64,
     ) -> Adoption {
-        let Some(job) = self.jobs.get_mut(&id.job) else { return Adoption::Refused };
+        let Some(job) = self.jobs.get(&id.job) else { return Adoption::Refused };
         if !job.is_live() || id.index >= job.tasks || job.done.get(id.index) {
             return Adoption::Refused;
         }
@@ -68,15 +68,49 @@
         if let Some(other) = job.placed_on.get(&id.index).cloned() {
             return self.settle_earlier(&other, id, attempt);
         }
-        job.requeue_up_to(id.index);
         let stop_reason = job.quarantined.then_some(StopReason::Eviction);
+        self.place_running_task(machine, id, attempt, stop_reason, now);
+        Adoption::Adopted
+    }
+
+    /// A task runs with no placement that we know of: counted where it is, so that it is not started
+    /// elsewhere, and stopped.
+    pub fn add_untracked_task(
+        &mut self,
+        machine: &MachineName,
+        id: &TaskId,
+        attempt: u64,
+        now: u64,
+    ) {
+        let Some(job) = self.jobs.get(&id.job) else { return };
+        let is_unplaced = job.is_live()
+            && !job.done.get(id.index)
+            && !job.placed_on.contains_key(&id.index)
+            && !job.settling.contains(&id.index)
+            && id.index < job.tasks;
+        if is_unplaced {
+            self.place_running_task(machine, id, attempt, Some(StopReason::Eviction), now);
+        }
+    }
+
+    /// Records a placement for a task that runs already.
+    fn place_running_task(
+        &mut self,
+        machine: &MachineName,
+        id: &TaskId,
+        attempt: u64,
+        stop_reason: Option<StopReason>,
+        now: u64,
+    ) {
+        if let Some(job) = self.jobs.get_mut(&id.job) {
+            job.requeue_up_to(id.index);
+        }
         self.propose(&id.job, id.index, machine, attempt, now);
         if let Some(placement) = self.placement_mut(machine, id) {
             placement.phase = PlacementPhase::Committed;
             placement.reported_status = Some(TaskStatus::Running);
             placement.stop_reason = stop_reason;
         }
-        Adoption::Adopted
     }
 
     /// A task that is placed runs with another attempt. Attempts rise, and the next is placed only once the
