--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -65,8 +65,7 @@
         let open = self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
         let number = open.map(|(number, _)| *number).unwrap_or_else(|| self.unused_done_group());
         let group = self.done_groups.entry(number).or_default();
-        group.bytes += bytes;
-        group.chunks.insert((uid.clone(), chunk), bytes);
+        group.insert(uid.clone(), chunk, bytes);
         if let Some(job) = self.jobs.get_mut(uid) {
             job.chunk_groups.insert(chunk, number);
         }
@@ -135,14 +134,13 @@
     fn move_chunks(&mut self, source: u32, target: u32, chunks: Vec<SizedChunk>) {
         for ((uid, chunk), bytes) in chunks {
             if let Some(group) = self.done_groups.get_mut(&source) {
-                group.bytes -= group.chunks.remove(&(uid.clone(), chunk)).unwrap_or(0);
+                group.remove(&uid, chunk);
             }
             if let Some(job) = self.jobs.get_mut(&uid) {
                 job.chunk_groups.insert(chunk, target);
             }
             let group = self.done_groups.entry(target).or_default();
-            group.bytes += bytes;
-            group.chunks.insert((uid, chunk), bytes);
+            group.insert(uid, chunk, bytes);
             group.dirty = true;
         }
     }
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -227,19 +227,13 @@
     /// Notes that placements were moved to other groups, with what was settled of them meanwhile.
     pub(super) fn apply_moves(&mut self, moves: Vec<PlacementMove>) {
         for PlacementMove { from, entry } in moves {
-            let key = (entry.id.clone(), entry.attempt);
             let Some(source) = self.groups.get_mut(&from) else { continue };
-            let is_settled = source.settled.remove(&key);
-            let is_urgent = is_settled && source.urgent;
-            if let Some((_, bytes)) = source.placements.remove(&key) {
-                source.bytes -= bytes;
-            }
+            let is_settled = source.remove(&entry.id, entry.attempt);
+            let is_urgent = source.urgent;
             let target = self.groups.entry(entry.group).or_default();
-            target.bytes += entry.bytes;
-            target.placements.insert(key.clone(), (entry.machine.clone(), entry.bytes));
-            target.urgent |= is_urgent;
+            target.insert(entry.id.clone(), entry.attempt, entry.machine.clone(), entry.bytes);
             if is_settled {
-                target.settled.insert(key);
+                target.settle(entry.id.clone(), entry.attempt, is_urgent);
             }
             let machine = self.machines.get_mut(&entry.machine);
             let placement = machine.and_then(|machine| machine.placements.get_mut(&entry.id));
@@ -252,11 +246,7 @@
     /// A settled placement was taken out of its group.
     pub(super) fn apply_removal(&mut self, entry: &PlacementEntry) {
         if let Some(group) = self.groups.get_mut(&entry.group) {
-            let key = (entry.id.clone(), entry.attempt);
-            group.settled.remove(&key);
-            if let Some((_, bytes)) = group.placements.remove(&key) {
-                group.bytes -= bytes;
-            }
+            group.remove(&entry.id, entry.attempt);
         }
         self.settlement_committed(&entry.machine, &entry.id, entry.attempt);
     }
@@ -264,9 +254,7 @@
     /// A placement was stored.
     pub(super) fn apply_addition(&mut self, entry: &PlacementEntry) {
         let group = self.groups.entry(entry.group).or_default();
-        group.bytes += entry.bytes;
-        let key = (entry.id.clone(), entry.attempt);
-        group.placements.insert(key, (entry.machine.clone(), entry.bytes));
+        group.insert(entry.id.clone(), entry.attempt, entry.machine.clone(), entry.bytes);
         self.committed(&entry.machine, &entry.id, entry.attempt, entry.group);
     }
 }
--- a/src/storage/placement_group.rs
+++ b/src/storage/placement_group.rs
@@ -31,11 +31,13 @@
         self.placements.insert((id, attempt), (machine, bytes));
     }
 
-    /// Takes a placement out, if it is there.
-    pub fn remove(&mut self, placement: &(TaskId, u64)) {
-        if let Some((_, bytes)) = self.placements.remove(placement) {
+    /// Takes a placement out, if it is there. Tells whether it was settled.
+    pub fn remove(&mut self, id: &TaskId, attempt: u64) -> bool {
+        let key = (id.clone(), attempt);
+        if let Some((_, bytes)) = self.placements.remove(&key) {
             self.bytes -= bytes;
         }
+        self.settled.remove(&key)
     }
 
     /// Notes that a placement is settled and is to be taken out, soon if it is `urgent`.
