--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -3,7 +3,6 @@
 use super::*;
 use crate::protocol::state::raw_json;
 use crate::protocol::workers::EndCause;
-use crate::storage::hashing::HashKeys;
 use crate::storage::records::batch_key;
 use crate::storage::replica::Replica;
 use crate::storage::testing::batch_of;
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -199,7 +199,7 @@
     }
 
     /// Tasks that were never placed, up to and including this one, wait like requeued ones.
-    pub fn requeue_up_to(&mut self, index: u32) {
+    pub(super) fn requeue_up_to(&mut self, index: u32) {
         while self.first_never_placed <= index {
             if !self.done.get(self.first_never_placed) {
                 self.requeued.insert(self.first_never_placed);
