--- a/src/coordination/gangs.rs
+++ b/src/coordination/gangs.rs
@@ -11,12 +11,13 @@
 use crate::protocol::users::JobSpec;
 use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
+use crate::storage::job::Job;
 use crate::storage::limits::StoreLimits;
 use crate::storage::machine::{Machine, MachineState, StopReason, TaskId};
 use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeSet;
 
-/// Most tasks of a gang: the placements of an attempt go into one commit, which can have no more
+/// Most tasks of a gang: the placements of an attempt go into one transaction, which can have no more
 /// changes than a leader may make at once.
 pub(super) fn gang_tasks_max(limits: &StoreLimits, controllers: usize) -> usize {
     let by_bytes = (COMMIT_BYTES - COMMIT_FRAME_BYTES) / limits.value_bytes;
@@ -32,7 +33,7 @@
 }
 
 /// Whether a task that is told to stop keeps its progress. Those of a gang do if all of them can be told
-/// in time, each in the answer to its next report.
+/// in time, each in the response to its next heartbeat.
 pub(super) fn saves_when_stopped(spec: &JobSpec, workers: &Workers) -> bool {
     let told_within_s = workers.report_s * (1.0 + REPORT_JITTER);
     let in_time = workers.gang_peer_s <= 0.0 || told_within_s <= workers.gang_peer_s;
@@ -40,7 +41,7 @@
 }
 
 /// Milliseconds of silence after which a machine is not waited for: longer than a worker takes to report
-/// again when it has missed one answer.
+/// again when it has missed one response.
 fn silent_ms(workers: &Workers) -> u64 {
     let missed_answer_s = WORKER_WAIT_S + WORKER_RETRY_S + workers.report_s;
     (missed_answer_s.max(workers.report_s * SILENT_PERIODS) * MS_PER_S) as u64
@@ -48,65 +49,71 @@
 
 impl Leader {
     /// Stops all tasks of a gang; those that were never ordered are settled at once.
-    pub(super) fn stop_gang(&mut self, uid: &JobId, halt: StopReason, now: u64) {
-        self.cluster.stop_gang(uid, halt);
-        let Some(job) = self.cluster.jobs.get(uid) else { return };
-        let nowhere: Vec<(MachineName, u32)> = job
-            .placed_on
-            .iter()
-            .filter(|(task, machine)| {
-                let machine = self.cluster.machines.get(*machine);
-                let held =
-                    machine.and_then(|m| m.placements.get(&TaskId::new(uid.clone(), **task)));
-                held.is_some_and(|p| p.settled.is_none() && was_never_ordered(p, self.term))
-            })
-            .map(|(task, machine)| (machine.clone(), *task))
-            .collect();
-        for (machine, task) in nowhere {
-            self.cluster.settle(&machine, &TaskId::new(uid.clone(), task), EndCause::Lost);
+    pub(super) fn stop_gang(&mut self, uid: &JobId, reason: StopReason, now: u64) {
+        self.cluster.stop_gang(uid, reason);
+        for (machine, id) in self.never_ordered_tasks(uid) {
+            self.cluster.settle(&machine, &id, EndCause::Lost);
         }
         self.plan_soon(now);
     }
 
+    /// Tasks of a job that are placed, and on no machine.
+    fn never_ordered_tasks(&self, uid: &JobId) -> Vec<(MachineName, TaskId)> {
+        let Some(job) = self.cluster.jobs.get(uid) else { return Vec::new() };
+        let tasks =
+            job.placed_on.iter().map(|(index, name)| (name, TaskId::new(uid.clone(), *index)));
+        let is_on_no_machine = |name: &MachineName, id: &TaskId| {
+            let placement = self.cluster.placement(name, id);
+            placement.is_some_and(|p| p.settled.is_none() && was_never_ordered(p, self.term))
+        };
+        tasks
+            .filter(|(name, id)| is_on_no_machine(name, id))
+            .map(|(name, id)| (name.clone(), id))
+            .collect()
+    }
+
     /// Stops the attempts of gangs that can't become complete: a task is to start on a machine that
     /// has fallen silent, and no task of the gang was seen running.
     fn stop_hopeless_gangs(&mut self, workers: &Workers, now: u64) {
-        let silent = silent_ms(workers);
-        let lost = |m: &Machine| {
-            m.state != MachineState::Up
-                || m.lease_expired
-                || m.unreachable_since.is_some()
-                || m.last_alive_at.is_none_or(|t| now > t + silent)
-        };
-        let cluster = &self.cluster;
-        let mut hopeless: BTreeSet<JobId> = BTreeSet::new();
-        for uid in cluster.queue.values() {
-            let Some(job) = cluster.jobs.get(uid) else { continue };
-            // One that has run goes on if the machine is only cut off, and ends by itself if not.
-            if job.gang.as_ref().is_none_or(|gang| gang.running) {
-                continue;
-            }
-            let missing = job.placed_on.iter().any(|(task, machine)| {
-                let Some(m) = cluster.machines.get(machine) else { return false };
-                let held = m.placements.get(&TaskId::new(uid.clone(), *task));
-                // What an earlier leader has placed may run there.
-                let heard = m.has_our_token || now > self.began_at + silent * 2;
-                held.is_some_and(|p| p.reported_status.is_none() && p.stop_reason.is_none())
-                    && heard
-                    && lost(m)
-            });
-            if missing {
-                hopeless.insert(uid.clone());
-            }
-        }
+        let silent_ms = silent_ms(workers);
+        let jobs = self.cluster.queue.values().filter_map(|uid| self.cluster.jobs.get(uid));
+        let hopeless: BTreeSet<JobId> = jobs
+            .filter(|job| self.is_hopeless(job, silent_ms, now))
+            .map(|job| job.id.clone())
+            .collect();
         for uid in hopeless {
             log::info!("{uid}: its gang can't become complete, the attempt is stopped");
             self.stop_gang(&uid, StopReason::NotNeeded, now);
         }
     }
+
+    fn is_hopeless(&self, job: &Job, silent_ms: u64, now: u64) -> bool {
+        // One that has run goes on if the machine is only cut off, and ends by itself if not.
+        if job.gang.as_ref().is_none_or(|gang| gang.running) {
+            return false;
+        }
+        job.placed_on.iter().any(|(index, name)| {
+            let Some(machine) = self.cluster.machines.get(name) else { return false };
+            let placement = machine.placements.get(&TaskId::new(job.id.clone(), *index));
+            let is_to_start =
+                placement.is_some_and(|p| p.reported_status.is_none() && p.stop_reason.is_none());
+            // What an earlier leader has placed may run there.
+            let is_known = machine.has_our_token || now > self.began_at + silent_ms * 2;
+            is_to_start && is_known && is_out_of_reach(machine, silent_ms, now)
+        })
+    }
+}
+
+/// Whether a task that was placed on a machine can't be expected to start there soon.
+fn is_out_of_reach(machine: &Machine, silent_ms: u64, now: u64) -> bool {
+    machine.state != MachineState::Up
+        || machine.lease_expired
+        || machine.unreachable_since.is_some()
+        || machine.last_alive_at.is_none_or(|at| now > at + silent_ms)
 }
 
 impl Controller {
+    /// Looks for gangs that can't become complete, when it is time.
     pub(super) fn gangs_due(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.gang_scan_at) else {
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -167,10 +167,7 @@
             log::debug!("{}: gang stopped to make room", id.job);
             return self.stop_gang(&id.job, StopReason::Eviction, now);
         }
-        let machine = self.cluster.machines.get_mut(machine_name);
-        let Some(placement) = machine.and_then(|machine| machine.placements.get_mut(id)) else {
-            return;
-        };
+        let Some(placement) = self.cluster.placement_mut(machine_name, id) else { return };
         log::debug!("{id}: stopped on {machine_name} to make room");
         placement.stop_reason = placement.stop_reason.max(Some(StopReason::Eviction));
         if was_never_ordered(placement, self.term) {
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -2,7 +2,7 @@
 
 use super::metrics::{Latencies, WorkCounts};
 use super::recovery::RecoveryView;
-use super::{Controller, Leader};
+use super::{ConnectionId, Controller, Leader};
 use crate::storage::job::Job;
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::JobStage;
@@ -128,6 +128,7 @@
     }
 }
 
+/// State of a machine in the words that scripts of operators know.
 fn state_of(machine: &Machine) -> &'static str {
     match machine.state {
         MachineState::Booting => "booting",
@@ -143,7 +144,7 @@
 
 impl Controller {
     /// Answers a status request.
-    pub(super) fn status(&mut self, connection: super::ConnectionId, query: &str) {
+    pub(super) fn status(&mut self, connection: ConnectionId, query: &str) {
         let view = self.status_view(query == DETAILS_QUERY);
         // On many lines: with hundreds of machines one would be longer than a response may have.
         let body = serde_json::to_vec_pretty(&view).unwrap_or_default();
@@ -180,7 +181,8 @@
     }
 
     fn job_sums(&self) -> JobSums {
-        let count = |s| self.store.replica().jobs.values().filter(|j| j.value.stage == s).count();
+        let jobs = &self.store.replica().jobs;
+        let count = |stage| jobs.values().filter(|job| job.value.stage == stage).count();
         JobSums {
             live: count(JobStage::Live),
             done: count(JobStage::Done),
@@ -212,7 +214,12 @@
             Some(leader) => HeldSums {
                 live_jobs: leader.cluster.jobs.len(),
                 machines: leader.cluster.machines.len(),
-                placements: leader.cluster.machines.values().map(|m| m.placements.len()).sum(),
+                placements: leader
+                    .cluster
+                    .machines
+                    .values()
+                    .map(|machine| machine.placements.len())
+                    .sum(),
                 reports: leader.deferred_heartbeats.len(),
                 ..copy
             },
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -216,8 +216,7 @@
     }
 
     fn is_on_machine(&self, entry: &PlacementEntry) -> bool {
-        let machine = self.cluster.machines.get(&entry.machine);
-        let placement = machine.and_then(|machine| machine.placements.get(&entry.id));
+        let placement = self.cluster.placement(&entry.machine, &entry.id);
         placement.is_some_and(|placement| {
             placement.attempt == entry.attempt && placement.phase == PlacementPhase::Committed
         })
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -92,8 +92,7 @@
         id: &TaskId,
         pending: &PendingTransaction,
     ) -> bool {
-        let machine = self.machines.get(machine);
-        let cause = machine.and_then(|machine| machine.placements.get(id)?.settled);
+        let cause = self.placement(machine, id).and_then(|placement| placement.settled);
         if cause != Some(EndCause::Done) || pending.finished_jobs.contains(&id.job) {
             return true;
         }
@@ -235,8 +234,7 @@
             if is_settled {
                 target.settle(entry.id.clone(), entry.attempt, is_urgent);
             }
-            let machine = self.machines.get_mut(&entry.machine);
-            let placement = machine.and_then(|machine| machine.placements.get_mut(&entry.id));
+            let placement = self.placement_mut(&entry.machine, &entry.id);
             if let Some(placement) = placement.filter(|p| p.attempt == entry.attempt) {
                 placement.group = Some(entry.group);
             }
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -75,7 +75,7 @@
         let mut units: Vec<PlacementUnit> = Vec::new();
         for (machine, id) in std::mem::take(&mut self.proposals) {
             let is_gang = self.jobs.get(&id.job).is_some_and(|job| job.is_gang());
-            let placement = self.machines.get(&machine).and_then(|m| m.placements.get(&id));
+            let placement = self.placement(&machine, &id);
             let is_proposed = placement.is_some_and(|p| p.phase == PlacementPhase::Proposed);
             let gang = (is_gang && is_proposed).then(|| id.job.clone());
             match units.last_mut() {
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -99,7 +99,7 @@
             GangPhase::Assembling => {
                 let shown = |status| {
                     let placements = leader.cluster.placements_of(job);
-                    placements.filter(|p| p.reported_status == status).count()
+                    placements.filter(|placement| placement.reported_status == status).count()
                 };
                 Some(WaitReason::Assembling {
                     fetching: shown(Some(TaskStatus::Pulling)),
@@ -113,11 +113,12 @@
     /// Whether what the job needs at least to go on would put its team over its limit.
     fn at_team_limit(&self, leader: &Leader, job: &Job) -> bool {
         let Some(spec) = &job.spec else { return false };
-        let team = self.settings.params.teams.iter().find(|t| t.name == spec.team);
-        let limit =
-            team.map_or(Resources::default(), |t| Resources::new(t.cpus_max, t.gpus_max, 0.0));
-        let mut with = leader.cluster.usage.get(&spec.team).copied().unwrap_or_default();
-        with += job.need * if job.is_gang() { i64::from(job.tasks) } else { 1 };
-        !with.under(&limit)
+        let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
+        let limit = team
+            .map_or(Resources::default(), |team| Resources::new(team.cpus_max, team.gpus_max, 0.0));
+        let tasks_at_least = if job.is_gang() { i64::from(job.tasks) } else { 1 };
+        let mut usage = leader.cluster.usage.get(&spec.team).copied().unwrap_or_default();
+        usage += job.need * tasks_at_least;
+        !usage.under(&limit)
     }
 }
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -96,12 +96,16 @@
     }
 
     /// A task's placement on a machine, settled or not.
-    fn placement(&self, machine: &MachineName, id: &TaskId) -> Option<&Placement> {
+    pub(crate) fn placement(&self, machine: &MachineName, id: &TaskId) -> Option<&Placement> {
         self.machines.get(machine)?.placements.get(id)
     }
 
     /// The same, to be changed.
-    fn placement_mut(&mut self, machine: &MachineName, id: &TaskId) -> Option<&mut Placement> {
+    pub(crate) fn placement_mut(
+        &mut self,
+        machine: &MachineName,
+        id: &TaskId,
+    ) -> Option<&mut Placement> {
         self.machines.get_mut(machine)?.placements.get_mut(id)
     }
 
