--- a/crates/mountgap-records/src/job.rs
+++ b/crates/mountgap-records/src/job.rs
@@ -2,16 +2,20 @@
 
 use crate::resources::Resources;
 use serde::{Deserialize, Serialize};
+use std::ops::RangeInclusive;
 
 /// Most tasks of a job (protocol).
 pub const TASKS_MAX: u32 = 100_000;
 /// What every job id begins with.
 pub const UID_PREFIX: &str = "job-";
+/// How many digits follow it (protocol).
+const UID_DIGITS: RangeInclusive<usize> = 1..=19;
 
 /// Whether a job id has the form that the protocol gives.
 pub fn valid_uid(uid: &str) -> bool {
-    uid.strip_prefix(UID_PREFIX)
-        .is_some_and(|d| (1..=19).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit()))
+    uid.strip_prefix(UID_PREFIX).is_some_and(|digits| {
+        UID_DIGITS.contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
+    })
 }
 
 /// How a job's tasks run.
@@ -139,12 +143,7 @@
     }
 }
 
-/// The wire form of a task's name: `job-000412/3`.
-pub fn task_name(job: &str, task: u32) -> String {
-    format!("{job}/{task}")
-}
-
-/// The parts of a task's name.
+/// The parts of a task's name as it is on the wire: `job-000412/3`.
 pub fn parse_task(name: &str) -> Option<(&str, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((job, task.parse().ok()?))
--- a/crates/mountgap-records/src/records.rs
+++ b/crates/mountgap-records/src/records.rs
@@ -1,154 +1,26 @@
 //! The stored forms: keys and values of the state service.
+//!
+//! What is written here, other versions of the program read: the names and the order of serialized
+//! fields must not change, whatever the fields are called in the code.
 
-use crate::constants::{DONE_CHUNK_TASKS, KEY_FAMILY, KEY_ROOT, REBUILD_KEY};
-use crate::job::{JobSpec, TASKS_MAX, UID_PREFIX};
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::rc::Rc;
-
+mod bitmap;
 mod ids;
+mod keys;
+mod placement;
 
+pub use bitmap::Bitmap;
 pub use ids::{JobId, MachineName};
-
-/// The leased key that names the leader.
-pub fn leader_key() -> String {
-    format!("{}leader", KEY_ROOT)
-}
-
-/// The key that holds the term, which only grows.
-pub fn term_key() -> String {
-    format!("{}term", KEY_ROOT)
-}
-
-/// The key of the last known catalogue, so that submissions can be judged without the cloud.
-pub fn catalog_key() -> String {
-    format!("{}catalog", KEY_ROOT)
-}
-
-/// The key of the teams' shares.
-pub fn shares_key() -> String {
-    format!("{}shares", KEY_ROOT)
-}
-
-/// The key of a batch of jobs that were accepted together. Written once, never changed.
-pub fn batch_key(id: &str) -> String {
-    format!("{}jobs/{id}", KEY_ROOT)
-}
-
-/// The key of a batch of gangs that were accepted together, written once like a batch of other jobs.
-///
-/// The key stands beside those of other jobs because a program from before gangs fails to read a
-/// batch with a kind of job that it doesn't know, and with it every other job of that batch. Keys of
-/// a family that it doesn't know it ignores.
-pub fn gang_batch_key(id: &str) -> String {
-    format!("{}gangs/{id}", KEY_ROOT)
-}
-
-/// The key of how a job ended. It exists once the job is done or withdrawn, and only then.
-pub fn job_end_key(uid: &str) -> String {
-    format!("{}end/{uid}", KEY_ROOT)
-}
-
-/// The key of a group of bitmaps of done tasks.
-pub fn done_tasks_key(group: u32) -> String {
-    format!("{}done/{group:04}", KEY_ROOT)
-}
-
-/// The key of a group of placements.
-pub fn placements_key(group: u32) -> String {
-    format!("{}place/{group:04}", KEY_ROOT)
-}
-
-/// The key of a part of the list of images that machines hold.
-pub fn images_key(part: u32) -> String {
-    format!("{}kits/{part:04}", KEY_ROOT)
-}
-
-/// The key of the store's identity, written once by the first leader.
-pub fn store_key() -> String {
-    format!("{}store", KEY_ROOT)
-}
-
-/// The key of a group of ends that a rebuild has written: a write an end would take hours.
-pub fn job_end_group_key(group: u32) -> String {
-    format!("{}ends/{group:05}", KEY_ROOT)
-}
-
-/// The key of a group of jobs that a rebuild could not account for.
-pub fn flagged_jobs_key(group: u32) -> String {
-    format!("{}flagged/{group:04}", KEY_ROOT)
-}
-
-/// A key, taken apart.
-#[derive(Debug, PartialEq)]
-pub enum Key<'a> {
-    /// The leader's name.
-    Leader,
-    /// The highest term.
-    Term,
-    /// The last known machine types.
-    Catalog,
-    /// The teams' shares.
-    Shares,
-    /// Jobs that were accepted together.
-    Batch(&'a str),
-    /// Gangs that were accepted together.
-    GangBatch(&'a str),
-    /// How a job ended.
-    End(&'a str),
-    /// A group of bitmaps of done tasks.
-    Done(u32),
-    /// A group of placements.
-    Place(u32),
-    /// A part of the images on machines.
-    Images(u32),
-    /// The store's identity.
-    Store,
-    /// How far the last rebuild has come.
-    Rebuild,
-    /// Ends of jobs, written together by a rebuild.
-    EndGroup(u32),
-    /// Jobs that a rebuild could not account for.
-    Flagged(u32),
-}
-
-/// Takes a key apart; `None` for keys of others.
-pub fn parse_key(key: &str) -> Option<Key<'_>> {
-    if key == REBUILD_KEY {
-        return Some(Key::Rebuild);
-    }
-    let rest = key.strip_prefix(KEY_ROOT)?;
-    Some(match rest {
-        "store" => Key::Store,
-        "leader" => Key::Leader,
-        "term" => Key::Term,
-        "catalog" => Key::Catalog,
-        "shares" => Key::Shares,
-        _ => {
-            let (kind, name) = rest.split_once('/')?;
-            match kind {
-                "jobs" => Key::Batch(name),
-                "gangs" => Key::GangBatch(name),
-                "end" => Key::End(name),
-                "done" => Key::Done(name.parse().ok()?),
-                "place" => Key::Place(name.parse().ok()?),
-                "kits" => Key::Images(name.parse().ok()?),
-                "ends" => Key::EndGroup(name.parse().ok()?),
-                "flagged" => Key::Flagged(name.parse().ok()?),
-                _ => return None,
-            }
-        }
-    })
-}
-
-/// Whether a key belongs to a layout of the store that this program can't read: every layout
-/// has a root of its own below the family's.
-///
-/// The key of a rebuild looks like one to versions from before rebuilds, so that they serve nobody
-/// from a store that is half rebuilt, nor from one whose ends they could not all read.
-pub fn foreign_layout(key: &str) -> bool {
-    key.starts_with(KEY_FAMILY) && !key.starts_with(KEY_ROOT) && key != REBUILD_KEY
-}
+pub use keys::{
+    batch_key, catalog_key, done_tasks_key, flagged_jobs_key, foreign_layout, gang_batch_key,
+    images_key, job_end_group_key, job_end_key, leader_key, parse_key, placements_key, shares_key,
+    store_key, term_key, Key,
+};
+pub use placement::{PlacementsRecord, StoredPlacement};
+
+use crate::job::JobSpec;
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+use std::rc::Rc;
 
 /// Who leads.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -311,64 +183,6 @@
     Some((uid, chunk.parse().ok()?))
 }
 
-/// Placements of any jobs on any machines, one text after the other ([`StoredPlacement`]). One value
-/// holds hundreds, so that one write starts and settles many tasks.
-#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct PlacementsRecord {
-    /// The texts, separated by spaces.
-    pub tasks: String,
-}
-
-impl PlacementsRecord {
-    /// The placements; what can't be read is left out with a log line.
-    pub fn placed(&self) -> impl Iterator<Item = StoredPlacement<'_>> {
-        self.tasks.split_ascii_whitespace().filter_map(|t| {
-            let p = StoredPlacement::parse(t);
-            if p.is_none() {
-                log::error!("stored placement {t} can't be read");
-            }
-            p
-        })
-    }
-}
-
-/// A task on a machine, as stored: `000412/3@n-000231#28000001`, the attempt in hexadecimal.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StoredPlacement<'a> {
-    /// The job's id without its [`UID_PREFIX`].
-    pub digits: &'a str,
-    /// The task's number.
-    pub task: u32,
-    /// The machine's name.
-    pub machine: &'a str,
-    /// The attempt.
-    pub attempt: u64,
-}
-
-impl<'a> StoredPlacement<'a> {
-    fn parse(text: &'a str) -> Option<StoredPlacement<'a>> {
-        let (digits, rest) = text.split_once('/')?;
-        let (task, rest) = rest.split_once('@')?;
-        let (machine, attempt) = rest.rsplit_once('#')?;
-        let attempt = u64::from_str_radix(attempt, 16).ok()?;
-        Some(StoredPlacement { digits, task: task.parse().ok()?, machine, attempt })
-    }
-
-    /// The text form; `None` for a machine whose name can't stand in one.
-    pub fn text(uid: &str, task: u32, machine: &str, attempt: u64) -> Option<String> {
-        let digits = uid.strip_prefix(UID_PREFIX)?;
-        if machine.bytes().any(|b| !b.is_ascii_graphic() || b == b'"' || b == b'\\') {
-            return None;
-        }
-        Some(format!("{digits}/{task}@{machine}#{attempt:x}"))
-    }
-
-    /// The job's id.
-    pub fn uid(&self) -> JobId {
-        format!("{UID_PREFIX}{}", self.digits).into()
-    }
-}
-
 /// Images that machines hold, for a new leader: hints, written seldom.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImagesRecord {
@@ -388,65 +202,5 @@
     pub teams: Vec<(String, i64)>,
 }
 
-/// A set of tasks, a bit each.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct Bitmap {
-    words: Vec<u64>,
-}
-
-impl Bitmap {
-    /// Whether the task is in the set.
-    pub fn get(&self, i: u32) -> bool {
-        self.words.get(i as usize / 64).is_some_and(|w| w >> (i % 64) & 1 == 1)
-    }
-
-    /// Adds a task; false if it was there.
-    pub fn set(&mut self, i: u32) -> bool {
-        let w = i as usize / 64;
-        if self.words.len() <= w {
-            self.words.resize(w + 1, 0);
-        }
-        let fresh = self.words[w] >> (i % 64) & 1 == 0;
-        self.words[w] |= 1 << (i % 64);
-        fresh
-    }
-
-    /// Size of the set.
-    pub fn count(&self) -> u32 {
-        self.words.iter().map(|w| w.count_ones()).sum()
-    }
-
-    /// Text form of the tasks of one chunk.
-    pub fn chunk_text(&self, chunk: u32) -> String {
-        let per = (DONE_CHUNK_TASKS / 64) as usize;
-        let from = (chunk as usize * per).min(self.words.len());
-        let to = (from + per).min(self.words.len());
-        let mut out = String::new();
-        for w in &self.words[from..to] {
-            out.push_str(&format!("{w:016x}"));
-        }
-        out
-    }
-
-    /// Adds the tasks of a chunk's text form; text that isn't one adds nothing.
-    pub fn add_chunk(&mut self, chunk: u32, text: &str) {
-        let per = (DONE_CHUNK_TASKS / 64) as usize;
-        let from = chunk as usize * per;
-        if !text.is_ascii() || chunk > TASKS_MAX / DONE_CHUNK_TASKS {
-            return;
-        }
-        for (i, at) in (0..text.len()).step_by(16).take(per).enumerate() {
-            let Some(word) = text.get(at..at + 16).and_then(|t| u64::from_str_radix(t, 16).ok())
-            else {
-                return;
-            };
-            if self.words.len() <= from + i {
-                self.words.resize(from + i + 1, 0);
-            }
-            self.words[from + i] |= word;
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/mountgap-records/src/records/bitmap.rs
@@ -0,0 +1,77 @@
+//! Bitmaps of tasks, stored in chunks as hexadecimal text.
+
+use crate::constants::DONE_CHUNK_TASKS;
+use crate::job::TASKS_MAX;
+
+/// Tasks in one word of a bitmap.
+const WORD_TASKS: u32 = u64::BITS;
+
+/// Hexadecimal digits of a word.
+const WORD_DIGITS: usize = 16;
+
+/// Words of a whole chunk.
+const CHUNK_WORDS: usize = (DONE_CHUNK_TASKS / WORD_TASKS) as usize;
+
+/// A set of tasks, a bit each.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct Bitmap {
+    words: Vec<u64>,
+}
+
+impl Bitmap {
+    /// Whether the task is in the set.
+    pub fn get(&self, index: u32) -> bool {
+        let (word, mask) = position(index);
+        self.words.get(word).is_some_and(|bits| bits & mask != 0)
+    }
+
+    /// Adds a task; false if it was there.
+    pub fn set(&mut self, index: u32) -> bool {
+        let (word, mask) = position(index);
+        let bits = self.word_mut(word);
+        let is_new = *bits & mask == 0;
+        *bits |= mask;
+        is_new
+    }
+
+    /// Size of the set.
+    pub fn count(&self) -> u32 {
+        self.words.iter().map(|bits| bits.count_ones()).sum()
+    }
+
+    /// Text form of the tasks of one chunk.
+    pub fn chunk_text(&self, chunk: u32) -> String {
+        let start = (chunk as usize * CHUNK_WORDS).min(self.words.len());
+        let end = (start + CHUNK_WORDS).min(self.words.len());
+        self.words[start..end].iter().map(|bits| format!("{bits:016x}")).collect()
+    }
+
+    /// Adds the tasks of a chunk's text form; text that isn't one adds nothing.
+    pub fn add_chunk(&mut self, chunk: u32, text: &str) {
+        if !text.is_ascii() || chunk > TASKS_MAX / DONE_CHUNK_TASKS {
+            return;
+        }
+        let first_word = chunk as usize * CHUNK_WORDS;
+        let starts = (0..text.len()).step_by(WORD_DIGITS).take(CHUNK_WORDS);
+        for (word, start) in starts.enumerate() {
+            let digits = text.get(start..start + WORD_DIGITS);
+            let Some(bits) = digits.and_then(|digits| u64::from_str_radix(digits, 16).ok()) else {
+                return;
+            };
+            *self.word_mut(first_word + word) |= bits;
+        }
+    }
+
+    /// A word, made if it is missing.
+    fn word_mut(&mut self, word: usize) -> &mut u64 {
+        if self.words.len() <= word {
+            self.words.resize(word + 1, 0);
+        }
+        &mut self.words[word]
+    }
+}
+
+/// The word that holds a task's bit, and the mask of the bit.
+fn position(index: u32) -> (usize, u64) {
+    ((index / WORD_TASKS) as usize, 1 << (index % WORD_TASKS))
+}
--- a/crates/mountgap-records/src/records/tests.rs
+++ b/crates/mountgap-records/src/records/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of [`super`], the module `records`.
 
 use super::*;
+use crate::constants::DONE_CHUNK_TASKS;
 
 #[test]
 fn bitmaps_survive_their_text_form() {
@@ -38,6 +39,6 @@
     let one =
         StoredPlacement { digits: "000412", task: 99_999, machine: "n-1#odd", attempt: 7 << 26 };
     assert_eq!(all, vec![one]);
-    assert_eq!(&*one.uid(), "job-000412");
+    assert_eq!(&*one.job_id(), "job-000412");
     assert_eq!(StoredPlacement::text("job-1", 0, "two words", 1), None);
 }
--- a/crates/mountgap-records/src/resources.rs
+++ b/crates/mountgap-records/src/resources.rs
@@ -17,8 +17,8 @@
 impl Resources {
     /// From decimal amounts.
     pub fn new(cores: f64, gpus: f64, ram_gb: f64) -> Resources {
-        let m = |v: f64| (v * MILLI).round() as i64;
-        Resources { cpu: m(cores), gpu: m(gpus), ram: m(ram_gb) }
+        let thousandths = |amount: f64| (amount * MILLI).round() as i64;
+        Resources { cpu: thousandths(cores), gpu: thousandths(gpus), ram: thousandths(ram_gb) }
     }
 
     /// Whether `need` fits into what is here.
@@ -31,38 +31,39 @@
         (cap.cpu == 0 || self.cpu <= cap.cpu) && (cap.gpu == 0 || self.gpu <= cap.gpu)
     }
 
-    /// How many times `need` fits.
+    /// How many times `need` fits; `i64::MAX` if nothing is needed.
     pub fn times(&self, need: &Resources) -> i64 {
-        let one = |have: i64, n: i64| if n > 0 { have.max(0) / n } else { i64::MAX };
-        one(self.cpu, need.cpu).min(one(self.gpu, need.gpu)).min(one(self.ram, need.ram))
+        let times = |have: i64, need: i64| if need > 0 { have.max(0) / need } else { i64::MAX };
+        times(self.cpu, need.cpu).min(times(self.gpu, need.gpu)).min(times(self.ram, need.ram))
     }
 
     /// The largest share of `whole` that this is, in any dimension.
     pub fn share_of(&self, whole: &Resources) -> f64 {
-        let one = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 0.0 };
-        one(self.cpu, whole.cpu).max(one(self.gpu, whole.gpu)).max(one(self.ram, whole.ram))
+        let share =
+            |part: i64, whole: i64| if whole > 0 { part as f64 / whole as f64 } else { 0.0 };
+        share(self.cpu, whole.cpu).max(share(self.gpu, whole.gpu)).max(share(self.ram, whole.ram))
     }
 }
 
 impl std::ops::AddAssign for Resources {
-    fn add_assign(&mut self, o: Resources) {
-        self.cpu += o.cpu;
-        self.gpu += o.gpu;
-        self.ram += o.ram;
+    fn add_assign(&mut self, other: Resources) {
+        self.cpu += other.cpu;
+        self.gpu += other.gpu;
+        self.ram += other.ram;
     }
 }
 
 impl std::ops::SubAssign for Resources {
-    fn sub_assign(&mut self, o: Resources) {
-        self.cpu -= o.cpu;
-        self.gpu -= o.gpu;
-        self.ram -= o.ram;
+    fn sub_assign(&mut self, other: Resources) {
+        self.cpu -= other.cpu;
+        self.gpu -= other.gpu;
+        self.ram -= other.ram;
     }
 }
 
 impl std::ops::Mul<i64> for Resources {
     type Output = Resources;
-    fn mul(self, n: i64) -> Resources {
-        Resources { cpu: self.cpu * n, gpu: self.gpu * n, ram: self.ram * n }
+    fn mul(self, factor: i64) -> Resources {
+        Resources { cpu: self.cpu * factor, gpu: self.gpu * factor, ram: self.ram * factor }
     }
 }
--- a/crates/mountgap-recovery/src/merged_state.rs
+++ b/crates/mountgap-recovery/src/merged_state.rs
@@ -113,7 +113,7 @@
             Some(Key::Place(_)) => {
                 let group: PlacementsRecord = read(data)?;
                 for placed in group.placed() {
-                    let task = (placed.uid().to_string(), placed.task);
+                    let task = (placed.job_id().to_string(), placed.task);
                     let machine = placed.machine.to_string();
                     self.add_placement(task, PlacedTask { attempt: placed.attempt, machine });
                 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -9,5 +9,5 @@
 pub mod users;
 pub mod workers;
 
-pub use mountgap_records::job::{parse_task, task_name};
+pub use mountgap_records::job::parse_task;
 pub use mountgap_records::resources::{Resources, MILLI};
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -70,7 +70,7 @@
     /// A task in a heartbeat ("POST /checkin" of the protocol).
     #[derive(Debug, Clone, Serialize, Deserialize)]
     pub struct TaskReport {
-        /// The task's name on the wire, see [`crate::protocol::task_name`].
+        /// The task's name on the wire, see [`crate::storage::machine::TaskId`].
         #[serde(rename = "load")]
         pub task_id: String,
         /// Attempt that the start named.
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -55,7 +55,7 @@
     ) {
         let mut group = PlacementGroup::new(record.mod_revision);
         for stored in record.value.placed() {
-            let id = TaskId::new(stored.uid(), stored.task);
+            let id = TaskId::new(stored.job_id(), stored.task);
             let machine: MachineName = stored.machine.into();
             let text = StoredPlacement::text(&id.job, id.index, stored.machine, stored.attempt);
             let bytes = text.unwrap_or_default().len() + 1;
