--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -1,13 +1,18 @@
 //! Tests of [`super`], the module `replica`.
 
 use super::*;
-use crate::protocol::state::raw_json;
+use crate::protocol::state::{raw_json, WatchEvent, WatchResponse};
 use crate::storage::hashing::HashKeys;
 use crate::storage::records::{batch_key, job_end_key, placements_key, StoredPlacement};
 use crate::storage::testing::batch_of;
 
-fn put(key: String, rec: &PlacementsRecord, mod_revision: u64) -> WatchEvent {
-    WatchEvent { put_key: Some(key), removed_key: None, value: Some(raw_json(rec)), mod_revision }
+fn put(key: String, record: &PlacementsRecord, mod_revision: u64) -> WatchEvent {
+    WatchEvent {
+        put_key: Some(key),
+        removed_key: None,
+        value: Some(raw_json(record)),
+        mod_revision,
+    }
 }
 
 fn one() -> PlacementsRecord {
@@ -16,38 +21,38 @@
 
 #[test]
 fn an_older_answer_that_comes_late_changes_nothing() {
-    let mut r = Replica::new(HashKeys::from_seed(1));
+    let mut replica = Replica::new(HashKeys::from_seed(1));
     let none = PlacementsRecord::default();
     let new = WatchResponse { revision: 9, events: vec![put(placements_key(0), &none, 8)] };
     let old = WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] };
-    r.apply(&new);
-    r.apply(&old);
-    assert_eq!(r.places[&0].value, none);
-    assert_eq!((r.revision, r.placed("job-1")), (9, 0));
+    replica.apply(&new);
+    replica.apply(&old);
+    assert_eq!(replica.places[&0].value, none);
+    assert_eq!((replica.revision, replica.placed("job-1")), (9, 0));
 }
 
 #[test]
 fn a_key_removed_ahead_of_the_watch_does_not_come_back() {
-    let mut r = Replica::new(HashKeys::from_seed(1));
-    r.write(&placements_key(0), &raw_json(&one()), 4);
-    r.remove(&placements_key(0), 6);
-    r.apply(&WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
-    assert!(r.places.is_empty(), "the write at 4 is older than the removal at 6");
-    assert_eq!(r.placed("job-1"), 0);
-    r.apply(&WatchResponse { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
-    assert_eq!((r.places.len(), r.placed("job-1")), (1, 1), "a later write counts");
+    let mut replica = Replica::new(HashKeys::from_seed(1));
+    replica.write(&placements_key(0), &raw_json(&one()), 4);
+    replica.remove(&placements_key(0), 6);
+    replica.apply(&WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
+    assert!(replica.places.is_empty(), "the write at 4 is older than the removal at 6");
+    assert_eq!(replica.placed("job-1"), 0);
+    replica.apply(&WatchResponse { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
+    assert_eq!((replica.places.len(), replica.placed("job-1")), (1, 1), "a later write counts");
 }
 
 #[test]
 fn jobs_of_one_commit_have_arrival_numbers_of_their_own() {
     // Two batches of one commit once gave their jobs the same numbers, and of two jobs with
     // one number only one was ever planned.
-    let mut r = Replica::new(HashKeys::from_seed(1));
+    let mut replica = Replica::new(HashKeys::from_seed(1));
     let mut two = batch_of("job-2", 1);
     two.first = 1;
-    r.write(&batch_key("a"), &raw_json(&batch_of("job-1", 1)), 4);
-    r.write(&batch_key("b"), &raw_json(&two), 4);
-    assert!(r.jobs["job-1"].mod_revision < r.jobs["job-2"].mod_revision);
+    replica.write(&batch_key("a"), &raw_json(&batch_of("job-1", 1)), 4);
+    replica.write(&batch_key("b"), &raw_json(&two), 4);
+    assert!(replica.jobs["job-1"].mod_revision < replica.jobs["job-2"].mod_revision);
 }
 
 #[test]
@@ -59,19 +64,19 @@
         (job_end_key("job-1"), raw_json(&end), 9),
     ];
     for order in [[0, 1, 2], [1, 0, 2], [2, 1, 0], [2, 0, 1]] {
-        let mut r = Replica::new(HashKeys::from_seed(1));
+        let mut replica = Replica::new(HashKeys::from_seed(1));
         for i in order {
-            r.write(&all[i].0, &all[i].1, all[i].2);
+            replica.write(&all[i].0, &all[i].1, all[i].2);
         }
-        let j = &r.jobs["job-1"].value;
+        let job = &replica.jobs["job-1"].value;
         assert_eq!(
-            (j.stage, j.end_revision, r.mod_revision(&job_end_key("job-1"))),
+            (job.stage, job.end_revision, replica.mod_revision(&job_end_key("job-1"))),
             (JobStage::Done, 9, 9)
         );
         if order[2] == 2 {
-            assert_eq!(j.tasks, 3, "read in order {order:?}");
+            assert_eq!(job.tasks, 3, "read in order {order:?}");
         }
-        r.remove(&batch_key("a"), 12);
-        assert!(r.jobs["job-1"].value.spec.is_none(), "how it ended is kept");
+        replica.remove(&batch_key("a"), 12);
+        assert!(replica.jobs["job-1"].value.spec.is_none(), "how it ended is kept");
     }
 }
