--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -67,7 +67,7 @@
     pub stop_reason: Option<StopReason>,
     /// Settled by evidence; taken out once that is committed.
     pub settled: Option<EndCause>,
-    /// The group of placements in the store that names it.
+    /// The number of the stored group that names it.
     pub group: Option<u32>,
 }
 
@@ -88,7 +88,8 @@
     }
 }
 
-/// Identifies a task. Ordered by job, then by number.
+/// Identifies a task. Ordered by job, then by number; its text form, such as `job-000412/3`, is the task's
+/// name on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// The job that it belongs to.
@@ -110,7 +111,7 @@
     }
 }
 
-/// Life of a machine.
+/// Where a machine stands between rental and deletion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
     /// Rented, not yet up.
@@ -139,7 +140,7 @@
     pub spot: bool,
     /// What it has in all.
     pub total: Resources,
-    /// Where it stands between rental and deletion.
+    /// Where it stands in its life.
     pub state: MachineState,
     /// When it was rented, as well as we know.
     pub rented_at: u64,
@@ -153,7 +154,8 @@
     pub newest_heartbeat: HeartbeatId,
     /// The worker has shown our token.
     pub has_our_token: bool,
-    /// When it last gave a sign of life, see [`Machine::received_at`] for the difference.
+    /// When it was last surely alive: a heartbeat that may be a late copy from before our term
+    /// doesn't count here, as it does for [`Machine::last_heartbeat_at`].
     pub last_alive_at: Option<u64>,
     /// When the newest report came, whoever's token it shows.
     pub last_heartbeat_at: Option<u64>,
@@ -167,25 +169,25 @@
     pub undelivered_signs: u32,
     /// When the last such sign was seen.
     pub undelivered_sign_at: u64,
-    /// Since when it is held for deaf: it reports, but what we answer has no effect.
+    /// Since when it counts as unreachable: it reports, but what we answer has no effect.
     pub unreachable_since: Option<u64>,
-    /// Tasks on it that are not taken out yet.
+    /// Placements on it that are not taken out yet.
     pub placements: BTreeMap<TaskId, Placement>,
     /// Tasks that run on it and belong to no job that is known, with their attempts: after a rebuild
     /// of the store they are left alone.
     pub unknown_tasks: BTreeSet<(TaskId, u64)>,
-    /// Images it holds, newest last, with their size.
+    /// Images it holds, newest last, with their size in gigabytes.
     pub images: Vec<(String, f64)>,
     /// Placements on it that are not in the store yet.
     pub uncommitted_placements: u32,
-    /// Set aside: gets no new tasks and is returned when empty.
+    /// It gets no new tasks and is returned when empty.
     pub cordoned: bool,
     /// The cloud lists it as failed: nothing runs there any more.
     pub failed: bool,
     /// Being emptied because the others have room for its work; opened again when they
     /// have not.
     pub draining: bool,
-    /// Recent failures: when, job.
+    /// Recent failures of tasks on it: when, and of which job.
     pub failures: Vec<(u64, JobId)>,
     /// Since when nothing is on it.
     pub idle_since: Option<u64>,
@@ -235,43 +237,49 @@
         self.placements.is_empty() && self.unknown_tasks.is_empty()
     }
 
-    /// Takes note of signs that our answers do not reach it (`signs`), or of one that they do.
-    /// Enough signs in a row make it deaf; being heeded, or no more signs for `calm_ms`, ends
-    /// that. Tells whether it has fallen deaf just now.
+    /// Takes note of signs that our answers do not reach it, or that one was `delivered`. Enough signs
+    /// in a row make it unreachable; a delivered answer, or no more signs for `calm_ms`, ends that.
+    /// Tells whether it has become unreachable just now.
     pub fn note_response_delivery(
         &mut self,
-        signs: u32,
-        heeded: bool,
+        undelivered_signs: u32,
+        delivered: bool,
         now: u64,
         calm_ms: u64,
     ) -> bool {
-        let calm = self.undelivered_signs > 0 && now > self.undelivered_sign_at + calm_ms;
-        if heeded || (signs == 0 && calm) {
+        let is_calm = self.undelivered_signs > 0 && now > self.undelivered_sign_at + calm_ms;
+        if delivered || (undelivered_signs == 0 && is_calm) {
             self.undelivered_signs = 0;
             self.unreachable_since = None;
-        } else if signs > 0 {
-            self.undelivered_signs += signs;
-            self.undelivered_sign_at = now;
-            if self.undelivered_signs >= UNREACHABLE_SIGNS && self.unreachable_since.is_none() {
-                self.unreachable_since = Some(now);
-                return true;
-            }
+            return false;
         }
-        false
+        if undelivered_signs == 0 {
+            return false;
+        }
+        self.undelivered_signs += undelivered_signs;
+        self.undelivered_sign_at = now;
+        if self.undelivered_signs < UNREACHABLE_SIGNS || self.unreachable_since.is_some() {
+            return false;
+        }
+        self.unreachable_since = Some(now);
+        true
     }
 
-    /// Remembers that it holds an image, and forgets the oldest beyond what fits.
-    pub fn note_image(&mut self, image: &str, gb: f64, room_gb: f64) {
-        if self.images.last().is_some_and(|(k, _)| k == image) {
+    /// Remembers that it holds an image of `size_gb`, and forgets the oldest beyond what fits into
+    /// its cache; a `cache_gb` of 0 means that its size is not known.
+    pub fn note_image(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
+        if self.images.last().is_some_and(|(newest, _)| newest == image) {
             return;
         }
-        self.images.retain(|(k, _)| k != image);
-        self.images.push((image.to_string(), gb));
-        while self.images.len() > 1
-            && (self.images.len() > IMAGES_KEPT
-                || (room_gb > 0.0 && self.images.iter().map(|(_, g)| g).sum::<f64>() > room_gb))
-        {
+        self.images.retain(|(held, _)| held != image);
+        self.images.push((image.to_string(), size_gb));
+        while self.images.len() > 1 && self.has_too_many_images(cache_gb) {
             self.images.remove(0);
         }
     }
+
+    fn has_too_many_images(&self, cache_gb: f64) -> bool {
+        let held_gb = || self.images.iter().map(|(_, size_gb)| size_gb).sum::<f64>();
+        self.images.len() > IMAGES_KEPT || (cache_gb > 0.0 && held_gb() > cache_gb)
+    }
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,9 +1,13 @@
-//! What is stored and what is counted.
+//! What a controller knows of the store, and what its leader builds on that.
 //!
-//! [`records`] are the stored forms, [`replica`] is a controller's copy of the store,
-//! [`adoption`] finds a place for what runs unrecorded, [`cluster`] is the leader's state on top of it, with every [`job`] and [`machine`], [`reservation`] is the table of
-//! running tasks and estimated ends, [`budget`] keeps request rates, [`limits`] what the state service
-//! allows, [`gangs`] what holds for tasks that run together.
+//! [`records`] are the stored forms and their keys, [`replica`] is a controller's copy of the store.
+//! [`cluster`] is the leader's state on top of it, made of [`job`]s, [`machine`]s with the placements on
+//! them, [`gangs`], and the stored groups of [`placement_group`] and [`done_tasks_group`].
+//! [`reservation`] is the planner's table of running tasks and estimated ends, [`token_bucket`] keeps
+//! request rates, [`limits`] is what the state service allows, and [`hashing`] makes runs repeatable.
+//!
+//! Nothing here does I/O or reads a clock: times are passed in, in milliseconds of the steady clock
+//! unless a name says otherwise.
 
 pub mod cluster;
 pub mod done_tasks_group;
