--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -26,7 +26,7 @@
             return;
         };
         leader.last_heartbeat_at = now;
-        if leader.fleet.is_gone(&heartbeat.machine) {
+        if leader.fleet.is_terminated(&heartbeat.machine) {
             // A late heartbeat of a machine that was deleted.
             return self.redirect(connection);
         }
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -10,8 +10,8 @@
 use super::hashing::{HashKeys, HashMap};
 use super::records::{
     chunk_name, parse_key, Bitmap, DoneTasksRecord, FlaggedJobsRecord, ImagesRecord, JobEndRecord,
-    JobId, JobRecord, JobStage, Key, LeaderRecord, PlacementsRecord, RebuildRecord, SharesRecord,
-    StoreIdRecord, TermRecord,
+    JobId, JobRecord, JobStage, Key, LeaderRecord, PlacementsRecord, RebuildPhase, RebuildRecord,
+    SharesRecord, StoreIdRecord, TermRecord,
 };
 use crate::constants::DONE_CHUNK_TASKS;
 use crate::protocol::cloud::Catalog;
@@ -176,6 +176,16 @@
         done
     }
 
+    /// How far the last rebuild of the store has come, if there was one.
+    pub fn rebuild_phase(&self) -> Option<RebuildPhase> {
+        self.rebuild.as_ref().map(|record| record.value.phase)
+    }
+
+    /// The term in which the last rebuild of the store was begun; 0 if there was none.
+    pub fn rebuild_term(&self) -> u64 {
+        self.rebuild.as_ref().map_or(0, |record| record.value.term)
+    }
+
     /// The highest term known from the store.
     pub fn term(&self) -> u64 {
         self.term.as_ref().map_or(0, |term| term.value.term)
