--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -1,4 +1,4 @@
-//! Requests for the cloud's catalog of machine types; [`crate::coordination::cloud_client`] owns what is known.
+//! The cloud's catalog of machine types.
 
 use crate::constants::CLOUD_CALL_MS;
 use crate::coordination::outbox::CallPurpose;
--- a/src/coordination/planner_input.rs
+++ b/src/coordination/planner_input.rs
@@ -30,7 +30,7 @@
     pub machines: Vec<MachineName>,
     /// The tasks behind the handles of the running tasks, by machine.
     pub handles: Vec<Vec<TaskId>>,
-    /// MachineNames of the zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
