--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_MS, STATE_RPS_SHARE};
 use crate::protocol::cloud::Catalog;
-use crate::storage::budget::Bucket;
+use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
 
 /// Catalogue periods between two requests of a follower, in those of a leader.
@@ -13,7 +13,7 @@
 pub(super) struct CloudClient {
     /// Requests a second that the cloud takes from all controllers.
     requests_per_s: f64,
-    budget: Bucket,
+    budget: TokenBucket,
     catalog: Option<Rc<Catalog>>,
     catalog_requested_at: Option<u64>,
     catalog_request_in_flight: bool,
@@ -25,7 +25,7 @@
         let share = requests_per_s * STATE_RPS_SHARE / controllers as f64;
         CloudClient {
             requests_per_s,
-            budget: Bucket::new(share, now),
+            budget: TokenBucket::new(share, now),
             catalog: None,
             catalog_requested_at: None,
             catalog_request_in_flight: false,
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -7,7 +7,7 @@
 use crate::protocol::cloud::Catalog;
 use crate::protocol::parse_task;
 use crate::protocol::workers::Heartbeat;
-use crate::storage::adoption::Adoption;
+use crate::storage::cluster::Adoption;
 use crate::storage::machine::{HeartbeatId, Machine, MachineState, StopReason, TaskId};
 use crate::storage::records::MachineName;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
             return;
         };
         leader.last_heartbeat_at = now;
-        if leader.fleet.is_gone(&heartbeat.machine) {
+        if leader.fleet.is_terminated(&heartbeat.machine) {
             // A late heartbeat of a machine that was deleted.
             return self.redirect(connection);
         }
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -5,7 +5,7 @@
 
 use super::{was_never_ordered, Leader};
 use crate::constants::{FLEET_MACHINE_MS, FLEET_PERIOD_MS, PASS_GAP_MACHINE_MS, PASS_GAP_MS};
-use crate::coordination::planner::{self, Plan};
+use crate::coordination::planner::{self, JobOnMachine, Plan, Preemption};
 use crate::coordination::planner_input::PlannerInput;
 use crate::coordination::Controller;
 use crate::protocol::cloud::Catalog;
@@ -93,7 +93,7 @@
         if !leader.cluster.has_waiting_tasks() && shares_are_known {
             // There is nothing to place, to make room for or to reserve.
             leader.reservation = None;
-            leader.fleet.none_unplaced();
+            leader.fleet.clear_unplaced();
             return;
         }
         let work = &mut self.metrics.work;
@@ -123,23 +123,23 @@
 
     /// Proposes and stops what a pass has decided.
     fn adopt_plan(&mut self, plan: &Plan, input: &PlannerInput, catalog: &Catalog, now: u64) {
-        self.reservation = plan
-            .reservation
-            .map(|(job, machine, _)| (input.jobs[job].clone(), input.machines[machine].clone()));
+        self.reservation = plan.reservation.map(|reserved| {
+            (input.jobs[reserved.job].clone(), input.machines[reserved.machine].clone())
+        });
         let mut gangs: BTreeMap<usize, Vec<MachineName>> = BTreeMap::new();
-        for (job, machine) in &plan.placements {
-            let machine_name = &input.machines[*machine];
-            if input.snapshot.jobs[*job].is_gang {
-                gangs.entry(*job).or_default().push(machine_name.clone());
+        for &JobOnMachine { job, machine } in &plan.placements {
+            let machine_name = &input.machines[machine];
+            if input.snapshot.jobs[job].is_gang {
+                gangs.entry(job).or_default().push(machine_name.clone());
             } else {
-                self.propose_task(&input.jobs[*job], machine_name, now);
+                self.propose_task(&input.jobs[job], machine_name, now);
             }
         }
         for (job, machines) in gangs {
             self.propose_attempt_of_gang(&input.jobs[job], &machines, now);
         }
-        for (machine, handle) in &plan.preemptions {
-            self.preempt(&input.machines[*machine], &input.handles[*machine][*handle], now);
+        for &Preemption { machine, handle } in &plan.preemptions {
+            self.preempt(&input.machines[machine], &input.handles[machine][handle], now);
         }
         self.fleet.note_unplaced(input, plan, catalog);
     }
@@ -167,10 +167,7 @@
             log::debug!("{}: gang stopped to make room", id.job);
             return self.stop_gang(&id.job, StopReason::Eviction, now);
         }
-        let machine = self.cluster.machines.get_mut(machine_name);
-        let Some(placement) = machine.and_then(|machine| machine.placements.get_mut(id)) else {
-            return;
-        };
+        let Some(placement) = self.cluster.placement_mut(machine_name, id) else { return };
         log::debug!("{id}: stopped on {machine_name} to make room");
         placement.stop_reason = placement.stop_reason.max(Some(StopReason::Eviction));
         if was_never_ordered(placement, self.term) {
--- a/src/coordination/planner/gang/tests.rs
+++ b/src/coordination/planner/gang/tests.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::STARVING_MS;
 use crate::coordination::planner::tests::{gpus, job, machine, running, snapshot};
-use crate::coordination::planner::{plan, JobView, MachineView, Plan, Snapshot};
+use crate::coordination::planner::{plan, JobOnMachine, JobView, MachineView, Plan, Snapshot};
 
 /// A gang of tasks of one GPU each.
 fn gang(arrival: u64, tasks: u32, run_ms: u64) -> JobView {
@@ -18,7 +18,8 @@
 
 /// Tasks of the job that each machine gets.
 fn shares(plan: &Plan, job: usize, machines: usize) -> Vec<usize> {
-    let on = |m| plan.placements.iter().filter(|place| **place == (job, m)).count();
+    let on =
+        |m| plan.placements.iter().filter(|place| (place.job, place.machine) == (job, m)).count();
     (0..machines).map(on).collect()
 }
 
@@ -34,8 +35,12 @@
 #[test]
 fn a_gang_is_placed_on_as_few_machines_as_hold_it() {
     let machines = vec![machine(2), machine(1), machine(4), machine(8)];
-    let s = snapshot(machines, vec![gang(1, 4, 5_000)]);
-    assert_eq!(shares(&plan(&s), 0, 4), vec![0, 0, 4, 0], "the fullest of those that hold it all");
+    let cluster = snapshot(machines, vec![gang(1, 4, 5_000)]);
+    assert_eq!(
+        shares(&plan(&cluster), 0, 4),
+        vec![0, 0, 4, 0],
+        "the fullest of those that hold it all"
+    );
 }
 
 #[test]
@@ -43,17 +48,17 @@
     let (mut cold, mut late, soon) = (machine(4), machine(4), machine(4));
     cold.images.clear();
     late.next_report_ms = 3_000;
-    let s = snapshot(vec![cold, late, soon], vec![gang(1, 4, 5_000)]);
-    assert_eq!(shares(&plan(&s), 0, 3), vec![0, 0, 4]);
+    let cluster = snapshot(vec![cold, late, soon], vec![gang(1, 4, 5_000)]);
+    assert_eq!(shares(&plan(&cluster), 0, 3), vec![0, 0, 4]);
 }
 
 #[test]
 fn a_team_gets_a_whole_gang_within_its_limit_or_none() {
     let with_limit = |limit: i64| {
-        let mut s = snapshot(vec![machine(8)], vec![gang(1, 4, 5_000)]);
-        s.teams[0].used = gpus(2);
-        s.teams[0].limit = gpus(limit);
-        plan(&s).placements.len()
+        let mut cluster = snapshot(vec![machine(8)], vec![gang(1, 4, 5_000)]);
+        cluster.teams[0].used = gpus(2);
+        cluster.teams[0].limit = gpus(limit);
+        plan(&cluster).placements.len()
     };
     assert_eq!((with_limit(5), with_limit(6)), (0, 4));
 }
@@ -88,8 +93,11 @@
     let machines = vec![taken(2, 10_000), taken(2, 10_000), machine(1)];
     let jobs = vec![gang(1, 5, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
     let decided = plan(&snapshot(machines, jobs));
-    assert_eq!(decided.placements, vec![(2, 2)]);
-    assert_eq!(decided.reservation.map(|(job, _, start)| (job, start)), Some((0, 10_000)));
+    assert_eq!(decided.placements, vec![JobOnMachine { job: 2, machine: 2 }]);
+    assert_eq!(
+        decided.reservation.map(|reserved| (reserved.job, reserved.start_ms)),
+        Some((0, 10_000))
+    );
     assert_eq!(decided.expected_wait_ms[0], vec![10_000; 5]);
 }
 
@@ -107,10 +115,14 @@
         half.running = vec![running(8_000)];
         plan(&snapshot(vec![half], others))
     };
-    assert_eq!(waited(1_000).placements, vec![(0, 0)], "the first of the others");
+    assert_eq!(
+        waited(1_000).placements,
+        vec![JobOnMachine { job: 0, machine: 0 }],
+        "the first of the others"
+    );
     let starving = waited(STARVING_MS);
     assert!(starving.placements.is_empty(), "{:?}", starving.placements);
-    assert_eq!(starving.reservation.map(|(job, ..)| job), Some(4));
+    assert_eq!(starving.reservation.map(|reserved| reserved.job), Some(4));
 }
 
 #[test]
@@ -118,9 +130,9 @@
     let waits = |gang_wait_ms| {
         let mut cold = machine(2);
         cold.images.clear();
-        let mut s = snapshot(vec![machine(2), cold], vec![gang(1, 4, 5_000)]);
-        s.gang_wait_ms = gang_wait_ms;
-        plan(&s).placements.len()
+        let mut cluster = snapshot(vec![machine(2), cold], vec![gang(1, 4, 5_000)]);
+        cluster.gang_wait_ms = gang_wait_ms;
+        plan(&cluster).placements.len()
     };
     // The image takes 20 s to fetch.
     assert_eq!((waits(60_000), waits(10_000)), (4, 0));
--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -4,7 +4,8 @@
 use super::pending::PendingTransaction;
 use crate::constants::GROUP_FRAME_BYTES;
 use crate::protocol::state::raw_json;
-use crate::storage::cluster::{ClusterState, DoneGroup};
+use crate::storage::cluster::ClusterState;
+use crate::storage::done_tasks_group::DoneTasksGroup;
 use crate::storage::records::{chunk_name, done_tasks_key, DoneTasksRecord, JobId};
 
 /// A chunk of a job's bitmap, with the bytes that it takes at the most.
@@ -19,7 +20,7 @@
         writes_kept: usize,
     ) {
         self.mark_groups_of_changed_chunks(pending, builder.value_bytes_max - GROUP_FRAME_BYTES);
-        let is_dirty = |(_, group): &(&u32, &DoneGroup)| group.dirty;
+        let is_dirty = |(_, group): &(&u32, &DoneTasksGroup)| group.dirty;
         let dirty_groups: Vec<u32> =
             self.done_groups.iter().filter(is_dirty).map(|(number, _)| *number).collect();
         for number in dirty_groups {
@@ -39,8 +40,8 @@
             .queue
             .values()
             .filter_map(|uid| self.jobs.get(uid))
-            .filter(|job| !pending.finished_jobs.contains(&job.uid))
-            .flat_map(|job| job.dirty_chunks.iter().map(|chunk| (job.uid.clone(), *chunk)))
+            .filter(|job| !pending.finished_jobs.contains(&job.id))
+            .flat_map(|job| job.dirty_chunks.iter().map(|chunk| (job.id.clone(), *chunk)))
             .collect();
         for (uid, chunk) in changed_chunks {
             let Some(job) = self.jobs.get(&uid) else { continue };
@@ -64,8 +65,7 @@
         let open = self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
         let number = open.map(|(number, _)| *number).unwrap_or_else(|| self.unused_done_group());
         let group = self.done_groups.entry(number).or_default();
-        group.bytes += bytes;
-        group.chunks.insert((uid.clone(), chunk), bytes);
+        group.insert(uid.clone(), chunk, bytes);
         if let Some(job) = self.jobs.get_mut(uid) {
             job.chunk_groups.insert(chunk, number);
         }
@@ -134,14 +134,13 @@
     fn move_chunks(&mut self, source: u32, target: u32, chunks: Vec<SizedChunk>) {
         for ((uid, chunk), bytes) in chunks {
             if let Some(group) = self.done_groups.get_mut(&source) {
-                group.bytes -= group.chunks.remove(&(uid.clone(), chunk)).unwrap_or(0);
+                group.remove(&uid, chunk);
             }
             if let Some(job) = self.jobs.get_mut(&uid) {
                 job.chunk_groups.insert(chunk, target);
             }
             let group = self.done_groups.entry(target).or_default();
-            group.bytes += bytes;
-            group.chunks.insert((uid, chunk), bytes);
+            group.insert(uid, chunk, bytes);
             group.dirty = true;
         }
     }
@@ -149,7 +148,7 @@
 
 /// What has to leave a group so that it takes no more than `bytes_max`, in parts that take no more
 /// either.
-fn parts_to_move(group: &DoneGroup, bytes_max: usize) -> Vec<Vec<SizedChunk>> {
+fn parts_to_move(group: &DoneTasksGroup, bytes_max: usize) -> Vec<Vec<SizedChunk>> {
     let mut parts: Vec<Vec<SizedChunk>> = Vec::new();
     let mut bytes_kept = 0;
     let mut bytes_of_last = 0;
