--- a/src/constants/rebuild.rs
+++ b/src/constants/rebuild.rs
@@ -4,10 +4,10 @@
 
 /// Milliseconds between a suspicion, once it is confirmed, and the first attempt to rebuild: peers
 /// read the store every [`READ_PERIOD_MS`](super::READ_PERIOD_MS) and notice the loss too.
-pub const REBUILD_STAND_MS: u64 = 1_000;
+pub const REBUILD_CAMPAIGN_DELAY_MS: u64 = 1_000;
 /// The same for a controller that holds nothing of the lost store: one that does should rebuild it, since it
 /// may keep workers' leases meanwhile.
-pub const REBUILD_STAND_EMPTY_MS: u64 = 4_000;
+pub const REBUILD_CAMPAIGN_DELAY_EMPTY_MS: u64 = 4_000;
 /// Milliseconds for which a rebuild waits for the images of peers that don't answer. A peer that
 /// crashed is back in some seconds; one that is cut off must not hold up the others for longer.
 pub const REBUILD_GATHER_MS: u64 = 10_000;
@@ -30,19 +30,19 @@
 pub const SNAPSHOTS_KEPT: u32 = 5;
 /// Milliseconds for which the leader that the store names may lead as far as anyone hears nothing, before the
 /// store is read anew: three of its lives, after which its key should be gone.
-pub const LEADER_DOUBT_MS: u64 = 3 * LEADER_LIFE_MS;
+pub const STALE_LEADER_TIMEOUT_MS: u64 = 3 * LEADER_LIFE_MS;
 /// The same once the store has said that the lease of that key is over: its removal follows at once.
-pub const LEASE_OVER_DOUBT_MS: u64 = 1_000;
+pub const STALE_LEADER_AFTER_LEASE_MS: u64 = 1_000;
 /// Milliseconds between two such reads: a leader that only its peers don't hear goes on leading.
-pub const DOUBT_REST_MS: u64 = 20_000;
+pub const STALE_LEADER_RECHECK_MS: u64 = 20_000;
 /// Transactions of a rebuild that may be refused in a row before the store is read anew. One is refused when a
 /// late copy has changed a key, and the read that follows tells.
 pub const REBUILD_REFUSALS_MAX: u32 = 3;
 /// Elections that may be refused in a row, with nobody seen to win, before the store is read anew.
 pub const ELECTION_REFUSALS_MAX: u32 = 4;
-/// Milliseconds between two reads of the whole store by a controller that holds still while another one
+/// Milliseconds between two reads of the whole store by a controller whose service is suspended while another one
 /// rebuilds it.
-pub const HOLD_REREAD_MS: u64 = 10_000;
+pub const LOST_STORE_RELOAD_MS: u64 = 10_000;
 /// Milliseconds that a controller must have read a store before its memory is taken to reach back to before a loss: longer
 /// than one goes unnoticed.
-pub const MEMORY_AGE_MS: u64 = 30_000;
+pub const COMPLETE_HISTORY_AGE_MS: u64 = 30_000;
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -6,7 +6,7 @@
 
 use super::state::RecoveryPhase;
 use crate::constants::{
-    FIRST_START_MAX_MS, FIRST_START_REPORTS, HOLD_REREAD_MS, MS_PER_S, WORKER_RETRY_S,
+    FIRST_START_MAX_MS, FIRST_START_REPORTS, LOST_STORE_RELOAD_MS, MS_PER_S, WORKER_RETRY_S,
 };
 use crate::coordination::Controller;
 use crate::protocol::peers::{Gossip, RecoveryState};
@@ -61,7 +61,7 @@
             return self.declare_lost_and_reload(DataLoss::ReportedByPeer { peer });
         }
         let now = self.now.monotonic_ms;
-        let long_followed = self.recovery.has_followed_for(2 * HOLD_REREAD_MS, now);
+        let long_followed = self.recovery.has_followed_for(2 * LOST_STORE_RELOAD_MS, now);
         if long_followed && self.recovery.stale_leader().is_allowed(now) {
             // It should have seen by now that the store is rebuilt: perhaps it is not any more.
             self.recovery.stale_leader_mut().pause(now);
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -52,7 +52,7 @@
 
     fn verify_store_against_image(&mut self, suspicion: Option<DataLoss>) {
         if let Some(loss) = &suspicion {
-            log::warn!("the store may have lost data: {loss}; holding still");
+            log::warn!("the store may have lost data: {loss}; serving nobody until it is verified");
         }
         let known = self.step_down_and_freeze_image("the store may have lost data");
         self.recovery.begin_verifying(known, suspicion);
--- a/src/coordination/recovery/stale_leader.rs
+++ b/src/coordination/recovery/stale_leader.rs
@@ -4,7 +4,9 @@
 //! nobody would ever lead again.
 
 use super::state::RecoveryPhase;
-use crate::constants::{DOUBT_REST_MS, LEADER_DOUBT_MS, LEASE_OVER_DOUBT_MS};
+use crate::constants::{
+    STALE_LEADER_AFTER_LEASE_MS, STALE_LEADER_RECHECK_MS, STALE_LEADER_TIMEOUT_MS,
+};
 use crate::coordination::Controller;
 
 /// When the store is read anew because nobody is heard to lead.
@@ -19,7 +21,7 @@
 impl StaleLeaderCheck {
     /// The store has said that the lease of the leader key is over, so the key should go soon.
     fn schedule_after_lease(&mut self, now: u64) {
-        self.due_at = Some(now + LEASE_OVER_DOUBT_MS);
+        self.due_at = Some(now + STALE_LEADER_AFTER_LEASE_MS);
         self.paused_until = now;
     }
 
@@ -30,7 +32,7 @@
 
     /// Whether the key has been suspicious for long enough; the time runs from the first call.
     fn is_due(&mut self, now: u64) -> bool {
-        now >= *self.due_at.get_or_insert(now + LEADER_DOUBT_MS)
+        now >= *self.due_at.get_or_insert(now + STALE_LEADER_TIMEOUT_MS)
     }
 
     /// Whether the last reload is long enough ago for another one.
@@ -40,7 +42,7 @@
 
     /// The store is read anew: not again for a while.
     pub(super) fn pause(&mut self, now: u64) {
-        self.paused_until = now + DOUBT_REST_MS;
+        self.paused_until = now + STALE_LEADER_RECHECK_MS;
     }
 }
 
--- a/src/coordination/recovery/state.rs
+++ b/src/coordination/recovery/state.rs
@@ -6,7 +6,10 @@
 
 use super::rebuild::Rebuild;
 use super::stale_leader::StaleLeaderCheck;
-use crate::constants::{HOLD_REREAD_MS, MEMORY_AGE_MS, REBUILD_STAND_EMPTY_MS, REBUILD_STAND_MS};
+use crate::constants::{
+    COMPLETE_HISTORY_AGE_MS, LOST_STORE_RELOAD_MS, REBUILD_CAMPAIGN_DELAY_EMPTY_MS,
+    REBUILD_CAMPAIGN_DELAY_MS,
+};
 use crate::protocol::peers::RecoveryState;
 use crate::protocol::state::{Mutation, Transaction, WatchResponse};
 use crate::settings::{GapPolicy, RecoverySettings};
@@ -249,12 +252,16 @@
     ) {
         log::error!("the store has lost data: {loss}; serving nobody until it is rebuilt");
         let holds_something = lost_image.as_ref().is_some_and(|image| !image.is_empty());
-        let wait = if holds_something { REBUILD_STAND_MS } else { REBUILD_STAND_EMPTY_MS };
+        let wait = if holds_something {
+            REBUILD_CAMPAIGN_DELAY_MS
+        } else {
+            REBUILD_CAMPAIGN_DELAY_EMPTY_MS
+        };
         self.losses += 1;
         self.continuity_proven = false;
         self.lost_term = lost_image.as_ref().map_or(0, StoreImage::term);
         self.lost_image = lost_image;
-        self.reload_at = now + HOLD_REREAD_MS;
+        self.reload_at = now + LOST_STORE_RELOAD_MS;
         self.phase = RecoveryPhase::Lost { loss, campaign_at: now + wait };
     }
 
@@ -274,7 +281,7 @@
     pub(super) fn take_due_reload(&mut self, now: u64) -> bool {
         let due = self.has_lost_store() && now >= self.reload_at;
         if due {
-            self.reload_at = now + HOLD_REREAD_MS;
+            self.reload_at = now + LOST_STORE_RELOAD_MS;
         }
         due
     }
@@ -368,7 +375,7 @@
 
     /// What we know counts as complete only after the store was read for long enough.
     pub(super) fn restart_history(&mut self, now: u64) {
-        self.history_complete_from = Some(now + MEMORY_AGE_MS);
+        self.history_complete_from = Some(now + COMPLETE_HISTORY_AGE_MS);
     }
 
     /// Whether what we know reaches back to before a loss that shows now. One may go unnoticed for a while, and
@@ -453,7 +460,7 @@
             return;
         }
         if let RecoveryPhase::Lost { campaign_at, .. } = &mut self.phase {
-            *campaign_at = now + REBUILD_STAND_MS;
+            *campaign_at = now + REBUILD_CAMPAIGN_DELAY_MS;
         }
     }
 
