--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -1,8 +1,8 @@
 //! The election of the controller that rebuilds the store, and what any election writes about the store.
 
+use super::phase::RecoveryPhase;
 use super::put_rebuild_record;
 use super::rebuild::Rebuild;
-use super::state::RecoveryPhase;
 use crate::coordination::Controller;
 use crate::protocol::state::{Condition, Mutation, Transaction};
 use crate::storage::records::{store_key, RebuildPhase, RebuildRecord, StoreIdRecord};
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -4,7 +4,7 @@
 //! An empty store is a new one unless somebody knows better: a worker that shows a token was once answered by a leader,
 //! and a peer may have read an earlier store.
 
-use super::state::RecoveryPhase;
+use super::phase::RecoveryPhase;
 use crate::constants::{
     FIRST_START_MAX_MS, FIRST_START_REPORTS, LOST_STORE_RELOAD_MS, MS_PER_S, WORKER_RETRY_S,
 };
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -5,7 +5,7 @@
 //! for no reason that the copy shows, a peer has begun to rebuild) the whole store is read anew and
 //! compared with the image of what was known.
 
-use super::state::RecoveryPhase;
+use super::phase::RecoveryPhase;
 use crate::constants::KEY_FAMILY;
 use crate::coordination::Controller;
 use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -4,7 +4,7 @@
 //! until the store is rebuilt the service is suspended: nothing is accepted, started, settled,
 //! returned or called unknown. `docs/recovery-design.md` says why.
 //!
-//! * [`state`] owns the state of all that;
+//! * [`state`] owns the state of all that, [`phase`] names whether the store is trusted;
 //! * [`loss_detection`] notices a loss and tells it from what looks like one;
 //! * [`stale_leader`] looks after a leader key that outlives its leader;
 //! * [`first_start`] tells a new store from one that is lost, by what peers and workers say;
@@ -19,6 +19,7 @@
 mod first_start;
 mod image_transfer;
 mod loss_detection;
+mod phase;
 mod rebuild;
 mod rebuild_plan;
 mod reconciliation;
--- a/src/coordination/recovery/rebuild_plan.rs
+++ b/src/coordination/recovery/rebuild_plan.rs
@@ -1,7 +1,7 @@
 //! Planning a rebuild: joins what all sources hold, and works out what the store should hold.
 
+use super::phase::RecoveryPhase;
 use super::rebuild::Rebuild;
-use super::state::RecoveryPhase;
 use crate::coordination::Controller;
 use crate::settings::GapPolicy;
 use crate::storage::records::FlagReason;
--- a/src/coordination/recovery/report.rs
+++ b/src/coordination/recovery/report.rs
@@ -1,7 +1,7 @@
 //! What operators are told of losses and rebuilds.
 
+use super::phase::RecoveryPhase;
 use super::rebuild::Rebuild;
-use super::state::RecoveryPhase;
 use crate::coordination::Controller;
 use crate::protocol::recovery::{FlaggedJob, LastRebuild, RecoveryReport, UnknownTask};
 use crate::snapshots::SnapshotStatus;
--- a/src/coordination/recovery/stale_leader.rs
+++ b/src/coordination/recovery/stale_leader.rs
@@ -3,7 +3,7 @@
 //! A store that was set back without falling behind does not tell that the leader key is gone, so
 //! nobody would ever lead again.
 
-use super::state::RecoveryPhase;
+use super::phase::RecoveryPhase;
 use crate::constants::{
     STALE_LEADER_AFTER_LEASE_MS, STALE_LEADER_RECHECK_MS, STALE_LEADER_TIMEOUT_MS,
 };
