--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -289,3 +289,6 @@
         Some(HeartbeatResponse { fencing_token: leader.term, commands })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/leader/run_times.rs
+++ b/src/coordination/leader/run_times.rs
@@ -63,3 +63,6 @@
         self.run_times.learn(&spec.class, ratio);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/requests/rejection.rs
+++ b/src/coordination/requests/rejection.rs
@@ -43,3 +43,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/coordination/transactions/builder.rs
+++ b/src/coordination/transactions/builder.rs
@@ -67,3 +67,6 @@
         Transaction { conditions, writes: self.writes }
     }
 }
+
+#[cfg(test)]
+mod tests;
