--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -204,7 +204,7 @@
         let copy = HeldSums {
             jobs: self.store.replica().jobs.len(),
             batches: self.store.replica().batches.len(),
-            placement_groups: self.store.replica().places.len(),
+            placement_groups: self.store.replica().placement_groups.len(),
             ..HeldSums::default()
         };
         match &self.leader {
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -176,7 +176,7 @@
             self.store.replica.apply_item(item);
             self.record_item(item);
         }
-        if self.store.replica.foreign.is_some() {
+        if self.store.replica.foreign_key.is_some() {
             return self.reject_foreign_layout();
         }
         if page.has_next {
@@ -189,7 +189,7 @@
     /// Another version may still run on this store: neither may touch what the other keeps.
     fn reject_foreign_layout(&mut self) {
         let replica = &mut self.store.replica;
-        let key = replica.foreign.as_deref().unwrap_or_default();
+        let key = replica.foreign_key.as_deref().unwrap_or_default();
         log::error!(
             "the store has keys of another layout than {KEY_ROOT}, like {key}: serving nobody"
         );
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -20,7 +20,7 @@
         let mut cluster = ClusterState::new(replica.hash_keys());
         cluster.restore_images(replica);
         let mut placed: PlacedTasks = replica.hash_keys().map();
-        for (number, record) in &replica.places {
+        for (number, record) in &replica.placement_groups {
             cluster.restore_placement_group(*number, record, &mut placed, now);
         }
         for (id, job) in &replica.jobs {
@@ -29,7 +29,7 @@
                 cluster.add_job(replica, id, placed_tasks);
             }
         }
-        for (number, record) in &replica.done {
+        for (number, record) in &replica.done_groups {
             cluster.restore_done_group(*number, record);
         }
         cluster.stop_incomplete_gangs();
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -46,9 +46,9 @@
     /// Batches that are still kept, by key, with their jobs.
     pub batches: HashMap<String, Versioned<Vec<JobId>>>,
     /// Groups of bitmaps of done tasks.
-    pub done: BTreeMap<u32, Versioned<DoneTasksRecord>>,
+    pub done_groups: BTreeMap<u32, Versioned<DoneTasksRecord>>,
     /// Groups of placements.
-    pub places: BTreeMap<u32, Versioned<PlacementsRecord>>,
+    pub placement_groups: BTreeMap<u32, Versioned<PlacementsRecord>>,
     /// The store's identity.
     pub store: Option<Versioned<StoreIdRecord>>,
     /// The last rebuild of the store.
@@ -64,7 +64,7 @@
     /// Keys removed ahead of the watch, with the revision of the removal.
     removed: HashMap<String, u64>,
     /// A key of a layout that this program can't read was seen.
-    pub foreign: Option<String>,
+    pub foreign_key: Option<String>,
 }
 
 impl Replica {
@@ -78,8 +78,8 @@
             shares: None,
             jobs: keys.map(),
             batches: keys.map(),
-            done: BTreeMap::new(),
-            places: BTreeMap::new(),
+            done_groups: BTreeMap::new(),
+            placement_groups: BTreeMap::new(),
             store: None,
             rebuild: None,
             end_groups: BTreeMap::new(),
@@ -87,7 +87,7 @@
             images: BTreeMap::new(),
             placed: keys.map(),
             removed: keys.map(),
-            foreign: None,
+            foreign_key: None,
         }
     }
 
@@ -118,8 +118,8 @@
             Some(Key::Shares) => of(self.shares.as_ref()),
             Some(Key::Batch(_) | Key::GangBatch(_)) => of(self.batches.get(key)),
             Some(Key::End(id)) => self.jobs.get(id).map_or(0, |job| job.value.end_revision),
-            Some(Key::Done(group)) => of(self.done.get(&group)),
-            Some(Key::Place(group)) => of(self.places.get(&group)),
+            Some(Key::Done(group)) => of(self.done_groups.get(&group)),
+            Some(Key::Place(group)) => of(self.placement_groups.get(&group)),
             Some(Key::Images(part)) => of(self.images.get(&part)),
             Some(Key::Store) => of(self.store.as_ref()),
             Some(Key::Rebuild) => of(self.rebuild.as_ref()),
@@ -140,8 +140,8 @@
             })
         }
         match parse_key(key) {
-            Some(Key::Place(group)) => same(self.places.get(&group), data),
-            Some(Key::Done(group)) => same(self.done.get(&group), data),
+            Some(Key::Place(group)) => same(self.placement_groups.get(&group), data),
+            Some(Key::Done(group)) => same(self.done_groups.get(&group), data),
             Some(Key::Images(part)) => same(self.images.get(&part), data),
             Some(Key::Shares) => same(self.shares.as_ref(), data),
             Some(Key::End(id)) => {
@@ -169,7 +169,7 @@
         let tasks = self.jobs.get(id).map_or(0, |job| job.value.tasks);
         for chunk in 0..tasks.div_ceil(DONE_CHUNK_TASKS) {
             let name = chunk_name(id, chunk);
-            for text in self.done.values().filter_map(|group| group.value.bits.get(&name)) {
+            for text in self.done_groups.values().filter_map(|group| group.value.bits.get(&name)) {
                 done.add_chunk(chunk, text);
             }
         }
--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -73,8 +73,8 @@
 
     /// Puts in one value; older ones than what is held are skipped. Gives the jobs that changed.
     pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<JobId> {
-        if foreign_layout(key) && self.foreign.is_none() {
-            self.foreign = Some(key.to_string());
+        if foreign_layout(key) && self.foreign_key.is_none() {
+            self.foreign_key = Some(key.to_string());
         }
         if self.mod_revision(key) >= mod_revision {
             return Vec::new();
@@ -87,7 +87,7 @@
             Some(Key::Shares) => self.shares = stored.read_versioned(),
             Some(Key::Store) => self.store = stored.read_versioned(),
             Some(Key::Rebuild) => self.rebuild = stored.read_versioned(),
-            Some(Key::Done(group)) => self.done.extend(numbered(group, &stored)),
+            Some(Key::Done(group)) => self.done_groups.extend(numbered(group, &stored)),
             Some(Key::Images(part)) => self.images.extend(numbered(part, &stored)),
             Some(Key::Place(group)) => self.write_placement_group(group, &stored),
             Some(Key::Batch(_) | Key::GangBatch(_)) => return self.write_batch(&stored),
@@ -102,7 +102,7 @@
     fn write_placement_group(&mut self, group: u32, stored: &StoredValue) {
         let Some(record) = stored.read_versioned::<PlacementsRecord>() else { return };
         self.count_placed(&record.value, 1);
-        if let Some(previous) = self.places.insert(group, record) {
+        if let Some(previous) = self.placement_groups.insert(group, record) {
             self.count_placed(&previous.value, -1);
         }
     }
@@ -219,10 +219,10 @@
             Some(Key::Rebuild) => self.rebuild = None,
             Some(Key::Batch(_) | Key::GangBatch(_)) => self.remove_batch(key),
             Some(Key::Flagged(group)) => drop(self.flagged.remove(&group)),
-            Some(Key::Done(group)) => drop(self.done.remove(&group)),
+            Some(Key::Done(group)) => drop(self.done_groups.remove(&group)),
             Some(Key::Images(part)) => drop(self.images.remove(&part)),
             Some(Key::Place(group)) => {
-                if let Some(previous) = self.places.remove(&group) {
+                if let Some(previous) = self.placement_groups.remove(&group) {
                     self.count_placed(&previous.value, -1);
                 }
             }
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -27,7 +27,7 @@
     let old = WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] };
     replica.apply(&new);
     replica.apply(&old);
-    assert_eq!(replica.places[&0].value, none);
+    assert_eq!(replica.placement_groups[&0].value, none);
     assert_eq!((replica.revision, replica.placed("job-1")), (9, 0));
 }
 
@@ -37,10 +37,14 @@
     replica.write(&placements_key(0), &raw_json(&one()), 4);
     replica.remove(&placements_key(0), 6);
     replica.apply(&WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
-    assert!(replica.places.is_empty(), "the write at 4 is older than the removal at 6");
+    assert!(replica.placement_groups.is_empty(), "the write at 4 is older than the removal at 6");
     assert_eq!(replica.placed("job-1"), 0);
     replica.apply(&WatchResponse { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
-    assert_eq!((replica.places.len(), replica.placed("job-1")), (1, 1), "a later write counts");
+    assert_eq!(
+        (replica.placement_groups.len(), replica.placed("job-1")),
+        (1, 1),
+        "a later write counts"
+    );
 }
 
 #[test]
