--- a/crates/mountgap-records/src/records/ids.rs
+++ b/crates/mountgap-records/src/records/ids.rs
@@ -63,3 +63,6 @@
     /// The name of a machine, given by the cloud.
     MachineName
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -101,3 +101,6 @@
         self.done_groups.insert(number, group);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/storage/done_tasks_group.rs
+++ b/src/storage/done_tasks_group.rs
@@ -33,3 +33,6 @@
         self.bytes -= self.chunks.remove(&(job.clone(), chunk)).unwrap_or(0);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/storage/placement_group.rs
+++ b/src/storage/placement_group.rs
@@ -46,3 +46,6 @@
         self.urgent |= urgent;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/storage/testing.rs
+++ b/src/storage/testing.rs
@@ -4,9 +4,13 @@
 
 /// A batch of one job, for tests.
 pub(crate) fn batch_of(uid: &str, tasks: u32) -> BatchRecord {
-    let v = serde_json::json!({"uid": uid, "duty": "d", "crew": "c", "shape": "batch",
+    let description = serde_json::json!({"uid": uid, "duty": "d", "crew": "c", "shape": "batch",
         "rank": "high", "loads": tasks, "cores": 1.0, "gpus": 0.0, "ram_gb": 1.0,
         "kit": "k", "size_gb": 1.0, "together": false, "apart": false,
         "lendables": true, "run_guess_s": 1.0, "mark_every_s": 0.0, "mark_cost_s": 0.0});
-    BatchRecord { at: 5, first: 0, jobs: vec![serde_json::from_value(v).expect("a submission")] }
+    BatchRecord {
+        at: 5,
+        first: 0,
+        jobs: vec![serde_json::from_value(description).expect("a submission")],
+    }
 }
