--- /dev/null
+++ b/examples/platform/options.rs
@@ -0,0 +1,71 @@
+//! The stand-in's command line.
+
+/// What `--help` prints.
+pub const USAGE: &str = "\
+Usage: platform [--state ADDRESS] [--cloud ADDRESS] [CONTROLLER]...
+
+A stand-in for the platform: state service, cloud and workers, to try mountgap on one machine.
+
+  CONTROLLER         where node-0, node-1 and so on listen, in this order [127.0.0.1:8080]
+  --state ADDRESS    where the state service listens [127.0.0.1:2379]
+  --cloud ADDRESS    where the cloud listens [127.0.0.1:8443]
+  --help             print this
+";
+
+const STATE: &str = "127.0.0.1:2379";
+const CLOUD: &str = "127.0.0.1:8443";
+const CONTROLLER: &str = "127.0.0.1:8080";
+
+/// What the command line asks for.
+#[derive(Debug, PartialEq, Eq)]
+pub enum Request {
+    /// Print the usage.
+    Help,
+    /// Serve until killed.
+    Serve(Options),
+}
+
+/// Addresses.
+#[derive(Debug, PartialEq, Eq)]
+pub struct Options {
+    pub state: String,
+    pub cloud: String,
+    pub controllers: Vec<String>,
+}
+
+/// Why the command line can't be used.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum OptionsError {
+    #[error("{0} needs an address")]
+    MissingAddress(String),
+    #[error("unknown option {0}, see --help")]
+    UnknownOption(String),
+}
+
+/// Parses the arguments behind the program's name.
+pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<Request, OptionsError> {
+    let mut options = Options { state: STATE.into(), cloud: CLOUD.into(), controllers: Vec::new() };
+    let mut arguments = arguments.into_iter();
+    while let Some(argument) = arguments.next() {
+        match argument.as_str() {
+            "--help" | "-h" => return Ok(Request::Help),
+            "--state" => options.state = address_of(argument, &mut arguments)?,
+            "--cloud" => options.cloud = address_of(argument, &mut arguments)?,
+            option if option.starts_with('-') => {
+                return Err(OptionsError::UnknownOption(argument));
+            }
+            _ => options.controllers.push(argument),
+        }
+    }
+    if options.controllers.is_empty() {
+        options.controllers.push(CONTROLLER.into());
+    }
+    Ok(Request::Serve(options))
+}
+
+fn address_of(
+    option: String,
+    arguments: &mut impl Iterator<Item = String>,
+) -> Result<String, OptionsError> {
+    arguments.next().ok_or(OptionsError::MissingAddress(option))
+}
--- /dev/null
+++ b/examples/platform/worker.rs
@@ -0,0 +1,211 @@
+//! The workers: each reports, and carries out the commands in the answers. A task lasts for its
+//! owner's estimate, a service until it is stopped.
+
+use super::server::post;
+use super::world::{lock, Machine, Shared};
+use mountgap::storage::records;
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Seconds from a rental to the worker's first report.
+pub const BOOT_S: u64 = 2;
+/// Time between a worker's reports.
+const REPORT_PERIOD: Duration = Duration::from_secs(1);
+
+/// Runs a machine's worker until the machine is returned.
+pub fn run(world: &Shared, machine: &str) {
+    thread::sleep(Duration::from_secs(BOOT_S));
+    let controllers = lock(world).controllers.clone();
+    let mut worker = Worker {
+        world,
+        name: machine,
+        tasks: BTreeMap::new(),
+        sequence: 0,
+        fencing_token: 0,
+        controllers,
+        reports_to: 0,
+    };
+    loop {
+        let rented = lock(world).machines.get(machine).cloned();
+        let Some(rented) = rented else { return };
+        worker.advance_tasks();
+        worker.report(&rented);
+        thread::sleep(REPORT_PERIOD);
+    }
+}
+
+struct Worker<'a> {
+    world: &'a Shared,
+    name: &'a str,
+    tasks: BTreeMap<TaskAttempt, Task>,
+    sequence: u64,
+    /// The highest token seen; answers with a lower one are dropped.
+    fencing_token: u64,
+    controllers: Vec<String>,
+    /// Index of the controller that it reports to.
+    reports_to: usize,
+}
+
+/// Names an attempt of a task.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct TaskAttempt {
+    task_id: String,
+    attempt: u64,
+}
+
+/// A task on a worker.
+struct Task {
+    /// How long it runs; none: until it is stopped.
+    run_time: Option<Duration>,
+    /// When it began; none for a task of a gang that waits for the others.
+    began_at: Option<Instant>,
+    /// Tasks of its gang; 0 for other jobs.
+    gang_size: usize,
+    /// Why it has ended.
+    end_cause: Option<&'static str>,
+}
+
+impl Worker<'_> {
+    fn advance_tasks(&mut self) {
+        let now = Instant::now();
+        for (id, task) in &mut self.tasks {
+            if task.waits_for_gang() {
+                task.began_at = gang_start(self.world, id, task.gang_size);
+            }
+            if task.is_over(now) {
+                task.end_cause = Some("done");
+            }
+        }
+    }
+
+    /// Reports once, and carries out the commands in the answer if it is newer than what was seen.
+    fn report(&mut self, machine: &Machine) {
+        self.sequence += 1;
+        let report = self.heartbeat(machine);
+        let answer = post(&self.controllers[self.reports_to], "/checkin", &report);
+        self.choose_controller(answer.as_ref());
+        let Some((200, answer)) = answer else { return };
+        let token = answer["baton"].as_u64().unwrap_or(0);
+        if token < self.fencing_token {
+            return;
+        }
+        self.fencing_token = token;
+        for command in answer["orders"].as_array().into_iter().flatten() {
+            self.execute(command);
+        }
+    }
+
+    fn heartbeat(&self, machine: &Machine) -> Value {
+        let tasks: Vec<Value> = self.tasks.iter().map(|(id, task)| task.report(id)).collect();
+        json!({"stead": self.name, "address": "-", "build": "small", "yard": machine.zone,
+            "lendables": machine.spot, "tenure": 1, "tally": self.sequence,
+            "baton": self.fencing_token, "recall_s": null, "loads": tasks})
+    }
+
+    /// Follows a redirect, or tries the next controller after one that did not answer.
+    fn choose_controller(&mut self, answer: Option<&(u16, Value)>) {
+        let next = self.reports_to + 1;
+        let chosen = match answer {
+            Some((200, _)) => self.reports_to,
+            Some((421, body)) => controller_index(&body["steward"]).unwrap_or(next),
+            _ => next,
+        };
+        self.reports_to = chosen % self.controllers.len();
+    }
+
+    fn execute(&mut self, command: &Value) {
+        let task_id = command["load"].as_str().unwrap_or_default().to_string();
+        let attempt = command["try"].as_u64().unwrap_or(0);
+        let id = TaskAttempt { task_id, attempt };
+        match command["verb"].as_str() {
+            Some("start") => self.start(id),
+            Some("halt") => {
+                if let Some(task) = self.tasks.get_mut(&id) {
+                    task.end_cause = task.end_cause.or(Some("halted"));
+                }
+            }
+            _ => {
+                self.tasks.remove(&id);
+            }
+        }
+    }
+
+    fn start(&mut self, id: TaskAttempt) {
+        *lock(self.world).starts.entry(id.task_id.clone()).or_insert(0) += 1;
+        println!("{}: {} starts", self.name, id.task_id);
+        self.tasks.entry(id).or_insert_with_key(|id| new_task(self.world, &id.task_id));
+    }
+}
+
+impl Task {
+    fn status(&self) -> &'static str {
+        match (self.end_cause, self.began_at) {
+            (Some(_), _) => "ended",
+            (None, Some(_)) => "running",
+            (None, None) => "waiting",
+        }
+    }
+
+    fn report(&self, id: &TaskAttempt) -> Value {
+        json!({"load": id.task_id, "try": id.attempt, "status": self.status(),
+            "cause": self.end_cause})
+    }
+
+    fn waits_for_gang(&self) -> bool {
+        self.gang_size > 0 && self.began_at.is_none() && self.end_cause.is_none()
+    }
+
+    fn is_over(&self, now: Instant) -> bool {
+        let ends_at = self.began_at.and_then(|began_at| Some(began_at + self.run_time?));
+        self.end_cause.is_none() && ends_at.is_some_and(|ends_at| now >= ends_at)
+    }
+}
+
+/// The controller that a redirect names, by its place in the command line.
+fn controller_index(label: &Value) -> Option<usize> {
+    label.as_str()?.strip_prefix("node-")?.parse().ok()
+}
+
+fn job_of(task_id: &str) -> &str {
+    task_id.split('/').next().unwrap_or_default()
+}
+
+/// A task that is told to start. Workers get a job's description from its user; here it is looked up
+/// where the controllers keep it.
+fn new_task(world: &Shared, task_id: &str) -> Task {
+    let spec = job_spec(world, job_of(task_id));
+    let run_time = Duration::from_secs_f64(spec["run_guess_s"].as_f64().unwrap_or(0.0));
+    let gang_size = match spec["shape"] == "ensemble" {
+        true => spec["loads"].as_u64().unwrap_or(0) as usize,
+        false => 0,
+    };
+    Task {
+        run_time: (spec["shape"] != "standing").then_some(run_time),
+        began_at: (gang_size == 0).then(Instant::now),
+        gang_size,
+        end_cause: None,
+    }
+}
+
+fn job_spec(world: &Shared, uid: &str) -> Value {
+    let world = lock(world);
+    let prefixes = [records::batch_key(""), records::gang_batch_key("")];
+    let is_batch = |key: &str| prefixes.iter().any(|prefix| key.starts_with(prefix));
+    let batches = world.store.keys.iter().filter(|(key, _)| is_batch(key));
+    let mut jobs =
+        batches.flat_map(|(_, batch)| batch.value["jobs"].as_array().into_iter().flatten());
+    jobs.find(|spec| spec["uid"] == uid).cloned().unwrap_or_default()
+}
+
+/// When the last task of a gang's attempt came; none while one is missing.
+fn gang_start(world: &Shared, id: &TaskAttempt, gang_size: usize) -> Option<Instant> {
+    let mut world = lock(world);
+    let gang = world.gangs.entry((job_of(&id.task_id).to_string(), id.attempt)).or_default();
+    gang.tasks.insert(id.task_id.clone());
+    if gang.tasks.len() >= gang_size {
+        gang.complete_at.get_or_insert_with(Instant::now);
+    }
+    gang.complete_at
+}
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -28,11 +28,19 @@
     listen: Vec<String>,
 }
 
-/// Addresses that are free now.
+/// Listens on a port that was free.
+fn listener() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").expect("a free port")
+}
+
+fn address_of(listener: &TcpListener) -> String {
+    listener.local_addr().expect("bound").to_string()
+}
+
+/// Addresses that are free now; another process may take one before it is used.
 fn free_addresses(count: usize) -> Vec<String> {
-    let listeners: Vec<TcpListener> =
-        (0..count).map(|_| TcpListener::bind("127.0.0.1:0").expect("a free port")).collect();
-    listeners.iter().map(|l| l.local_addr().expect("bound").to_string()).collect()
+    let listeners: Vec<TcpListener> = (0..count).map(|_| listener()).collect();
+    listeners.iter().map(address_of).collect()
 }
 
 impl Deployment {
@@ -41,9 +49,10 @@
             std::env::temp_dir().join(format!("mountgap-loopback-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&directory);
         fs::create_dir_all(&directory).expect("a directory");
-        let addresses = free_addresses(8);
+        let (state_listener, cloud_listener) = (listener(), listener());
+        let (state, cloud) = (&address_of(&state_listener), &address_of(&cloud_listener));
+        let addresses = free_addresses(6);
         let (listen, peers) = (addresses[..3].to_vec(), &addresses[3..6]);
-        let (state, cloud) = (&addresses[6], &addresses[7]);
         for node in 0..3 {
             let others: Vec<Value> = (0..3)
                 .filter(|other| *other != node)
@@ -61,7 +70,7 @@
             let operator = operator.replace("DIRECTORY", &directory.display().to_string());
             fs::write(directory.join("operator.textproto"), operator).expect("written");
         }
-        let platform = platform::start(listen.clone(), state.clone(), cloud.clone());
+        let platform = platform::serve(listen.clone(), state_listener, cloud_listener);
         let state = state.clone();
         let controllers = vec![None, None, None];
         let mut all = Deployment { directory, controllers, platform, state, listen };
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -3,8 +3,8 @@
 
 use mountgap::transport::{Call, Incoming, Transport};
 use std::io::{Read, Write};
-use std::time::Duration;
 use std::net::{Ipv4Addr, Shutdown, SocketAddrV4, TcpListener, TcpStream};
+use std::time::Duration;
 
 const SOCKETS: usize = 100;
 /// Waits after which a test gives up; each lasts for [`WAIT`] at the most.
