--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -7,7 +7,8 @@
 use crate::constants::{
     BOOT_LATE, CAPACITY_REST_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, MS_PER_S, RENT_MAX,
 };
-use crate::coordination::{CallPurpose, Controller, Leader, Service};
+use crate::coordination::outbox::CallPurpose;
+use crate::coordination::{Controller, Leader, Service};
 use crate::protocol::cloud::{Catalog, MachineNames, RentalRequest};
 use crate::protocol::http::Response;
 use crate::storage::machine::MachineState;
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -7,7 +7,7 @@
 use crate::protocol::cloud::Catalog;
 use crate::protocol::parse_task;
 use crate::protocol::workers::Heartbeat;
-use crate::storage::adoption::Adoption;
+use crate::storage::cluster::Adoption;
 use crate::storage::machine::{HeartbeatId, Machine, MachineState, StopReason, TaskId};
 use crate::storage::records::MachineName;
 use std::collections::BTreeSet;
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -241,8 +241,7 @@
     /// The commands that answer a heartbeat; none if its machine is gone or has sent a newer one.
     fn commands_for(&mut self, heartbeat: &DeferredHeartbeat) -> Option<HeartbeatResponse> {
         let may_order_starts = self.may_order_starts();
-        let rebuild = self.store.replica().rebuild.as_ref();
-        let rebuilt_in_term = rebuild.map_or(0, |record| record.value.term);
+        let rebuilt_in_term = self.store.replica().rebuild_term();
         let leader = self.leader.as_mut()?;
         let jobs = &leader.cluster.jobs;
         let machine = leader.cluster.machines.get_mut(&heartbeat.machine)?;
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -5,7 +5,7 @@
 
 use super::{was_never_ordered, Leader};
 use crate::constants::{FLEET_MACHINE_MS, FLEET_PERIOD_MS, PASS_GAP_MACHINE_MS, PASS_GAP_MS};
-use crate::coordination::planner::{self, Plan};
+use crate::coordination::planner::{self, JobOnMachine, Plan, Preemption};
 use crate::coordination::planner_input::PlannerInput;
 use crate::coordination::Controller;
 use crate::protocol::cloud::Catalog;
@@ -127,20 +127,19 @@
             (input.jobs[reserved.job].clone(), input.machines[reserved.machine].clone())
         });
         let mut gangs: BTreeMap<usize, Vec<MachineName>> = BTreeMap::new();
-        for placed in &plan.placements {
-            let machine = &input.machines[placed.machine];
-            if input.snapshot.jobs[placed.job].is_gang {
-                gangs.entry(placed.job).or_default().push(machine.clone());
+        for &JobOnMachine { job, machine } in &plan.placements {
+            let machine_name = &input.machines[machine];
+            if input.snapshot.jobs[job].is_gang {
+                gangs.entry(job).or_default().push(machine_name.clone());
             } else {
-                self.propose_task(&input.jobs[placed.job], machine, now);
+                self.propose_task(&input.jobs[job], machine_name, now);
             }
         }
         for (job, machines) in gangs {
             self.propose_attempt_of_gang(&input.jobs[job], &machines, now);
         }
-        for preempted in &plan.preemptions {
-            let id = &input.handles[preempted.machine][preempted.handle];
-            self.preempt(&input.machines[preempted.machine], id, now);
+        for &Preemption { machine, handle } in &plan.preemptions {
+            self.preempt(&input.machines[machine], &input.handles[machine][handle], now);
         }
         self.fleet.note_unplaced(input, plan, catalog);
     }
@@ -168,10 +167,7 @@
             log::debug!("{}: gang stopped to make room", id.job);
             return self.stop_gang(&id.job, StopReason::Eviction, now);
         }
-        let machine = self.cluster.machines.get_mut(machine_name);
-        let Some(placement) = machine.and_then(|machine| machine.placements.get_mut(id)) else {
-            return;
-        };
+        let Some(placement) = self.cluster.placement_mut(machine_name, id) else { return };
         log::debug!("{id}: stopped on {machine_name} to make room");
         placement.stop_reason = placement.stop_reason.max(Some(StopReason::Eviction));
         if was_never_ordered(placement, self.term) {
--- a/src/coordination/transactions/mod.rs
+++ b/src/coordination/transactions/mod.rs
@@ -20,7 +20,7 @@
 mod placements;
 
 use crate::constants::{GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS, WRITE_RESERVE};
-use crate::storage::budget::Bucket;
+use crate::storage::token_bucket::TokenBucket;
 use pending::PendingTransaction;
 
 /// The leader's transactions of one term.
@@ -65,7 +65,7 @@
     }
 
     /// When the next one can be sent: none if nothing waits, or if only an answer is waited for.
-    pub(super) fn next_wake(&self, has_proposals: bool, writes: &Bucket) -> Option<u64> {
+    pub(super) fn next_wake(&self, has_proposals: bool, writes: &TokenBucket) -> Option<u64> {
         match &self.pending {
             Some(pending) if pending.in_flight || pending.awaiting_read_since.is_some() => None,
             Some(pending) => {
