--- a/src/coordination/planner_input/indices.rs
+++ b/src/coordination/planner_input/indices.rs
@@ -1,4 +1,4 @@
-//! MachineNames as indices.
+//! Names as indices.
 
 use crate::protocol::cloud::Catalog;
 use crate::settings::{Platform, Team};
@@ -42,7 +42,7 @@
         self.zones.len()
     }
 
-    /// MachineNames of the zones, by index.
+    /// Names of the zones, by index.
     pub(super) fn zone_names(&self) -> Vec<String> {
         self.zones.iter().map(|zone| zone.to_string()).collect()
     }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -6,8 +6,8 @@
 use crate::constants::POLL_MAX_MS;
 use crate::coordination::{Clock, Command, Controller, Effect, Service};
 use crate::protocol::http::Response;
-use crate::settings::{Operator, Platform, SnapshotSettings};
-use crate::snapshots::{deployment, SnapshotDirectory, SnapshotWriter};
+use crate::settings::{Operator, Platform};
+use crate::snapshots::{SnapshotDirectory, SnapshotWriter};
 use crate::transport::{Call, Incoming, Origin, Target, Transport};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::net::SocketAddrV4;
@@ -32,19 +32,23 @@
         Transport::new(platform.listen, platform.peer_bind, targets(&platform), sockets)?;
     let start = Instant::now();
     log::info!("{} listens on {} and {}", platform.label, platform.listen, platform.peer_bind);
-    let snapshots = operator.recovery.snapshots.as_ref();
-    let mut snapshots = snapshots.map(|settings| open_snapshots(settings, &platform));
+    let snapshots = operator
+        .recovery
+        .snapshots
+        .as_ref()
+        .map(|settings| (SnapshotDirectory::new(settings, &platform), settings.period_s));
     let mut core = Controller::new(platform, operator, clock(start), process_seed());
-    if let Some((directory, _)) = &snapshots {
-        restore_snapshot(&mut core, directory, clock(start));
-    }
+    let mut snapshot_writer = snapshots.map(|(directory, period_s)| {
+        restore_newest_snapshot(&mut core, &directory, clock(start).wall_ms);
+        SnapshotWriter::start(directory, period_s)
+    });
     loop {
         let commands = wait_for_commands(&mut transport, &core, clock(start))?;
         core.note_transport(transport.counts());
         for effect in core.batch(clock(start), commands) {
             perform(&mut transport, effect);
         }
-        if let Some((_, writer)) = &mut snapshots {
+        if let Some(writer) = &mut snapshot_writer {
             write_snapshot_if_due(&mut core, writer, clock(start));
         }
     }
@@ -69,21 +73,8 @@
     SmallRng::from_os_rng().random()
 }
 
-fn open_snapshots(
-    settings: &SnapshotSettings,
-    platform: &Platform,
-) -> (SnapshotDirectory, SnapshotWriter) {
-    let directory = SnapshotDirectory {
-        path: settings.directory.clone(),
-        kept: settings.kept,
-        deployment: deployment(platform),
-        controller: platform.label.clone(),
-    };
-    (directory, SnapshotWriter::start(settings, platform))
-}
-
-fn restore_snapshot(core: &mut Controller, directory: &SnapshotDirectory, now: Clock) {
-    if let Some((header, image)) = directory.read_newest(now.wall_ms) {
+fn restore_newest_snapshot(core: &mut Controller, directory: &SnapshotDirectory, wall_ms: u64) {
+    if let Some((header, image)) = directory.read_newest(wall_ms) {
         log::info!("snapshot of revision {}, {} keys", header.revision, header.keys);
         core.restore_snapshot(image);
     }
@@ -95,7 +86,7 @@
     }
     core.note_snapshot(writer.status());
     if let Some(image) = core.image_for_snapshot() {
-        writer.take(image, now.monotonic_ms, now.wall_ms);
+        writer.request(image, now.monotonic_ms, now.wall_ms);
     }
 }
 
