--- a/examples/platform/state_service.rs
+++ b/examples/platform/state_service.rs
@@ -109,7 +109,7 @@
         for write in entries(body, "writes") {
             match write["write"].as_str() {
                 Some(key) => {
-                    self.store.put(key.into(), write["data"].clone(), write["tenancy"].as_u64())
+                    self.store.put(key.into(), write["data"].clone(), write["tenancy"].as_u64());
                 }
                 None => self.store.remove(text(&write["remove"]).into()),
             }
