--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -14,12 +14,12 @@
 impl Catalog {
     /// A type by its name.
     pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
-        self.machine_types.iter().find(|t| t.type_name == name)
+        self.machine_types.iter().find(|machine_type| machine_type.type_name == name)
     }
 
     /// Seconds that the slowest type takes to boot, as a rule.
     pub fn longest_boot_s(&self) -> f64 {
-        self.machine_types.iter().map(|t| t.boot_s).fold(0.0, f64::max)
+        self.machine_types.iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max)
     }
 }
 
--- a/src/protocol/recovery.rs
+++ b/src/protocol/recovery.rs
@@ -1,4 +1,5 @@
-//! Operators -> controllers, about a rebuild of the store.
+//! Operators -> controllers, about a rebuild of the store: the report, and decisions on jobs that a rebuild
+//! could not account for. `docs/recovery.md` tells operators what to do with them.
 
 use serde::{Deserialize, Serialize};
 
@@ -28,7 +29,7 @@
     }
 
     /// The decision that a path names.
-    pub fn of_path(path: &str) -> Option<Decision> {
+    pub fn from_path(path: &str) -> Option<Decision> {
         let name = path.strip_prefix(RECOVERY_PATH)?.strip_prefix('/')?;
         let all = [Decision::Release, Decision::GiveUp, Decision::CloseGap];
         all.into_iter().find(|decision| decision.name() == name)
--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -94,7 +94,7 @@
             return Ok(Route::RecoveryReport);
         }
         // Other methods on the report's own path are answered 404 too: operators' scripts know it so.
-        let decision = Decision::of_path(path).ok_or(RouteError::NotFound)?;
+        let decision = Decision::from_path(path).ok_or(RouteError::NotFound)?;
         match method {
             "POST" => Ok(Route::RecoveryDecision(decision)),
             _ => Err(RouteError::MethodNotAllowed),
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -118,8 +118,8 @@
         match self.kind.as_str() {
             "finished" => self.within_s,
             // Its last task has started by then.
-            "wait" => self.within_s.map(|s| s + run_s),
-            "deadline" => deadline_s.map(|s| s * self.times.unwrap_or(1.0)),
+            "wait" => self.within_s.map(|within_s| within_s + run_s),
+            "deadline" => deadline_s.map(|deadline_s| deadline_s * self.times.unwrap_or(1.0)),
             _ => None,
         }
     }
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -11,21 +11,22 @@
 fn a_request_split_at_every_byte_is_whole_only_at_the_end() {
     let text = b"POST /v1/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhelloGET ";
     let whole = text.len() - 4;
-    for n in 0..whole {
-        assert_eq!(take_request(&mut text[..n].to_vec(), 100), Ok(None), "{n} bytes");
+    for length in 0..whole {
+        assert_eq!(take_request(&mut text[..length].to_vec(), 100), Ok(None), "{length} bytes");
     }
-    let mut buf = text.to_vec();
-    let r = take_request(&mut buf, 100).unwrap().unwrap();
-    assert_eq!((r.method.as_str(), r.body.as_slice(), r.keep_alive), ("POST", &b"hello"[..], true));
-    assert_eq!(buf, b"GET ", "pipelined bytes stay");
+    let mut buffer = text.to_vec();
+    let request = take_request(&mut buffer, 100).unwrap().unwrap();
+    let Request { method, body, keep_alive, .. } = &request;
+    assert_eq!((method.as_str(), body.as_slice(), *keep_alive), ("POST", &b"hello"[..], true));
+    assert_eq!(buffer, b"GET ", "pipelined bytes stay");
 }
 
 #[test]
 fn chunked_bodies_are_joined() {
-    let r = request(
+    let chunked = request(
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x\r\nde\r\n0\r\n\r\n",
     );
-    assert_eq!(r.unwrap().unwrap().body, b"abcde");
+    assert_eq!(chunked.unwrap().unwrap().body, b"abcde");
 }
 
 #[test]
@@ -72,8 +73,8 @@
             buf.extend_from_slice(parts[rng.random_range(0..parts.len())]);
         }
         match take_request(&mut buf.clone(), 100) {
-            Err(e) => refused += u32::from(e.status() >= 400),
-            Ok(r) => whole += u32::from(r.is_some()),
+            Err(error) => refused += u32::from(error.status() >= 400),
+            Ok(request) => whole += u32::from(request.is_some()),
         }
         let _ = take_response(&mut buf, true);
     }
@@ -84,8 +85,9 @@
 fn a_response_without_length_ends_with_the_connection() {
     let text = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nbody".to_vec();
     assert_eq!(take_response(&mut text.clone(), false), Ok(None));
-    let r = take_response(&mut text.clone(), true).unwrap().unwrap();
-    assert_eq!((r.status, r.body.as_slice(), r.keep_alive), (200, &b"body"[..], false));
+    let response = take_response(&mut text.clone(), true).unwrap().unwrap();
+    let Response { status, body, keep_alive } = &response;
+    assert_eq!((*status, body.as_slice(), *keep_alive), (200, &b"body"[..], false));
 }
 
 #[test]
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -48,8 +48,8 @@
 
 fn read_some(client: &mut TcpStream) -> String {
     let mut buffer = [0; 4_096];
-    let n = client.read(&mut buffer).expect("an answer");
-    String::from_utf8_lossy(&buffer[..n]).into_owned()
+    let length = client.read(&mut buffer).expect("an answer");
+    String::from_utf8_lossy(&buffer[..length]).into_owned()
 }
 
 #[test]
