--- a/crates/mountgap-records/src/lib.rs
+++ b/crates/mountgap-records/src/lib.rs
@@ -4,8 +4,6 @@
 //! or a machine has. The daemon and the packages beside it read and write the same keys and values; this package
 //! holds them, without I/O and without anything of the daemon.
 
-#![warn(missing_docs)]
-
 pub mod constants;
 pub mod job;
 pub mod records;
--- a/crates/mountgap-records/src/records/tests.rs
+++ b/crates/mountgap-records/src/records/tests.rs
@@ -35,7 +35,7 @@
     let text =
         StoredPlacement::text("job-000412", 99_999, "n-1#odd", 7 << 26).expect("can be written");
     let rec = PlacementsRecord { tasks: format!("nonsense {text} 1/2@x") };
-    let all: Vec<StoredPlacement> = rec.placed().collect();
+    let all: Vec<StoredPlacement<'_>> = rec.placed().collect();
     let one =
         StoredPlacement { digits: "000412", task: 99_999, machine: "n-1#odd", attempt: 7 << 26 };
     assert_eq!(all, vec![one]);
--- a/crates/mountgap-recovery/src/lib.rs
+++ b/crates/mountgap-recovery/src/lib.rs
@@ -8,8 +8,6 @@
 //! There is no I/O here, and neither clock nor randomness: the daemon passes in what it reads and
 //! sends what it is given. Programs that embed the scheduler can do the same.
 
-#![warn(missing_docs)]
-
 pub mod audit;
 pub mod constants;
 pub mod image;
--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -12,6 +12,13 @@
 //! `--state` and `--cloud` name other addresses than those of `examples/node.json`. The state service can lose
 //! its data: `POST /control/wipe` empties it, `/control/backup` takes a backup, `/control/restore` goes back to it.
 
+#![allow(
+    clippy::unwrap_used,
+    reason = "a stand-in for trials: it ends where something is not as expected"
+)]
+#![allow(clippy::too_many_lines, reason = "one match over all requests of the state service")]
+#![allow(unreachable_pub, reason = "tests/loopback.rs includes it as a module")]
+
 use mountgap::storage::records;
 use mountgap::transport::http::{self, Request};
 use serde_json::{json, Value};
--- a/src/coordination/deadline_triage.rs
+++ b/src/coordination/deadline_triage.rs
@@ -12,7 +12,11 @@
 
 /// For each job, how many of the times by which it should be complete it is not expected to
 /// meet. `order` are the jobs as they would be served if none were late.
-pub fn missed_deadlines(snapshot: &Snapshot, order: &[usize], total: &Resources) -> Vec<usize> {
+pub(super) fn missed_deadlines(
+    snapshot: &Snapshot,
+    order: &[usize],
+    total: &Resources,
+) -> Vec<usize> {
     let deadlines = |job: &JobView| if job.is_service { 0 } else { job.due_in_ms.len() };
     let mut missed: Vec<usize> = snapshot.jobs.iter().map(deadlines).collect();
     let levels = missed.iter().copied().max().unwrap_or(0);
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -103,7 +103,7 @@
             .collect()
     }
 
-    fn fleet_room(&self, open: &[LoadedMachine], headroom_share: f64, now: u64) -> FleetRoom {
+    fn fleet_room(&self, open: &[LoadedMachine<'_>], headroom_share: f64, now: u64) -> FleetRoom {
         let free: f64 = open.iter().map(|loaded| 1.0 - loaded.load).sum();
         let busy: f64 = open.iter().map(|loaded| loaded.load).sum();
         let batch_now: f64 = open
@@ -116,7 +116,7 @@
     }
 
     /// Whether all machines are needed, or too little is known yet to tell.
-    fn is_short_of_room(&self, open: &[LoadedMachine], room: &FleetRoom, now: u64) -> bool {
+    fn is_short_of_room(&self, open: &[LoadedMachine<'_>], room: &FleetRoom, now: u64) -> bool {
         // A few tasks that find no place for reasons of their own (a zone, a kind of machine) must
         // not keep hundreds of machines open.
         let whole = open.first().map_or(Resources::default(), |loaded| loaded.machine.total);
@@ -153,7 +153,7 @@
     /// Machines to empty: as many as leave the headroom and the room for services to come.
     fn machines_to_drain(
         &self,
-        open: &[LoadedMachine],
+        open: &[LoadedMachine<'_>],
         mut room: FleetRoom,
         most: usize,
         catalog: &Catalog,
@@ -193,13 +193,13 @@
         catalog: &Catalog,
         now: u64,
     ) -> Vec<DrainCandidate<'a>> {
-        let is_thinly_used = |candidate: &DrainCandidate| {
+        let is_thinly_used = |candidate: &DrainCandidate<'_>| {
             candidate.services == 0.0 || candidate.load <= LOW_LOAD_SHARE
         };
         let is_past_boot = |machine: &Machine| {
             machine.up_at.is_some_and(|up_at| now > up_at + boot_ms(catalog, &machine.type_name))
         };
-        let mut candidates: Vec<DrainCandidate> = open
+        let mut candidates: Vec<DrainCandidate<'_>> = open
             .iter()
             .map(|&LoadedMachine { machine, load }| {
                 let services = service_count(&self.cluster, machine);
--- a/src/coordination/fleet/scale_out/rental_plan.rs
+++ b/src/coordination/fleet/scale_out/rental_plan.rs
@@ -143,7 +143,7 @@
     }
 
     /// The cheapest kind of machine for one of the tasks; zones with fewer machines first.
-    fn cheapest_kind(&self, search: &Search) -> Option<CatalogKind> {
+    fn cheapest_kind(&self, search: &Search<'_>) -> Option<CatalogKind> {
         let tasks = search.tasks;
         let mut best: Option<Candidate> = None;
         for (type_index, machine_type) in self.catalog.machine_types.iter().enumerate() {
@@ -167,7 +167,7 @@
     }
 
     /// Whether a machine of this kind may be rented for the next of the tasks.
-    fn may_rent(&self, kind: &CatalogKind, search: &Search) -> bool {
+    fn may_rent(&self, kind: &CatalogKind, search: &Search<'_>) -> bool {
         let tasks = search.tasks;
         let is_wanted = match kind.spot {
             true => tasks.spot_allowed && self.rent_spot,
--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -139,7 +139,7 @@
     /// Compares the placements on a machine with what is shown, and notes what is shown of each.
     pub(super) fn of(
         machine: &mut Machine,
-        shown: &ReportedTasks,
+        shown: &ReportedTasks<'_>,
         heartbeat: HeartbeatId,
         has_our_token: bool,
         now: u64,
--- a/src/coordination/membership/ended_jobs.rs
+++ b/src/coordination/membership/ended_jobs.rs
@@ -56,7 +56,7 @@
 
     /// What a relayed answer says of a job counts like what a peer says of it.
     pub(in crate::coordination) fn record_relayed_status(&mut self, body: &[u8]) {
-        let Ok(answer) = serde_json::from_slice::<JobStatusResponse>(body) else { return };
+        let Ok(answer) = serde_json::from_slice::<JobStatusResponse<'_>>(body) else { return };
         if matches!(answer.status, JobStatus::Done | JobStatus::Cancelled) {
             self.record_ended_job(answer.uid);
         }
--- a/src/coordination/planner/offers.rs
+++ b/src/coordination/planner/offers.rs
@@ -48,7 +48,12 @@
     }
 
     /// The place that a machine offers now.
-    pub(super) fn now(&mut self, pass: &Pass, job: usize, machine: usize) -> Option<Allocation> {
+    pub(super) fn now(
+        &mut self,
+        pass: &Pass<'_>,
+        job: usize,
+        machine: usize,
+    ) -> Option<Allocation> {
         let cached = &mut self.now[machine];
         let version = pass.machines[machine].version;
         if cached.version != version {
@@ -61,7 +66,7 @@
     /// The places that a machine offers later, of a factor under the bound.
     pub(super) fn later(
         &mut self,
-        pass: &Pass,
+        pass: &Pass<'_>,
         job: usize,
         machine: usize,
         bound: f64,
--- a/src/coordination/planner/plain.rs
+++ b/src/coordination/planner/plain.rs
@@ -8,7 +8,7 @@
 use crate::protocol::users::Priority;
 
 /// Panics unless the plain form chooses the same.
-pub(super) fn compare(pass: &Pass, job: usize, may_wait: bool, chosen: Option<Allocation>) {
+pub(super) fn compare(pass: &Pass<'_>, job: usize, may_wait: bool, chosen: Option<Allocation>) {
     let examined = pass.candidates_examined.get();
     assert_eq!(chosen, pass.plain_allocate(job, may_wait), "job {job}, may wait: {may_wait}");
     assert_eq!(pass.candidates_examined.get(), examined, "the plain form does not count");
@@ -132,7 +132,7 @@
         for machine in 0..self.snapshot.machines.len() {
             if only.is_none_or(|only| only == machine) {
                 self.plain_offers_later(job, machine, bound).for_each(|allocation| {
-                    search.add(Candidate { allocation, preference: self.preference(job, machine) })
+                    search.add(Candidate { allocation, preference: self.preference(job, machine) });
                 });
             }
         }
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -8,11 +8,11 @@
 
 const GPU: Resources = Resources { cpu: 1_000, gpu: 1_000, ram: 0 };
 
-pub fn gpus(n: i64) -> Resources {
+pub(super) fn gpus(n: i64) -> Resources {
     GPU * n
 }
 
-pub fn machine(n: i64) -> MachineView {
+pub(super) fn machine(n: i64) -> MachineView {
     MachineView {
         zone: 0,
         type_index: 0,
@@ -26,7 +26,7 @@
     }
 }
 
-pub fn running(end: u64) -> RunningTask {
+pub(super) fn running(end: u64) -> RunningTask {
     RunningTask {
         priority: Priority::Standard,
         team: Some(0),
@@ -43,7 +43,7 @@
     }
 }
 
-pub fn job(arrival: u64, n: i64, run_ms: u64) -> JobView {
+pub(super) fn job(arrival: u64, n: i64, run_ms: u64) -> JobView {
     JobView {
         priority: Priority::Standard,
         team: 0,
@@ -70,7 +70,7 @@
     }
 }
 
-pub fn snapshot(machines: Vec<MachineView>, jobs: Vec<JobView>) -> Snapshot {
+pub(super) fn snapshot(machines: Vec<MachineView>, jobs: Vec<JobView>) -> Snapshot {
     Snapshot {
         now_ms: 0,
         thresholds: THRESHOLDS.to_vec(),
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -45,7 +45,7 @@
                 self.reload_store();
             }
             RecoveryPhase::FirstStart { .. } | RecoveryPhase::Verifying { .. } => {
-                self.reload_store()
+                self.reload_store();
             }
         }
     }
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -28,7 +28,7 @@
 
 pub(super) use decisions::DecisionCall;
 pub(super) use rebuild::RebuildCall;
-pub use report::RecoveryView;
+pub(super) use report::RecoveryView;
 pub(super) use state::Recovery;
 
 use super::store_client::ReadPoint;
--- a/src/coordination/recovery/report.rs
+++ b/src/coordination/recovery/report.rs
@@ -10,7 +10,7 @@
 
 /// The part of a controller's status that is about losses of the store.
 #[derive(Debug, Serialize)]
-pub struct RecoveryView {
+pub(crate) struct RecoveryView {
     phase: &'static str,
     store: Option<String>,
     losses: u64,
--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -63,7 +63,7 @@
         bytes_max: usize,
     ) -> u32 {
         let open = self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
-        let number = open.map(|(number, _)| *number).unwrap_or_else(|| self.unused_done_group());
+        let number = open.map_or_else(|| self.unused_done_group(), |(number, _)| *number);
         let group = self.done_groups.entry(number).or_default();
         group.insert(uid.clone(), chunk, bytes);
         if let Some(job) = self.jobs.get_mut(uid) {
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -93,7 +93,7 @@
         let is_over = |uid: &JobId| replica.has_ended(uid) && !jobs.contains_key(uid);
         for (key, batch) in &replica.batches {
             if batch.value.iter().all(is_over) {
-                self.cluster.stale_keys.push((key.to_string(), batch.mod_revision));
+                self.cluster.stale_keys.push((key.clone(), batch.mod_revision));
             }
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,8 +15,6 @@
 //! The core ([`coordination::Controller`]) does no I/O: commands go in, effects come
 //! out, and time and randomness are passed in.
 
-#![warn(missing_docs)]
-
 pub mod cli;
 pub mod constants;
 pub mod coordination;
--- a/src/main.rs
+++ b/src/main.rs
@@ -121,7 +121,7 @@
             println!("{platform:#?}\n{operator:#?}");
         }
         Command::Status { address, details } => {
-            println!("{}", cli::status::fetch(address, details)?)
+            println!("{}", cli::status::fetch(address, details)?);
         }
         Command::Recovery { command } => println!("{}", run_recovery(command)?),
     }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -134,11 +134,13 @@
     use serde::{Deserializer, Serializer};
     use std::fmt;
 
-    pub fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_bytes(bytes)
     }
 
-    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Vec<u8>, D::Error> {
         deserializer.deserialize_byte_buf(BytesVisitor)
     }
 
@@ -147,7 +149,7 @@
     impl Visitor<'_> for BytesVisitor {
         type Value = Vec<u8>;
 
-        fn expecting(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
             formatter.write_str("bytes")
         }
 
--- a/src/protocol/users/tests.rs
+++ b/src/protocol/users/tests.rs
@@ -85,6 +85,6 @@
 fn the_status_is_read_from_the_answer_to_a_poll_too() {
     let poll = JobProgressResponse { uid: "job-1", status: JobStatus::Done, done: 2, running: 0 };
     let body = serde_json::to_vec(&poll).expect("it is written");
-    let status: JobStatusResponse = serde_json::from_slice(&body).expect("it is read");
+    let status: JobStatusResponse<'_> = serde_json::from_slice(&body).expect("it is read");
     assert_eq!((status.uid, status.status), ("job-1", JobStatus::Done));
 }
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -6,7 +6,16 @@
     SNAPSHOTS_KEPT, SNAPSHOT_PERIOD_S, THRESHOLDS,
 };
 
-#[allow(clippy::all, missing_docs)]
+#[allow(
+    clippy::all,
+    clippy::pedantic,
+    clippy::restriction,
+    missing_docs,
+    rust_2018_idioms,
+    unreachable_pub,
+    unused_qualifications,
+    reason = "made by build.rs from proto/operator.proto"
+)]
 mod generated {
     include!(concat!(env!("OUT_DIR"), "/generated/mod.rs"));
 }
--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -99,7 +99,7 @@
         Vec::new()
     }
 
-    fn write_placement_group(&mut self, group: u32, stored: &StoredValue) {
+    fn write_placement_group(&mut self, group: u32, stored: &StoredValue<'_>) {
         let Some(record) = stored.read_versioned::<PlacementsRecord>() else { return };
         self.count_placed(&record.value, 1);
         if let Some(previous) = self.places.insert(group, record) {
@@ -107,7 +107,7 @@
         }
     }
 
-    fn write_flagged_group(&mut self, group: u32, stored: &StoredValue) -> Vec<JobId> {
+    fn write_flagged_group(&mut self, group: u32, stored: &StoredValue<'_>) -> Vec<JobId> {
         let Some(record) = stored.read_versioned::<FlaggedJobsRecord>() else { return Vec::new() };
         let mut changed = flagged_jobs(&record.value);
         if let Some(previous) = self.flagged.insert(group, record) {
@@ -116,12 +116,12 @@
         changed
     }
 
-    fn write_end(&mut self, id: &str, stored: &StoredValue) -> Vec<JobId> {
+    fn write_end(&mut self, id: &str, stored: &StoredValue<'_>) -> Vec<JobId> {
         let record: Option<JobEndRecord> = stored.read();
         record.map(|end| self.apply_end(id, end, stored.mod_revision)).into_iter().collect()
     }
 
-    fn write_end_group(&mut self, group: u32, stored: &StoredValue) -> Vec<JobId> {
+    fn write_end_group(&mut self, group: u32, stored: &StoredValue<'_>) -> Vec<JobId> {
         let record: JobEndGroupRecord = stored.read().unwrap_or_default();
         self.end_groups.insert(group, stored.mod_revision);
         let ends = record.ends.into_iter();
@@ -129,7 +129,7 @@
     }
 
     /// A batch of accepted jobs.
-    fn write_batch(&mut self, stored: &StoredValue) -> Vec<JobId> {
+    fn write_batch(&mut self, stored: &StoredValue<'_>) -> Vec<JobId> {
         let Some(batch) = stored.read::<BatchRecord>() else { return Vec::new() };
         let mod_revision = stored.mod_revision;
         let mut ids = Vec::new();
@@ -256,7 +256,10 @@
 }
 
 /// A record with the number of its key; none if it can't be read.
-fn numbered<T: DeserializeOwned>(number: u32, stored: &StoredValue) -> Option<(u32, Versioned<T>)> {
+fn numbered<T: DeserializeOwned>(
+    number: u32,
+    stored: &StoredValue<'_>,
+) -> Option<(u32, Versioned<T>)> {
     stored.read_versioned().map(|record| (number, record))
 }
 
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -73,7 +73,7 @@
 }
 
 impl Connection {
-    pub fn new(stream: TcpStream, role: Role, interest: Interest) -> Connection {
+    pub(super) fn new(stream: TcpStream, role: Role, interest: Interest) -> Connection {
         Connection {
             stream,
             role,
@@ -87,7 +87,10 @@
     }
 
     /// Sends what waits, as far as the socket takes it.
-    pub fn write_output(&mut self, counts: &mut TransportCounts) -> io::Result<WriteProgress> {
+    pub(super) fn write_output(
+        &mut self,
+        counts: &mut TransportCounts,
+    ) -> io::Result<WriteProgress> {
         self.finish_connecting()?;
         while self.written < self.output.len() {
             counts.writes += 1;
@@ -125,7 +128,7 @@
     }
 
     /// Reads what there is, through `scratch`; fails too if that is more than any message may have.
-    pub fn read_input(
+    pub(super) fn read_input(
         &mut self,
         scratch: &mut [u8],
         counts: &mut TransportCounts,
@@ -170,12 +173,12 @@
         self.is_inbound() && self.input.len() > HTTP_BODY_MAX + HTTP_HEAD_MAX
     }
 
-    pub fn is_inbound(&self) -> bool {
+    pub(super) fn is_inbound(&self) -> bool {
         matches!(self.role, Role::Inbound(_))
     }
 
     /// Whether it was to be closed once its output is sent, and no request waits for an answer.
-    pub fn closes_after_output(&self) -> bool {
+    pub(super) fn closes_after_output(&self) -> bool {
         match &self.role {
             Role::Inbound(inbound) => inbound.closes_after_output && !inbound.is_busy,
             Role::Outbound(_) => false,
@@ -183,7 +186,7 @@
     }
 
     /// What the poller should watch it for.
-    pub fn wanted_interest(&self) -> Interest {
+    pub(super) fn wanted_interest(&self) -> Interest {
         let has_output = self.written < self.output.len();
         match &self.role {
             Role::Inbound(inbound) => {
@@ -198,7 +201,7 @@
     }
 
     /// Writes the answer to the request that waits for one; false if none does.
-    pub fn answer(&mut self, status: u16, retry_after_s: Option<u64>, body: &[u8]) -> bool {
+    pub(super) fn answer(&mut self, status: u16, retry_after_s: Option<u64>, body: &[u8]) -> bool {
         let Role::Inbound(inbound) = &mut self.role else {
             return false;
         };
@@ -214,7 +217,7 @@
     }
 
     /// Answers bytes that are no request, and ends the connection with that.
-    pub fn refuse(&mut self, status: u16, reason: &str) {
+    pub(super) fn refuse(&mut self, status: u16, reason: &str) {
         if let Role::Inbound(inbound) = &mut self.role {
             inbound.closes_after_output = true;
         }
@@ -225,17 +228,17 @@
     }
 
     /// The same with the status and the reason of the parser.
-    pub fn refuse_malformed(&mut self, error: HttpError) {
+    pub(super) fn refuse_malformed(&mut self, error: HttpError) {
         self.refuse(error.status(), &error.to_string());
     }
 
     /// Tells the client to send the body of its request.
-    pub fn write_continue(&mut self) {
+    pub(super) fn write_continue(&mut self) {
         self.output.extend_from_slice(CONTINUE);
     }
 
     /// Bytes that its buffers hold.
-    pub fn buffered_bytes(&self) -> u64 {
+    pub(super) fn buffered_bytes(&self) -> u64 {
         (self.input.capacity() + self.output.capacity()) as u64
     }
 }
--- a/src/transport/http/head.rs
+++ b/src/transport/http/head.rs
@@ -20,7 +20,7 @@
 
 impl<'a> Head<'a> {
     /// Parses the head at the front of the buffer.
-    pub fn parse(buffer: &'a [u8]) -> Parsed<Head<'a>> {
+    pub(super) fn parse(buffer: &'a [u8]) -> Parsed<Head<'a>> {
         let window = &buffer[..buffer.len().min(HTTP_HEAD_MAX)];
         let Some(end) = find_end(window) else {
             return if buffer.len() >= HTTP_HEAD_MAX {
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -127,7 +127,7 @@
         Ok(RequestLine { method, path, is_http_1_0 })
     }
 
-    fn keeps_alive(&self, head: &Head) -> bool {
+    fn keeps_alive(&self, head: &Head<'_>) -> bool {
         !head.asks_close && (!self.is_http_1_0 || head.asks_keep_alive)
     }
 }
@@ -155,13 +155,13 @@
         (100..200).contains(&self.status)
     }
 
-    fn keeps_alive(&self, head: &Head) -> bool {
+    fn keeps_alive(&self, head: &Head<'_>) -> bool {
         !head.asks_close && (self.version != "HTTP/1.0" || head.asks_keep_alive)
     }
 }
 
 /// A request without a length has no body.
-fn request_framing(head: &Head) -> Framing {
+fn request_framing(head: &Head<'_>) -> Framing {
     match head.is_chunked {
         true => Framing::Chunked,
         false => Framing::Length(head.content_length.unwrap_or(0)),
@@ -169,7 +169,7 @@
 }
 
 /// A response without a length ends with the connection.
-fn response_framing(status: u16, head: &Head) -> Framing {
+fn response_framing(status: u16, head: &Head<'_>) -> Framing {
     match (status, head.content_length) {
         // These never have a body, whatever their headers say.
         (204 | 304, _) => Framing::Length(0),
--- a/src/transport/listeners.rs
+++ b/src/transport/listeners.rs
@@ -22,7 +22,7 @@
 
 impl Listeners {
     /// Opens both and has them watched.
-    pub fn open(
+    pub(super) fn open(
         public: SocketAddrV4,
         peer: SocketAddrV4,
         readiness: &Readiness,
@@ -34,7 +34,7 @@
     }
 
     /// Takes a connection that waits; an error of kind `WouldBlock` if there is none.
-    pub fn accept(&self, origin: Origin) -> io::Result<TcpStream> {
+    pub(super) fn accept(&self, origin: Origin) -> io::Result<TcpStream> {
         let listener = match origin {
             Origin::Public => &self.public,
             Origin::Peer => &self.peer,
@@ -43,7 +43,7 @@
     }
 
     /// Where users and workers connect.
-    pub fn public_address(&self) -> io::Result<SocketAddr> {
+    pub(super) fn public_address(&self) -> io::Result<SocketAddr> {
         self.public.local_addr()
     }
 }
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -32,12 +32,12 @@
 
 impl Destination {
     /// A place that nothing was sent to yet.
-    pub fn new(address: SocketAddrV4) -> Destination {
+    pub(super) fn new(address: SocketAddrV4) -> Destination {
         Destination { address, idle: Vec::new(), open: 0, queue: VecDeque::new() }
     }
 
     /// Takes the calls out of the queue whose time is over.
-    pub fn take_late_calls(&mut self, now: Instant) -> Vec<CallId> {
+    pub(super) fn take_late_calls(&mut self, now: Instant) -> Vec<CallId> {
         let is_late = |queued: &QueuedCall| queued.deadline <= now;
         let late = self.queue.iter().filter(|queued| is_late(queued));
         let late = late.map(|queued| queued.call.id).collect();
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -2,7 +2,7 @@
 //! its data. Nothing is asserted on how long anything takes; limits only end a test that hangs.
 
 #[path = "../examples/platform.rs"]
-#[allow(dead_code)]
+#[allow(dead_code, reason = "its main function is not used here")]
 mod platform;
 
 use mountgap::transport::http;
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -2,6 +2,12 @@
 //! The world's checker watches every rule; at the end all troubles stop and all that was
 //! accepted must come to its end.
 
+#![allow(clippy::unwrap_used, reason = "a scenario ends where the world lacks what it names")]
+#![allow(
+    clippy::too_many_lines,
+    reason = "one match over all troubles, and one run from begin to end"
+)]
+
 mod world;
 
 use rand::Rng;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -730,14 +730,14 @@
 #[test]
 fn a_second_controller_never_answers_older() {
     let mut w = settled();
-    let s = w.spec(1, "batch", 1);
-    let r = w.submit(s, 60_000, 0);
-    w.until(1_000, "accepted", |w| w.status(r) == 201);
+    let spec = w.spec(1, "batch", 1);
+    let submission = w.submit(spec, 60_000, 0);
+    w.until(1_000, "accepted", |w| w.status(submission) == 201);
     let (a, b) = (w.poll("job-000001", 1), w.poll("job-000001", 2));
     w.run(100);
     assert_eq!((w.status(a), w.status(b)), (200, 200), "no 404 right after the acceptance");
-    let x = w.withdraw("job-000001", 1);
-    w.until(1_000, "withdrawn", |w| w.status(x) == 200);
+    let withdrawal = w.withdraw("job-000001", 1);
+    w.until(1_000, "withdrawn", |w| w.status(withdrawal) == 200);
     let (a, b) = (w.poll("job-000001", 0), w.poll("job-000001", 2));
     w.run(100);
     assert_eq!(w.answer(a)["status"], "withdrawn");
--- a/tests/world/behaviour.rs
+++ b/tests/world/behaviour.rs
@@ -38,7 +38,7 @@
     }
 
     /// Takes down a message: what it is, without spaces at the ends, and its body.
-    pub fn message(&mut self, now: u64, what: std::fmt::Arguments, body: &[u8]) {
+    pub fn message(&mut self, now: u64, what: std::fmt::Arguments<'_>, body: &[u8]) {
         let what = what.to_string();
         self.digest.update(&now.to_le_bytes());
         self.digest.update(&(what.len() as u64).to_le_bytes());
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -3,7 +3,13 @@
 //!
 //! Faults are fields and methods; stories set them by hand, the random story by its seed.
 
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test program uses a part of the world")]
+#![allow(unreachable_pub, reason = "several test programs include the world as a module")]
+#![allow(clippy::unwrap_used, reason = "a scenario ends where the world lacks what it names")]
+#![allow(
+    clippy::too_many_lines,
+    reason = "one match over everything that a part of the world does"
+)]
 
 mod behaviour;
 mod cloud;
@@ -403,16 +409,16 @@
                     Some(Conn::Worker { name, request })
                         if !cut_workers && !self.apart(&name, node) =>
                     {
-                        self.send(d, Msg::Answer { worker: name, request, status, body })
+                        self.send(d, Msg::Answer { worker: name, request, status, body });
                     }
                     Some(Conn::User { request }) => {
-                        self.send(d, Msg::UserAnswer { request, status, body })
+                        self.send(d, Msg::UserAnswer { request, status, body });
                     }
                     Some(Conn::Peer { node: to, life, call })
                         if !cut_peers && !self.nodes[to].cut_peers =>
                     {
                         self.peer_answer_max = self.peer_answer_max.max(body.len());
-                        self.send(d, Msg::Reply { node: to, life, call, status, body })
+                        self.send(d, Msg::Reply { node: to, life, call, status, body });
                     }
                     _ => {}
                 }
@@ -460,7 +466,7 @@
     fn deliver(&mut self, m: Msg) {
         match m {
             Msg::ToState { node, life, call, method, path, body } => {
-                self.state_request(node, life, call, &method, &path, &body)
+                self.state_request(node, life, call, &method, &path, &body);
             }
             Msg::ToCloud { node, life, call, method, path, body } => {
                 let (status, v) = self.cloud_request(&method, &path, &body);
@@ -505,7 +511,7 @@
                 });
             }
             Msg::Answer { worker, request, status, body } => {
-                self.worker_answer(&worker, request, status, &body)
+                self.worker_answer(&worker, request, status, &body);
             }
             Msg::User { request, node, method, path, body } => {
                 let n = &mut self.nodes[node];
--- a/tests/world/scenario.rs
+++ b/tests/world/scenario.rs
@@ -30,10 +30,10 @@
             match c {
                 // A reset connection: the worker or user notices at once.
                 Conn::Worker { name, request } => {
-                    self.send(1, Msg::Answer { worker: name, request, status: 0, body: vec![] })
+                    self.send(1, Msg::Answer { worker: name, request, status: 0, body: vec![] });
                 }
                 Conn::User { request } => {
-                    self.send(1, Msg::UserAnswer { request, status: 0, body: vec![] })
+                    self.send(1, Msg::UserAnswer { request, status: 0, body: vec![] });
                 }
                 Conn::Peer { .. } => {}
             }
--- a/tests/world/user.rs
+++ b/tests/world/user.rs
@@ -160,10 +160,10 @@
                 j.accepted_at.get_or_insert(now);
             }
             ("submit", 400 | 422) if accepted_before => {
-                broken.push(format!("forgotten {uid}: {status}"))
+                broken.push(format!("forgotten {uid}: {status}"));
             }
             ("poll" | "withdraw", 404) if accepted_before => {
-                broken.push(format!("forgotten {uid}: 404"))
+                broken.push(format!("forgotten {uid}: 404"));
             }
             _ => {}
         }
