--- a/tests/world/gangs.rs
+++ b/tests/world/gangs.rs
@@ -48,13 +48,13 @@
             if self.jobs[&job].attempts.contains_key(&attempt) {
                 self.gang_runs(&job, attempt, &members);
             } else {
-                self.gang_is_deferred(&job, attempt, &members);
+                self.gang_waits(&job, attempt, &members);
             }
         }
     }
 
     /// An attempt that has not started: it does once every task waits on a machine that goes on.
-    fn gang_is_deferred(&mut self, job: &str, attempt: u64, members: &[Member]) {
+    fn gang_waits(&mut self, job: &str, attempt: u64, members: &[Member]) {
         let now = self.now;
         let waiting = |m: &&Member| matches!(m.run, Run::Waiting(_));
         let ready: BTreeSet<u32> =
