--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -13,7 +13,7 @@
 use crate::protocol::http::Response;
 use crate::protocol::state::{
     raw_json, Condition, LeaseGranted, LeaseRequest, Mutation, Transaction, TransactionApplied,
-    COMMIT_PATH,
+    COMMIT_PATH, LEASES_PATH,
 };
 use crate::storage::records::{leader_key, term_key, LeaderRecord, TermRecord};
 use rand::Rng;
@@ -71,7 +71,7 @@
         self.election.in_progress = true;
         let body =
             serde_json::to_vec(&LeaseRequest { life_ms: LEADER_LIFE_MS }).unwrap_or_default();
-        self.state_call("POST", "/holds".into(), body, STATE_CALL_MS, CallPurpose::Lease);
+        self.state_call("POST", LEASES_PATH.into(), body, STATE_CALL_MS, CallPurpose::Lease);
     }
 
     /// Whether a leader was an earlier process of this very controller: it surely leads no more.
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -4,6 +4,7 @@
 use super::{CallPurpose, Controller};
 use crate::constants::{LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS};
 use crate::protocol::http::Response;
+use crate::protocol::state::{lease_path, lease_renewal_path};
 use crate::storage::records::leader_key;
 
 /// The lease of the leader key.
@@ -35,7 +36,7 @@
         lease.renewal_in_flight = true;
         lease.renew_at = now + LEADER_RENEW_MS;
         let lease_id = lease.id;
-        let path = format!("/holds/{lease_id}/renew");
+        let path = lease_renewal_path(lease_id);
         let purpose = CallPurpose::Renew { lease_id };
         self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEW_CALL_MS, purpose);
     }
@@ -91,7 +92,7 @@
 
     /// Ends a lease at once, and with it the leader key.
     pub(super) fn revoke_lease(&mut self, lease_id: u64) {
-        let path = format!("/holds/{lease_id}");
+        let path = lease_path(lease_id);
         self.state_call("DELETE", path, vec![], STATE_CALL_MS, CallPurpose::StepDown);
     }
 
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -157,6 +157,19 @@
     pub lease_id: u64,
 }
 
+/// Path on which leases are granted ("POST /holds" of the protocol).
+pub const LEASES_PATH: &str = "/holds";
+
+/// Path of a lease ("DELETE /holds/{id}" of the protocol).
+pub fn lease_path(lease_id: u64) -> String {
+    format!("{LEASES_PATH}/{lease_id}")
+}
+
+/// Path that renews a lease ("POST /holds/{id}/renew" of the protocol).
+pub fn lease_renewal_path(lease_id: u64) -> String {
+    format!("{LEASES_PATH}/{lease_id}/renew")
+}
+
 /// Path of a transaction.
 pub const COMMIT_PATH: &str = "/commit";
 
