--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -1,4 +1,4 @@
-//! The cloud's catalog of machine types.
+//! Requests for the cloud's catalog of machine types; the cloud's client owns what is known of it.
 
 use crate::constants::CLOUD_CALL_MS;
 use crate::coordination::outbox::CallPurpose;
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -302,3 +302,6 @@
     }
     slots >= services.len() as i64
 }
+
+#[cfg(test)]
+mod tests;
