--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -12,7 +12,7 @@
 //! `--state` and `--cloud` name other addresses than those of `examples/node.json`. The state service can lose
 //! its data: `POST /control/wipe` empties it, `/control/backup` takes a backup, `/control/restore` goes back to it.
 
-#![allow(unreachable_pub, reason = "tests include it as a module")]
+#![allow(unreachable_pub, reason = "tests/loopback.rs includes it as a module")]
 
 #[path = "platform/cloud.rs"]
 mod cloud;
