--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -73,8 +73,8 @@
 
     /// Puts in one value; older ones than what is held are skipped. Gives the jobs that changed.
     pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<JobId> {
-        if foreign_layout(key) && self.foreign.is_none() {
-            self.foreign = Some(key.to_string());
+        if foreign_layout(key) && self.foreign_key.is_none() {
+            self.foreign_key = Some(key.to_string());
         }
         if self.mod_revision(key) >= mod_revision {
             return Vec::new();
@@ -87,7 +87,7 @@
             Some(Key::Shares) => self.shares = stored.read_versioned(),
             Some(Key::Store) => self.store = stored.read_versioned(),
             Some(Key::Rebuild) => self.rebuild = stored.read_versioned(),
-            Some(Key::Done(group)) => self.done.extend(numbered(group, &stored)),
+            Some(Key::Done(group)) => self.done_groups.extend(numbered(group, &stored)),
             Some(Key::Images(part)) => self.images.extend(numbered(part, &stored)),
             Some(Key::Place(group)) => self.write_placement_group(group, &stored),
             Some(Key::Batch(_) | Key::GangBatch(_)) => return self.write_batch(&stored),
@@ -99,15 +99,15 @@
         Vec::new()
     }
 
-    fn write_placement_group(&mut self, group: u32, stored: &StoredValue) {
+    fn write_placement_group(&mut self, group: u32, stored: &StoredValue<'_>) {
         let Some(record) = stored.read_versioned::<PlacementsRecord>() else { return };
         self.count_placed(&record.value, 1);
-        if let Some(previous) = self.places.insert(group, record) {
+        if let Some(previous) = self.placement_groups.insert(group, record) {
             self.count_placed(&previous.value, -1);
         }
     }
 
-    fn write_flagged_group(&mut self, group: u32, stored: &StoredValue) -> Vec<JobId> {
+    fn write_flagged_group(&mut self, group: u32, stored: &StoredValue<'_>) -> Vec<JobId> {
         let Some(record) = stored.read_versioned::<FlaggedJobsRecord>() else { return Vec::new() };
         let mut changed = flagged_jobs(&record.value);
         if let Some(previous) = self.flagged.insert(group, record) {
@@ -116,12 +116,12 @@
         changed
     }
 
-    fn write_end(&mut self, id: &str, stored: &StoredValue) -> Vec<JobId> {
+    fn write_end(&mut self, id: &str, stored: &StoredValue<'_>) -> Vec<JobId> {
         let record: Option<JobEndRecord> = stored.read();
         record.map(|end| self.apply_end(id, end, stored.mod_revision)).into_iter().collect()
     }
 
-    fn write_end_group(&mut self, group: u32, stored: &StoredValue) -> Vec<JobId> {
+    fn write_end_group(&mut self, group: u32, stored: &StoredValue<'_>) -> Vec<JobId> {
         let record: JobEndGroupRecord = stored.read().unwrap_or_default();
         self.end_groups.insert(group, stored.mod_revision);
         let ends = record.ends.into_iter();
@@ -129,7 +129,7 @@
     }
 
     /// A batch of accepted jobs.
-    fn write_batch(&mut self, stored: &StoredValue) -> Vec<JobId> {
+    fn write_batch(&mut self, stored: &StoredValue<'_>) -> Vec<JobId> {
         let Some(batch) = stored.read::<BatchRecord>() else { return Vec::new() };
         let mod_revision = stored.mod_revision;
         let mut ids = Vec::new();
@@ -219,10 +219,10 @@
             Some(Key::Rebuild) => self.rebuild = None,
             Some(Key::Batch(_) | Key::GangBatch(_)) => self.remove_batch(key),
             Some(Key::Flagged(group)) => drop(self.flagged.remove(&group)),
-            Some(Key::Done(group)) => drop(self.done.remove(&group)),
+            Some(Key::Done(group)) => drop(self.done_groups.remove(&group)),
             Some(Key::Images(part)) => drop(self.images.remove(&part)),
             Some(Key::Place(group)) => {
-                if let Some(previous) = self.places.remove(&group) {
+                if let Some(previous) = self.placement_groups.remove(&group) {
                     self.count_placed(&previous.value, -1);
                 }
             }
@@ -256,7 +256,10 @@
 }
 
 /// A record with the number of its key; none if it can't be read.
-fn numbered<T: DeserializeOwned>(number: u32, stored: &StoredValue) -> Option<(u32, Versioned<T>)> {
+fn numbered<T: DeserializeOwned>(
+    number: u32,
+    stored: &StoredValue<'_>,
+) -> Option<(u32, Versioned<T>)> {
     stored.read_versioned().map(|record| (number, record))
 }
 
