--- a/src/transport/deadlines.rs
+++ b/src/transport/deadlines.rs
@@ -87,3 +87,6 @@
         },
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -194,3 +194,6 @@
     error.kind() == io::ErrorKind::WouldBlock
         || error.raw_os_error() == Some(Errno::INPROGRESS.raw_os_error())
 }
+
+#[cfg(test)]
+mod tests;
