--- a/examples/platform/options.rs
+++ b/examples/platform/options.rs
@@ -28,8 +28,11 @@
 /// Addresses.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Options {
+    /// Address of the state service.
     pub state: String,
+    /// Address of the cloud.
     pub cloud: String,
+    /// Addresses of the controllers, in the order of their labels.
     pub controllers: Vec<String>,
 }
 
@@ -37,8 +40,10 @@
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OptionsError {
     #[error("{0} needs an address")]
+    /// The option needs an address.
     MissingAddress(String),
     #[error("unknown option {0}, see --help")]
+    /// There is no such option.
     UnknownOption(String),
 }
 
