--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -4,9 +4,9 @@
 //! until evidence settles it, and what settled it is committed before anything else is done with
 //! the task. Nothing here talks to the state service or to machines: the state is told what happened.
 //!
-//! [`restore`] builds it from the store when a term begins, [`jobs`] follows jobs from acceptance to
-//! end, [`placements`] is the life cycle of a placement, [`adoption`] finds a place for tasks that run
-//! unrecorded, [`gangs`] holds for tasks that run together, [`resources`] adds up what is used and free.
+//! `restore` builds it from the store when a term begins, `jobs` follows jobs from acceptance to end,
+//! `placements` is the life cycle of a placement, `adoption` finds a place for tasks that run
+//! unrecorded, `gangs` holds for tasks that run together, `resources` adds up what is used and free.
 
 mod adoption;
 mod gangs;
