--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,7 +1,7 @@
 //! The stand-in for the platform, `examples/platform.rs`: its command line, and ports that are taken.
 
 #[path = "../examples/platform.rs"]
-#[allow(dead_code, reason = "its main function is not used here")]
+#[allow(dead_code, reason = "only parts of the example are tested here")]
 mod platform;
 
 use platform::options::{parse, Options, OptionsError, Request};
