--- a/crates/mountgap-recovery/src/lib.rs
+++ b/crates/mountgap-recovery/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The state service is the only place where controllers keep state. When it comes back empty, or
 //! with an older backup, this package tells that from what a controller has read before
-//! ([`audit`]), puts together what the controllers and snapshots still hold ([`merged`]), and gives
+//! ([`audit`]), puts together what the controllers and snapshots still hold ([`merged_state`]), and gives
 //! the conditional transactions that write it back ([`write_back`]).
 //!
 //! There is no I/O here, and neither clock nor randomness: the daemon passes in what it reads and
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -4,16 +4,16 @@
 //! I/O; the clock and the seed of its randomness are passed in. It hands each command to the part that it
 //! concerns; each part owns its state in private fields of a module of its own:
 //!
-//! * [`store_client`]: the copy of the state service's store, reads and request rates;
-//! * [`cloud_client`]: the rate of the cloud's requests, the catalogue of machine types;
-//! * [`membership`]: what peers say, the highest term heard of, lease extension;
-//! * [`election`] and [`leadership`]: taking, holding and giving up the leader key;
-//! * [`leader`]: the state of a term, planning passes, transactions, [`fleet`] and [`gangs`];
-//! * [`heartbeats`]: what workers' heartbeats prove, and the commands in their responses;
-//! * [`transactions`]: the leader's write-ahead transactions, and what becomes of them;
-//! * [`requests`]: users' submissions, polls and cancellations;
-//! * [`recovery`]: noticing that the store has lost data, and rebuilding it;
-//! * [`outbox`]: effects, and calls that are not answered yet;
+//! * `store_client`: the copy of the state service's store, reads and request rates;
+//! * `cloud_client`: the rate of the cloud's requests, the catalogue of machine types;
+//! * `membership`: what peers say, the highest term heard of, lease extension;
+//! * `election` and `leadership`: taking, holding and giving up the leader key;
+//! * `leader`: the state of a term, planning passes, transactions, `fleet` and `gangs`;
+//! * `heartbeats`: what workers' heartbeats prove, and the commands in their responses;
+//! * `transactions`: the leader's write-ahead transactions, and what becomes of them;
+//! * `requests`: users' submissions, polls and cancellations;
+//! * `recovery`: noticing that the store has lost data, and rebuilding it;
+//! * `outbox`: effects, and calls that are not answered yet;
 //! * [`metrics`] and [`status`]: what operators are told.
 
 mod cloud_client;
