--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -8,7 +8,6 @@
 use super::{CallPurpose, Controller, Leader};
 use crate::constants::{
     ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_REST_MS, LEADER_LIFE_MS, STATE_CALL_MS,
-    WRITE_SHARE_LEADER,
 };
 use crate::protocol::http::Response;
 use crate::protocol::state::{
@@ -184,13 +183,3 @@
         }
     }
 }
-
-/// A follower's part of the writes that the state service allows: for users' requests.
-pub(super) fn follower_write_share(controllers: usize) -> f64 {
-    (1.0 - WRITE_SHARE_LEADER) / controllers as f64
-}
-
-/// The leader's part of the writes.
-pub(super) fn leader_write_share(controllers: usize) -> f64 {
-    WRITE_SHARE_LEADER + follower_write_share(controllers)
-}
--- a/src/coordination/gangs/tests.rs
+++ b/src/coordination/gang_rules/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of [`super`], the module `gangs`.
+//! Tests of [`super`], the module `gang_rules`.
 
 use super::*;
 use crate::protocol::users::JobKind;
--- a/src/coordination/heartbeats/mod.rs
+++ b/src/coordination/heartbeats/mod.rs
@@ -16,7 +16,7 @@
 
 pub(super) use response::DeferredHeartbeat;
 
-use super::requests::Requester;
+use super::requester::Requester;
 use super::{ConnectionId, Controller};
 use crate::constants::ELECTION_LEAST_MS;
 use crate::protocol::workers::{Heartbeat, LeaderRedirect};
--- a/src/coordination/heartbeats/reclaim.rs
+++ b/src/coordination/heartbeats/reclaim.rs
@@ -1,7 +1,7 @@
 //! Spot machines that the cloud is about to take back.
 
 use crate::constants::{MS_PER_S, RECLAIM_MARGIN_S};
-use crate::coordination::gangs::saves_when_stopped;
+use crate::coordination::gang_rules::saves_when_stopped;
 use crate::coordination::Leader;
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::settings::Workers;
--- a/src/coordination/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -1,45 +1,15 @@
-//! Gangs as the leader sees them: attempts that can't become complete, and stops that take all tasks.
+//! Gangs of the leader's term: attempts that can't become complete, and stops that take all tasks.
 
-use super::election::leader_write_share;
-use super::leader::was_never_ordered;
-use super::{Controller, Leader};
-use crate::constants::{
-    COMMIT_BYTES, COMMIT_FRAME_BYTES, GANG_SCAN_MS, GROUP_FRAME_BYTES, MS_PER_S,
-    PLACEMENT_BYTES_MOST, REPORT_JITTER, SILENT_PERIODS, WORKER_RETRY_S, WORKER_WAIT_S,
-    WRITE_RESERVE,
-};
-use crate::protocol::users::JobSpec;
+use super::{was_never_ordered, Leader};
+use crate::constants::{GANG_SCAN_MS, MS_PER_S, SILENT_PERIODS, WORKER_RETRY_S, WORKER_WAIT_S};
+use crate::coordination::Controller;
 use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
 use crate::storage::job::Job;
-use crate::storage::limits::StoreLimits;
 use crate::storage::machine::{Machine, MachineState, StopReason, TaskId};
 use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeSet;
 
-/// Most tasks of a gang: the placements of an attempt go into one transaction, which can have no more
-/// changes than a leader may make at once.
-pub(super) fn gang_tasks_max(limits: &StoreLimits, controllers: usize) -> usize {
-    let by_bytes = (COMMIT_BYTES - COMMIT_FRAME_BYTES) / limits.value_bytes;
-    let burst = limits.lowest_writes_per_s() * leader_write_share(controllers) - WRITE_RESERVE;
-    let groups = limits.transaction_ops.min(by_bytes).min(burst as usize).max(1);
-    groups * ((limits.value_bytes - GROUP_FRAME_BYTES) / PLACEMENT_BYTES_MOST)
-}
-
-/// Whether all tasks of a gang could ever be in the zones at once, of which so many hold machines
-/// that it may use.
-pub(super) fn zones_suffice(spec: &JobSpec, zones: usize) -> bool {
-    !spec.spread || spec.tasks == 1 || (!spec.one_zone && zones > 1)
-}
-
-/// Whether a task that is told to stop keeps its progress. Those of a gang do if all of them can be told
-/// in time, each in the response to its next heartbeat.
-pub(super) fn saves_when_stopped(spec: &JobSpec, workers: &Workers) -> bool {
-    let told_within_s = workers.report_s * (1.0 + REPORT_JITTER);
-    let in_time = workers.gang_peer_s <= 0.0 || told_within_s <= workers.gang_peer_s;
-    spec.saves() && (!spec.is_gang() || in_time)
-}
-
 /// Milliseconds of silence after which a machine is not waited for: longer than a worker takes to report
 /// again when it has missed one response.
 fn silent_ms(workers: &Workers) -> u64 {
@@ -49,7 +19,7 @@
 
 impl Leader {
     /// Stops all tasks of a gang; those that were never ordered are settled at once.
-    pub(super) fn stop_gang(&mut self, uid: &JobId, reason: StopReason, now: u64) {
+    pub(in crate::coordination) fn stop_gang(&mut self, uid: &JobId, reason: StopReason, now: u64) {
         self.cluster.stop_gang(uid, reason);
         for (machine, id) in self.never_ordered_tasks(uid) {
             self.cluster.settle(&machine, &id, EndCause::Lost);
@@ -123,6 +93,3 @@
         leader.stop_hopeless_gangs(&self.settings.params.workers, now);
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -3,11 +3,13 @@
 //! [`Leader`] owns what a term knows of jobs, machines and placements, and is dropped with the term. It
 //! must not change anything in the store but by a transaction that depends on the leader key's revision.
 //!
+//! * [`gangs`]: attempts of gangs that can't become complete;
 //! * [`planning`]: planning passes, from the planner's input to proposals and stops;
 //! * [`worker_leases`]: evidence that time gives, and handing over when no worker is heard;
 //! * [`run_times`]: what a class of jobs was seen to take;
 //! * [`summary`]: the line on how things stand.
 
+mod gangs;
 mod planning;
 mod run_times;
 mod summary;
@@ -50,7 +52,7 @@
     /// When each peer was last told that we lead: what permits it to extend leases in our place.
     pub(super) lease_extension_permits: Vec<Option<u64>>,
     /// When gangs that can't become complete are looked for next.
-    pub(super) gang_scan_at: u64,
+    gang_scan_at: u64,
     /// When worker leases are looked at next.
     lease_scan_at: u64,
     /// When the next summary is logged.
@@ -131,7 +133,7 @@
 }
 
 /// Whether a stored placement of a term was never ordered: its task is on no machine.
-pub(super) fn was_never_ordered(placement: &Placement, term: u64) -> bool {
+fn was_never_ordered(placement: &Placement, term: u64) -> bool {
     placement.attempt >> ATTEMPT_BITS == term
         && placement.phase == PlacementPhase::Committed
         && placement.start_sent_after.is_none()
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -1,6 +1,6 @@
 //! Holding the leader key: renewing its lease, and giving leadership up.
 
-use super::election::{follower_write_share, leader_write_share};
+use super::write_shares::{follower_write_share, leader_write_share};
 use super::{CallPurpose, Controller};
 use crate::constants::{LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS};
 use crate::protocol::http::Response;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -8,7 +8,7 @@
 //! * `cloud_client`: the rate of the cloud's requests, the catalogue of machine types;
 //! * `membership`: what peers say, the highest term heard of, lease extension;
 //! * `election` and `leadership`: taking, holding and giving up the leader key;
-//! * `leader`: the state of a term, planning passes, transactions, `fleet` and `gangs`;
+//! * `leader`: the state of a term, planning passes, gangs, and with it `fleet`;
 //! * `heartbeats`: what workers' heartbeats prove, and the commands in their responses;
 //! * `transactions`: the leader's write-ahead transactions, and what becomes of them;
 //! * `requests`: users' submissions, polls and cancellations;
@@ -20,7 +20,7 @@
 mod deadline_triage;
 mod election;
 mod fleet;
-mod gangs;
+mod gang_rules;
 mod heartbeats;
 mod interface;
 mod leader;
@@ -31,12 +31,15 @@
 pub mod planner;
 mod planner_input;
 mod recovery;
+mod rejection;
+mod requester;
 mod requests;
 pub mod status;
 mod store_client;
 mod store_isolation;
 mod transactions;
 mod wait_reason;
+mod write_shares;
 
 pub use interface::{CallId, Clock, Command, ConnectionId, Effect, Service};
 pub use leader::Leader;
@@ -55,7 +58,8 @@
 use outbox::{CallPurpose, Outbox};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use recovery::Recovery;
-use requests::{Requester, Submissions};
+use requester::Requester;
+use requests::Submissions;
 use std::rc::Rc;
 use store_client::StoreClient;
 
@@ -87,7 +91,7 @@
         let keys = HashKeys::from_seed(seed);
         let now = clock.monotonic_ms;
         let controllers = settings.controllers();
-        let write_share = election::follower_write_share(controllers);
+        let write_share = write_shares::follower_write_share(controllers);
         let state_limits = &settings.params.state;
         Controller {
             process_id: rng.random(),
--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -3,7 +3,7 @@
 use super::fleet::Rental;
 use super::interface::{CallId, ConnectionId, Effect, Service};
 use super::recovery::{DecisionCall, RebuildCall};
-use super::requests::Requester;
+use super::requester::Requester;
 use super::store_client::ReadPoint;
 use crate::protocol::state::Transaction;
 use crate::storage::hashing::{HashKeys, HashMap};
--- a/src/coordination/planner_input/placements.rs
+++ b/src/coordination/planner_input/placements.rs
@@ -2,7 +2,7 @@
 
 use super::InputBuilder;
 use crate::constants::{MS_PER_S, OVERDUE_SHARE, SERVICE_RUN_S};
-use crate::coordination::gangs::saves_when_stopped;
+use crate::coordination::gang_rules::saves_when_stopped;
 use crate::coordination::planner::{CachedImage, RunningTask};
 use crate::protocol::users::{JobKind, Priority};
 use crate::protocol::Resources;
--- a/src/coordination/requests/rejection.rs
+++ b/src/coordination/rejection.rs
@@ -2,7 +2,7 @@
 
 /// Why a submission is not accepted, in the words that its user is answered with.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub(in crate::coordination) enum Rejection {
+pub(super) enum Rejection {
     /// It is no submission, or a field is missing or invalid.
     #[error("{0}")]
     Malformed(String),
@@ -31,7 +31,7 @@
 
 impl Rejection {
     /// HTTP status of the answer.
-    pub(in crate::coordination) fn status(&self) -> u16 {
+    pub(super) fn status(&self) -> u16 {
         match self {
             Rejection::Malformed(_) => 400,
             Rejection::MachineTypesUnknown => 503,
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -2,12 +2,12 @@
 //!
 //! [`Submissions`] owns those that gather for a batch and the batches that are being committed.
 
-use super::Requester;
 use crate::constants::{
     ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
     BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, RETRY_AFTER_S,
     STATE_CALL_MS, USER_WAIT_MAX, WRITES_SHORT_SHARE, WRITE_KEEP_USERS,
 };
+use crate::coordination::requester::Requester;
 use crate::coordination::store_client::ReadPoint;
 use crate::coordination::{CallPurpose, Controller};
 use crate::protocol::http::Response;
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -1,7 +1,7 @@
 //! Cancellations: a job's end is committed before its user is told of it.
 
-use super::Requester;
 use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
+use crate::coordination::requester::Requester;
 use crate::coordination::store_client::{FreshReadWaiter, ReadPoint};
 use crate::coordination::{CallPurpose, Controller};
 use crate::protocol::http::Response;
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -7,14 +7,12 @@
 mod cancellations;
 mod health;
 mod polls;
-mod rejection;
 mod relay;
 mod submissions;
 
 pub(super) use batches::Submissions;
-pub(super) use rejection::Rejection;
 
-use super::interface::ConnectionId;
+use super::requester::Requester;
 use super::Controller;
 use crate::constants::{PEER_VERSION, RETRY_AFTER_BUSY_S, RETRY_AFTER_S, USER_WAIT_MAX};
 use crate::protocol::peers::{encode, RelayResponse};
@@ -23,34 +21,6 @@
 use crate::storage::records::{JobRecord, JobStage};
 use crate::storage::replica::Versioned;
 
-/// Who waits for the answer to a user's request.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Requester {
-    /// The connection to answer on.
-    connection: ConnectionId,
-    /// A peer that passes the answer on.
-    relayed: bool,
-    /// When the request came.
-    since: u64,
-}
-
-impl Requester {
-    /// A client that is connected to this controller.
-    pub(super) fn direct(connection: ConnectionId, now: u64) -> Requester {
-        Requester { connection, relayed: false, since: now }
-    }
-
-    /// The connection to answer on.
-    pub(super) fn connection(self) -> ConnectionId {
-        self.connection
-    }
-
-    /// A client of a peer that has passed the request on.
-    fn relayed(connection: ConnectionId, now: u64) -> Requester {
-        Requester { connection, relayed: true, since: now }
-    }
-}
-
 impl Controller {
     fn answer(
         &mut self,
@@ -59,11 +29,11 @@
         retry_after_s: Option<u64>,
         body: Vec<u8>,
     ) {
-        if requester.relayed {
+        if requester.is_relayed() {
             let answer = RelayResponse { version: PEER_VERSION, status, retry_after_s, body };
-            self.respond(requester.connection, 200, None, encode(&answer));
+            self.respond(requester.connection(), 200, None, encode(&answer));
         } else {
-            self.respond(requester.connection, status, retry_after_s, body);
+            self.respond(requester.connection(), status, retry_after_s, body);
         }
     }
 
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -1,6 +1,6 @@
 //! Polls of a job's state.
 
-use super::Requester;
+use crate::coordination::requester::Requester;
 use crate::coordination::store_client::FreshReadWaiter;
 use crate::coordination::Controller;
 use crate::protocol::routes::job_path;
@@ -23,7 +23,7 @@
 
     /// Answers a poll from the replica, which is fresh enough by now.
     pub(in crate::coordination) fn answer_poll(&mut self, requester: Requester, uid: &str) {
-        let _ = self.metrics.poll_ms.record(self.now.monotonic_ms - requester.since);
+        let _ = self.metrics.poll_ms.record(self.now.monotonic_ms - requester.since());
         let replica = self.store.replica();
         let Some(job) = replica.jobs.get(uid) else {
             return self.unknown_job(requester);
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -1,8 +1,8 @@
 //! Users' requests that a peer answers for us, or we for a peer.
 
-use super::Requester;
 use crate::constants::{PEER_VERSION, RELAY_CALL_MS};
 use crate::coordination::interface::{ConnectionId, Service};
+use crate::coordination::requester::Requester;
 use crate::coordination::{CallPurpose, Controller};
 use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, RelayRequest, RelayResponse};
@@ -17,7 +17,7 @@
         path: String,
         body: Vec<u8>,
     ) {
-        let peer = match requester.relayed {
+        let peer = match requester.is_relayed() {
             true => None,
             false => self.membership.served_peer(self.now.monotonic_ms),
         };
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -2,9 +2,10 @@
 //!
 //! None is answered before its batch is committed or known from a read.
 
-use super::{Rejection, Requester};
 use crate::constants::RETRY_AFTER_S;
-use crate::coordination::gangs::{gang_tasks_max, zones_suffice};
+use crate::coordination::gang_rules::{gang_tasks_max, zones_suffice};
+use crate::coordination::rejection::Rejection;
+use crate::coordination::requester::Requester;
 use crate::coordination::store_client::FreshReadWaiter;
 use crate::coordination::Controller;
 use crate::protocol::cloud::{Catalog, MachineType};
--- a/src/coordination/store_client/waiters.rs
+++ b/src/coordination/store_client/waiters.rs
@@ -1,6 +1,7 @@
 //! What waits for a zero-wait read that began after it came, and how it goes on after the read.
 
-use crate::coordination::requests::{Rejection, Requester};
+use crate::coordination::rejection::Rejection;
+use crate::coordination::requester::Requester;
 use crate::coordination::Controller;
 use crate::protocol::routes::{cancel_path, job_path};
 
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -1,6 +1,6 @@
 //! What a job that does not run waits for, in words for users and operators.
 
-use super::gangs::gang_tasks_max;
+use super::gang_rules::gang_tasks_max;
 use super::{Controller, Leader};
 use crate::protocol::workers::TaskStatus;
 use crate::protocol::Resources;
