--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -18,8 +18,7 @@
 mod scale_out;
 mod unplaced;
 
-pub(crate) use scale_out::Rental;
-
+use super::rental::Rental;
 use super::{Controller, Leader};
 use crate::constants::MS_PER_S;
 use crate::protocol::cloud::{Catalog, ListedMachine, MachineType};
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -8,6 +8,7 @@
     BOOT_LATE, CAPACITY_REST_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, MS_PER_S, RENT_MAX,
 };
 use crate::coordination::outbox::CallPurpose;
+use crate::coordination::rental::{CatalogKind, Rental};
 use crate::coordination::{Controller, Leader, Service};
 use crate::protocol::cloud::{Catalog, MachineNames, RentalRequest};
 use crate::protocol::http::Response;
@@ -15,28 +16,12 @@
 use crate::storage::records::MachineName;
 use rental_plan::{ComingMachine, RentalPlan};
 
-/// A kind of machine, by its type's index in the catalog.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct CatalogKind {
-    type_index: usize,
-    zone: String,
-    spot: bool,
-}
-
 /// Machines of one kind that are wanted.
 struct WantedMachines {
     kind: CatalogKind,
     count: usize,
 }
 
-/// A rental under way. Its name is never used for another one.
-#[derive(Debug, Clone)]
-pub(crate) struct Rental {
-    request_id: String,
-    kind: CatalogKind,
-    count: usize,
-}
-
 impl Controller {
     /// Rents what the work that waits and the services to come need beyond what is there and on its
     /// way.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -17,7 +17,6 @@
 //! * [`metrics`] and [`status`]: what operators are told.
 
 mod cloud_client;
-mod deadline_triage;
 mod election;
 mod fleet;
 mod gang_rules;
@@ -32,6 +31,7 @@
 mod planner_input;
 mod recovery;
 mod rejection;
+mod rental;
 mod requester;
 mod requests;
 pub mod status;
--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -1,8 +1,8 @@
 //! Effects of the batch under way, and the calls that have not been answered yet.
 
-use super::fleet::Rental;
 use super::interface::{CallId, ConnectionId, Effect, Service};
 use super::recovery::{DecisionCall, RebuildCall};
+use super::rental::Rental;
 use super::requester::Requester;
 use super::store_client::ReadPoint;
 use crate::protocol::state::Transaction;
--- a/src/coordination/deadline_triage.rs
+++ b/src/coordination/planner/deadline_triage.rs
@@ -5,7 +5,7 @@
 //! one with the most work of those laid so far gives way (Moore's rule, which leaves the fewest
 //! late). What has little left to place is kept, so that jobs that have begun come to their end.
 
-use super::planner::{BootingMachine, JobView, Snapshot};
+use super::{BootingMachine, JobView, Snapshot};
 use crate::constants::{FETCHING_MOST, WORK_UNITS};
 use crate::protocol::Resources;
 use std::collections::BinaryHeap;
--- a/src/coordination/deadline_triage/tests.rs
+++ b/src/coordination/planner/deadline_triage/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of [`super`], the module `deadline_triage`.
 
-use super::super::planner::tests::{gpus, job, machine, running, snapshot};
+use super::super::tests::{gpus, job, machine, running, snapshot};
 use super::*;
 
 /// What the jobs of these sizes miss on four slots, where each task runs for 10 s.
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -15,6 +15,7 @@
 
 mod allocation;
 mod backfill;
+mod deadline_triage;
 mod gang;
 mod offers;
 mod pass;
--- a/src/coordination/planner/queue.rs
+++ b/src/coordination/planner/queue.rs
@@ -1,10 +1,10 @@
 //! The order of the waiting jobs, and the heads of the queue: they start now, and the first that can't
 //! gets the reservation.
 
+use super::deadline_triage::missed_deadlines;
 use super::pass::Pass;
 use super::shares::permille_of;
 use crate::constants::{JOBS_PER_PASS, JOB_TASKS_PER_PASS, STARVING_PLACES_PART};
-use crate::coordination::deadline_triage::missed_deadlines;
 use crate::protocol::users::Priority;
 
 impl Pass<'_> {
