--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -11,8 +11,10 @@
 use std::fs;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
+use std::ops::Range;
 use std::path::PathBuf;
 use std::process::{Child, Command};
+use std::sync::atomic::{AtomicU16, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -37,10 +39,21 @@
     listener.local_addr().expect("bound").to_string()
 }
 
-/// Addresses that are free now; another process may take one before it is used.
+/// Ports that controllers listen on: below those that outgoing connections take (from 32,768 on Linux), so that
+/// none of these is lost between its choice and the start of its controller.
+const CONTROLLER_PORTS: Range<u16> = 10_000..32_000;
+
+/// Addresses that are free now, and that no other test of this process gets.
 fn free_addresses(count: usize) -> Vec<String> {
-    let listeners: Vec<TcpListener> = (0..count).map(|_| listener()).collect();
-    listeners.iter().map(address_of).collect()
+    static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
+    let ports = CONTROLLER_PORTS.end - CONTROLLER_PORTS.start;
+    let first = (std::process::id() % u32::from(ports)) as u16;
+    let candidates = std::iter::repeat_with(|| {
+        let offset = NEXT_PORT.fetch_add(1, Ordering::Relaxed).wrapping_add(first);
+        format!("127.0.0.1:{}", CONTROLLER_PORTS.start + offset % ports)
+    });
+    let is_free = |address: &String| TcpListener::bind(address.as_str()).is_ok();
+    candidates.filter(is_free).take(count).collect()
 }
 
 impl Deployment {
