--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -105,12 +105,11 @@
         for reported in heartbeat.tasks.iter().filter(|task| task.status.is_on_machine()) {
             let Some((job, index)) = parse_task(&reported.task_id) else { continue };
             let (id, attempt) = (TaskId::new(job.into(), index), reported.attempt);
-            let placement = leader.cluster.machines[name].placements.get(&id);
-            if placement.is_some_and(|placement| placement.attempt == attempt) {
+            if leader.cluster.placement(name, &id).is_some_and(|p| p.attempt == attempt) {
                 continue;
             }
+            // Perhaps a late copy. What really runs there a heartbeat with our token shows.
             if history_is_doubtful && !has_our_token {
-                // Perhaps a late copy. What really runs there a heartbeat with our token shows.
                 continue;
             }
             if was_rebuilt && !self.store.replica().jobs.contains_key(&id.job) {
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -112,6 +112,52 @@
     SettleAsLost,
 }
 
+/// What is decided on a machine's placements for one response.
+struct DecidedCommands {
+    /// Stops and removals, which come first.
+    commands: Vec<WorkerCommand>,
+    starts: Vec<WorkerCommand>,
+    /// Tasks to settle as lost.
+    lost: Vec<TaskId>,
+}
+
+impl DecidedCommands {
+    fn new(commands: Vec<WorkerCommand>) -> DecidedCommands {
+        DecidedCommands { commands, starts: Vec::new(), lost: Vec::new() }
+    }
+
+    /// Whether the response has as many commands as it may.
+    fn is_full(&self) -> bool {
+        self.commands.len() + self.starts.len() >= COMMANDS_MAX
+    }
+
+    fn add(
+        &mut self,
+        decision: Decision,
+        id: &TaskId,
+        placement: &mut Placement,
+        heartbeat: HeartbeatId,
+    ) {
+        let (task_id, attempt) = (id.to_string(), placement.attempt);
+        match decision {
+            Decision::Nothing => {}
+            Decision::Stop { grace_s } => {
+                self.commands.push(WorkerCommand::Stop { task_id, attempt, grace_s });
+            }
+            Decision::Start => {
+                placement.start_sent_after = Some(heartbeat);
+                self.starts.push(WorkerCommand::Start { task_id, attempt });
+            }
+            Decision::SettleAsLost => self.lost.push(id.clone()),
+        }
+    }
+
+    fn into_commands(mut self) -> Vec<WorkerCommand> {
+        self.commands.append(&mut self.starts);
+        self.commands
+    }
+}
+
 /// What the decisions of one response have in common.
 struct ResponseContext {
     /// The leader's term.
@@ -256,36 +302,25 @@
             has_our_token: heartbeat.has_our_token,
             may_start: may_order_starts && takes_starts,
         };
-        let mut commands = heartbeat.stop_and_clear_commands(machine);
-        let mut starts = Vec::new();
-        let mut lost = Vec::new();
+        let is_over_by_peers = |uid: &str| self.membership.has_heard_end_of(uid);
+        let mut decided = DecidedCommands::new(heartbeat.stop_and_clear_commands(machine));
         for (id, placement) in &mut machine.placements {
             if placement.settled.is_some() || placement.phase != PlacementPhase::Committed {
                 continue;
             }
-            if commands.len() + starts.len() >= COMMANDS_MAX {
+            if decided.is_full() {
                 break;
             }
             // What a peer has told of the job's end stops a task, but settles nothing.
-            let ended = self.membership.has_heard_end_of(&id.job);
-            let (task_id, attempt) = (id.to_string(), placement.attempt);
-            match context.decide(placement, jobs.get(&id.job), id.index, ended) {
-                Decision::Nothing => {}
-                Decision::Stop { grace_s } => {
-                    commands.push(WorkerCommand::Stop { task_id, attempt, grace_s });
-                }
-                Decision::Start => {
-                    placement.start_sent_after = Some(heartbeat.id);
-                    starts.push(WorkerCommand::Start { task_id, attempt });
-                }
-                Decision::SettleAsLost => lost.push(id.clone()),
-            }
+            let ended = is_over_by_peers(&id.job);
+            let decision = context.decide(placement, jobs.get(&id.job), id.index, ended);
+            decided.add(decision, id, placement, heartbeat.id);
         }
-        commands.extend(starts);
         machine.last_response_at = Some(self.now.monotonic_ms);
-        for id in lost {
-            leader.cluster.settle(&heartbeat.machine, &id, EndCause::Lost);
+        for id in &decided.lost {
+            leader.cluster.settle(&heartbeat.machine, id, EndCause::Lost);
         }
+        let commands = decided.into_commands();
         Some(HeartbeatResponse { fencing_token: leader.term, commands })
     }
 }
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -46,14 +46,11 @@
             let uid = first.id.job.clone();
             let is_live = self.is_live(&uid);
             let needs_condition = is_live && !jobs.contains(&uid);
-            let mut filled = fill.clone();
-            let placed = assign_groups(entries, &mut filled);
-            let placed = placed.filter(|_| !needs_condition || jobs.len() < conditions_left);
-            if let Some(placed) = placed {
+            let has_condition = !needs_condition || jobs.len() < conditions_left;
+            if let Some(placed) = assign_groups(entries, fill, has_condition) {
                 if is_live {
                     jobs.insert(uid);
                 }
-                *fill = filled;
                 additions.extend(placed);
                 continue;
             }
@@ -132,14 +129,19 @@
     }
 }
 
-/// Finds a group for each entry; none if there is not room for all.
+/// Finds a group for each entry; none, and nothing is filled, if there is not room for all.
 fn assign_groups(
     entries: Vec<PlacementEntry>,
     fill: &mut GroupFill,
+    has_condition: bool,
 ) -> Option<Vec<PlacementEntry>> {
+    let mut filled = fill.clone();
     let assign = |entry: PlacementEntry| {
-        let group = fill.add(entry.bytes)?;
+        let group = filled.add(entry.bytes)?;
         Some(PlacementEntry { group, ..entry })
     };
-    entries.into_iter().map(assign).collect()
+    let assigned: Option<Vec<PlacementEntry>> = entries.into_iter().map(assign).collect();
+    let assigned = assigned.filter(|_| has_condition)?;
+    *fill = filled;
+    Some(assigned)
 }
