--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -4,19 +4,22 @@
 use std::path::{Path, PathBuf};
 
 /// Pages whose links and file names are checked.
-const PAGES: [&str; 6] = [
+const PAGES: [&str; 7] = [
     "README.md",
     "CONTRIBUTING.md",
     "docs/architecture.md",
     "docs/glossary.md",
     "docs/operations.md",
     "docs/design.md",
+    "docs/guards.md",
 ];
 /// What a file name in backticks begins with, from the root of the repository.
 const FILE_PREFIXES: [&str; 7] =
     ["src/", "docs/", "crates/", "tests/", "scripts/", "examples/", "proto/"];
 /// Directories with the sources of the program and its packages.
 const SOURCES: [&str; 2] = ["src", "crates"];
+/// Directory with the scenarios that run whole controllers.
+const SCENARIOS: &str = "tests";
 /// First words of code spans in operations.md that are commands or requests, not log lines.
 const COMMANDS: [&str; 3] = ["mountgap", "cargo", "GET"];
 
@@ -87,14 +90,25 @@
 }
 
 fn sources() -> String {
+    text_of(&SOURCES)
+}
+
+fn text_of(directories: &[&str]) -> String {
     let mut files = Vec::new();
-    for directory in SOURCES {
+    for directory in directories {
         rust_files(&root().join(directory), &mut files);
     }
     let texts = files.iter().map(|file| std::fs::read_to_string(file).expect("a source file"));
     texts.collect::<Vec<_>>().join("\n")
 }
 
+/// Names of all functions that stand right behind `#[test]`.
+fn test_names(sources: &str) -> BTreeSet<&str> {
+    let behind = sources.split("#[test]\n").skip(1);
+    let heads = behind.filter_map(|rest| rest.split_once("fn ").map(|(_, head)| head));
+    heads.filter_map(|head| head.split('(').next()).collect()
+}
+
 /// Identifiers and words of string literals in the sources, without comments.
 fn words(text: &str) -> BTreeSet<&str> {
     let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
@@ -197,6 +211,28 @@
     }
 }
 
+#[test]
+fn every_test_that_guards_names_exists() {
+    let page = read("docs/guards.md");
+    let sources = text_of(&[SOURCES[0], SOURCES[1], SCENARIOS]);
+    let known = test_names(&sources);
+    let rows = table_rows(&page, &["guard"]);
+    assert!(rows.len() > 20, "only {} guards are read", rows.len());
+    for row in rows {
+        let named = code_spans(row[2]);
+        assert!(!named.is_empty(), "no test of guard: {}", row[0]);
+        for test in named {
+            assert!(known.contains(test), "test {test} of a guard does not exist");
+        }
+    }
+}
+
+#[test]
+fn a_function_that_is_no_test_is_not_taken_for_one() {
+    let known = test_names("#[test]\nfn checked() {}\n\nfn helper() {}\n");
+    assert_eq!(known, BTreeSet::from(["checked"]));
+}
+
 #[test]
 fn every_log_line_in_operations_is_one_of_the_program() {
     let (page, formats) = (read("docs/operations.md"), log_formats(&sources()));
