--- a/src/constants/admission.rs
+++ b/src/constants/admission.rs
@@ -1,7 +1,7 @@
 //! Bounds on users' requests that wait, and when a refused one may come again.
 
 /// User requests taken from one batch; those beyond are answered 503 at once, so
-/// that reports and decisions keep their turn.
+/// that heartbeats and decisions keep their turn.
 pub const BATCH_USER_MAX: usize = 256;
 /// User requests waiting for the state service; more are answered 503 at once.
 pub const USER_WAIT_MAX: usize = 2_000;
--- a/src/constants/fleet.rs
+++ b/src/constants/fleet.rs
@@ -5,25 +5,25 @@
 /// Milliseconds between two reads of the catalogue (prices move).
 pub const CATALOG_PERIOD_MS: u64 = 30_000;
 /// Milliseconds to wait for the cloud; it answers in some hundred.
-pub const CLOUD_CALL_MS: u64 = 5_000;
+pub const CLOUD_TIMEOUT_MS: u64 = 5_000;
 /// Milliseconds before the cloud is asked again after a failure.
-pub const CLOUD_RETRY_MS: u64 = 1_000;
+pub const CLOUD_RETRY_BACKOFF_MS: u64 = 1_000;
 /// Milliseconds for which "no capacity" for a type, zone and kind is remembered.
-pub const CAPACITY_REST_MS: u64 = 20_000;
+pub const CAPACITY_BACKOFF_MS: u64 = 20_000;
 /// Machines in one page of the list; the protocol's maximum.
 pub const LIST_LIMIT: usize = 500;
 /// Machines in one rental; the protocol's maximum.
-pub const RENT_MAX: usize = 50;
+pub const RENTAL_MACHINES_MAX: usize = 50;
 /// Machines in one deletion; the protocol's maximum.
-pub const DELETE_MAX: usize = 100;
+pub const DELETION_MACHINES_MAX: usize = 100;
 /// Times its `boot_s` after which a booting machine no longer counts as coming soon.
 pub const BOOT_LATE: f64 = 1.8;
 /// Machines of a kind on their way from which on tasks may wait for one rather than queue their
 /// image on another: of so many one is up every few seconds, while the boot of a single one
 /// may take half as long again as expected.
-pub const COMING_MANY: u64 = 32;
+pub const BOOTING_MACHINES_MANY: u64 = 32;
 /// A booting machine past its `boot_s` is expected within this part of it.
-pub const BOOT_SOON_PART: u64 = 8;
+pub const BOOT_OVERDUE_DIVISOR: u64 = 8;
 /// Times its `boot_s` after which a booting machine is deleted.
 pub const BOOT_LOST: f64 = 2.8;
 /// Times its `boot_s` that an idle machine is kept: to rent it again costs a boot and the
@@ -52,23 +52,23 @@
 pub const MOVE_SHARE: f64 = 0.01;
 /// Milliseconds between two moves of services: each is a short gap for its users.
 pub const MOVE_GAP_MS: u64 = 3_000;
-/// Milliseconds between two looks at the size of the fleet.
+/// Milliseconds between two evaluations of the size of the fleet.
 pub const FLEET_PERIOD_MS: u64 = 300;
-/// Milliseconds that each machine adds to that: a look counts what every machine holds.
-pub const FLEET_MACHINE_MS: f64 = 0.4;
+/// Milliseconds that each machine adds to that: an evaluation counts what every machine holds.
+pub const FLEET_PERIOD_PER_MACHINE_MS: f64 = 0.4;
 /// Milliseconds a machine may be silent, once its tasks are settled, before it is deleted.
 pub const SILENT_DELETE_MS: u64 = 45_000;
 /// Seconds in which the queue of batch work should be worked off, at the least.
 pub const DRAIN_TARGET_S: f64 = 45.0;
-/// Seconds of notice believed at the most: clouds give seconds or minutes, and a nonsense figure
+/// Longest notice in seconds that is believed: clouds give seconds or minutes, and a nonsense figure
 /// must not overflow a time.
-pub const RECLAIM_MOST_S: f64 = 86_400.0;
-/// Milliseconds after its time at which a silent machine that was to be taken is deleted.
+pub const RECLAIM_NOTICE_MAX_S: f64 = 86_400.0;
+/// Milliseconds after its time at which a silent spot machine that was to be reclaimed is deleted.
 pub const RECLAIM_PAST_MS: u64 = 500;
-/// Seconds before a spot machine is taken at which tasks that can save are told to, beyond
+/// Seconds before a spot machine is reclaimed at which tasks are told to save a checkpoint, beyond
 /// their own `checkpoint_cost_s`.
 pub const RECLAIM_MARGIN_S: f64 = 4.0;
-/// Milliseconds added to how long the machine list may lag before absence is believed.
+/// Milliseconds added to how long the machine list may lag before a machine missing from it counts as gone.
 pub const LIST_MARGIN_MS: u64 = 2_000;
 /// Slots below which a demand is met: rounding.
 pub const SLOT_EPSILON: f64 = 0.05;
--- a/src/constants/http.rs
+++ b/src/constants/http.rs
@@ -22,5 +22,5 @@
 /// Sockets that one wait reports: those beyond are reported by the next one. A change of leader makes
 /// a whole fleet ready at once, and the kernel hands the rest out in turn.
 pub const READY_PER_WAIT: usize = 1_024;
-/// Bytes read from one socket at a time; one report or answer normally fits.
+/// Bytes read from one socket at a time; one request or response normally fits.
 pub const READ_CHUNK: usize = 16 * 1024;
--- a/src/constants/planning.rs
+++ b/src/constants/planning.rs
@@ -6,7 +6,7 @@
 pub const PASS_GAP_MS: u64 = 60;
 /// Milliseconds that each machine adds to the least gap between two passes: a pass looks at
 /// every machine, and the state service takes a few writes a second anyway.
-pub const PASS_GAP_MACHINE_MS: f64 = 0.2;
+pub const PASS_GAP_PER_MACHINE_MS: f64 = 0.2;
 /// Milliseconds between commits of done-task bitmaps alone (DESIGN: batched every 2 s).
 pub const DONE_BATCH_MS: u64 = 2_000;
 /// Penalty factors tried for a reservation (DESIGN, from the paper's evaluation).
@@ -31,7 +31,7 @@
 pub const ESTIMATE_MIN_S: f64 = 1.0;
 /// Time that tasks wait for their images, as a part of the time they run, at the most: while a
 /// fleet comes up nearly all of them wait, which tells little about later.
-pub const FETCHING_MOST: f64 = 1.0;
+pub const FETCH_SHARE_MAX: f64 = 1.0;
 /// Seconds by which an overdue task is taken to run on, as a share of what it ran.
 pub const OVERDUE_SHARE: f64 = 0.25;
 /// Tasks of one job considered in one pass; the next pass goes on.
@@ -39,12 +39,12 @@
 /// Jobs looked at by one pass, oldest first; bounds its time with huge queues.
 pub const JOBS_PER_PASS: usize = 200;
 /// Tasks placed by one pass, whatever the size of the fleet.
-pub const PLACES_PER_PASS: usize = 128;
+pub const PLACEMENTS_PER_PASS: usize = 128;
 /// Tasks placed by one pass beside those, for each machine: passes are the rarer, the more machines
 /// there are, and a whole fleet comes up within half a minute. A commit holds well over a thousand.
-pub const PLACES_PER_MACHINE: f64 = 0.25;
-/// Later places that one pass works out for waiting tasks; bounds its time.
-pub const CLAIMS_PER_PASS: usize = 96;
+pub const PLACEMENTS_PER_MACHINE: f64 = 0.25;
+/// Placements at a later time that one pass computes for waiting tasks; bounds its time.
+pub const LATER_PLACEMENTS_PER_PASS: usize = 96;
 /// Milliseconds of waiting after which a job of which no task ever started goes first,
 /// whatever its rank: users want the largest jobs to begin within four minutes, a place may
 /// have to be waited for (half a minute) and its image fetched (up to one and a half).
@@ -54,26 +54,26 @@
 pub const STARVING_BEGUN_MS: u64 = 240_000;
 /// One in so many of the free places goes to jobs that have waited too long: enough that
 /// they end, and little enough that others are not late for them.
-pub const STARVING_PLACES_PART: usize = 4;
+pub const STARVING_PLACEMENTS_DIVISOR: usize = 4;
 /// Parts of what the whole fleet does in a millisecond, in which jobs' work is ordered: a heap
 /// takes no fractions.
 pub const WORK_UNITS: f64 = 1e6;
-/// Milliseconds from now beyond which a later place tells nothing: estimates are too wrong.
-pub const CLAIM_HORIZON_MS: u64 = 90_000;
-/// Milliseconds a started task is left alone before it may be stopped for others: a
+/// Milliseconds from now beyond which a later placement is not considered: estimates are too inaccurate.
+pub const LATER_PLACEMENT_HORIZON_MS: u64 = 90_000;
+/// Milliseconds a started task is left alone before it may be preempted: a
 /// start counts for users when it lasts 30 s.
 pub const PREEMPT_SHIELD_MS: u64 = 30_000;
-/// Milliseconds in which room that is being made is counted on, at the least.
-pub const ROOM_COMING_MS: u64 = 1_000;
+/// Milliseconds within which room that preemption makes is expected, at the least.
+pub const PREEMPTED_ROOM_MIN_MS: u64 = 1_000;
 /// Weight of the newest sample in the averages of run times per class.
 pub const AVERAGE_WEIGHT: f64 = 0.1;
-/// First pause in milliseconds of a job whose tasks fail on several machines, doubled each time.
-pub const FAIL_PAUSE_MS: u64 = 2_000;
-/// Longest such pause in milliseconds.
-pub const FAIL_PAUSE_MAX_MS: u64 = 60_000;
-/// Different machines on which a job failed, with no success, before it is held for a bad job.
+/// First backoff in milliseconds of a job whose tasks fail on several machines, doubled each time.
+pub const FAILURE_BACKOFF_MS: u64 = 2_000;
+/// Longest such backoff in milliseconds.
+pub const FAILURE_BACKOFF_MAX_MS: u64 = 60_000;
+/// Different machines on which a job failed, with no success, before it counts as a bad job.
 pub const BAD_JOB_MACHINES: usize = 2;
-/// Failures on a machine of jobs not held for bad before the machine is set aside.
+/// Failures on a machine, of jobs that do not count as bad, before the machine is cordoned.
 pub const FAULTY_FAILURES: u32 = 2;
 /// Milliseconds for which a failure counts against a machine.
 pub const FAULTY_WINDOW_MS: u64 = 60_000;
--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -1,6 +1,6 @@
 //! The client of the cloud: the rate of its requests, and the catalogue of machine types.
 
-use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_MS, STATE_RPS_SHARE};
+use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_BACKOFF_MS, STATE_RPS_SHARE};
 use crate::protocol::cloud::Catalog;
 use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
@@ -68,7 +68,7 @@
     /// Whether the catalogue is to be asked for now; notes the request if it is.
     pub(super) fn begin_catalog_request(&mut self, is_leader: bool, now: u64) -> bool {
         let period_ms = match (&self.catalog, is_leader) {
-            (None, _) => CLOUD_RETRY_MS,
+            (None, _) => CLOUD_RETRY_BACKOFF_MS,
             (Some(_), true) => CATALOG_PERIOD_MS,
             (Some(_), false) => CATALOG_PERIOD_MS * FOLLOWER_CATALOG_PERIODS,
         };
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -7,7 +7,8 @@
 use super::store_client::ReadPoint;
 use super::{CallPurpose, Controller, Leader};
 use crate::constants::{
-    ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_REST_MS, LEADER_LIFE_MS, STATE_CALL_MS,
+    ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_BACKOFF_MS, LEADER_LEASE_MS,
+    STATE_TIMEOUT_MS,
 };
 use crate::protocol::http::Response;
 use crate::protocol::state::{
@@ -33,7 +34,7 @@
 impl Election {
     /// We have handed over: others go first.
     pub(super) fn rest_after_handover(&mut self, now: u64) {
-        self.rest_until = now + HANDOVER_REST_MS;
+        self.rest_until = now + HANDOVER_BACKOFF_MS;
     }
 
     /// Somebody leads.
@@ -69,8 +70,8 @@
         }
         self.election.in_progress = true;
         let body =
-            serde_json::to_vec(&LeaseRequest { life_ms: LEADER_LIFE_MS }).unwrap_or_default();
-        self.state_call("POST", LEASES_PATH.into(), body, STATE_CALL_MS, CallPurpose::Lease);
+            serde_json::to_vec(&LeaseRequest { life_ms: LEADER_LEASE_MS }).unwrap_or_default();
+        self.state_call("POST", LEASES_PATH.into(), body, STATE_TIMEOUT_MS, CallPurpose::Lease);
     }
 
     /// Whether a leader was an earlier process of this very controller: it surely leads no more.
@@ -98,7 +99,7 @@
         self.store.take_writes(2.0, f64::MIN, self.now.monotonic_ms);
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let purpose = CallPurpose::Elect { lease_id, term, sent: self.store.read_point() };
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
     /// Takes leader key and term, unless somebody else has changed either.
--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -1,6 +1,6 @@
 //! Requests for the cloud's catalog of machine types; the cloud's client owns what is known of it.
 
-use crate::constants::CLOUD_CALL_MS;
+use crate::constants::CLOUD_TIMEOUT_MS;
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Service};
 use crate::protocol::cloud::Catalog;
@@ -12,7 +12,7 @@
         let now = self.now.monotonic_ms;
         if self.cloud.begin_catalog_request(self.leader.is_some(), now) {
             let (path, purpose) = ("/catalog".into(), CallPurpose::Catalog);
-            self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
+            self.call(Service::Cloud, "GET", path, vec![], CLOUD_TIMEOUT_MS, purpose);
         }
     }
 
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,7 +1,7 @@
 //! The cloud's list of machines: which are there, failed or gone.
 
 use crate::constants::{
-    CLOUD_CALL_MS, CLOUD_RETRY_MS, LIST_LIMIT, LIST_MARGIN_MS, LIST_PERIOD_MS, MS_PER_S,
+    CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, LIST_LIMIT, LIST_MARGIN_MS, LIST_PERIOD_MS, MS_PER_S,
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
@@ -33,7 +33,7 @@
     fn ask_for_page(&mut self, after: Option<&str>, list_started_at: u64) {
         let path = machine_list_path(after, LIST_LIMIT);
         let purpose = CallPurpose::Hosts { begun: list_started_at };
-        self.call(Service::Cloud, "GET", path, vec![], CLOUD_CALL_MS, purpose);
+        self.call(Service::Cloud, "GET", path, vec![], CLOUD_TIMEOUT_MS, purpose);
     }
 
     /// Takes in a page of the list that was started then.
@@ -54,7 +54,7 @@
         };
         let Some(hosts) = hosts else {
             fleet.list_in_progress = false;
-            fleet.next_list_at = now + CLOUD_RETRY_MS;
+            fleet.next_list_at = now + CLOUD_RETRY_BACKOFF_MS;
             return;
         };
         let last = hosts.machines.last().map(|host| host.uid.clone());
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -3,9 +3,9 @@
 use super::forecast::ServiceHeadroom;
 use super::{boot_ms, is_usable};
 use crate::constants::{
-    BOOT_LOST, CHARGE_MIN_S, CLOUD_CALL_MS, DELETE_MAX, IDLE_RETURN_BOOTS, LEADER_UNHEARD_MS,
-    MS_PER_S, RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_FEW, SILENT_PERIODS, WORKER_RETRY_S,
-    WORKER_WAIT_S,
+    BOOT_LOST, CHARGE_MIN_S, CLOUD_TIMEOUT_MS, DELETION_MACHINES_MAX, IDLE_RETURN_BOOTS, MS_PER_S,
+    RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_MINORITY_DIVISOR, SILENT_PERIODS,
+    WORKERS_UNREACHABLE_HANDOVER_MS, WORKER_RETRY_S, WORKER_TIMEOUT_S,
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
@@ -49,10 +49,10 @@
             }
         }
         // A leader that hears nobody must not take that for the death of all.
-        if names.is_empty() || now > leader.last_heartbeat_at + LEADER_UNHEARD_MS {
+        if names.is_empty() || now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS {
             return;
         }
-        names.truncate(DELETE_MAX);
+        names.truncate(DELETION_MACHINES_MAX);
         if self.cloud.take_request(0.0, now) {
             self.delete_machines(names);
         }
@@ -69,7 +69,7 @@
         let body = MachineNames { machines: names.iter().map(|name| name.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = CallPurpose::Delete(names);
-        self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_CALL_MS, purpose);
+        self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_TIMEOUT_MS, purpose);
     }
 
     /// Takes in what the cloud answered to a deletion.
@@ -255,7 +255,7 @@
         let workers = &settings.params.workers;
         // A report that fails, the worker's wait for it, one at a wrong controller, and back.
         let round_s =
-            workers.report_s * MISSED_ROUND_PERIODS + WORKER_WAIT_S + WORKER_RETRY_S * 2.0;
+            workers.report_s * MISSED_ROUND_PERIODS + WORKER_TIMEOUT_S + WORKER_RETRY_S * 2.0;
         let round_ms = (round_s * MS_PER_S) as u64;
         let recent_ms = (workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
         let cluster = &self.cluster;
@@ -273,7 +273,7 @@
         let (silent, others): (Vec<&Machine>, Vec<&Machine>) =
             known.iter().copied().partition(|machine| missed_round(machine));
         let reporting = known.iter().filter(|machine| reported_lately(machine)).count();
-        let are_few = silent.len() * SILENT_FEW <= known.len();
+        let are_few = silent.len() * SILENT_MINORITY_DIVISOR <= known.len();
         if !are_few || reporting + silent.len() < known.len() {
             return Vec::new();
         }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -5,7 +5,8 @@
 use super::unplaced::UnplacedTasks;
 use super::{total_of, MachineKind};
 use crate::constants::{
-    BOOT_LATE, CAPACITY_REST_MS, CLOUD_CALL_MS, CLOUD_RETRY_MS, MS_PER_S, RENT_MAX,
+    BOOT_LATE, CAPACITY_BACKOFF_MS, CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MS_PER_S,
+    RENTAL_MACHINES_MAX,
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::rental::{CatalogKind, Rental};
@@ -49,7 +50,7 @@
         let Some(leader) = self.leader.as_mut() else { return rentals };
         while let Some(first) = wanted.iter().position(|kind| kind.count > 0) {
             for WantedMachines { kind, count: left } in &mut wanted[first..] {
-                let count = (*left).min(RENT_MAX);
+                let count = (*left).min(RENTAL_MACHINES_MAX);
                 if count == 0 {
                     continue;
                 }
@@ -86,7 +87,7 @@
             leader.fleet.pending_rentals.push(rental.clone());
         }
         let purpose = CallPurpose::Rent(rental);
-        self.call(Service::Cloud, "POST", "/hosts".into(), body, CLOUD_CALL_MS, purpose);
+        self.call(Service::Cloud, "POST", "/hosts".into(), body, CLOUD_TIMEOUT_MS, purpose);
     }
 
     /// Takes in what the cloud answered to a rental.
@@ -108,7 +109,7 @@
             Some(Response { status: 200, body }) => {
                 let Ok(names) = serde_json::from_slice::<MachineNames>(&body) else { return };
                 if names.machines.len() < rental.count {
-                    leader.fleet.no_capacity.insert(kind.clone(), now + CAPACITY_REST_MS);
+                    leader.fleet.no_capacity.insert(kind.clone(), now + CAPACITY_BACKOFF_MS);
                 }
                 leader.note_rented(&names, &kind, now);
             }
@@ -117,10 +118,10 @@
             {
                 let MachineKind { type_name, zone, spot } = &kind;
                 log::info!("no capacity for {type_name} in {zone}, spot {spot}");
-                leader.fleet.no_capacity.insert(kind, now + CAPACITY_REST_MS);
+                leader.fleet.no_capacity.insert(kind, now + CAPACITY_BACKOFF_MS);
             }
             // Perhaps carried out, perhaps later: what comes of it shows up in the list.
-            _ => leader.fleet.next_rental_at = now + CLOUD_RETRY_MS,
+            _ => leader.fleet.next_rental_at = now + CLOUD_RETRY_BACKOFF_MS,
         }
     }
 }
--- a/src/coordination/gang_rules.rs
+++ b/src/coordination/gang_rules.rs
@@ -2,7 +2,7 @@
 
 use super::write_shares::leader_write_share;
 use crate::constants::{
-    COMMIT_BYTES, COMMIT_FRAME_BYTES, GROUP_FRAME_BYTES, PLACEMENT_BYTES_MOST, REPORT_JITTER,
+    COMMIT_BYTES, COMMIT_FRAME_BYTES, GROUP_FRAME_BYTES, HEARTBEAT_JITTER, PLACEMENT_BYTES_MAX,
     WRITE_RESERVE,
 };
 use crate::protocol::users::JobSpec;
@@ -15,7 +15,7 @@
     let by_bytes = (COMMIT_BYTES - COMMIT_FRAME_BYTES) / limits.value_bytes;
     let burst = limits.lowest_writes_per_s() * leader_write_share(controllers) - WRITE_RESERVE;
     let groups = limits.transaction_ops.min(by_bytes).min(burst as usize).max(1);
-    groups * ((limits.value_bytes - GROUP_FRAME_BYTES) / PLACEMENT_BYTES_MOST)
+    groups * ((limits.value_bytes - GROUP_FRAME_BYTES) / PLACEMENT_BYTES_MAX)
 }
 
 /// Whether all tasks of a gang could ever be in the zones at once, of which so many hold machines
@@ -27,7 +27,7 @@
 /// Whether a task that is told to stop keeps its progress. Those of a gang do if all of them can be told
 /// in time, each in the response to its next heartbeat.
 pub(super) fn saves_when_stopped(spec: &JobSpec, workers: &Workers) -> bool {
-    let told_within_s = workers.report_s * (1.0 + REPORT_JITTER);
+    let told_within_s = workers.report_s * (1.0 + HEARTBEAT_JITTER);
     let in_time = workers.gang_peer_s <= 0.0 || told_within_s <= workers.gang_peer_s;
     spec.saves() && (!spec.is_gang() || in_time)
 }
--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -1,7 +1,9 @@
 //! What a worker's heartbeat proves: about its machine, about whether our responses arrive there, and
 //! about the placements that we know of.
 
-use crate::constants::{MS_PER_S, RECLAIM_MOST_S, UNREACHABLE_SESSION_SIGNS, WORKER_WAIT_S};
+use crate::constants::{
+    MS_PER_S, RECLAIM_NOTICE_MAX_S, UNREACHABLE_SESSION_SIGNS, WORKER_TIMEOUT_S,
+};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::workers::{EndCause, Heartbeat, ReportedTask};
 use crate::protocol::{parse_task, Resources};
@@ -54,7 +56,7 @@
         let received_at = machine.last_heartbeat_at;
         let answered_last = received_at
             .is_some_and(|received| answered_at.is_some_and(|answered| answered >= received));
-        let wait_ms = (WORKER_WAIT_S * MS_PER_S) as u64;
+        let wait_ms = (WORKER_TIMEOUT_S * MS_PER_S) as u64;
         let is_in_time = received_at.is_some_and(|received| now < received + wait_ms);
         let follows_promptly = answered_last && id == previous.next() && is_in_time;
         let mut undelivered_signs = u32::from(!has_our_token && answered_at.is_some());
@@ -104,7 +106,7 @@
 /// Notes when the cloud takes the machine back, if it has said so.
 fn note_reclaim(machine: &mut Machine, reclaim_s: Option<f64>, now: u64) {
     let was_known = machine.reclaim_at.is_some();
-    let notice_ms = |s: f64| (s.clamp(0.0, RECLAIM_MOST_S) * MS_PER_S) as u64;
+    let notice_ms = |s: f64| (s.clamp(0.0, RECLAIM_NOTICE_MAX_S) * MS_PER_S) as u64;
     machine.reclaim_at = reclaim_s.map(|s| now + notice_ms(s));
     if machine.reclaim_at.is_some() && !was_known {
         log::info!("{}: to be reclaimed in {:.0} s", machine.name, reclaim_s.unwrap_or(0.0));
--- a/src/coordination/heartbeats/mod.rs
+++ b/src/coordination/heartbeats/mod.rs
@@ -18,7 +18,7 @@
 
 use super::requester::Requester;
 use super::{ConnectionId, Controller};
-use crate::constants::ELECTION_LEAST_MS;
+use crate::constants::ELECTION_MIN_MS;
 use crate::protocol::workers::{Heartbeat, LeaderRedirect};
 
 impl Controller {
@@ -67,7 +67,7 @@
             return self.request_leader_read();
         }
         let last_read_at = self.store.last_read_at().unwrap_or(self.started_at);
-        let possible_elections = (self.now.monotonic_ms - last_read_at) / ELECTION_LEAST_MS + 1;
+        let possible_elections = (self.now.monotonic_ms - last_read_at) / ELECTION_MIN_MS + 1;
         if token - highest_term <= possible_elections {
             self.membership.note_term(token);
             self.check_term();
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -1,6 +1,6 @@
 //! Responses to heartbeats: which commands a worker gets, and when.
 
-use crate::constants::{ATTEMPT_BITS, COMMANDS_MAX, GRACE_EXTRA_S, REPORT_HOLD_MS};
+use crate::constants::{ATTEMPT_BITS, COMMANDS_MAX, GRACE_EXTRA_S, HEARTBEAT_HOLD_MS};
 use crate::coordination::{ConnectionId, Controller};
 use crate::protocol::parse_task;
 use crate::protocol::workers::{EndCause, Heartbeat, HeartbeatResponse, WorkerCommand};
@@ -69,7 +69,7 @@
 
     /// When it is answered at the latest.
     pub(in crate::coordination) fn answer_by(&self) -> u64 {
-        self.received_at + REPORT_HOLD_MS
+        self.received_at + HEARTBEAT_HOLD_MS
     }
 
     /// Stops of tasks that no placement explains, and removal of ended ones from the heartbeats. What does
--- a/src/coordination/heartbeats/task_outcomes.rs
+++ b/src/coordination/heartbeats/task_outcomes.rs
@@ -1,6 +1,8 @@
 //! Conclusions from how tasks ended: run times, faulty machines, jobs that fail everywhere.
 
-use crate::constants::{FAIL_PAUSE_MAX_MS, FAIL_PAUSE_MS, FAULTY_FAILURES, FAULTY_WINDOW_MS};
+use crate::constants::{
+    FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS, FAULTY_FAILURES, FAULTY_WINDOW_MS,
+};
 use crate::coordination::Leader;
 use crate::protocol::workers::EndCause;
 use crate::storage::machine::{Machine, TaskId};
@@ -60,7 +62,8 @@
         let Some(machine) = self.cluster.machines.get_mut(machine_name) else { return };
         job.failed_on.insert(machine_name.clone());
         if job.fails_everywhere() {
-            job.fail_pause_ms = (job.fail_pause_ms * 2).clamp(FAIL_PAUSE_MS, FAIL_PAUSE_MAX_MS);
+            job.fail_pause_ms =
+                (job.fail_pause_ms * 2).clamp(FAILURE_BACKOFF_MS, FAILURE_BACKOFF_MAX_MS);
             job.paused_until = now + job.fail_pause_ms;
             let pause_ms = job.fail_pause_ms;
             return log::debug!("{}: failed on several machines, paused {pause_ms} ms", id.job);
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -1,7 +1,7 @@
 //! Gangs of the leader's term: attempts that can't become complete, and stops that take all tasks.
 
 use super::{was_never_ordered, Leader};
-use crate::constants::{GANG_SCAN_MS, MS_PER_S, SILENT_PERIODS, WORKER_RETRY_S, WORKER_WAIT_S};
+use crate::constants::{GANG_SCAN_MS, MS_PER_S, SILENT_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S};
 use crate::coordination::Controller;
 use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
@@ -13,7 +13,7 @@
 /// Milliseconds of silence after which a machine is not waited for: longer than a worker takes to report
 /// again when it has missed one response.
 fn silent_ms(workers: &Workers) -> u64 {
-    let missed_answer_s = WORKER_WAIT_S + WORKER_RETRY_S + workers.report_s;
+    let missed_answer_s = WORKER_TIMEOUT_S + WORKER_RETRY_S + workers.report_s;
     (missed_answer_s.max(workers.report_s * SILENT_PERIODS) * MS_PER_S) as u64
 }
 
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -4,7 +4,9 @@
 //! [`super::super::transactions`] writes them ahead.
 
 use super::{was_never_ordered, Leader};
-use crate::constants::{FLEET_MACHINE_MS, FLEET_PERIOD_MS, PASS_GAP_MACHINE_MS, PASS_GAP_MS};
+use crate::constants::{
+    FLEET_PERIOD_MS, FLEET_PERIOD_PER_MACHINE_MS, PASS_GAP_MS, PASS_GAP_PER_MACHINE_MS,
+};
 use crate::coordination::planner::{self, JobOnMachine, Plan, Preemption};
 use crate::coordination::planner_input::PlannerInput;
 use crate::coordination::Controller;
@@ -55,12 +57,12 @@
 
     /// Least milliseconds between two passes: what a pass costs grows with the fleet.
     pub(super) fn min_pass_gap_ms(&self) -> u64 {
-        PASS_GAP_MS + (self.cluster.machines.len() as f64 * PASS_GAP_MACHINE_MS) as u64
+        PASS_GAP_MS + (self.cluster.machines.len() as f64 * PASS_GAP_PER_MACHINE_MS) as u64
     }
 
     /// Milliseconds between two looks at the size of the fleet, for the same reason.
     pub(in crate::coordination) fn fleet_period(&self) -> u64 {
-        FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * FLEET_MACHINE_MS) as u64
+        FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * FLEET_PERIOD_PER_MACHINE_MS) as u64
     }
 
     /// Whether a pass is due. What the last pass decided is stored first: to decide more would
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -1,7 +1,9 @@
 //! Evidence that time gives: worker leases that have expired, and workers that nobody here hears.
 
 use super::Leader;
-use crate::constants::{CLOCK_DRIFT, LEADER_UNHEARD_MS, LEASE_MARGIN_MS, LEASE_SCAN_MS, MS_PER_S};
+use crate::constants::{
+    CLOCK_DRIFT, LEASE_MARGIN_MS, LEASE_SCAN_MS, MS_PER_S, WORKERS_UNREACHABLE_HANDOVER_MS,
+};
 use crate::coordination::Controller;
 use crate::protocol::peers::Gossip;
 use crate::storage::machine::{Machine, MachineState};
@@ -39,8 +41,8 @@
     pub(super) fn hand_over_if_no_worker_reports(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return };
-        let is_quiet = now > leader.last_heartbeat_at + LEADER_UNHEARD_MS
-            && now > leader.began_at + LEADER_UNHEARD_MS;
+        let is_quiet = now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS
+            && now > leader.began_at + WORKERS_UNREACHABLE_HANDOVER_MS;
         let hears_workers =
             |gossip: &Gossip| gossip.workers_seen > 0 && gossip.served_ago_ms.is_some();
         if is_quiet && self.membership.fresh_gossip(now).any(hears_workers) {
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -2,7 +2,9 @@
 
 use super::write_shares::{follower_write_share, leader_write_share};
 use super::{CallPurpose, Controller};
-use crate::constants::{LEADER_RENEW_CALL_MS, LEADER_RENEW_MS, STATE_CALL_MS, STATE_RETRY_MS};
+use crate::constants::{
+    LEADER_RENEWAL_PERIOD_MS, LEADER_RENEWAL_TIMEOUT_MS, STATE_RETRY_BACKOFF_MS, STATE_TIMEOUT_MS,
+};
 use crate::protocol::http::Response;
 use crate::protocol::state::{lease_path, lease_renewal_path};
 use crate::storage::records::leader_key;
@@ -18,7 +20,7 @@
 impl LeaderLease {
     /// A lease that has just been granted.
     pub(super) fn new(id: u64, now: u64) -> LeaderLease {
-        LeaderLease { id, renew_at: now + LEADER_RENEW_MS, renewal_in_flight: false }
+        LeaderLease { id, renew_at: now + LEADER_RENEWAL_PERIOD_MS, renewal_in_flight: false }
     }
 }
 
@@ -34,11 +36,11 @@
             return;
         }
         lease.renewal_in_flight = true;
-        lease.renew_at = now + LEADER_RENEW_MS;
+        lease.renew_at = now + LEADER_RENEWAL_PERIOD_MS;
         let lease_id = lease.id;
         let path = lease_renewal_path(lease_id);
         let purpose = CallPurpose::Renew { lease_id };
-        self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEW_CALL_MS, purpose);
+        self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEWAL_TIMEOUT_MS, purpose);
     }
 
     pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, reply: Option<Response>) {
@@ -53,7 +55,7 @@
                 self.step_down("the lease has expired");
                 self.suspect_stale_leader_key();
             }
-            _ => leader.lease.renew_at = now + STATE_RETRY_MS,
+            _ => leader.lease.renew_at = now + STATE_RETRY_BACKOFF_MS,
         }
     }
 
@@ -93,7 +95,7 @@
     /// Ends a lease at once, and with it the leader key.
     pub(super) fn revoke_lease(&mut self, lease_id: u64) {
         let path = lease_path(lease_id);
-        self.state_call("DELETE", path, vec![], STATE_CALL_MS, CallPurpose::StepDown);
+        self.state_call("DELETE", path, vec![], STATE_TIMEOUT_MS, CallPurpose::StepDown);
     }
 
     /// Sets this controller's part of what the state service allows all of them.
--- a/src/coordination/membership/ended_jobs.rs
+++ b/src/coordination/membership/ended_jobs.rs
@@ -5,7 +5,7 @@
 //! revision that we have, has told nobody of any other end before it was asked: neither has an
 //! earlier life of it, whose commits were all there when this life read the store.
 
-use crate::constants::{ENDS_NAMED_MAX, ISOLATED_ASK_MS};
+use crate::constants::{ENDED_JOBS_NAMED_MAX, ISOLATION_QUERY_AFTER_MS};
 use crate::coordination::Controller;
 use crate::protocol::peers::Gossip;
 use crate::protocol::users::{JobStatus, JobStatusResponse};
@@ -13,7 +13,7 @@
 impl Controller {
     /// The revision after which peers are asked for ends: none while we read the store ourselves.
     pub(super) fn ended_jobs_query(&self) -> Option<u64> {
-        let is_late = |read_at| self.now.monotonic_ms > read_at + ISOLATED_ASK_MS;
+        let is_late = |read_at| self.now.monotonic_ms > read_at + ISOLATION_QUERY_AFTER_MS;
         let isolated = self.store.is_refused() || self.store.last_read_at().is_none_or(is_late);
         (isolated && self.leader.is_some()).then_some(self.store.replica().revision)
     }
@@ -24,11 +24,11 @@
         let mut names: Vec<String> = jobs
             .iter()
             .filter(|(_, job)| job.value.end_revision > since)
-            .take(ENDS_NAMED_MAX + 1)
+            .take(ENDED_JOBS_NAMED_MAX + 1)
             .map(|(uid, _)| uid.to_string())
             .collect();
-        answer.ended_all = self.store.is_loaded() && names.len() <= ENDS_NAMED_MAX;
-        names.truncate(ENDS_NAMED_MAX);
+        answer.ended_all = self.store.is_loaded() && names.len() <= ENDED_JOBS_NAMED_MAX;
+        names.truncate(ENDED_JOBS_NAMED_MAX);
         answer.ended = names;
     }
 
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip: what controllers tell each other about themselves, twice a second.
 
 use super::NoExtensionSince;
-use crate::constants::{GOSSIP_CALL_MS, GOSSIP_MS, MS_PER_S, PEER_VERSION};
+use crate::constants::{GOSSIP_PERIOD_MS, GOSSIP_TIMEOUT_MS, MS_PER_S, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
 use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, Gossip};
@@ -47,11 +47,11 @@
                 continue;
             }
             peer.gossip_in_flight = true;
-            peer.next_gossip_at = now + GOSSIP_MS;
+            peer.next_gossip_at = now + GOSSIP_PERIOD_MS;
             let body = encode(&self.gossip());
             let purpose = CallPurpose::Gossip { peer: index, begun: now };
             let service = Service::Peer(index);
-            self.call(service, "POST", GOSSIP_PATH.into(), body, GOSSIP_CALL_MS, purpose);
+            self.call(service, "POST", GOSSIP_PATH.into(), body, GOSSIP_TIMEOUT_MS, purpose);
         }
     }
 
--- a/src/coordination/planner/backfill.rs
+++ b/src/coordination/planner/backfill.rs
@@ -2,7 +2,7 @@
 
 use super::allocation::Allocation;
 use super::pass::Pass;
-use crate::constants::{CLAIMS_PER_PASS, CLAIM_HORIZON_MS};
+use crate::constants::{LATER_PLACEMENTS_PER_PASS, LATER_PLACEMENT_HORIZON_MS};
 use crate::protocol::users::Priority;
 use std::cmp::Ordering;
 
@@ -92,12 +92,12 @@
         let now_ms = self.snapshot.now_ms;
         while self.has_task_without_place(job) {
             // With enough claims worked out, only what can start now is of interest.
-            let may_wait = self.claims_made < CLAIMS_PER_PASS;
+            let may_wait = self.claims_made < LATER_PLACEMENTS_PER_PASS;
             let allocation = self.allocate(job, may_wait)?;
             if allocation.start_ms <= now_ms {
                 return Some(allocation);
             }
-            if allocation.start_ms > now_ms + CLAIM_HORIZON_MS {
+            if allocation.start_ms > now_ms + LATER_PLACEMENT_HORIZON_MS {
                 return None;
             }
             self.claims_made += 1;
--- a/src/coordination/planner/deadline_triage.rs
+++ b/src/coordination/planner/deadline_triage.rs
@@ -6,7 +6,7 @@
 //! late). What has little left to place is kept, so that jobs that have begun come to their end.
 
 use super::{BootingMachine, JobView, Snapshot};
-use crate::constants::{FETCHING_MOST, WORK_UNITS};
+use crate::constants::{FETCH_SHARE_MAX, WORK_UNITS};
 use crate::protocol::Resources;
 use std::collections::BinaryHeap;
 
@@ -119,7 +119,7 @@
         let fetch_share = if load.ran > 0.0 { load.fetched / load.ran } else { 0.0 };
         Capacity {
             steps: capacity_steps(rate, &snapshot.booting, total),
-            fetch_factor: 1.0 + fetch_share.min(FETCHING_MOST),
+            fetch_factor: 1.0 + fetch_share.min(FETCH_SHARE_MAX),
         }
     }
 
--- a/src/coordination/planner/gang.rs
+++ b/src/coordination/planner/gang.rs
@@ -8,7 +8,7 @@
 use super::allocation::{penalty_factor, Preference};
 use super::pass::{Pass, ReservedRoom};
 use super::plan::Reservation;
-use crate::constants::{GANG_MACHINE_MS, GANG_PATIENCE_MS, GANG_SPREAD_SHARE};
+use crate::constants::{GANG_PATIENCE_MS, GANG_SPREAD_SHARE, GANG_START_DELAY_PER_MACHINE_MS};
 use std::cmp::Reverse;
 
 /// Tasks of a gang on one machine.
@@ -269,7 +269,7 @@
         if wait_ms > 0 && spread_ms > wait_ms as f64 * GANG_SPREAD_SHARE {
             return None;
         }
-        Some(last_ms + (taken.len() as u64 - 1) * GANG_MACHINE_MS)
+        Some(last_ms + (taken.len() as u64 - 1) * GANG_START_DELAY_PER_MACHINE_MS)
     }
 
     /// How many of the soonest machines it takes to hold all tasks.
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -4,7 +4,7 @@
 use super::offers::Offers;
 use super::plan::{Plan, Reservation};
 use super::snapshot::{CachedImage, JobOnMachine, JobView, MachineView, Snapshot};
-use crate::constants::{PLACES_PER_MACHINE, PLACES_PER_PASS};
+use crate::constants::{PLACEMENTS_PER_MACHINE, PLACEMENTS_PER_PASS};
 use crate::protocol::{Resources, MILLI};
 use crate::storage::reservation::{Bucket, ReservationRow};
 use std::cell::Cell;
@@ -162,7 +162,7 @@
 
     /// Whether the pass has placed as much as one may.
     pub(super) fn is_full(&self) -> bool {
-        let most = PLACES_PER_PASS as f64 + self.machines.len() as f64 * PLACES_PER_MACHINE;
+        let most = PLACEMENTS_PER_PASS as f64 + self.machines.len() as f64 * PLACEMENTS_PER_MACHINE;
         self.plan.placements.len() >= most as usize
     }
 
--- a/src/coordination/planner/preemption.rs
+++ b/src/coordination/planner/preemption.rs
@@ -4,7 +4,7 @@
 use super::pass::Pass;
 use super::plan::Preemption;
 use super::snapshot::{JobView, RunningTask};
-use crate::constants::{JOB_TASKS_PER_PASS, PREEMPT_SHIELD_MS, ROOM_COMING_MS};
+use crate::constants::{JOB_TASKS_PER_PASS, PREEMPTED_ROOM_MIN_MS, PREEMPT_SHIELD_MS};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 use std::collections::BTreeMap;
@@ -258,7 +258,7 @@
     /// Decides to stop tasks. Returns the milliseconds until their room is free.
     fn stop_victims(&mut self, machine: usize, victims: &[usize], state: &mut RoomToMake) -> u64 {
         let now_ms = self.snapshot.now_ms;
-        let mut wait_ms = ROOM_COMING_MS;
+        let mut wait_ms = PREEMPTED_ROOM_MIN_MS;
         for &victim in victims {
             let task = &self.machine_view(machine).running[victim];
             state.stopped[machine][victim] = true;
--- a/src/coordination/planner/queue.rs
+++ b/src/coordination/planner/queue.rs
@@ -4,7 +4,7 @@
 use super::deadline_triage::missed_deadlines;
 use super::pass::Pass;
 use super::shares::permille_of;
-use crate::constants::{JOBS_PER_PASS, JOB_TASKS_PER_PASS, STARVING_PLACES_PART};
+use crate::constants::{JOBS_PER_PASS, JOB_TASKS_PER_PASS, STARVING_PLACEMENTS_DIVISOR};
 use crate::protocol::users::Priority;
 
 impl Pass<'_> {
@@ -15,7 +15,7 @@
         queue.truncate(JOBS_PER_PASS);
         starving.truncate(JOBS_PER_PASS);
         if !starving.is_empty() {
-            self.starving_budget = (self.places_now() / STARVING_PLACES_PART).max(1);
+            self.starving_budget = (self.places_now() / STARVING_PLACEMENTS_DIVISOR).max(1);
         }
         for &job in &starving {
             self.start_starving(job);
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -3,8 +3,8 @@
 use super::placements::MachineTasks;
 use super::InputBuilder;
 use crate::constants::{
-    BOOT_LATE, BOOT_SOON_PART, COMING_MANY, HTTP_BODY_MAX, MS_PER_S, REPORT_JITTER,
-    REPORT_TASK_BYTES,
+    BOOTING_MACHINES_MANY, BOOT_LATE, BOOT_OVERDUE_DIVISOR, HEARTBEAT_JITTER, HEARTBEAT_TASK_BYTES,
+    HTTP_BODY_MAX, MS_PER_S,
 };
 use crate::coordination::planner::{BootingMachine, MachineView, MeanBootWait};
 use crate::protocol::cloud::MachineType;
@@ -14,7 +14,7 @@
 use crate::storage::records::MachineName;
 
 /// Most tasks that a machine's report can name.
-const TASKS_PER_REPORT: usize = HTTP_BODY_MAX / REPORT_TASK_BYTES;
+const TASKS_PER_REPORT: usize = HTTP_BODY_MAX / HEARTBEAT_TASK_BYTES;
 
 impl InputBuilder<'_> {
     /// Adds the machines on their way: ordinary ones, then spot ones.
@@ -87,14 +87,16 @@
     let left_ms = (machine.rented_at + boot_ms).saturating_sub(now_ms);
     let is_late = now_ms > machine.rented_at + (boot_ms as f64 * BOOT_LATE) as u64;
     let total = Resources::new(machine_type.cores, machine_type.gpus, machine_type.ram_gb);
-    (!is_late)
-        .then_some(BootingMachine { ready_in_ms: left_ms.max(boot_ms / BOOT_SOON_PART), total })
+    (!is_late).then_some(BootingMachine {
+        ready_in_ms: left_ms.max(boot_ms / BOOT_OVERDUE_DIVISOR),
+        total,
+    })
 }
 
 /// Mean milliseconds until machines are up, where many are on their way.
 pub(super) fn mean_wait_ms(booting: &[BootingMachine]) -> Option<u64> {
     let count = booting.len() as u64;
-    (count >= COMING_MANY)
+    (count >= BOOTING_MACHINES_MANY)
         .then(|| booting.iter().map(|machine| machine.ready_in_ms).sum::<u64>() / count)
 }
 
@@ -129,7 +131,7 @@
 pub(super) fn next_report_ms(machine: &Machine, report_s: f64, now_ms: u64) -> u64 {
     let period = report_s * MS_PER_S;
     let since = machine.last_heartbeat_at.map_or(0, |at| now_ms - at) as f64;
-    let earliest = (period * (1.0 - REPORT_JITTER) - since).max(0.0);
-    let latest = (period * (1.0 + REPORT_JITTER) - since).max(period * REPORT_JITTER);
+    let earliest = (period * (1.0 - HEARTBEAT_JITTER) - since).max(0.0);
+    let latest = (period * (1.0 + HEARTBEAT_JITTER) - since).max(period * HEARTBEAT_JITTER);
     ((earliest + latest) / 2.0) as u64
 }
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -2,7 +2,7 @@
 //! decision; it counts once it is committed.
 
 use super::put_rebuild_record;
-use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
+use crate::constants::{RETRY_AFTER_S, STATE_TIMEOUT_MS, USER_WRITE_RESERVE};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Requester};
 use crate::protocol::http::Response;
 use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest};
@@ -103,14 +103,14 @@
 
     fn send_decision(&mut self, requester: Requester, commit: Transaction, answer: DecisionAnswer) {
         let writes = commit.writes.len();
-        if !self.store.take_writes(writes as f64, WRITE_KEEP_USERS, self.now.monotonic_ms) {
+        if !self.store.take_writes(writes as f64, USER_WRITE_RESERVE, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         self.metrics.work.state_writes += writes as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let connection = requester.connection();
         let purpose = CallPurpose::Decision(DecisionCall { connection, commit, answer });
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
     /// Ends a job as cancelled.
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -6,7 +6,8 @@
 
 use super::phase::RecoveryPhase;
 use crate::constants::{
-    FIRST_START_MAX_MS, FIRST_START_REPORTS, LOST_STORE_RELOAD_MS, MS_PER_S, WORKER_RETRY_S,
+    FIRST_START_HEARTBEAT_PERIODS, FIRST_START_MAX_MS, LOST_STORE_RELOAD_MS, MS_PER_S,
+    WORKER_RETRY_S,
 };
 use crate::coordination::Controller;
 use crate::protocol::peers::{Gossip, RecoveryState};
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Judges the store that we follow by a peer's word: it may vouch for it, or say that it has
-    /// lost data.
+    /// Judges the store that we follow by what a peer reports: that it knows the store to be whole, or
+    /// that data was lost.
     fn check_followed_store(&mut self, gossip: &Gossip) {
         let (our_store, _) = self.recovery.peer_view();
         let same_store = gossip.store.is_some() && gossip.store == our_store;
@@ -76,7 +77,8 @@
         let RecoveryPhase::FirstStart { since, evidence: None } = self.recovery.phase() else {
             return;
         };
-        let reports = self.settings.params.workers.report_s * FIRST_START_REPORTS + WORKER_RETRY_S;
+        let reports =
+            self.settings.params.workers.report_s * FIRST_START_HEARTBEAT_PERIODS + WORKER_RETRY_S;
         let workers_had_time = now >= since + (reports * MS_PER_S) as u64;
         let heard_all_peers = self.membership.fresh_gossip(self.now.monotonic_ms).count()
             == self.membership.peer_count();
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -1,6 +1,6 @@
 //! Passing images of the lost store to the controller that rebuilds it.
 
-use crate::constants::{IMAGE_CALL_MS, IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, PEER_VERSION};
+use crate::constants::{IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, IMAGE_TIMEOUT_MS, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
 use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
@@ -78,7 +78,7 @@
             let purpose = CallPurpose::Image { peer };
             let body = encode(&request);
             let service = Service::Peer(peer);
-            self.call(service, "POST", "/image".into(), body, IMAGE_CALL_MS, purpose);
+            self.call(service, "POST", "/image".into(), body, IMAGE_TIMEOUT_MS, purpose);
         }
     }
 
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -9,7 +9,8 @@
 use super::put_rebuild_record;
 use super::rebuild_plan::RebuildPlan;
 use crate::constants::{
-    REBUILD_GATHER_MS, REBUILD_REFUSALS_MAX, STATE_CALL_MS, STATE_RETRY_MS, WRITE_RESERVE,
+    REBUILD_IMAGES_TIMEOUT_MS, REBUILD_REFUSALS_MAX, STATE_RETRY_BACKOFF_MS, STATE_TIMEOUT_MS,
+    WRITE_RESERVE,
 };
 use crate::coordination::membership::stop_commands_of_ended_jobs;
 use crate::coordination::{CallPurpose, ConnectionId, Controller};
@@ -80,7 +81,7 @@
     /// Whether every peer's image is there, or was waited for long enough.
     fn has_gathered(&self, now: u64) -> bool {
         let complete = self.peers.iter().all(PeerImage::is_complete);
-        complete || now >= self.started_at + REBUILD_GATHER_MS
+        complete || now >= self.started_at + REBUILD_IMAGES_TIMEOUT_MS
     }
 }
 
@@ -178,7 +179,7 @@
         self.metrics.work.state_writes += writes as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let purpose = CallPurpose::Rebuild(RebuildCall { term, commit });
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
         true
     }
 
@@ -245,7 +246,7 @@
 
     fn pause_rebuild(&mut self) {
         if let Some(rebuild) = self.recovery.rebuild_mut() {
-            rebuild.next_transaction_at = self.now.monotonic_ms + STATE_RETRY_MS;
+            rebuild.next_transaction_at = self.now.monotonic_ms + STATE_RETRY_BACKOFF_MS;
         }
         self.request_leader_read();
     }
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -5,7 +5,7 @@
 use crate::constants::{
     ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
     BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, RETRY_AFTER_S,
-    STATE_CALL_MS, USER_WAIT_MAX, WRITES_SHORT_SHARE, WRITE_KEEP_USERS,
+    SHORT_OF_WRITES_SHARE, STATE_TIMEOUT_MS, USER_WAIT_MAX, USER_WRITE_RESERVE,
 };
 use crate::coordination::requester::Requester;
 use crate::coordination::store_client::ReadPoint;
@@ -146,8 +146,8 @@
     /// When they have to be looked at again if nothing comes in before.
     pub(in crate::coordination) fn next_wake(&self, writes: &TokenBucket) -> Option<u64> {
         let gathered = self.gathering.first().map(|first| {
-            let plenty = writes.available_at(writes.burst() * WRITES_SHORT_SHARE);
-            let one = writes.available_at(WRITE_KEEP_USERS + 1.0);
+            let plenty = writes.available_at(writes.burst() * SHORT_OF_WRITES_SHARE);
+            let one = writes.available_at(USER_WRITE_RESERVE + 1.0);
             let sent_at = (first.received_at + BATCH_GATHER_MS).min(plenty).max(one);
             sent_at.min(first.received_at + BATCH_WAIT_MS + 1)
         });
@@ -267,7 +267,7 @@
     }
 
     fn batch_limits(&mut self, now: u64) -> BatchLimits {
-        let writes_left = self.store.writes_left(now) - WRITE_KEEP_USERS;
+        let writes_left = self.store.writes_left(now) - USER_WRITE_RESERVE;
         let StoreLimits { value_bytes, transaction_ops, .. } = *self.store.limits();
         // As many values as there are writes for.
         let values = (writes_left.max(0.0) as usize).min(transaction_ops);
@@ -298,7 +298,7 @@
         batch.unanswered += 1;
         self.metrics.work.state_writes += writes as u64;
         let purpose = CallPurpose::Submit { batch: id, copy };
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
     /// A peer may be able to take a submission that we can't.
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations: a job's end is committed before its user is told of it.
 
-use crate::constants::{RETRY_AFTER_S, STATE_CALL_MS, WRITE_KEEP_USERS};
+use crate::constants::{RETRY_AFTER_S, STATE_TIMEOUT_MS, USER_WRITE_RESERVE};
 use crate::coordination::requester::Requester;
 use crate::coordination::store_client::{FreshReadWaiter, ReadPoint};
 use crate::coordination::{CallPurpose, Controller};
@@ -50,14 +50,14 @@
             return;
         };
         let commit = self.cancellation(uid, &job.value);
-        if !self.store.take_writes(1.0, WRITE_KEEP_USERS, self.now.monotonic_ms) {
+        if !self.store.take_writes(1.0, USER_WRITE_RESERVE, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let sent = self.store.read_point();
         let purpose = CallPurpose::Cancel { requester, uid: uid.to_string(), commit, sent };
         self.metrics.work.state_writes += 1;
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
     /// Ends the job unless it has ended otherwise meanwhile.
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -1,6 +1,6 @@
 //! Users' requests that a peer answers for us, or we for a peer.
 
-use crate::constants::{PEER_VERSION, RELAY_CALL_MS};
+use crate::constants::{PEER_VERSION, RELAY_TIMEOUT_MS};
 use crate::coordination::interface::{ConnectionId, Service};
 use crate::coordination::requester::Requester;
 use crate::coordination::{CallPurpose, Controller};
@@ -27,7 +27,7 @@
         let request = RelayRequest { version: PEER_VERSION, method: method.into(), path, body };
         let purpose = CallPurpose::Relay { requester };
         let body = encode(&request);
-        self.call(Service::Peer(peer), "POST", RELAY_PATH.into(), body, RELAY_CALL_MS, purpose);
+        self.call(Service::Peer(peer), "POST", RELAY_PATH.into(), body, RELAY_TIMEOUT_MS, purpose);
     }
 
     pub(in crate::coordination) fn on_relay_response(
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -11,7 +11,9 @@
 pub(super) use waiters::FreshReadWaiter;
 
 use super::CallPurpose;
-use crate::constants::{STATE_LOST_MS, STATE_RETRY_MS, STATE_RPS_SHARE, WRITES_SHORT_SHARE};
+use crate::constants::{
+    SHORT_OF_WRITES_SHARE, STATE_LOST_MS, STATE_RETRY_BACKOFF_MS, STATE_RPS_SHARE,
+};
 use crate::protocol::state::{Mutation, Transaction};
 use crate::settings::StateLimits;
 use crate::storage::hashing::HashKeys;
@@ -134,7 +136,7 @@
 
     /// Whether few of the writes of a burst are left: what can wait should.
     pub(super) fn writes_are_short(&mut self, now: u64) -> bool {
-        self.write_budget.left(now) < self.write_budget.burst() * WRITES_SHORT_SHARE
+        self.write_budget.left(now) < self.write_budget.burst() * SHORT_OF_WRITES_SHARE
     }
 
     /// Takes writes out of the budget if that leaves `keep`; false if it does not.
@@ -233,7 +235,7 @@
     }
 
     fn retry_later(&mut self, now: u64) {
-        self.retry_at = now + STATE_RETRY_MS;
+        self.retry_at = now + STATE_RETRY_BACKOFF_MS;
     }
 }
 
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -2,8 +2,8 @@
 
 use super::{is_store_call, Listing, ReadPoint};
 use crate::constants::{
-    FRESH_GAP_MS, KEY_FAMILY, KEY_ROOT, READ_PERIOD_MS, STATE_CALL_MS, STATE_FOREIGN_MS,
-    STATE_LIST_LIMIT, STATE_LIST_MS, WATCH_BLOCK_MS, WATCH_CALL_MS,
+    KEY_FAMILY, KEY_ROOT, READ_GAP_MIN_MS, READ_PERIOD_MS, STATE_LIST_LIMIT, STATE_LIST_TIMEOUT_MS,
+    STATE_TIMEOUT_MS, UNREADABLE_LAYOUT_RECHECK_MS, WATCH_BLOCK_MS, WATCH_TIMEOUT_MS,
 };
 use crate::coordination::{CallPurpose, Controller, Service};
 use crate::protocol::http::Response;
@@ -126,14 +126,14 @@
         self.store.listing.in_flight = true;
         let path = list_path(KEY_FAMILY, self.store.listing.last_key.as_deref(), STATE_LIST_LIMIT);
         let purpose = CallPurpose::List { epoch: self.store.epoch };
-        self.state_call("GET", path, vec![], STATE_LIST_MS, purpose);
+        self.state_call("GET", path, vec![], STATE_LIST_TIMEOUT_MS, purpose);
     }
 
     fn open_watch(&mut self) {
         self.store.watching = true;
         let path = changes_path(KEY_FAMILY, self.store.replica.revision, WATCH_BLOCK_MS);
         let purpose = CallPurpose::Watch { asked: self.store.read_point() };
-        self.state_call("GET", path, vec![], WATCH_CALL_MS, purpose);
+        self.state_call("GET", path, vec![], WATCH_TIMEOUT_MS, purpose);
     }
 
     /// Begins a zero-wait read if one is wanted, or the last one was long ago.
@@ -141,7 +141,7 @@
         let now = self.now.monotonic_ms;
         let reads = &mut self.store.fresh_reads;
         let periodic = now >= reads.begun_at + READ_PERIOD_MS;
-        let wanted = !reads.waiting.is_empty() && now >= reads.begun_at + FRESH_GAP_MS;
+        let wanted = !reads.waiting.is_empty() && now >= reads.begun_at + READ_GAP_MIN_MS;
         if reads.running.is_some() || !(periodic || wanted) {
             return;
         }
@@ -152,7 +152,7 @@
         reads.begun_at = now;
         let path = changes_path(KEY_FAMILY, self.store.replica.revision, 0);
         let purpose = CallPurpose::Fresh { begun: now, asked: self.store.read_point() };
-        self.state_call("GET", path, vec![], STATE_CALL_MS, purpose);
+        self.state_call("GET", path, vec![], STATE_TIMEOUT_MS, purpose);
     }
 
     pub(in crate::coordination) fn on_list_response(
@@ -196,7 +196,7 @@
         *replica = Replica::new(replica.hash_keys());
         self.recovery.clear_image();
         self.store.listing = Listing::default();
-        self.store.retry_at = self.now.monotonic_ms + STATE_FOREIGN_MS;
+        self.store.retry_at = self.now.monotonic_ms + UNREADABLE_LAYOUT_RECHECK_MS;
     }
 
     /// The last page is in, which showed `revision`.
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -4,7 +4,7 @@
 //! tells whether an earlier copy was applied. The leader's state changes only once that is known.
 
 use super::pending::{PendingTransaction, PlacementEntry};
-use crate::constants::{STATE_CALL_MS, STATE_RETRY_MS};
+use crate::constants::{STATE_RETRY_BACKOFF_MS, STATE_TIMEOUT_MS};
 use crate::coordination::{CallPurpose, Controller, Leader};
 use crate::protocol::http::Response;
 use crate::protocol::state::{
@@ -30,7 +30,7 @@
         let body = pending.body.clone();
         let purpose = CallPurpose::LeaderCommit { term: leader.term };
         self.metrics.work.state_writes += writes as u64;
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_CALL_MS, purpose);
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
     pub(in crate::coordination) fn on_leader_commit_response(
@@ -55,13 +55,13 @@
             Some(Response { status: 409, body }) => self.on_transaction_conflict(&body),
             // Not executed: if no earlier copy can have been, it is built anew.
             Some(Response { status: 429 | 503, .. }) => {
-                pending.not_before = now + STATE_RETRY_MS;
+                pending.not_before = now + STATE_RETRY_BACKOFF_MS;
                 if !pending.outcome_unknown {
                     self.discard_pending_transaction();
                 }
             }
             Some(response) => {
-                pending.not_before = now + STATE_RETRY_MS;
+                pending.not_before = now + STATE_RETRY_BACKOFF_MS;
                 self.on_transaction_rejected(&response);
             }
             None => pending.outcome_unknown = true,
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -11,7 +11,7 @@
 use super::builder::{TransactionBuilder, TransactionScope};
 use super::pending::{PendingTransaction, PlacementEntry, PlacementMove};
 use crate::constants::{
-    CLEAN_GROUPS, COMMIT_BYTES, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS, GROUP_FRAME_BYTES,
+    CLEANED_GROUPS_PER_BATCH, COMMIT_BYTES, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS, GROUP_FRAME_BYTES,
 };
 use crate::protocol::state::raw_json;
 use crate::protocol::workers::EndCause;
@@ -265,7 +265,7 @@
         .map(|(number, entries)| (entries.len(), *number))
         .collect();
     candidates.sort_unstable_by(|a, b| b.cmp(a));
-    for (_, number) in candidates.into_iter().take(CLEAN_GROUPS) {
+    for (_, number) in candidates.into_iter().take(CLEANED_GROUPS_PER_BATCH) {
         fill.choose(number);
     }
 }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -58,7 +58,7 @@
 pub enum RecoveryState {
     /// Nothing is lost.
     Following,
-    /// Nothing is known to be lost, but the sender has started since and can't vouch for that.
+    /// Nothing is known to be lost, but the sender has started since and can't confirm it.
     Unproven,
     /// It has just started on an empty store, or reads the store anew on a suspicion.
     Undecided,
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -5,7 +5,7 @@
 //! last is proved gone and that is in the store. So an attempt never gets a replacement, and an
 //! attempt number is still used only once on a machine for a task.
 
-use crate::constants::{GANG_RETRY_MAX_MS, GANG_RETRY_MS};
+use crate::constants::{GANG_RETRY_BACKOFF_MAX_MS, GANG_RETRY_BACKOFF_MS};
 
 /// What a leader knows of a gang beside what it knows of any job.
 #[derive(Debug, Clone, Default)]
@@ -39,10 +39,10 @@
     pub fn note_attempt(&mut self, now: u64) {
         self.running = false;
         self.attempts = self.attempts.saturating_add(1);
-        let doubled = GANG_RETRY_MS.saturating_mul(1 << (self.attempts - 1).min(16));
+        let doubled = GANG_RETRY_BACKOFF_MS.saturating_mul(1 << (self.attempts - 1).min(16));
         self.retry_at = match self.attempts {
             1 => now,
-            _ => now + doubled.min(GANG_RETRY_MAX_MS),
+            _ => now + doubled.min(GANG_RETRY_BACKOFF_MAX_MS),
         };
     }
 
--- a/src/storage/gangs/tests.rs
+++ b/src/storage/gangs/tests.rs
@@ -13,7 +13,7 @@
         assert!(gang.retry_at > 1_000 && gang.retry_at >= last);
         last = gang.retry_at;
     }
-    assert_eq!(last, 1_000 + GANG_RETRY_MAX_MS);
+    assert_eq!(last, 1_000 + GANG_RETRY_BACKOFF_MAX_MS);
     gang.forget_attempt();
     assert_eq!(gang.retry_at, 0, "one that was not stored is tried again at once");
     gang.note_running();
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -6,7 +6,7 @@
 use super::messages::{Call, CallId, Incoming, Target};
 use super::net::{Closed, ConnectionKey, Transport};
 use super::readiness::Interest;
-use crate::constants::{OUTBOUND_PER_TARGET, OUTBOUND_QUEUE};
+use crate::constants::{OUTBOUND_CONNECTIONS_PER_TARGET, OUTBOUND_QUEUE_MAX};
 use rustix::io::Errno;
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::collections::VecDeque;
@@ -53,7 +53,7 @@
         if let Some(key) = self.take_idle(call.target) {
             return self.send(key, call, deadline);
         }
-        if self.destinations[call.target].open >= OUTBOUND_PER_TARGET {
+        if self.destinations[call.target].open >= OUTBOUND_CONNECTIONS_PER_TARGET {
             return self.enqueue(QueuedCall { call, deadline });
         }
         match self.connect(call.target) {
@@ -73,7 +73,7 @@
 
     fn enqueue(&mut self, queued: QueuedCall) {
         let queue = &mut self.destinations[queued.call.target].queue;
-        if queue.len() < OUTBOUND_QUEUE {
+        if queue.len() < OUTBOUND_QUEUE_MAX {
             queue.push_back(queued);
         } else {
             self.report_unanswered(queued.call.id);
