--- a/src/coordination/planner/allocation.rs
+++ b/src/coordination/planner/allocation.rs
@@ -201,7 +201,7 @@
         let chosen = self.choose(job, may_wait, &mut offers);
         self.offers = offers;
         #[cfg(test)]
-        super::plain::compare(self, job, may_wait, chosen);
+        super::reference::assert_same_choice(self, job, may_wait, chosen);
         chosen
     }
 
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -19,11 +19,11 @@
 mod gang;
 mod offers;
 mod pass;
-#[cfg(test)]
-mod plain;
 mod plan;
 mod preemption;
 mod queue;
+#[cfg(test)]
+mod reference;
 mod shares;
 mod snapshot;
 #[cfg(test)]
--- a/src/coordination/planner/plain.rs
+++ b/src/coordination/planner/reference.rs
@@ -1,21 +1,26 @@
-//! The plain form of the choice of a place: every machine and every time is looked at anew for each
-//! task. The planner's own form keeps what still holds; in unit tests each of its choices is
-//! compared with this one. It has neither the kept offers nor the shortcuts.
+//! Reference implementation of the choice of a placement, for unit tests only: it considers every machine and
+//! every start time anew for each task, without the caches and shortcuts of the planner. Each choice that the
+//! planner makes in a unit test is compared with it.
 
 use super::allocation::Allocation;
 use super::pass::Pass;
 use super::threshold_search::{Candidate, ThresholdSearch};
 use crate::protocol::users::Priority;
 
-/// Panics unless the plain form chooses the same.
-pub(super) fn compare(pass: &Pass<'_>, job: usize, may_wait: bool, chosen: Option<Allocation>) {
+/// Panics unless the reference implementation chooses the same.
+pub(super) fn assert_same_choice(
+    pass: &Pass<'_>,
+    job: usize,
+    may_wait: bool,
+    chosen: Option<Allocation>,
+) {
     let examined = pass.candidates_examined.get();
-    assert_eq!(chosen, pass.plain_allocate(job, may_wait), "job {job}, may wait: {may_wait}");
-    assert_eq!(pass.candidates_examined.get(), examined, "the plain form does not count");
+    assert_eq!(chosen, pass.reference_allocate(job, may_wait), "job {job}, may wait: {may_wait}");
+    assert_eq!(pass.candidates_examined.get(), examined, "the reference does not count");
 }
 
 impl Pass<'_> {
-    fn plain_fetch_ms(&self, job: usize, machine: usize, start_ms: u64) -> u64 {
+    fn reference_fetch_ms(&self, job: usize, machine: usize, start_ms: u64) -> u64 {
         let view = self.job_view(job);
         let images = &self.machines[machine].images;
         match images.iter().find(|known| known.image == view.image) {
@@ -30,7 +35,7 @@
         }
     }
 
-    fn plain_better_on_the_way(&self, job: usize, machine: usize) -> bool {
+    fn reference_better_on_the_way(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
         let images = &self.machines[machine].images;
         if images.iter().any(|known| known.image == view.image) {
@@ -43,7 +48,12 @@
         soonest_ms.is_some_and(|ms| ms < ahead_ms)
     }
 
-    fn plain_allocation_at(&self, job: usize, machine: usize, start_ms: u64) -> Option<Allocation> {
+    fn reference_allocation_at(
+        &self,
+        job: usize,
+        machine: usize,
+        start_ms: u64,
+    ) -> Option<Allocation> {
         let view = self.job_view(job);
         let row = &self.machines[machine].row;
         let now_ms = self.snapshot.now_ms;
@@ -54,8 +64,8 @@
         if !free.fits(&view.need) {
             return None;
         }
-        let fetch_ms = self.plain_fetch_ms(job, machine, start_ms);
-        if start_ms == now_ms && self.plain_better_on_the_way(job, machine) {
+        let fetch_ms = self.reference_fetch_ms(job, machine, start_ms);
+        if start_ms == now_ms && self.reference_better_on_the_way(job, machine) {
             return None;
         }
         let run_ms = view.run_ms.max(1);
@@ -78,8 +88,8 @@
         Some(Allocation { machine, start_ms, length_ms, penalty_factor })
     }
 
-    /// Among places that are free now, the one of the least factor, and the one that is liked most.
-    fn plain_free_now(&self, job: usize) -> (Option<Candidate>, Option<Candidate>) {
+    /// Among placements that can start now, the one of the least penalty factor, and the preferred one.
+    fn reference_free_now(&self, job: usize) -> (Option<Candidate>, Option<Candidate>) {
         let now_ms = self.snapshot.now_ms;
         let need = &self.job_view(job).need;
         let mut least: Option<Candidate> = None;
@@ -88,7 +98,9 @@
             if !self.machines[machine].row.free.fits(need) || !self.is_allowed(job, machine) {
                 continue;
             }
-            let Some(allocation) = self.plain_allocation_at(job, machine, now_ms) else { continue };
+            let Some(allocation) = self.reference_allocation_at(job, machine, now_ms) else {
+                continue;
+            };
             let preference = self.preference(job, machine);
             let candidate = Candidate { allocation, preference };
             if first.as_ref().is_none_or(|first| preference < first.preference) {
@@ -106,18 +118,18 @@
         (least, first)
     }
 
-    fn plain_allocate(&self, job: usize, may_wait: bool) -> Option<Allocation> {
+    fn reference_allocate(&self, job: usize, may_wait: bool) -> Option<Allocation> {
         if !self.is_within_limit(job, 1) {
             return None;
         }
-        let (least, first) = self.plain_free_now(job);
+        let (least, first) = self.reference_free_now(job);
         let lowest = self.snapshot.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
         if !may_wait || least.as_ref().is_some_and(|least| least.allocation.penalty_factor < lowest)
         {
             return least.map(|least| least.allocation);
         }
-        // For each threshold the earliest place under it, of the least factor at that time; if
-        // there is none, the least factor of all. First fit is the earliest place of all.
+        // For each threshold the earliest placement under it, of the least factor at that time; if
+        // there is none, the least factor of all. First fit is the earliest placement of all.
         let mut search = ThresholdSearch::new(&self.snapshot.thresholds);
         for candidate in first.into_iter().chain(least) {
             search.add(candidate);
@@ -125,13 +137,13 @@
         let bound = least.map_or(f64::INFINITY, |least| least.allocation.penalty_factor);
         let mut only = None;
         if let Some(reserved) = self.snapshot.previous_reservation.filter(|it| it.job == job) {
-            // What is reserved stays where it is, if it can.
+            // A reservation stays on its machine if it can.
             let machine = reserved.machine;
-            only = self.plain_offers_later(job, machine, bound).next().map(|_| machine);
+            only = self.reference_offers_later(job, machine, bound).next().map(|_| machine);
         }
         for machine in 0..self.snapshot.machines.len() {
             if only.is_none_or(|only| only == machine) {
-                self.plain_offers_later(job, machine, bound).for_each(|allocation| {
+                self.reference_offers_later(job, machine, bound).for_each(|allocation| {
                     search.add(Candidate { allocation, preference: self.preference(job, machine) });
                 });
             }
@@ -139,7 +151,7 @@
         search.best()
     }
 
-    fn plain_offers_later(
+    fn reference_offers_later(
         &self,
         job: usize,
         machine: usize,
@@ -147,7 +159,7 @@
     ) -> impl Iterator<Item = Allocation> + '_ {
         let now_ms = self.snapshot.now_ms;
         let run_ms = self.job_view(job).run_ms.max(1) as f64;
-        let lowest = (run_ms + self.plain_fetch_ms(job, machine, u64::MAX) as f64) / run_ms;
+        let lowest = (run_ms + self.reference_fetch_ms(job, machine, u64::MAX) as f64) / run_ms;
         let row = &self.machines[machine].row;
         let mut last = bound;
         let times_ms = if lowest < bound && self.is_allowed(job, machine) {
@@ -164,7 +176,7 @@
                     return None;
                 }
                 let allocation = self
-                    .plain_allocation_at(job, machine, *time_ms)
+                    .reference_allocation_at(job, machine, *time_ms)
                     .filter(|offered| offered.penalty_factor < last);
                 last = allocation.map_or(last, |offered| offered.penalty_factor);
                 Some(allocation)
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -397,8 +397,8 @@
 }
 
 #[test]
-fn every_choice_on_random_snapshots_is_that_of_the_plain_form() {
-    // Each choice of a place is compared where it is made, see `plain`.
+fn every_choice_on_random_snapshots_is_that_of_the_reference() {
+    // Each choice of a place is compared where it is made, see `reference`.
     let mut rng = SmallRng::seed_from_u64(11);
     let (mut places, mut halts, mut reservations, mut waits) = (0, 0, 0, 0);
     for _ in 0..8_000 {
