--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -8,7 +8,7 @@
 use crate::protocol::parse_task;
 use crate::protocol::workers::Heartbeat;
 use crate::storage::cluster::Adoption;
-use crate::storage::machine::{HeartbeatId, Machine, MachineState, StopReason, TaskId};
+use crate::storage::machine::{AttemptId, HeartbeatId, Machine, MachineState, StopReason, TaskId};
 use crate::storage::records::MachineName;
 use std::collections::BTreeSet;
 
@@ -114,7 +114,7 @@
             }
             if was_rebuilt && !self.store.replica().jobs.contains_key(&id.job) {
                 // Accepted in the lost history, as far as anyone can tell: it is left alone.
-                tasks_of_unknown_jobs.insert((id, attempt));
+                tasks_of_unknown_jobs.insert(AttemptId::new(id, attempt));
                 continue;
             }
             if was_rebuilt && leader.cluster.adopt(name, &id, attempt, now) != Adoption::Refused {
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -1,6 +1,6 @@
 //! Responses to heartbeats: which commands a worker gets, and when.
 
-use crate::constants::{ATTEMPT_BITS, COMMANDS_MAX, GRACE_EXTRA_S, HEARTBEAT_HOLD_MS};
+use crate::constants::{COMMANDS_MAX, GRACE_EXTRA_S, HEARTBEAT_HOLD_MS};
 use crate::coordination::{ConnectionId, Controller};
 use crate::protocol::parse_task;
 use crate::protocol::workers::{EndCause, Heartbeat, HeartbeatResponse, WorkerCommand};
@@ -194,7 +194,7 @@
 
     /// The placement was made by an earlier leader.
     fn is_inherited(&self, placement: &Placement) -> bool {
-        placement.attempt >> ATTEMPT_BITS != self.term
+        placement.term() != self.term
     }
 
     fn decide_stop(
@@ -231,7 +231,7 @@
         }
         // A rebuild may have brought back what was settled before: it is not started once more
         // past its team's limit, but placed anew.
-        let is_brought_back = placement.attempt >> ATTEMPT_BITS < self.rebuilt_in_term;
+        let is_brought_back = placement.term() < self.rebuilt_in_term;
         let gang = job.and_then(|job| job.gang.as_ref());
         let may_have_run = gang.is_some_and(|gang| self.gang_may_have_run(gang, placement));
         match (is_brought_back || may_have_run, self.has_our_token) {
--- a/src/coordination/heartbeats/response/tests.rs
+++ b/src/coordination/heartbeats/response/tests.rs
@@ -1,6 +1,7 @@
 //! Tests of [`super`], the module `response`.
 
 use super::*;
+use crate::constants::ATTEMPT_BITS;
 
 const TERM: u64 = 5;
 const HEARTBEAT: HeartbeatId = HeartbeatId { incarnation: 2, sequence: 9 };
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -134,7 +134,7 @@
 
 /// Whether a stored placement of a term was never ordered: its task is on no machine.
 fn was_never_ordered(placement: &Placement, term: u64) -> bool {
-    placement.attempt >> ATTEMPT_BITS == term
+    placement.term() == term
         && placement.phase == PlacementPhase::Committed
         && placement.start_sent_after.is_none()
         && placement.reported_status.is_none()
--- a/src/coordination/recovery/report.rs
+++ b/src/coordination/recovery/report.rs
@@ -64,10 +64,10 @@
     fn unknown_tasks(&self) -> Vec<UnknownTask> {
         let machines = self.leader.iter().flat_map(|leader| leader.cluster.machines.values());
         let tasks = machines.flat_map(|machine| {
-            machine.unknown_tasks.iter().map(|(id, attempt)| UnknownTask {
+            machine.unknown_tasks.iter().map(|attempt| UnknownTask {
                 machine: machine.name.to_string(),
-                task: id.to_string(),
-                attempt: *attempt,
+                task: attempt.task.to_string(),
+                attempt: attempt.number,
             })
         });
         tasks.collect()
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -200,13 +200,14 @@
         for entry in &pending.additions {
             if self.is_on_machine(entry) {
                 // On the machine whatever the store says: it must be recorded.
-                let proposal = (entry.machine.clone(), entry.id.clone());
+                let proposal = (entry.machine.clone(), entry.attempt.task.clone());
                 self.cluster.proposals.push_back(proposal);
             } else {
-                self.cluster.retract(&entry.machine, &entry.id);
+                self.cluster.retract(&entry.machine, &entry.attempt.task);
             }
         }
-        let jobs: BTreeSet<&JobId> = pending.additions.iter().map(|entry| &entry.id.job).collect();
+        let jobs: BTreeSet<&JobId> =
+            pending.additions.iter().map(|entry| &entry.attempt.task.job).collect();
         for uid in jobs {
             let job = self.cluster.jobs.get_mut(uid);
             if let Some(gang) = job.and_then(|job| job.gang.as_mut()) {
@@ -216,9 +217,10 @@
     }
 
     fn is_on_machine(&self, entry: &PlacementEntry) -> bool {
-        let placement = self.cluster.placement(&entry.machine, &entry.id);
+        let placement = self.cluster.placement(&entry.machine, &entry.attempt.task);
         placement.is_some_and(|placement| {
-            placement.attempt == entry.attempt && placement.phase == PlacementPhase::Committed
+            placement.attempt == entry.attempt.number
+                && placement.phase == PlacementPhase::Committed
         })
     }
 
--- a/src/coordination/transactions/pending.rs
+++ b/src/coordination/transactions/pending.rs
@@ -1,7 +1,7 @@
 //! A transaction that is under way, with what it changes in the leader's state once it is applied.
 
 use crate::protocol::state::Transaction;
-use crate::storage::machine::TaskId;
+use crate::storage::machine::AttemptId;
 use crate::storage::records::{JobId, MachineName};
 
 /// A placement that a transaction stores or takes out.
@@ -11,10 +11,8 @@
     pub(super) group: u32,
     /// The machine it is on.
     pub(super) machine: MachineName,
-    /// The task.
-    pub(super) id: TaskId,
-    /// Its attempt.
-    pub(super) attempt: u64,
+    /// The task and its attempt.
+    pub(super) attempt: AttemptId,
     /// Bytes that it takes in the group.
     pub(super) bytes: usize,
 }
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -16,7 +16,7 @@
 use crate::protocol::state::raw_json;
 use crate::protocol::workers::EndCause;
 use crate::storage::cluster::ClusterState;
-use crate::storage::machine::TaskId;
+use crate::storage::machine::{AttemptId, TaskId};
 use crate::storage::records::{
     job_end_key, placements_key, JobStage, MachineName, PlacementsRecord, StoredPlacement,
 };
@@ -26,11 +26,11 @@
 /// Settled placements that may be taken out, by group.
 type RemovableByGroup = BTreeMap<u32, Vec<PlacementEntry>>;
 
-/// Tasks and attempts that leave a group.
+/// Attempts that leave a group.
 fn attempts_of<'a>(
     entries: impl IntoIterator<Item = &'a PlacementEntry>,
-) -> BTreeSet<(&'a TaskId, u64)> {
-    entries.into_iter().map(|entry| (&entry.id, entry.attempt)).collect()
+) -> BTreeSet<&'a AttemptId> {
+    entries.into_iter().map(|entry| &entry.attempt).collect()
 }
 
 impl ClusterState {
@@ -70,12 +70,12 @@
             }
             log::error!("group {number} does not fit into the commit");
             for entry in additions.extract_if(.., |entry| entry.group == number) {
-                self.proposals.push_back((entry.machine, entry.id));
+                self.proposals.push_back((entry.machine, entry.attempt.task));
             }
         }
         for entry in &additions {
-            if self.is_live(&entry.id.job) {
-                builder.conditions.insert(job_end_key(&entry.id.job), 0);
+            if self.is_live(&entry.attempt.task.job) {
+                builder.conditions.insert(job_end_key(&entry.attempt.task.job), 0);
             }
         }
         pending.additions = additions;
@@ -105,16 +105,14 @@
     fn removable_by_group(&self, pending: &PendingTransaction) -> RemovableByGroup {
         let mut removable = RemovableByGroup::new();
         for (number, group) in &self.groups {
-            for key in &group.settled {
-                let Some((machine, bytes)) = group.placements.get(key) else { continue };
-                let (id, attempt) = key;
-                if self.may_be_removed(machine, id, pending) {
+            for attempt in &group.settled {
+                let Some(placement) = group.placements.get(attempt) else { continue };
+                if self.may_be_removed(&placement.machine, &attempt.task, pending) {
                     removable.entry(*number).or_default().push(PlacementEntry {
                         group: *number,
-                        machine: machine.clone(),
-                        id: id.clone(),
-                        attempt: *attempt,
-                        bytes: *bytes,
+                        machine: placement.machine.clone(),
+                        attempt: attempt.clone(),
+                        bytes: placement.bytes,
                     });
                 }
             }
@@ -167,21 +165,20 @@
         divided.bytes.insert(*number, divided.bytes_max);
         let mut bytes_kept = 0;
         let mut moves = Vec::new();
-        for ((id, attempt), (machine, bytes)) in &group.placements {
-            if leaving.contains(&(id, *attempt)) {
+        for (attempt, placement) in &group.placements {
+            if leaving.contains(attempt) {
                 continue;
             }
-            if bytes_kept + bytes <= divided.bytes_max {
-                bytes_kept += bytes;
+            if bytes_kept + placement.bytes <= divided.bytes_max {
+                bytes_kept += placement.bytes;
                 continue;
             }
-            let Some(target) = divided.add(*bytes) else { return };
+            let Some(target) = divided.add(placement.bytes) else { return };
             let entry = PlacementEntry {
                 group: target,
-                machine: machine.clone(),
-                id: id.clone(),
-                attempt: *attempt,
-                bytes: *bytes,
+                machine: placement.machine.clone(),
+                attempt: attempt.clone(),
+                bytes: placement.bytes,
             };
             moves.push(PlacementMove { from: *number, entry });
         }
@@ -202,19 +199,13 @@
         let group = self.groups.entry(number).or_default();
         let moved_away = pending.moves.iter().filter(|moved| moved.from == number);
         let leaving = attempts_of(removals.iter().chain(moved_away.map(|moved| &moved.entry)));
-        let staying =
-            group.placements.iter().filter(|((id, attempt), _)| !leaving.contains(&(id, *attempt)));
+        let staying = group.placements.iter().filter(|(attempt, _)| !leaving.contains(attempt));
         let mut texts: Vec<String> = staying
-            .filter_map(|((id, attempt), (machine, _))| {
-                StoredPlacement::text(&id.job, id.index, machine, *attempt)
-            })
+            .filter_map(|(attempt, placement)| stored_text(attempt, &placement.machine))
             .collect();
         let moved = pending.moves.iter().map(|moved| &moved.entry);
         let arriving = additions.iter().chain(moved).filter(|entry| entry.group == number);
-        texts.extend(arriving.filter_map(|entry| {
-            let PlacementEntry { id, machine, attempt, .. } = entry;
-            StoredPlacement::text(&id.job, id.index, machine, *attempt)
-        }));
+        texts.extend(arriving.filter_map(|entry| stored_text(&entry.attempt, &entry.machine)));
         let record = PlacementsRecord { tasks: texts.join(" ") };
         if !builder.put(placements_key(number), raw_json(&record), group.mod_revision) {
             return false;
@@ -227,15 +218,15 @@
     pub(super) fn apply_moves(&mut self, moves: Vec<PlacementMove>) {
         for PlacementMove { from, entry } in moves {
             let Some(source) = self.groups.get_mut(&from) else { continue };
-            let is_settled = source.remove(&entry.id, entry.attempt);
+            let is_settled = source.remove(&entry.attempt);
             let is_urgent = source.urgent;
             let target = self.groups.entry(entry.group).or_default();
-            target.insert(entry.id.clone(), entry.attempt, entry.machine.clone(), entry.bytes);
+            target.insert(entry.attempt.clone(), entry.machine.clone(), entry.bytes);
             if is_settled {
-                target.settle(entry.id.clone(), entry.attempt, is_urgent);
+                target.settle(entry.attempt.clone(), is_urgent);
             }
-            let placement = self.placement_mut(&entry.machine, &entry.id);
-            if let Some(placement) = placement.filter(|p| p.attempt == entry.attempt) {
+            let placement = self.placement_mut(&entry.machine, &entry.attempt.task);
+            if let Some(placement) = placement.filter(|p| p.attempt == entry.attempt.number) {
                 placement.group = Some(entry.group);
             }
         }
@@ -244,19 +235,25 @@
     /// A settled placement was taken out of its group.
     pub(super) fn apply_removal(&mut self, entry: &PlacementEntry) {
         if let Some(group) = self.groups.get_mut(&entry.group) {
-            group.remove(&entry.id, entry.attempt);
+            group.remove(&entry.attempt);
         }
-        self.settlement_committed(&entry.machine, &entry.id, entry.attempt);
+        self.settlement_committed(&entry.machine, &entry.attempt.task, entry.attempt.number);
     }
 
     /// A placement was stored.
     pub(super) fn apply_addition(&mut self, entry: &PlacementEntry) {
         let group = self.groups.entry(entry.group).or_default();
-        group.insert(entry.id.clone(), entry.attempt, entry.machine.clone(), entry.bytes);
-        self.committed(&entry.machine, &entry.id, entry.attempt, entry.group);
+        group.insert(entry.attempt.clone(), entry.machine.clone(), entry.bytes);
+        self.committed(&entry.machine, &entry.attempt.task, entry.attempt.number, entry.group);
     }
 }
 
+/// The stored form of a placement; none if it has none.
+fn stored_text(attempt: &AttemptId, machine: &MachineName) -> Option<String> {
+    let AttemptId { task, number } = attempt;
+    StoredPlacement::text(&task.job, task.index, machine, *number)
+}
+
 /// Adds the groups with most to take out.
 fn choose_groups_to_clean(fill: &mut GroupFill, removable: &RemovableByGroup) {
     let mut candidates: Vec<(usize, u32)> = removable
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -2,7 +2,7 @@
 
 use super::{GroupFill, PlacementEntry, TransactionScope};
 use crate::storage::cluster::ClusterState;
-use crate::storage::machine::{MachineState, PlacementPhase, TaskId};
+use crate::storage::machine::{AttemptId, MachineState, PlacementPhase, TaskId};
 use crate::storage::records::{JobId, MachineName, StoredPlacement};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -43,7 +43,7 @@
                 continue;
             };
             let Some(first) = entries.first() else { continue };
-            let uid = first.id.job.clone();
+            let uid = first.attempt.task.job.clone();
             let is_live = self.is_live(&uid);
             let needs_condition = is_live && !jobs.contains(&uid);
             let has_condition = !needs_condition || jobs.len() < conditions_left;
@@ -122,8 +122,7 @@
         ProposalState::Storable(PlacementEntry {
             group: 0,
             machine: machine_name.clone(),
-            id: id.clone(),
-            attempt: placement.attempt,
+            attempt: AttemptId::new(id.clone(), placement.attempt),
             bytes: text.len() + 1,
         })
     }
--- a/src/coordination/transactions/placements/tests.rs
+++ b/src/coordination/transactions/placements/tests.rs
@@ -107,8 +107,7 @@
             ("n-000001".into(), TaskId::new("job-9".into(), task));
         let bytes = StoredPlacement::text("job-9", task, &machine, 9).expect("a text").len() + 1;
         let group = cluster.groups.entry(0).or_default();
-        group.bytes += bytes;
-        group.placements.insert((id, 9), (machine, bytes));
+        group.insert(AttemptId::new(id, 9), machine, bytes);
     }
     assert!(cluster.has_oversized_group(VALUE_BYTES));
     let (mut p, mut f) = (packer(2), PendingTransaction::default());
--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -6,7 +6,7 @@
 use super::ClusterState;
 use crate::protocol::workers::{EndCause, TaskStatus};
 use crate::storage::job::PlacedTask;
-use crate::storage::machine::{PlacementPhase, StopReason, TaskId};
+use crate::storage::machine::{AttemptId, PlacementPhase, StopReason, TaskId};
 use crate::storage::records::{JobId, MachineName};
 
 /// What becomes of a task that runs and has no placement that we know of.
@@ -38,14 +38,14 @@
 
     /// A job is known by now whose tasks were found running before.
     pub(super) fn adopt_tasks_of(&mut self, job: &JobId, now: u64) {
-        let mut found: Vec<(MachineName, TaskId, u64)> = Vec::new();
+        let mut found: Vec<(MachineName, AttemptId)> = Vec::new();
         for machine in self.machines.values_mut() {
-            let tasks = machine.unknown_tasks.iter().filter(|(id, _)| id.job == *job);
-            found.extend(tasks.map(|(id, attempt)| (machine.name.clone(), id.clone(), *attempt)));
-            machine.unknown_tasks.retain(|(id, _)| id.job != *job);
+            let tasks = machine.unknown_tasks.iter().filter(|attempt| attempt.task.job == *job);
+            found.extend(tasks.map(|attempt| (machine.name.clone(), attempt.clone())));
+            machine.unknown_tasks.retain(|attempt| attempt.task.job != *job);
         }
-        for (machine, id, attempt) in found {
-            self.adopt(&machine, &id, attempt, now);
+        for (machine, attempt) in found {
+            self.adopt(&machine, &attempt.task, attempt.number, now);
         }
     }
 
--- a/src/storage/cluster/placements.rs
+++ b/src/storage/cluster/placements.rs
@@ -3,7 +3,7 @@
 use super::resources::{charge, release};
 use super::ClusterState;
 use crate::protocol::workers::EndCause;
-use crate::storage::machine::{Placement, PlacementPhase, TaskId};
+use crate::storage::machine::{AttemptId, Placement, PlacementPhase, TaskId};
 use crate::storage::records::{JobId, MachineName};
 
 impl ClusterState {
@@ -59,7 +59,7 @@
         placement.group = Some(group);
         // Settled while the commit was under way.
         if let (Some(cause), Some(group)) = (placement.settled, self.groups.get_mut(&group)) {
-            group.settle(id.clone(), attempt, cause != EndCause::Done);
+            group.settle(AttemptId::new(id.clone(), attempt), cause != EndCause::Done);
         }
     }
 
@@ -101,7 +101,8 @@
             Some(group) => {
                 // Its task may start again only once this is in the store.
                 let starts_again = self.jobs.get(&id.job).is_some_and(|job| job.is_live());
-                group.settle(id.clone(), attempt, starts_again && cause != EndCause::Done);
+                let is_urgent = starts_again && cause != EndCause::Done;
+                group.settle(AttemptId::new(id.clone(), attempt), is_urgent);
             }
             None => self.unstored_settlements.push((machine.clone(), id.clone())),
         }
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -4,7 +4,7 @@
 use crate::storage::done_tasks_group::DoneTasksGroup;
 use crate::storage::hashing::HashMap;
 use crate::storage::job::PlacedTask;
-use crate::storage::machine::{MachineState, Placement, PlacementPhase, TaskId};
+use crate::storage::machine::{AttemptId, MachineState, Placement, PlacementPhase, TaskId};
 use crate::storage::placement_group::PlacementGroup;
 use crate::storage::records::{
     parse_chunk, DoneTasksRecord, JobId, JobStage, MachineName, PlacementsRecord, StoredPlacement,
@@ -59,13 +59,14 @@
             let machine: MachineName = stored.machine.into();
             let text = StoredPlacement::text(&id.job, id.index, stored.machine, stored.attempt);
             let bytes = text.unwrap_or_default().len() + 1;
-            group.insert(id.clone(), stored.attempt, machine.clone(), bytes);
+            let attempt = AttemptId::new(id.clone(), stored.attempt);
+            group.insert(attempt.clone(), machine.clone(), bytes);
             if self.restore_placement(&machine, &id, stored.attempt, number, now) {
                 let task = PlacedTask { index: id.index, machine };
                 placed.entry(id.job).or_default().push(task);
             } else {
                 log::error!("{id}: stored twice on {machine}");
-                group.settled.insert((id, stored.attempt));
+                group.settled.insert(attempt);
             }
         }
         self.groups.insert(number, group);
--- a/src/storage/cluster/restore/tests.rs
+++ b/src/storage/cluster/restore/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::protocol::state::raw_json;
 use crate::storage::hashing::HashKeys;
+use crate::storage::machine::AttemptId;
 use crate::storage::machine::StopReason;
 use crate::storage::records::{
     batch_key, chunk_name, done_tasks_key, images_key, placements_key, ImagesRecord,
@@ -35,7 +36,7 @@
     let placement = &cluster.machines["n-a"].placements[&id];
     assert_eq!((placement.attempt, placement.group), (7, Some(0)));
     assert!(cluster.groups[&0].settled.is_empty());
-    assert!(cluster.groups[&1].settled.contains(&(id, 8)));
+    assert!(cluster.groups[&1].settled.contains(&AttemptId::new(id, 8)));
     assert_eq!(cluster.jobs["job-1"].placed_on.len(), 1);
 }
 
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::protocol::state::raw_json;
 use crate::protocol::workers::EndCause;
+use crate::storage::machine::AttemptId;
 use crate::storage::records::batch_key;
 use crate::storage::replica::Replica;
 use crate::storage::testing::batch_of;
@@ -38,8 +39,8 @@
     cluster.propose(&job, 0, &first, 7, 0);
     cluster.proposals.clear();
     cluster.settle(&first, &id, EndCause::Lost);
-    let key = (id.clone(), 7);
-    cluster.groups.entry(0).or_default().placements.insert(key.clone(), (first.clone(), 20));
+    let key = AttemptId::new(id.clone(), 7);
+    cluster.groups.entry(0).or_default().insert(key.clone(), first.clone(), 20);
     cluster.committed(&first, &id, 7, 0);
     cluster.drop_unstored_settlements();
     assert_eq!(cluster.jobs[&job].next_waiting(), None, "its group still names it");
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -1,7 +1,7 @@
 //! Machines, and tasks placed on them, as the leader of a term knows them.
 
 use super::records::{JobId, MachineName};
-use crate::constants::{IMAGES_KEPT, UNREACHABLE_SIGNS};
+use crate::constants::{ATTEMPT_BITS, IMAGES_KEPT, UNREACHABLE_SIGNS};
 use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
@@ -86,6 +86,11 @@
             group: None,
         }
     }
+
+    /// The term of the leader that made it.
+    pub fn term(&self) -> u64 {
+        self.attempt >> ATTEMPT_BITS
+    }
 }
 
 /// Identifies a task. Ordered by job, then by number; its text form, such as `job-000412/3`, is the task's
@@ -105,6 +110,22 @@
     }
 }
 
+/// Identifies an attempt to run a task. Ordered by task, then by number.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    /// The task.
+    pub task: TaskId,
+    /// Number of the attempt, never used for another one; holds the term of the leader that made it.
+    pub number: u64,
+}
+
+impl AttemptId {
+    /// The attempt `number` of a task.
+    pub fn new(task: TaskId, number: u64) -> AttemptId {
+        AttemptId { task, number }
+    }
+}
+
 impl fmt::Display for TaskId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}", self.job, self.index)
@@ -175,7 +196,7 @@
     pub placements: BTreeMap<TaskId, Placement>,
     /// Tasks that run on it and belong to no job that is known, with their attempts: after a rebuild
     /// of the store they are left alone.
-    pub unknown_tasks: BTreeSet<(TaskId, u64)>,
+    pub unknown_tasks: BTreeSet<AttemptId>,
     /// Images it holds, newest last, with their size in gigabytes.
     pub images: Vec<(String, f64)>,
     /// Placements on it that are not in the store yet.
