--- a/crates/mountgap-records/src/job.rs
+++ b/crates/mountgap-records/src/job.rs
@@ -128,6 +128,12 @@
         }
     }
 
+    /// Whether it may run on machines of this type.
+    pub fn allows_type(&self, type_name: &str) -> bool {
+        let allowed_types = self.machine_types.as_ref();
+        allowed_types.is_none_or(|allowed| allowed.iter().any(|name| name == type_name))
+    }
+
     /// Whether a stopped task can keep its progress.
     pub fn saves(&self) -> bool {
         self.checkpoint_interval_s > 0.0
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -1,8 +1,8 @@
 //! Defragmentation: thinly used machines are emptied so that they can be returned, and services
 //! move off them.
 
+use super::boot_ms;
 use super::forecast::ServiceHeadroom;
-use super::{boot_ms, is_usable};
 use crate::constants::{
     ARRIVAL_WINDOW_MS, CLOSE_SHARE, EXCESS_ROOM_MS, HEADROOM_MACHINES, LOW_LOAD_SHARE, MOVE_GAP_MS,
     MOVE_SHARE, UNPLACED_SHARE,
@@ -97,7 +97,7 @@
 impl Leader {
     /// Machines that count as room for work, with their load.
     fn open_machines(&self) -> Vec<LoadedMachine<'_>> {
-        let machines = self.cluster.machines.values().filter(|machine| is_usable(machine));
+        let machines = self.cluster.machines.values().filter(|machine| machine.is_usable());
         machines
             .map(|machine| LoadedMachine { machine, load: load(&self.cluster, machine) })
             .collect()
@@ -252,7 +252,7 @@
 
 impl<'a> MoveTargets<'a> {
     fn new(cluster: &'a ClusterState) -> MoveTargets<'a> {
-        let machines = cluster.machines.values().filter(|machine| is_usable(machine));
+        let machines = cluster.machines.values().filter(|machine| machine.is_usable());
         MoveTargets { machines: machines.map(|machine| (machine, cluster.free(machine))).collect() }
     }
 
--- a/src/coordination/fleet/forecast.rs
+++ b/src/coordination/fleet/forecast.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::{ARRIVAL_WINDOW_MS, MS_PER_S, SPARE_SERVICE_SLOTS, WORK_WINDOW_MS};
 use crate::coordination::{Clock, Leader};
-use crate::protocol::cloud::Catalog;
+use crate::protocol::cloud::{Catalog, MachineType};
 use crate::protocol::users::JobKind;
 use crate::protocol::Resources;
 
@@ -34,7 +34,7 @@
     /// Takes note of jobs that came since the last look. What a new leader finds counts at
     /// the time of day that it was accepted.
     pub(super) fn note_arrivals(&mut self, now: Clock, catalog: &Catalog) {
-        let types = catalog.machine_types.iter().map(super::total_of);
+        let types = catalog.machine_types.iter().map(MachineType::total);
         let Some(largest) = types.max_by_key(|total| (total.gpu, total.cpu)) else { return };
         let seen_before = self.fleet.last_seen_arrival;
         let mut services = Vec::new();
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,7 +1,7 @@
 //! The cloud's list of machines: which are there, failed or gone.
 
 use crate::constants::{
-    CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, LIST_LIMIT, LIST_MARGIN_MS, LIST_PERIOD_MS, MS_PER_S,
+    CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, LIST_LIMIT, LIST_PERIOD_MS, MS_PER_S,
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
@@ -72,8 +72,7 @@
     /// no more than twice the lag earlier.
     fn on_complete_list(&mut self, list_started_at: u64) {
         let now = self.now.monotonic_ms;
-        let lag_ms =
-            (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
+        let lag_ms = self.settings.params.cloud.list_lag_ms();
         let Some(leader) = self.leader.as_mut() else { return };
         let hosts = std::mem::take(&mut leader.fleet.listed_machines);
         leader.fleet.has_complete_list = true;
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -21,10 +21,9 @@
 use super::rental::Rental;
 use super::{Controller, Leader};
 use crate::constants::MS_PER_S;
-use crate::protocol::cloud::{Catalog, ListedMachine, MachineType};
-use crate::protocol::Resources;
+use crate::protocol::cloud::{Catalog, ListedMachine};
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
-use crate::storage::machine::{Machine, MachineState};
+use crate::storage::machine::Machine;
 use crate::storage::records::MachineName;
 use forecast::{BatchArrival, ServiceArrival};
 use std::collections::VecDeque;
@@ -138,21 +137,6 @@
     }
 }
 
-/// Whether a machine counts as room for work.
-fn is_usable(machine: &Machine) -> bool {
-    machine.state == MachineState::Up
-        && !machine.cordoned
-        && !machine.draining
-        && !machine.lease_expired
-        && machine.unreachable_since.is_none()
-        && machine.reclaim_at.is_none()
-}
-
-/// What a machine of a type has in all.
-fn total_of(machine_type: &MachineType) -> Resources {
-    Resources::new(machine_type.cores, machine_type.gpus, machine_type.ram_gb)
-}
-
 /// Milliseconds that a machine of a type boots, as a rule.
 fn boot_ms(catalog: &Catalog, type_name: &str) -> u64 {
     let boot_s = catalog
@@ -164,6 +148,6 @@
 impl Leader {
     /// Ordinary machines that count as room for work.
     fn usable_ordinary_machines(&self) -> impl Iterator<Item = &Machine> {
-        self.cluster.machines.values().filter(|machine| is_usable(machine) && !machine.spot)
+        self.cluster.machines.values().filter(|machine| machine.is_usable() && !machine.spot)
     }
 }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,11 +1,11 @@
 //! Scaling in: idle, failed, silent or unreachable machines are returned.
 
+use super::boot_ms;
 use super::forecast::ServiceHeadroom;
-use super::{boot_ms, is_usable};
 use crate::constants::{
     BOOT_LOST, CHARGE_MIN_S, CLOUD_TIMEOUT_MS, DELETION_MACHINES_MAX, IDLE_RETURN_BOOTS, MS_PER_S,
-    RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_MINORITY_DIVISOR, SILENT_PERIODS,
-    WORKERS_UNREACHABLE_HANDOVER_MS, WORKER_RETRY_S, WORKER_TIMEOUT_S,
+    RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_MINORITY_DIVISOR, WORKERS_UNREACHABLE_HANDOVER_MS,
+    WORKER_RETRY_S, WORKER_TIMEOUT_S,
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
@@ -35,7 +35,7 @@
             catalog: &catalog,
             idle_return_s: operator.idle_return_s,
             lease_ms: (workers.lease_s * MS_PER_S) as u64,
-            silent_ms: (workers.report_s * SILENT_PERIODS * MS_PER_S) as u64,
+            silent_ms: workers.silent_ms(),
             isolated_ms,
         };
         let silent = leader.silent_services(now, &self.settings);
@@ -257,7 +257,7 @@
         let round_s =
             workers.report_s * MISSED_ROUND_PERIODS + WORKER_TIMEOUT_S + WORKER_RETRY_S * 2.0;
         let round_ms = (round_s * MS_PER_S) as u64;
-        let recent_ms = (workers.report_s * SILENT_PERIODS * MS_PER_S) as u64;
+        let recent_ms = workers.silent_ms();
         let cluster = &self.cluster;
         let is_known = |machine: &&Machine| {
             matches!(machine.state, MachineState::Up | MachineState::AwaitingHeartbeat)
@@ -278,7 +278,7 @@
             return Vec::new();
         }
         let targets: Vec<&Machine> =
-            others.into_iter().filter(|machine| is_usable(machine) && !machine.spot).collect();
+            others.into_iter().filter(|machine| machine.is_usable() && !machine.spot).collect();
         silent
             .into_iter()
             .filter(|machine| services_fit_elsewhere(cluster, machine, &targets))
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -3,7 +3,7 @@
 mod rental_plan;
 
 use super::unplaced::UnplacedTasks;
-use super::{total_of, MachineKind};
+use super::MachineKind;
 use crate::constants::{
     BOOT_LATE, CAPACITY_BACKOFF_MS, CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MS_PER_S,
     RENTAL_MACHINES_MAX,
--- a/src/coordination/fleet/scale_out/rental_plan.rs
+++ b/src/coordination/fleet/scale_out/rental_plan.rs
@@ -1,7 +1,7 @@
 //! Which kinds of machines to rent: the cheapest that a task can use, zones with fewer machines
 //! first.
 
-use super::{total_of, CatalogKind, MachineKind, UnplacedTasks, WantedMachines};
+use super::{CatalogKind, MachineKind, UnplacedTasks, WantedMachines};
 use crate::constants::SLOT_EPSILON;
 use crate::coordination::Leader;
 use crate::protocol::cloud::Catalog;
@@ -22,7 +22,7 @@
 
 impl ComingMachine {
     pub(super) fn new(kind: CatalogKind, catalog: &Catalog) -> ComingMachine {
-        let free = total_of(&catalog.machine_types[kind.type_index]);
+        let free = catalog.machine_types[kind.type_index].total();
         ComingMachine { kind, free }
     }
 }
@@ -147,7 +147,7 @@
         let tasks = search.tasks;
         let mut best: Option<Candidate> = None;
         for (type_index, machine_type) in self.catalog.machine_types.iter().enumerate() {
-            if !tasks.allowed_types[type_index] || !total_of(machine_type).fits(&tasks.need) {
+            if !tasks.allowed_types[type_index] || !machine_type.total().fits(&tasks.need) {
                 continue;
             }
             for zone in machine_type.zones.iter().filter(|zone| search.zone_is_open(zone)) {
@@ -184,7 +184,7 @@
 
     fn candidate(&self, kind: CatalogKind, tasks: &UnplacedTasks) -> Candidate {
         let machine_type = &self.catalog.machine_types[kind.type_index];
-        let tasks_per_machine = total_of(machine_type).times(&tasks.need).max(1) as f64;
+        let tasks_per_machine = machine_type.total().times(&tasks.need).max(1) as f64;
         let price = if kind.spot { machine_type.spot_price } else { machine_type.rate };
         let zone_key = (kind.zone.as_str(), kind.spot);
         let same_kind = self.machine_counts.get(&zone_key).copied().unwrap_or(0)
--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -5,13 +5,13 @@
     MS_PER_S, RECLAIM_NOTICE_MAX_S, UNREACHABLE_SESSION_SIGNS, WORKER_TIMEOUT_S,
 };
 use crate::protocol::cloud::Catalog;
+use crate::protocol::parse_task;
 use crate::protocol::workers::{EndCause, Heartbeat, ReportedTask};
-use crate::protocol::{parse_task, Resources};
 use crate::storage::hashing::{HashKeys, HashMap};
-use crate::storage::machine::{HeartbeatId, Machine, MachineState, Placement, TaskId};
+use crate::storage::machine::{AttemptId, HeartbeatId, Machine, MachineState, Placement, TaskId};
 
-/// Tasks of a heartbeat by task and attempt.
-pub(super) struct ReportedTasks<'a>(HashMap<(TaskId, u64), &'a ReportedTask>);
+/// Tasks of a heartbeat by attempt.
+pub(super) struct ReportedTasks<'a>(HashMap<AttemptId, &'a ReportedTask>);
 
 impl<'a> ReportedTasks<'a> {
     /// The tasks that a heartbeat shows; names that can't be read are left out.
@@ -19,14 +19,15 @@
         let mut tasks = keys.map();
         for reported in &heartbeat.tasks {
             if let Some((job, index)) = parse_task(&reported.task_id) {
-                tasks.insert((TaskId::new(job.into(), index), reported.attempt), reported);
+                let id = TaskId::new(job.into(), index);
+                tasks.insert(AttemptId::new(id, reported.attempt), reported);
             }
         }
         ReportedTasks(tasks)
     }
 
     fn get(&self, id: &TaskId, attempt: u64) -> Option<&'a ReportedTask> {
-        self.0.get(&(id.clone(), attempt)).copied()
+        self.0.get(&AttemptId::new(id.clone(), attempt)).copied()
     }
 }
 
@@ -85,7 +86,7 @@
     machine.zone.clone_from(&heartbeat.zone);
     machine.spot = heartbeat.spot;
     if let Some(known) = catalog.and_then(|catalog| catalog.machine_type(&machine.type_name)) {
-        machine.total = Resources::new(known.cores, known.gpus, known.ram_gb);
+        machine.total = known.total();
     }
     if matches!(machine.state, MachineState::Booting | MachineState::AwaitingHeartbeat) {
         machine.state = MachineState::Up;
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -9,7 +9,7 @@
 use crate::storage::machine::{
     HeartbeatId, Machine, MachineState, Placement, PlacementPhase, StopReason, TaskId,
 };
-use crate::storage::records::{JobStage, MachineName};
+use crate::storage::records::MachineName;
 
 /// An attempt of a task as a heartbeat names it.
 #[derive(Debug)]
@@ -181,7 +181,7 @@
         index: u32,
         ended: bool,
     ) -> Decision {
-        let is_needed = job.is_some_and(|job| job.stage == JobStage::Live && !job.done.get(index));
+        let is_needed = job.is_some_and(|job| job.is_unfinished(index));
         let stop_reason = match is_needed && !ended {
             true => placement.stop_reason,
             false => Some(StopReason::NotNeeded),
--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -1,6 +1,7 @@
 //! What goes into the core and what comes out of it: commands, effects and clocks.
 
 use crate::protocol::http::Response;
+use crate::protocol::routes::{HEALTH_PATH, HEARTBEAT_PATH};
 
 /// Two clocks in milliseconds: steady, and time of day.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -75,7 +76,7 @@
 impl Command {
     pub(super) fn priority(&self) -> CommandPriority {
         match self {
-            Command::Public { path, .. } if path == "/checkin" || path == "/up" => {
+            Command::Public { path, .. } if path == HEARTBEAT_PATH || path == HEALTH_PATH => {
                 CommandPriority::Heartbeat
             }
             Command::Reply { .. } | Command::Peer { .. } => CommandPriority::Decision,
--- a/src/coordination/planner_input.rs
+++ b/src/coordination/planner_input.rs
@@ -10,7 +10,7 @@
 
 use super::planner::{JobOnMachine, Snapshot};
 use super::{Clock, Leader};
-use crate::constants::{MS_PER_S, SILENT_PERIODS};
+use crate::constants::MS_PER_S;
 use crate::protocol::cloud::Catalog;
 use crate::settings::{Operator, Platform};
 use crate::storage::cluster::ClusterState;
@@ -52,7 +52,7 @@
             catalog,
             clock,
             now_ms: clock.monotonic_ms,
-            silent_ms: (settings.params.workers.report_s * SILENT_PERIODS * MS_PER_S) as u64,
+            silent_ms: settings.params.workers.silent_ms(),
             input: PlannerInput {
                 snapshot: Snapshot::default(),
                 jobs: Vec::new(),
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -6,7 +6,7 @@
 use crate::protocol::cloud::Catalog;
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::Resources;
-use crate::settings::{Objective, Team};
+use crate::settings::Objective;
 use crate::storage::hashing::HashMap;
 use crate::storage::job::Job;
 use crate::storage::records::MachineName;
@@ -25,7 +25,7 @@
             if waiting_tasks(job) == 0 || is_paused(job, self.now_ms) {
                 continue;
             }
-            let guarantee = guarantee(&self.settings.params.teams[team]);
+            let guarantee = self.settings.params.teams[team].guarantee();
             let within_guarantee = is_within_guarantee(&claimed[team], &guarantee);
             let Some(view) = self.job_view(job, spec, team, within_guarantee) else { continue };
             self.input.snapshot.jobs.push(view);
@@ -107,8 +107,8 @@
             used += unknown;
             self.input.snapshot.teams.push(TeamView {
                 used,
-                guarantee: guarantee(team),
-                limit: Resources::new(team.cpus_max, team.gpus_max, 0.0),
+                guarantee: team.guarantee(),
+                limit: team.limit(),
                 share_permille: 0,
             });
         }
@@ -140,10 +140,8 @@
 
 /// Which machine types a job may use, in the order of the catalog.
 fn allowed_types(catalog: &Catalog, spec: &JobSpec) -> Vec<bool> {
-    let is_allowed =
-        |name: &String| spec.machine_types.as_ref().is_none_or(|list| list.contains(name));
     let types = catalog.machine_types.iter();
-    types.map(|machine_type| is_allowed(&machine_type.type_name)).collect()
+    types.map(|machine_type| spec.allows_type(&machine_type.type_name)).collect()
 }
 
 /// Machines on which a job failed; none once it has failed on so many that it is tried everywhere.
@@ -179,7 +177,3 @@
     due_in_ms.dedup();
     due_in_ms
 }
-
-fn guarantee(team: &Team) -> Resources {
-    Resources::new(team.cpus, team.gpus, 0.0)
-}
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -8,7 +8,6 @@
 };
 use crate::coordination::planner::{BootingMachine, MachineView, MeanBootWait};
 use crate::protocol::cloud::MachineType;
-use crate::protocol::Resources;
 use crate::storage::hashing::HashSet;
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::MachineName;
@@ -86,10 +85,9 @@
     let boot_ms = (machine_type.boot_s * MS_PER_S) as u64;
     let left_ms = (machine.rented_at + boot_ms).saturating_sub(now_ms);
     let is_late = now_ms > machine.rented_at + (boot_ms as f64 * BOOT_LATE) as u64;
-    let total = Resources::new(machine_type.cores, machine_type.gpus, machine_type.ram_gb);
     (!is_late).then_some(BootingMachine {
         ready_in_ms: left_ms.max(boot_ms / BOOT_OVERDUE_DIVISOR),
-        total,
+        total: machine_type.total(),
     })
 }
 
@@ -102,19 +100,14 @@
 
 /// Whether a machine may get new tasks.
 pub(super) fn may_get_tasks(machine: &Machine, now_ms: u64, silent_ms: u64) -> bool {
-    machine.state == MachineState::Up
-        && !machine.cordoned
-        && !machine.draining
-        && !machine.lease_expired
-        // What is to be taken gets nothing more: it would not be stored, and the same tasks
-        // were placed there pass after pass while others had room for them.
-        && machine.reclaim_at.is_none()
+    // What is to be reclaimed is not usable: it would not be stored, and the same tasks
+    // were placed there pass after pass while others had room for them.
+    machine.is_usable()
         // Nothing goes to a machine before it has shown our token: what reports may be
         // a late copy of one that is gone, or a machine that hears nobody.
         && machine.has_our_token
         // What a task of an unknown job takes of its machine is not known either.
         && machine.unknown_tasks.is_empty()
-        && machine.unreachable_since.is_none()
         && machine.last_alive_at.is_some_and(|at| now_ms - at <= silent_ms)
 }
 
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -8,9 +8,7 @@
 use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest};
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::valid_uid;
-use crate::storage::records::{
-    flagged_jobs_key, job_end_key, FlaggedJobsRecord, JobEndRecord, JobStage, RebuildRecord,
-};
+use crate::storage::records::{flagged_jobs_key, FlaggedJobsRecord, RebuildRecord};
 use mountgap_records::constants::REBUILD_KEY;
 use std::collections::BTreeSet;
 
@@ -113,19 +111,6 @@
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
-    /// Ends a job as cancelled.
-    fn add_cancellation(&self, job: &str, commit: &mut Transaction) {
-        let known = self.store.replica().jobs.get(job).map(|known| &known.value);
-        let end = JobEndRecord {
-            at: known.map_or(self.now.wall_ms, |known| known.at),
-            stage: JobStage::Cancelled,
-            tasks: known.map_or(0, |known| known.tasks),
-            done: self.store.replica().done_bitmap(job).count(),
-        };
-        commit.conditions.push(Condition { key: job_end_key(job), mod_revision: 0 });
-        commit.writes.push(Mutation::put(job_end_key(job), &end));
-    }
-
     /// Takes the flags off jobs.
     fn add_flag_removals(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
         for (group_number, group) in &self.store.replica().flagged {
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -4,6 +4,7 @@
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
 use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
+use crate::protocol::routes::IMAGE_PATH;
 use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::image::StoreImage;
 
@@ -78,7 +79,7 @@
             let purpose = CallPurpose::Image { peer };
             let body = encode(&request);
             let service = Service::Peer(peer);
-            self.call(service, "POST", "/image".into(), body, IMAGE_TIMEOUT_MS, purpose);
+            self.call(service, "POST", IMAGE_PATH.into(), body, IMAGE_TIMEOUT_MS, purpose);
         }
     }
 
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -143,7 +143,7 @@
         self.recovery.leader_revision_seen_before(mod_revision, self.store.epoch())
     }
 
-    fn rebuild_is_complete(&self) -> bool {
+    pub(super) fn rebuild_is_complete(&self) -> bool {
         self.store.replica().rebuild_phase().is_some_and(|phase| phase != RebuildPhase::Writing)
     }
 
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -9,8 +9,8 @@
 use super::put_rebuild_record;
 use super::rebuild_plan::RebuildPlan;
 use crate::constants::{
-    REBUILD_IMAGES_TIMEOUT_MS, REBUILD_REFUSALS_MAX, STATE_RETRY_BACKOFF_MS, STATE_TIMEOUT_MS,
-    WRITE_RESERVE,
+    MS_PER_S, REBUILD_IMAGES_TIMEOUT_MS, REBUILD_REFUSALS_MAX, STATE_RETRY_BACKOFF_MS,
+    STATE_TIMEOUT_MS, WRITE_RESERVE,
 };
 use crate::coordination::membership::stop_commands_of_ended_jobs;
 use crate::coordination::{CallPurpose, ConnectionId, Controller};
@@ -218,9 +218,7 @@
 
     /// Changed by a late copy or by another controller: a read tells what is left.
     fn on_rebuild_conflict(&mut self, body: &[u8]) {
-        let conflict = serde_json::from_slice::<TransactionConflict>(body)
-            .unwrap_or(TransactionConflict { failed: Vec::new(), revision: 0 });
-        if conflict.failed.contains(&leader_key()) {
+        if TransactionConflict::failed_keys(body).contains(&leader_key()) {
             self.step_down("the leader key has changed");
             return self.suspect_stale_leader_key();
         }
@@ -252,10 +250,9 @@
     }
 
     fn finish_rebuild_if_complete(&mut self) {
-        let phase = self.store.replica().rebuild_phase();
-        let complete = phase.is_some_and(|phase| phase != RebuildPhase::Writing);
+        let complete = self.rebuild_is_complete();
         let Some(rebuild) = self.recovery.rebuild().filter(|_| complete) else { return };
-        let seconds = (self.now.monotonic_ms - rebuild.started_at) as f64 / 1000.0;
+        let seconds = (self.now.monotonic_ms - rebuild.started_at) as f64 / MS_PER_S;
         let transactions = rebuild.transactions_applied;
         log::info!("all records are written: {transactions} commits in {seconds:.1} s");
         self.resume_if_rebuilt();
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -7,7 +7,6 @@
 //! has not reported since. It must not start elsewhere before its worker has shown the term of the
 //! rebuild, which proves what runs there, or its lease has surely ended.
 
-use crate::constants::{LIST_MARGIN_MS, MS_PER_S};
 use crate::coordination::Controller;
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::{RebuildPhase, RebuildRecord};
@@ -48,11 +47,11 @@
             return true;
         }
         // A list that was asked for early may lack machines that are up.
-        let lag = (self.settings.params.cloud.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS;
+        let lag_ms = self.settings.params.cloud.list_lag_ms();
         let listed = leader
             .fleet
             .complete_list_started_at()
-            .is_some_and(|started_at| started_at > leader.began_at + lag);
+            .is_some_and(|started_at| started_at > leader.began_at + lag_ms);
         listed && leader.cluster.machines.values().all(is_reconciled)
     }
 
--- a/src/coordination/recovery/state.rs
+++ b/src/coordination/recovery/state.rs
@@ -288,13 +288,9 @@
 
     /// Puts in all changes up to a revision.
     pub(super) fn record_changes(&mut self, changes: &WatchResponse, epoch: u32) {
-        for event in changes.events.iter().filter(|event| event.value.is_some()) {
-            let key = event.put_key.as_deref().unwrap_or_default();
-            self.record_leader_revision(key, event.mod_revision, epoch);
-        }
         for event in &changes.events {
             if let (Some(key), Some(data)) = (&event.put_key, &event.value) {
-                self.image.put(key, event.mod_revision, data.get());
+                self.record_value(key, event.mod_revision, data.get(), epoch);
             } else if let Some(key) = &event.removed_key {
                 self.image.remove(key, event.mod_revision);
             }
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -374,8 +374,7 @@
     /// One of the jobs has ended in the meantime: that one is answered as it is, the others
     /// gather again.
     fn split_refused_batch(&mut self, batch: Batch, body: &[u8]) {
-        let conflict = serde_json::from_slice::<TransactionConflict>(body);
-        let failed_keys = conflict.map(|conflict| conflict.failed).unwrap_or_default();
+        let failed_keys = TransactionConflict::failed_keys(body);
         for submission in batch.submissions {
             if !failed_keys.contains(&job_end_key(&submission.spec.uid)) {
                 self.submissions.gathering.push(submission);
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -8,7 +8,7 @@
 use crate::protocol::routes::cancel_path;
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
 use crate::protocol::users::{valid_uid, JobStatus, JobStatusResponse};
-use crate::storage::records::{job_end_key, JobEndRecord, JobRecord, JobStage};
+use crate::storage::records::{job_end_key, JobEndRecord, JobStage};
 
 impl Controller {
     pub(super) fn cancel(&mut self, requester: Requester, uid: &str) {
@@ -46,10 +46,9 @@
         if self.store.replica().is_flagged(uid) {
             return self.unavailable(requester);
         }
-        let Some(job) = self.store.replica().jobs.get(uid) else {
-            return;
-        };
-        let commit = self.cancellation(uid, &job.value);
+        let mut commit = Transaction::default();
+        self.add_cancellation(uid, &mut commit);
+        self.add_rebuild_condition(&mut commit);
         if !self.store.take_writes(1.0, USER_WRITE_RESERVE, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
@@ -60,21 +59,18 @@
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
-    /// Ends the job unless it has ended otherwise meanwhile.
-    fn cancellation(&self, uid: &str, job: &JobRecord) -> Transaction {
-        let record = JobEndRecord {
-            at: job.at,
+    /// Adds the end of a job as cancelled, which holds if it has no end yet. Of the job nothing need be
+    /// known but that its tasks run.
+    pub(in crate::coordination) fn add_cancellation(&self, job: &str, commit: &mut Transaction) {
+        let known = self.store.replica().jobs.get(job).map(|known| &known.value);
+        let end = JobEndRecord {
+            at: known.map_or(self.now.wall_ms, |known| known.at),
             stage: JobStage::Cancelled,
-            tasks: job.tasks,
-            done: self.store.replica().done_bitmap(uid).count(),
-        };
-        let key = job_end_key(uid);
-        let mut transaction = Transaction {
-            conditions: vec![Condition { key: key.clone(), mod_revision: 0 }],
-            writes: vec![Mutation::put(key, &record)],
+            tasks: known.map_or(0, |known| known.tasks),
+            done: self.store.replica().done_bitmap(job).count(),
         };
-        self.add_rebuild_condition(&mut transaction);
-        transaction
+        commit.conditions.push(Condition { key: job_end_key(job), mod_revision: 0 });
+        commit.writes.push(Mutation::put(job_end_key(job), &end));
     }
 
     pub(in crate::coordination) fn on_cancellation_response(
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -11,7 +11,6 @@
 use crate::protocol::cloud::{Catalog, MachineType};
 use crate::protocol::routes::JOBS_PATH;
 use crate::protocol::users::{JobSpec, Submission};
-use crate::protocol::Resources;
 use crate::storage::records::JobStage;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -64,7 +63,7 @@
             return Err(Rejection::FitsNoMachineType);
         }
         let at_once = need * i64::from(spec.tasks_at_once());
-        let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
+        let limit = team.limit();
         if !at_once.under(&limit) {
             return Err(Rejection::OverTeamLimit);
         }
@@ -120,18 +119,9 @@
     catalog: &'a Catalog,
 ) -> impl Iterator<Item = &'a MachineType> {
     let need = spec.need();
-    let is_allowed = |machine_type: &MachineType| {
-        let allowed_types = spec.machine_types.as_ref();
-        allowed_types.is_none_or(|allowed| allowed.contains(&machine_type.type_name))
-    };
-    let has_room = move |machine_type: &MachineType| {
-        let MachineType { cores, gpus, ram_gb, .. } = *machine_type;
-        Resources::new(cores, gpus, ram_gb).fits(&need)
-    };
-    catalog
-        .machine_types
-        .iter()
-        .filter(move |machine_type| is_allowed(machine_type) && has_room(machine_type))
+    catalog.machine_types.iter().filter(move |machine_type| {
+        spec.allows_type(&machine_type.type_name) && machine_type.total().fits(&need)
+    })
 }
 
 /// Whether machines of the type can be rented in a zone that the job allows.
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -80,8 +80,7 @@
 
     /// A condition did not hold: another copy was applied, or somebody else has changed a key.
     fn on_transaction_conflict(&mut self, body: &[u8]) {
-        let conflict = serde_json::from_slice::<TransactionConflict>(body);
-        let failed_keys = conflict.map(|conflict| conflict.failed).unwrap_or_default();
+        let failed_keys = TransactionConflict::failed_keys(body);
         log::debug!("commit refused: {failed_keys:?}");
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -188,7 +187,7 @@
     fn restore_done_chunks(&mut self, pending: &PendingTransaction) {
         for (uid, chunk) in &pending.done_chunks {
             let job = self.cluster.jobs.get_mut(uid);
-            let Some(job) = job.filter(|job| job.stage == JobStage::Live) else { continue };
+            let Some(job) = job.filter(|job| job.is_live()) else { continue };
             job.dirty_chunks.insert(*chunk);
             if let Some(group) = job.chunk_groups.get(chunk) {
                 self.cluster.done_groups.entry(*group).or_default().dirty = true;
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -17,9 +17,7 @@
 use crate::protocol::workers::EndCause;
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{AttemptId, TaskId};
-use crate::storage::records::{
-    job_end_key, placements_key, JobStage, MachineName, PlacementsRecord, StoredPlacement,
-};
+use crate::storage::records::{job_end_key, placements_key, MachineName, PlacementsRecord};
 use group_fill::GroupFill;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -82,7 +80,7 @@
     }
 
     fn is_live(&self, uid: &str) -> bool {
-        self.jobs.get(uid).is_some_and(|job| job.stage == JobStage::Live)
+        self.jobs.get(uid).is_some_and(|job| job.is_live())
     }
 
     /// Whether a settled placement may be taken out of the store: what it did must be there.
@@ -99,7 +97,7 @@
         let chunk = id.index / DONE_CHUNK_TASKS;
         self.jobs
             .get(&id.job)
-            .is_none_or(|job| job.stage != JobStage::Live || !job.dirty_chunks.contains(&chunk))
+            .is_none_or(|job| !job.is_live() || !job.dirty_chunks.contains(&chunk))
     }
 
     fn removable_by_group(&self, pending: &PendingTransaction) -> RemovableByGroup {
@@ -201,11 +199,11 @@
         let leaving = attempts_of(removals.iter().chain(moved_away.map(|moved| &moved.entry)));
         let staying = group.placements.iter().filter(|(attempt, _)| !leaving.contains(attempt));
         let mut texts: Vec<String> = staying
-            .filter_map(|(attempt, placement)| stored_text(attempt, &placement.machine))
+            .filter_map(|(attempt, placement)| attempt.stored_text(&placement.machine))
             .collect();
         let moved = pending.moves.iter().map(|moved| &moved.entry);
         let arriving = additions.iter().chain(moved).filter(|entry| entry.group == number);
-        texts.extend(arriving.filter_map(|entry| stored_text(&entry.attempt, &entry.machine)));
+        texts.extend(arriving.filter_map(|entry| entry.attempt.stored_text(&entry.machine)));
         let record = PlacementsRecord { tasks: texts.join(" ") };
         if !builder.put(placements_key(number), raw_json(&record), group.mod_revision) {
             return false;
@@ -248,12 +246,6 @@
     }
 }
 
-/// The stored form of a placement; none if it has none.
-fn stored_text(attempt: &AttemptId, machine: &MachineName) -> Option<String> {
-    let AttemptId { task, number } = attempt;
-    StoredPlacement::text(&task.job, task.index, machine, *number)
-}
-
 /// Adds the groups with most to take out.
 fn choose_groups_to_clean(fill: &mut GroupFill, removable: &RemovableByGroup) {
     let mut candidates: Vec<(usize, u32)> = removable
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -3,7 +3,7 @@
 use super::{GroupFill, PlacementEntry, TransactionScope};
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{AttemptId, MachineState, PlacementPhase, TaskId};
-use crate::storage::records::{JobId, MachineName, StoredPlacement};
+use crate::storage::records::{JobId, MachineName};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Placements that are stored together or not at all: one, or all those of a gang's attempt.
@@ -117,12 +117,12 @@
         if placement.phase == PlacementPhase::Proposed && !is_wanted {
             return ProposalState::Obsolete;
         }
-        let text = StoredPlacement::text(&id.job, id.index, machine_name, placement.attempt);
-        let Some(text) = text else { return ProposalState::Obsolete };
+        let attempt = AttemptId::new(id.clone(), placement.attempt);
+        let Some(text) = attempt.stored_text(machine_name) else { return ProposalState::Obsolete };
         ProposalState::Storable(PlacementEntry {
             group: 0,
             machine: machine_name.clone(),
-            attempt: AttemptId::new(id.clone(), placement.attempt),
+            attempt,
             bytes: text.len() + 1,
         })
     }
--- a/src/coordination/transactions/placements/tests.rs
+++ b/src/coordination/transactions/placements/tests.rs
@@ -6,6 +6,7 @@
 use crate::storage::machine::MachineState;
 use crate::storage::placement_group::PlacementGroup;
 use crate::storage::records::gang_batch_key;
+use crate::storage::records::StoredPlacement;
 use crate::storage::replica::Replica;
 use crate::storage::testing::batch_of;
 use std::rc::Rc;
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -4,6 +4,7 @@
 use super::{Controller, Leader};
 use crate::protocol::workers::TaskStatus;
 use crate::protocol::Resources;
+use crate::settings::Team;
 use crate::storage::gangs::GangPhase;
 use crate::storage::job::Job;
 use crate::storage::records::MachineName;
@@ -114,8 +115,7 @@
     fn at_team_limit(&self, leader: &Leader, job: &Job) -> bool {
         let Some(spec) = &job.spec else { return false };
         let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
-        let limit = team
-            .map_or(Resources::default(), |team| Resources::new(team.cpus_max, team.gpus_max, 0.0));
+        let limit = team.map_or(Resources::default(), Team::limit);
         let tasks_at_least = if job.is_gang() { i64::from(job.tasks) } else { 1 };
         let mut usage = leader.cluster.usage.get(&spec.team).copied().unwrap_or_default();
         usage += job.need * tasks_at_least;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,6 +1,7 @@
 //! Controllers -> cloud ("Controller nodes -> cloud" of the protocol): the catalog, renting, returning and
 //! listing machines.
 
+use super::Resources;
 use serde::{Deserialize, Serialize};
 
 /// What can be rented ("GET /catalog" of the protocol).
@@ -57,6 +58,13 @@
     pub zones: Vec<String>,
 }
 
+impl MachineType {
+    /// What a machine of this type has for tasks.
+    pub fn total(&self) -> Resources {
+        Resources::new(self.cores, self.gpus, self.ram_gb)
+    }
+}
+
 /// Rents machines ("POST /hosts" of the protocol); a repeat with the same id rents nothing more.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RentalRequest {
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -114,6 +114,14 @@
     pub revision: u64,
 }
 
+impl TransactionConflict {
+    /// Keys whose conditions failed, as far as an answer names them.
+    pub fn failed_keys(body: &[u8]) -> Vec<String> {
+        let conflict = serde_json::from_slice::<TransactionConflict>(body);
+        conflict.map(|conflict| conflict.failed).unwrap_or_default()
+    }
+}
+
 /// One change seen by a watch ("GET /changes" of the protocol).
 #[derive(Debug, Deserialize)]
 pub struct WatchEvent {
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,7 +1,11 @@
 //! The platform's settings: facts of the deployment, handed over as JSON by whoever starts the process.
 
 use super::SettingsProblem;
-use crate::constants::{BYTES_PER_KB, STORE_VALUE_BYTES_MIN, TRANSACTION_OPS_MIN};
+use crate::constants::{
+    BYTES_PER_KB, LIST_MARGIN_MS, MS_PER_S, SILENT_PERIODS, STORE_VALUE_BYTES_MIN,
+    TRANSACTION_OPS_MIN,
+};
+use crate::protocol::Resources;
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
@@ -92,6 +96,18 @@
     pub gpus_max: f64,
 }
 
+impl Team {
+    /// Resources that it is guaranteed; memory is not limited.
+    pub fn guarantee(&self) -> Resources {
+        Resources::new(self.cpus, self.gpus, 0.0)
+    }
+
+    /// Resources that it may use at the most; what is 0 is not limited.
+    pub fn limit(&self) -> Resources {
+        Resources::new(self.cpus_max, self.gpus_max, 0.0)
+    }
+}
+
 /// One of the users' aims, as far as planning can use it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
@@ -143,6 +159,13 @@
     pub gang_peer_s: f64,
 }
 
+impl Workers {
+    /// Milliseconds without a heartbeat after which a machine counts as silent.
+    pub fn silent_ms(&self) -> u64 {
+        (self.report_s * SILENT_PERIODS * MS_PER_S) as u64
+    }
+}
+
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
@@ -211,6 +234,13 @@
     pub list_lag_s: f64,
 }
 
+impl CloudLimits {
+    /// Milliseconds by which the machine list may lag before a machine missing from it counts as gone.
+    pub fn list_lag_ms(&self) -> u64 {
+        (self.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS
+    }
+}
+
 /// What this process may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -59,7 +59,7 @@
         now: u64,
     ) -> Adoption {
         let Some(job) = self.jobs.get(&id.job) else { return Adoption::Refused };
-        if !job.is_live() || id.index >= job.tasks || job.done.get(id.index) {
+        if !job.is_unfinished(id.index) || id.index >= job.tasks {
             return Adoption::Refused;
         }
         if job.settling.contains(&id.index) {
@@ -83,8 +83,7 @@
         now: u64,
     ) {
         let Some(job) = self.jobs.get(&id.job) else { return };
-        let is_unplaced = job.is_live()
-            && !job.done.get(id.index)
+        let is_unplaced = job.is_unfinished(id.index)
             && !job.placed_on.contains_key(&id.index)
             && !job.settling.contains(&id.index)
             && id.index < job.tasks;
--- a/src/storage/cluster/jobs.rs
+++ b/src/storage/cluster/jobs.rs
@@ -100,7 +100,7 @@
 
 /// Why a task that the store has placed is to be stopped, if it is.
 fn stop_reason(job: &Job, index: u32) -> Option<StopReason> {
-    if !job.is_live() || job.done.get(index) {
+    if !job.is_unfinished(index) {
         return Some(StopReason::NotNeeded);
     }
     job.quarantined.then_some(StopReason::Eviction)
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -7,7 +7,7 @@
 use crate::storage::machine::{AttemptId, MachineState, Placement, PlacementPhase, TaskId};
 use crate::storage::placement_group::PlacementGroup;
 use crate::storage::records::{
-    parse_chunk, DoneTasksRecord, JobId, JobStage, MachineName, PlacementsRecord, StoredPlacement,
+    parse_chunk, DoneTasksRecord, JobId, JobStage, MachineName, PlacementsRecord,
 };
 use crate::storage::replica::{Replica, Versioned};
 
@@ -57,9 +57,8 @@
         for stored in record.value.placed() {
             let id = TaskId::new(stored.job_id(), stored.task);
             let machine: MachineName = stored.machine.into();
-            let text = StoredPlacement::text(&id.job, id.index, stored.machine, stored.attempt);
-            let bytes = text.unwrap_or_default().len() + 1;
             let attempt = AttemptId::new(id.clone(), stored.attempt);
+            let bytes = attempt.stored_text(stored.machine).unwrap_or_default().len() + 1;
             group.insert(attempt.clone(), machine.clone(), bytes);
             if self.restore_placement(&machine, &id, stored.attempt, number, now) {
                 let task = PlacedTask { index: id.index, machine };
--- a/src/storage/cluster/restore/tests.rs
+++ b/src/storage/cluster/restore/tests.rs
@@ -5,6 +5,7 @@
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::AttemptId;
 use crate::storage::machine::StopReason;
+use crate::storage::records::StoredPlacement;
 use crate::storage::records::{
     batch_key, chunk_name, done_tasks_key, images_key, placements_key, ImagesRecord,
 };
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -118,6 +118,11 @@
         self.stage == JobStage::Live
     }
 
+    /// Whether a task of it is still to be done: the job is live, and the task not done.
+    pub fn is_unfinished(&self, index: u32) -> bool {
+        self.is_live() && !self.done.get(index)
+    }
+
     /// Whether its tasks run until it is cancelled.
     pub fn is_service(&self) -> bool {
         self.spec.as_ref().is_some_and(|spec| spec.kind == JobKind::Service)
@@ -193,7 +198,7 @@
 
     /// A task that was placed waits again, unless it is done or the job is over.
     pub(super) fn requeue(&mut self, index: u32) {
-        if self.is_live() && !self.done.get(index) {
+        if self.is_unfinished(index) {
             self.requeued.insert(index);
         }
     }
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -1,6 +1,6 @@
 //! Machines, and tasks placed on them, as the leader of a term knows them.
 
-use super::records::{JobId, MachineName};
+use super::records::{JobId, MachineName, StoredPlacement};
 use crate::constants::{ATTEMPT_BITS, IMAGES_KEPT, UNREACHABLE_SIGNS};
 use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
@@ -124,6 +124,11 @@
     pub fn new(task: TaskId, number: u64) -> AttemptId {
         AttemptId { task, number }
     }
+
+    /// How a placement of it on a machine is stored; none for a job id that has no stored form.
+    pub fn stored_text(&self, machine: &str) -> Option<String> {
+        StoredPlacement::text(&self.task.job, self.task.index, machine, self.number)
+    }
 }
 
 impl fmt::Display for TaskId {
@@ -253,6 +258,16 @@
         }
     }
 
+    /// Whether it is up and may be used for new work: nothing speaks against it.
+    pub fn is_usable(&self) -> bool {
+        self.state == MachineState::Up
+            && !self.cordoned
+            && !self.draining
+            && !self.lease_expired
+            && self.unreachable_since.is_none()
+            && self.reclaim_at.is_none()
+    }
+
     /// Whether nothing is on it.
     pub fn is_empty(&self) -> bool {
         self.placements.is_empty() && self.unknown_tasks.is_empty()
--- a/src/transport/http/head.rs
+++ b/src/transport/http/head.rs
@@ -46,6 +46,11 @@
         Ok(Some(head))
     }
 
+    /// Whether the connection stays open after the message; HTTP/1.0 has to ask for it.
+    pub(super) fn keeps_alive(&self, is_http_1_0: bool) -> bool {
+        !self.asks_close && (!is_http_1_0 || self.asks_keep_alive)
+    }
+
     fn apply_header(&mut self, name: &str, value: &str) -> Result<(), HttpError> {
         let is = |known: &str| name.eq_ignore_ascii_case(known);
         if is("content-length") {
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -58,7 +58,7 @@
         method: line.method.to_string(),
         path: line.path.to_string(),
         body: body.bytes,
-        keep_alive: line.keeps_alive(&head),
+        keep_alive: head.keeps_alive(line.is_http_1_0),
     };
     buffer.drain(..end);
     Ok(Some(request))
@@ -83,7 +83,8 @@
         }
         let status = line.status;
         let framing = response_framing(status, &head);
-        let keep_alive = line.keeps_alive(&head) && framing != Framing::UntilClose;
+        let keep_alive =
+            head.keeps_alive(line.version == "HTTP/1.0") && framing != Framing::UntilClose;
         let Some(body) = body::parse(&buffer[end..], framing, HTTP_REPLY_MAX, closed)? else {
             return Ok(None);
         };
@@ -126,10 +127,6 @@
         };
         Ok(RequestLine { method, path, is_http_1_0 })
     }
-
-    fn keeps_alive(&self, head: &Head<'_>) -> bool {
-        !head.asks_close && (!self.is_http_1_0 || head.asks_keep_alive)
-    }
 }
 
 /// The first line of a response.
@@ -154,10 +151,6 @@
     fn is_interim(&self) -> bool {
         (100..200).contains(&self.status)
     }
-
-    fn keeps_alive(&self, head: &Head<'_>) -> bool {
-        !head.asks_close && (self.version != "HTTP/1.0" || head.asks_keep_alive)
-    }
 }
 
 /// A request without a length has no body.
