--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -104,28 +104,28 @@
         let mut to_stop = Vec::new();
         for reported in heartbeat.tasks.iter().filter(|task| task.status.is_on_machine()) {
             let Some((job, index)) = parse_task(&reported.task_id) else { continue };
-            let (id, attempt) = (TaskId::new(job.into(), index), reported.attempt);
-            if leader.cluster.placement(name, &id).is_some_and(|p| p.attempt == attempt) {
+            let id = AttemptId::new(TaskId::new(job.into(), index), reported.attempt);
+            if leader.cluster.placement(name, &id.task).is_some_and(|p| p.attempt == id.number) {
                 continue;
             }
             // Perhaps a late copy. What really runs there a heartbeat with our token shows.
             if history_is_doubtful && !has_our_token {
                 continue;
             }
-            if was_rebuilt && !self.store.replica().jobs.contains_key(&id.job) {
+            if was_rebuilt && !self.store.replica().jobs.contains_key(&id.task.job) {
                 // Accepted in the lost history, as far as anyone can tell: it is left alone.
-                tasks_of_unknown_jobs.insert(AttemptId::new(id, attempt));
+                tasks_of_unknown_jobs.insert(id);
                 continue;
             }
-            if was_rebuilt && leader.cluster.adopt(name, &id, attempt, now) != Adoption::Refused {
+            if was_rebuilt && leader.cluster.adopt(name, &id, now) != Adoption::Refused {
                 continue;
             }
-            log::info!("{}: attempt {attempt} on {name} is not known", reported.task_id);
+            log::info!("{}: attempt {} on {name} is not known", reported.task_id, id.number);
             if has_our_token && !was_rebuilt && self.recovery.notices_losses() {
                 return Err(UnrecordedTask { task_id: reported.task_id.clone() });
             }
-            to_stop.push(TaskAttempt { task_id: reported.task_id.clone(), attempt });
-            leader.cluster.add_untracked_task(name, &id, attempt, now);
+            to_stop.push(TaskAttempt { task_id: reported.task_id.clone(), attempt: id.number });
+            leader.cluster.add_untracked_task(name, &id, now);
         }
         let machine = leader.cluster.machines.get_mut(name);
         if let Some(machine) = machine.filter(|_| !was_rebuilt || has_our_token) {
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -2,11 +2,11 @@
 //! decision; it counts once it is committed.
 
 use super::put_rebuild_record;
-use crate::constants::{RETRY_AFTER_S, STATE_TIMEOUT_MS, USER_WRITE_RESERVE};
+use crate::constants::{RETRY_AFTER_S, USER_WRITE_RESERVE};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Requester};
 use crate::protocol::http::Response;
 use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest};
-use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
+use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied};
 use crate::protocol::users::valid_uid;
 use crate::storage::records::{flagged_jobs_key, FlaggedJobsRecord, RebuildRecord};
 use mountgap_records::constants::REBUILD_KEY;
@@ -104,11 +104,10 @@
         if !self.store.take_writes(writes as f64, USER_WRITE_RESERVE, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
-        self.metrics.work.state_writes += writes as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let connection = requester.connection();
         let purpose = CallPurpose::Decision(DecisionCall { connection, commit, answer });
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
+        self.commit_call(body, writes, purpose);
     }
 
     /// Takes the flags off jobs.
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -10,13 +10,13 @@
 use super::rebuild_plan::RebuildPlan;
 use crate::constants::{
     MS_PER_S, REBUILD_IMAGES_TIMEOUT_MS, REBUILD_REFUSALS_MAX, STATE_RETRY_BACKOFF_MS,
-    STATE_TIMEOUT_MS, WRITE_RESERVE,
+    WRITE_RESERVE,
 };
 use crate::coordination::membership::stop_commands_of_ended_jobs;
 use crate::coordination::{CallPurpose, ConnectionId, Controller};
 use crate::protocol::http::Response;
 use crate::protocol::state::{
-    Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
+    Condition, Mutation, Transaction, TransactionApplied, TransactionConflict,
 };
 use crate::protocol::workers::Heartbeat;
 use crate::settings::GapPolicy;
@@ -176,10 +176,9 @@
         if !self.store.take_writes(writes as f64, 0.0, self.now.monotonic_ms) {
             return false;
         }
-        self.metrics.work.state_writes += writes as u64;
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let purpose = CallPurpose::Rebuild(RebuildCall { term, commit });
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
+        self.commit_call(body, writes, purpose);
         true
     }
 
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -5,7 +5,7 @@
 use crate::constants::{
     ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
     BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, RETRY_AFTER_S,
-    SHORT_OF_WRITES_SHARE, STATE_TIMEOUT_MS, USER_WAIT_MAX, USER_WRITE_RESERVE,
+    SHORT_OF_WRITES_SHARE, USER_WAIT_MAX, USER_WRITE_RESERVE,
 };
 use crate::coordination::requester::Requester;
 use crate::coordination::store_client::ReadPoint;
@@ -14,7 +14,6 @@
 use crate::protocol::routes::JOBS_PATH;
 use crate::protocol::state::{
     raw_json, Condition, Mutation, Transaction, TransactionApplied, TransactionConflict,
-    COMMIT_PATH,
 };
 use crate::protocol::users::{JobSpec, JobStatus, JobStatusResponse};
 use crate::storage::hashing::{HashKeys, HashMap};
@@ -296,9 +295,8 @@
         let copy = batch.copies.len();
         batch.copies.push(BatchCopy { transaction, sent });
         batch.unanswered += 1;
-        self.metrics.work.state_writes += writes as u64;
         let purpose = CallPurpose::Submit { batch: id, copy };
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
+        self.commit_call(body, writes, purpose);
     }
 
     /// A peer may be able to take a submission that we can't.
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -1,12 +1,12 @@
 //! Cancellations: a job's end is committed before its user is told of it.
 
-use crate::constants::{RETRY_AFTER_S, STATE_TIMEOUT_MS, USER_WRITE_RESERVE};
+use crate::constants::{RETRY_AFTER_S, USER_WRITE_RESERVE};
 use crate::coordination::requester::Requester;
 use crate::coordination::store_client::{FreshReadWaiter, ReadPoint};
 use crate::coordination::{CallPurpose, Controller};
 use crate::protocol::http::Response;
 use crate::protocol::routes::cancel_path;
-use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied, COMMIT_PATH};
+use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied};
 use crate::protocol::users::{valid_uid, JobStatus, JobStatusResponse};
 use crate::storage::records::{job_end_key, JobEndRecord, JobStage};
 
@@ -55,8 +55,7 @@
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let sent = self.store.read_point();
         let purpose = CallPurpose::Cancel { requester, uid: uid.to_string(), commit, sent };
-        self.metrics.work.state_writes += 1;
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
+        self.commit_call(body, 1, purpose);
     }
 
     /// Adds the end of a job as cancelled, which holds if it has no end yet. Of the job nothing need be
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -105,6 +105,17 @@
         self.call(Service::State, method, path, body, timeout_ms, purpose);
     }
 
+    /// Sends a transaction, encoded as `body`, whose writes were taken from the budget.
+    pub(in crate::coordination) fn commit_call(
+        &mut self,
+        body: Vec<u8>,
+        writes: usize,
+        purpose: CallPurpose,
+    ) {
+        self.metrics.work.state_writes += writes as u64;
+        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
+    }
+
     /// Sends the reads that are due.
     pub(in crate::coordination) fn store_reads_due(&mut self) {
         if self.now.monotonic_ms < self.store.retry_at {
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -2,12 +2,13 @@
 //! nobody needs.
 
 use super::builder::TransactionBuilder;
-use super::pending::{PendingTransaction, StaleKey};
+use super::pending::PendingTransaction;
 use crate::constants::{GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS};
 use crate::coordination::{Controller, Leader};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::state::raw_json;
 use crate::settings::Platform;
+use crate::storage::cluster::StaleKey;
 use crate::storage::records::{catalog_key, images_key, shares_key, JobId, SharesRecord};
 use crate::storage::replica::Replica;
 
@@ -93,7 +94,8 @@
         let is_over = |uid: &JobId| replica.has_ended(uid) && !jobs.contains_key(uid);
         for (key, batch) in &replica.batches {
             if batch.value.iter().all(is_over) {
-                self.cluster.stale_keys.push((key.clone(), batch.mod_revision));
+                let mod_revision = batch.mod_revision;
+                self.cluster.stale_keys.push(StaleKey { key: key.clone(), mod_revision });
             }
         }
     }
@@ -104,9 +106,9 @@
         pending: &mut PendingTransaction,
     ) {
         while builder.has_room(1, 1) {
-            let Some((key, mod_revision)) = self.cluster.stale_keys.pop() else { break };
-            builder.remove(key.clone(), mod_revision);
-            pending.stale_keys.push(StaleKey { key, mod_revision });
+            let Some(stale) = self.cluster.stale_keys.pop() else { break };
+            builder.remove(stale.key.clone(), stale.mod_revision);
+            pending.stale_keys.push(stale);
         }
     }
 }
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -4,11 +4,11 @@
 //! tells whether an earlier copy was applied. The leader's state changes only once that is known.
 
 use super::pending::{PendingTransaction, PlacementEntry};
-use crate::constants::{STATE_RETRY_BACKOFF_MS, STATE_TIMEOUT_MS};
+use crate::constants::STATE_RETRY_BACKOFF_MS;
 use crate::coordination::{CallPurpose, Controller, Leader};
 use crate::protocol::http::Response;
 use crate::protocol::state::{
-    Condition, Mutation, Transaction, TransactionApplied, TransactionConflict, COMMIT_PATH,
+    Condition, Mutation, Transaction, TransactionApplied, TransactionConflict,
 };
 use crate::storage::machine::PlacementPhase;
 use crate::storage::records::{done_tasks_key, leader_key, placements_key, JobId, JobStage};
@@ -29,8 +29,7 @@
         pending.in_flight = true;
         let body = pending.body.clone();
         let purpose = CallPurpose::LeaderCommit { term: leader.term };
-        self.metrics.work.state_writes += writes as u64;
-        self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
+        self.commit_call(body, writes, purpose);
     }
 
     pub(in crate::coordination) fn on_leader_commit_response(
@@ -241,7 +240,7 @@
             // Only what is still as it was: it may have come into use again.
             let is_unchanged = replica.mod_revision(&stale.key) == stale.mod_revision;
             if is_unchanged && stale.mod_revision != 0 {
-                self.cluster.stale_keys.push((stale.key.clone(), stale.mod_revision));
+                self.cluster.stale_keys.push(stale.clone());
             }
         }
     }
--- a/src/coordination/transactions/pending.rs
+++ b/src/coordination/transactions/pending.rs
@@ -1,6 +1,7 @@
 //! A transaction that is under way, with what it changes in the leader's state once it is applied.
 
 use crate::protocol::state::Transaction;
+use crate::storage::cluster::StaleKey;
 use crate::storage::machine::AttemptId;
 use crate::storage::records::{JobId, MachineName};
 
@@ -26,14 +27,6 @@
     pub(super) entry: PlacementEntry,
 }
 
-/// A key that nobody needs any more.
-#[derive(Debug, Clone)]
-pub(super) struct StaleKey {
-    pub(super) key: String,
-    /// Revision of its last change when it was found.
-    pub(super) mod_revision: u64,
-}
-
 /// A transaction that is under way.
 #[derive(Debug, Default)]
 pub(super) struct PendingTransaction {
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -235,14 +235,14 @@
         if let Some(group) = self.groups.get_mut(&entry.group) {
             group.remove(&entry.attempt);
         }
-        self.settlement_committed(&entry.machine, &entry.attempt.task, entry.attempt.number);
+        self.settlement_committed(&entry.machine, &entry.attempt);
     }
 
     /// A placement was stored.
     pub(super) fn apply_addition(&mut self, entry: &PlacementEntry) {
         let group = self.groups.entry(entry.group).or_default();
         group.insert(entry.attempt.clone(), entry.machine.clone(), entry.bytes);
-        self.committed(&entry.machine, &entry.attempt.task, entry.attempt.number, entry.group);
+        self.committed(&entry.machine, &entry.attempt, entry.group);
     }
 }
 
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -27,6 +27,15 @@
 use crate::protocol::users::JobKind;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
+/// A key of the store that nobody needs any more.
+#[derive(Debug, Clone)]
+pub struct StaleKey {
+    /// The key.
+    pub key: String,
+    /// Revision of its last change when it was found.
+    pub mod_revision: u64,
+}
+
 /// The state of the cluster, as the leader of a term sees it.
 #[derive(Debug)]
 pub struct ClusterState {
@@ -52,8 +61,8 @@
     pub completed_jobs: BTreeSet<JobId>,
     /// Images, with their size in gigabytes, on machines that are not known yet in this term.
     pub stored_images: HashMap<MachineName, Vec<(String, f64)>>,
-    /// Keys to remove when there is room in a commit, with the revision of their last change.
-    pub stale_keys: Vec<(String, u64)>,
+    /// Keys to remove when there is room in a commit.
+    pub stale_keys: Vec<StaleKey>,
 }
 
 impl ClusterState {
--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -45,19 +45,14 @@
             machine.unknown_tasks.retain(|attempt| attempt.task.job != *job);
         }
         for (machine, attempt) in found {
-            self.adopt(&machine, &attempt.task, attempt.number, now);
+            self.adopt(&machine, &attempt, now);
         }
     }
 
     /// A task runs with no placement that we know of, as a report with our token shows. After a
     /// rebuild it may have been placed in the part of the history that is lost.
-    pub fn adopt(
-        &mut self,
-        machine: &MachineName,
-        id: &TaskId,
-        attempt: u64,
-        now: u64,
-    ) -> Adoption {
+    pub fn adopt(&mut self, machine: &MachineName, attempt: &AttemptId, now: u64) -> Adoption {
+        let id = &attempt.task;
         let Some(job) = self.jobs.get(&id.job) else { return Adoption::Refused };
         if !job.is_unfinished(id.index) || id.index >= job.tasks {
             return Adoption::Refused;
@@ -66,29 +61,24 @@
             return Adoption::Waits;
         }
         if let Some(other) = job.placed_on.get(&id.index).cloned() {
-            return self.settle_earlier(&other, id, attempt);
+            return self.settle_earlier(&other, attempt);
         }
         let stop_reason = job.quarantined.then_some(StopReason::Eviction);
-        self.place_running_task(machine, id, attempt, stop_reason, now);
+        self.place_running_task(machine, attempt, stop_reason, now);
         Adoption::Adopted
     }
 
     /// A task runs with no placement that we know of: counted where it is, so that it is not started
     /// elsewhere, and stopped.
-    pub fn add_untracked_task(
-        &mut self,
-        machine: &MachineName,
-        id: &TaskId,
-        attempt: u64,
-        now: u64,
-    ) {
+    pub fn add_untracked_task(&mut self, machine: &MachineName, attempt: &AttemptId, now: u64) {
+        let id = &attempt.task;
         let Some(job) = self.jobs.get(&id.job) else { return };
         let is_unplaced = job.is_unfinished(id.index)
             && !job.placed_on.contains_key(&id.index)
             && !job.settling.contains(&id.index)
             && id.index < job.tasks;
         if is_unplaced {
-            self.place_running_task(machine, id, attempt, Some(StopReason::Eviction), now);
+            self.place_running_task(machine, attempt, Some(StopReason::Eviction), now);
         }
     }
 
@@ -96,15 +86,15 @@
     fn place_running_task(
         &mut self,
         machine: &MachineName,
-        id: &TaskId,
-        attempt: u64,
+        attempt: &AttemptId,
         stop_reason: Option<StopReason>,
         now: u64,
     ) {
+        let AttemptId { task: id, number } = attempt;
         if let Some(job) = self.jobs.get_mut(&id.job) {
             job.requeue_up_to(id.index);
         }
-        self.propose(&id.job, id.index, machine, attempt, now);
+        self.propose(&id.job, id.index, machine, *number, now);
         if let Some(placement) = self.placement_mut(machine, id) {
             placement.phase = PlacementPhase::Committed;
             placement.reported_status = Some(TaskStatus::Running);
@@ -114,9 +104,10 @@
 
     /// A task that is placed runs with another attempt. Attempts rise, and the next is placed only once the
     /// last is settled and that is committed: a higher one proves that ours is over.
-    fn settle_earlier(&mut self, machine: &MachineName, id: &TaskId, attempt: u64) -> Adoption {
+    fn settle_earlier(&mut self, machine: &MachineName, attempt: &AttemptId) -> Adoption {
+        let id = &attempt.task;
         let is_earlier = self.placement(machine, id).is_some_and(|placement| {
-            placement.attempt < attempt && placement.phase == PlacementPhase::Committed
+            placement.attempt < attempt.number && placement.phase == PlacementPhase::Committed
         });
         if !is_earlier {
             return Adoption::Refused;
--- a/src/storage/cluster/gangs/tests.rs
+++ b/src/storage/cluster/gangs/tests.rs
@@ -4,6 +4,7 @@
 use crate::protocol::state::raw_json;
 use crate::protocol::users::JobKind;
 use crate::storage::hashing::HashKeys;
+use crate::storage::machine::AttemptId;
 use crate::storage::records::{
     gang_batch_key, job_end_key, placements_key, JobEndRecord, JobStage, PlacementsRecord,
     StoredPlacement,
@@ -42,7 +43,7 @@
     let attempt = cluster.machines[&machine].placements[&id].attempt;
     cluster.settle(&machine, &id, cause);
     if stored {
-        cluster.settlement_committed(&machine, &id, attempt);
+        cluster.settlement_committed(&machine, &AttemptId::new(id, attempt));
     }
 }
 
@@ -66,7 +67,7 @@
     let machines: Vec<MachineName> = vec!["n-a".into(), "n-b".into()];
     assert!(!cluster.propose_gang(&job_id(), &machines, 8, 0));
     let on: MachineName = "n-b".into();
-    cluster.settlement_committed(&on, &TaskId::new(job_id(), 1), 7);
+    cluster.settlement_committed(&on, &AttemptId::new(TaskId::new(job_id(), 1), 7));
     assert_eq!(cluster.jobs[&job_id()].waiting(), 2);
     assert!(!cluster.propose_gang(&job_id(), &machines[..1], 8, 0), "not a part of it");
     assert!(cluster.propose_gang(&job_id(), &machines, 8, 0));
--- a/src/storage/cluster/placements.rs
+++ b/src/storage/cluster/placements.rs
@@ -48,18 +48,17 @@
     }
 
     /// A placement is in the store.
-    pub fn committed(&mut self, machine: &MachineName, id: &TaskId, attempt: u64, group: u32) {
+    pub fn committed(&mut self, machine: &MachineName, attempt: &AttemptId, group: u32) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
         machine.uncommitted_placements = machine.uncommitted_placements.saturating_sub(1);
-        let placement = machine.placements.get_mut(id);
-        let Some(placement) = placement.filter(|placement| placement.attempt == attempt) else {
-            return;
-        };
+        let placement = machine.placements.get_mut(&attempt.task);
+        let is_same = |placement: &&mut Placement| placement.attempt == attempt.number;
+        let Some(placement) = placement.filter(is_same) else { return };
         placement.phase = PlacementPhase::Committed;
         placement.group = Some(group);
         // Settled while the commit was under way.
         if let (Some(cause), Some(group)) = (placement.settled, self.groups.get_mut(&group)) {
-            group.settle(AttemptId::new(id.clone(), attempt), cause != EndCause::Done);
+            group.settle(attempt.clone(), cause != EndCause::Done);
         }
     }
 
@@ -128,10 +127,11 @@
     ///
     /// Only the attempt that was settled: its task may have been placed again since, even on
     /// the same machine. Settling one attempt twice once let a task wait that was placed.
-    pub fn settlement_committed(&mut self, machine: &MachineName, id: &TaskId, attempt: u64) {
+    pub fn settlement_committed(&mut self, machine: &MachineName, attempt: &AttemptId) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
+        let AttemptId { task: id, number } = attempt;
         let is_over =
-            |placement: &Placement| placement.attempt == attempt && placement.settled.is_some();
+            |placement: &Placement| placement.attempt == *number && placement.settled.is_some();
         if !machine.placements.get(id).is_some_and(is_over) {
             return;
         }
@@ -153,7 +153,7 @@
             // One that was stored meanwhile is taken out of its group first.
             let unstored = placement.filter(|placement| placement.group.is_none());
             if let Some(attempt) = unstored.map(|placement| placement.attempt) {
-                self.settlement_committed(&machine, &id, attempt);
+                self.settlement_committed(&machine, &AttemptId::new(id, attempt));
             }
         }
         any
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -41,13 +41,13 @@
     cluster.settle(&first, &id, EndCause::Lost);
     let key = AttemptId::new(id.clone(), 7);
     cluster.groups.entry(0).or_default().insert(key.clone(), first.clone(), 20);
-    cluster.committed(&first, &id, 7, 0);
+    cluster.committed(&first, &key, 0);
     cluster.drop_unstored_settlements();
     assert_eq!(cluster.jobs[&job].next_waiting(), None, "its group still names it");
     assert!(cluster.groups[&0].settled.contains(&key));
-    cluster.settlement_committed(&first, &id, 7);
+    cluster.settlement_committed(&first, &key);
     assert_eq!(cluster.jobs[&job].next_waiting(), Some(0));
     cluster.propose(&job, 0, &second, 8, 0);
-    cluster.settlement_committed(&first, &id, 7);
+    cluster.settlement_committed(&first, &key);
     assert_eq!(cluster.jobs[&job].next_waiting(), None, "it is placed");
 }
