--- a/src/constants/planning.rs
+++ b/src/constants/planning.rs
@@ -1,79 +1,92 @@
-//! Planning passes: estimates, bounds on one pass, starvation, preemption and failing jobs.
+//! Planning passes: estimates, limits for one pass, starvation, preemption and repeated failures.
 
 /// Milliseconds between planning passes (DESIGN: every 2 s to start with).
 pub const PASS_PERIOD_MS: u64 = 2_000;
-/// Least milliseconds between two passes that events bring forward.
+/// Minimum milliseconds between two passes if an event brings the next one forward.
 pub const PASS_GAP_MS: u64 = 60;
-/// Milliseconds that each machine adds to the least gap between two passes: a pass looks at
-/// every machine, and the state service takes a few writes a second anyway.
+/// Milliseconds that each machine adds to [`PASS_GAP_MS`]: the time of a pass grows with the number
+/// of machines, and the state service accepts only a few writes a second, so more frequent passes
+/// would gain little.
 pub const PASS_GAP_PER_MACHINE_MS: f64 = 0.2;
-/// Milliseconds between commits of done-task bitmaps alone (DESIGN: batched every 2 s).
+/// Milliseconds between commits that only update the bitmaps of completed tasks (DESIGN: batched
+/// every 2 s).
 pub const DONE_BATCH_MS: u64 = 2_000;
-/// Penalty factors tried for a reservation (DESIGN, from the paper's evaluation).
+/// Thresholds on the penalty factor for which allocations are computed (DESIGN, from the paper's
+/// evaluation).
 pub const THRESHOLDS: [f64; 4] = [1.15, 1.20, 1.25, 1.5];
-/// What a core of a task takes of the shared bandwidth of a machine's core, by class. The
-/// paper's machine has 1,500 MB/s a processor and its classes use 500 and 1,000; high is
-/// set so that a machine full of such tasks saturates.
+/// Shared bandwidth that a task of a low-bandwidth class takes per core, relative to a machine's
+/// bandwidth per core. The paper's machine has 1,500 MB/s a processor, and its classes use 500 and
+/// 1,000; the high class is defined so that it saturates a machine whose cores are all taken by
+/// such tasks.
 pub const BANDWIDTH_LOW: f64 = 500.0 / 1500.0;
-/// See [`BANDWIDTH_LOW`].
+/// The same for a class of medium bandwidth; see [`BANDWIDTH_LOW`].
 pub const BANDWIDTH_MEDIUM: f64 = 1000.0 / 1500.0;
-/// See [`BANDWIDTH_LOW`].
+/// The same for a class of high bandwidth; see [`BANDWIDTH_LOW`].
 pub const BANDWIDTH_HIGH: f64 = 2000.0 / 1500.0;
-/// Seconds a service is taken to run on in the reservation table; long enough that
-/// nothing waits for it to end.
+/// Seconds for which the reservation table assumes that a service goes on running; long enough that
+/// no task waits for it to end.
 pub const SERVICE_RUN_S: f64 = 3_600.0;
-/// Seconds that stand in for a service's run time where slowdowns are compared: about
-/// what its users would wait for it.
+/// Seconds that are used as the run time of a service where slowdowns are compared: about as long
+/// as its users would wait for it.
 pub const SERVICE_REFERENCE_S: f64 = 30.0;
-/// Runs of a class to see before its guesses are corrected.
+/// Completed runs of a class from which on the users' run time estimates for it are corrected.
 pub const RATIO_SAMPLES_MIN: u32 = 5;
-/// Least seconds of an estimate: keeps slowdowns finite.
+/// Minimum estimate of a run time in seconds; keeps slowdowns finite.
 pub const ESTIMATE_MIN_S: f64 = 1.0;
-/// Time that tasks wait for their images, as a part of the time they run, at the most: while a
-/// fleet comes up nearly all of them wait, which tells little about later.
+/// Maximum of the estimated ratio of the time that tasks wait for their images to the time that
+/// they run: while a new fleet starts, nearly all tasks wait for images, which says little about
+/// later.
 pub const FETCH_SHARE_MAX: f64 = 1.0;
-/// Seconds by which an overdue task is taken to run on, as a share of what it ran.
+/// Expected remaining run time of a task that has exceeded its estimate, as a share of the time
+/// that it has run.
 pub const OVERDUE_SHARE: f64 = 0.25;
-/// Tasks of one job considered in one pass; the next pass goes on.
+/// Maximum tasks of a job that a pass starts at the head of the queue or preempts others for; the
+/// next pass continues.
 pub const JOB_TASKS_PER_PASS: usize = 64;
-/// Jobs looked at by one pass, oldest first; bounds its time with huge queues.
+/// Maximum jobs that a pass considers, in queue order; limits its duration with very long queues.
 pub const JOBS_PER_PASS: usize = 200;
-/// Tasks placed by one pass, whatever the size of the fleet.
+/// Tasks that a pass may place on a fleet of any size.
 pub const PLACEMENTS_PER_PASS: usize = 128;
-/// Tasks placed by one pass beside those, for each machine: passes are the rarer, the more machines
-/// there are, and a whole fleet comes up within half a minute. A commit holds well over a thousand.
+/// Tasks that a pass may place in addition, for each machine: passes become less frequent as the
+/// fleet grows, and a whole new fleet may start within half a minute. A commit has space for well
+/// over a thousand placements.
 pub const PLACEMENTS_PER_MACHINE: f64 = 0.25;
-/// Placements at a later time that one pass computes for waiting tasks; bounds its time.
+/// Maximum later starts that a pass computes for waiting tasks during backfilling; limits its
+/// duration.
 pub const LATER_PLACEMENTS_PER_PASS: usize = 96;
-/// Milliseconds of waiting after which a job of which no task ever started goes first,
-/// whatever its rank: users want the largest jobs to begin within four minutes, a place may
-/// have to be waited for (half a minute) and its image fetched (up to one and a half).
+/// Milliseconds since its acceptance after which a job is starving if none of its tasks has ever
+/// started. Its priority doesn't matter. Users want the largest jobs to start within four minutes,
+/// and a task may have to wait half a minute for a slot and up to one and a half minutes for its
+/// image.
 pub const STARVING_MS: u64 = 120_000;
-/// Milliseconds after which a job that has begun gets its part of the places ahead of
-/// jobs that can still be in time.
+/// Milliseconds since its acceptance after which a job is starving although it has started: it then
+/// gets part of the free slots ahead of jobs that can still meet their deadlines.
 pub const STARVING_BEGUN_MS: u64 = 240_000;
-/// One in so many of the free places goes to jobs that have waited too long: enough that
-/// they end, and little enough that others are not late for them.
+/// One out of this many free slots is set aside for starving jobs: enough for these to complete,
+/// but few enough that other jobs don't miss their deadlines for them.
 pub const STARVING_PLACEMENTS_DIVISOR: usize = 4;
-/// Parts of what the whole fleet does in a millisecond, in which jobs' work is ordered: a heap
-/// takes no fractions.
+/// Units in which the work of a job is compared, per millisecond of the whole fleet: the heap needs
+/// integer keys.
 pub const WORK_UNITS: f64 = 1e6;
-/// Milliseconds from now beyond which a later placement is not considered: estimates are too inaccurate.
+/// Milliseconds from now beyond which a later start is ignored, because estimates are too
+/// inaccurate.
 pub const LATER_PLACEMENT_HORIZON_MS: u64 = 90_000;
-/// Milliseconds a started task is left alone before it may be preempted: a
-/// start counts for users when it lasts 30 s.
+/// Run time in milliseconds up to which a task counts as recently started, and the additional cost
+/// of preempting it, in milliseconds of lost work: to users, a start counts only if it lasts 30 s.
 pub const PREEMPT_SHIELD_MS: u64 = 30_000;
-/// Milliseconds within which room that preemption makes is expected, at the least.
+/// Minimum milliseconds after which capacity freed by preemption is expected to be available.
 pub const PREEMPTED_ROOM_MIN_MS: u64 = 1_000;
-/// Weight of the newest sample in the averages of run times per class.
+/// Weight of the newest sample in the moving averages of run times per class.
 pub const AVERAGE_WEIGHT: f64 = 0.1;
-/// First backoff in milliseconds of a job whose tasks fail on several machines, doubled each time.
+/// First backoff in milliseconds of a job whose tasks fail on several machines; doubled each time.
 pub const FAILURE_BACKOFF_MS: u64 = 2_000;
-/// Longest such backoff in milliseconds.
+/// Maximum of that backoff in milliseconds.
 pub const FAILURE_BACKOFF_MAX_MS: u64 = 60_000;
-/// Different machines on which a job failed, with no success, before it counts as a bad job.
+/// Number of machines on which a job has to fail, with no success since, to count as failing
+/// everywhere.
 pub const BAD_JOB_MACHINES: usize = 2;
-/// Failures on a machine, of jobs that do not count as bad, before the machine is cordoned.
+/// Number of failed jobs, or of failures if the job succeeds elsewhere, after which a machine is
+/// cordoned; jobs that fail everywhere don't count.
 pub const FAULTY_FAILURES: u32 = 2;
 /// Milliseconds for which a failure counts against a machine.
 pub const FAULTY_WINDOW_MS: u64 = 60_000;
--- a/src/coordination/planner/allocation.rs
+++ b/src/coordination/planner/allocation.rs
@@ -1,4 +1,4 @@
-//! The places that a task may take: what each costs, and which of them the pass chooses.
+//! Allocations that a task may get: what each one costs, and which one the pass chooses.
 
 use super::offers::Offers;
 use super::pass::Pass;
@@ -7,17 +7,17 @@
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 
-/// How much more a GPU counts than a core where free room is compared.
+/// Weight of a GPU relative to a core where free capacity is compared.
 const GPU_WEIGHT: i64 = 1_000;
 
-/// A place and a time for one task.
+/// A machine and a start time for one task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Allocation {
     pub(super) machine: usize,
     pub(super) start_ms: u64,
-    /// Run time with image and penalty.
+    /// Run time including the image fetch and the penalty.
     pub(super) length_ms: u64,
-    /// Penalty factor, the image counted in.
+    /// Penalty factor, including the image fetch.
     pub(super) penalty_factor: f64,
 }
 
@@ -27,23 +27,24 @@
     }
 }
 
-/// How much a place is liked among places that are alike, the least first. Fields are compared in
-/// their order.
+/// Tie-break between otherwise equal allocations: the least is preferred. Fields are compared in
+/// the order of declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Preference {
-    /// Replicas of a service in the zone.
+    /// For services: number of the job's tasks in the zone. For others: 0.
     replicas_in_zone: u32,
-    /// How well the kind of machine suits the work, the best first.
+    /// How well the kind of machine suits the work; 0 is best.
     kind_rank: u8,
-    /// For services: those on the machine, negated. For others: what is free there.
+    /// For services: number of service tasks on the machine, negated. For others: its free
+    /// capacity.
     packing: i64,
-    /// For services: what is free on the machine.
+    /// For services: free capacity of the machine. For others: 0.
     service_packing: i64,
     machine: usize,
 }
 
 impl Pass<'_> {
-    /// Whether one more task of the job may be on the machine, room aside.
+    /// Whether the machine may run one more task of the job, apart from its free capacity.
     pub(super) fn is_allowed(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
         let host = self.machine_view(machine);
@@ -61,7 +62,7 @@
         self.is_zone_allowed(job, host.zone) && host.total.fits(&view.need)
     }
 
-    /// Whether one more task of the job may be in the zone, given those that are placed.
+    /// Whether the zone may get one more task of the job, given those that are already placed.
     pub(super) fn is_zone_allowed(&self, job: usize, zone: usize) -> bool {
         let view = self.job_view(job);
         let placed = &self.jobs[job].tasks_per_zone;
@@ -70,22 +71,23 @@
         placed[zone] < view.max_tasks_per_zone && !(view.one_zone && is_elsewhere())
     }
 
-    /// Milliseconds for which a task that starts then waits for its image.
+    /// Milliseconds that a task which starts at `start_ms` waits until its image is cached.
     pub(super) fn fetch_ms(&self, job: usize, machine: usize, start_ms: u64) -> u64 {
         let view = self.job_view(job);
         let host = &self.machines[machine];
         if let Some(image) = host.image(view.image) {
             return image.ready_in_ms.saturating_sub(start_ms.saturating_sub(self.snapshot.now_ms));
         }
-        // Images fetched at the same time share the rate.
+        // Images share the machine's fetch rate, so this one is ready only after those that are
+        // already being fetched.
         let fetch_ms = (view.image_gb * self.machine_view(machine).fetch_ms_per_gb) as u64;
         fetch_ms + host.images_ready_in_ms
     }
 
-    /// Whether the task would wait here for other images to be fetched before its own (a
-    /// machine fetches them one after the other), and a machine will sooner be up that has
-    /// none to fetch. New machines came up one by one and each got all that waited then, four
-    /// images deep; the last of them took minutes.
+    /// Whether the task's image would have to wait for other images on this machine, while a
+    /// booting machine with nothing to fetch is expected to be up before these are cached. Without
+    /// this rule, the first machines of a starting fleet get all waiting tasks with up to four
+    /// images each, and the last image takes minutes to arrive.
     pub(super) fn is_better_on_the_way(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
         let host = &self.machines[machine];
@@ -96,7 +98,7 @@
             && host.image(view.image).is_none()
     }
 
-    /// The allocation on one machine at one time.
+    /// The allocation on a machine at a start time.
     pub(super) fn allocation_at(
         &self,
         job: usize,
@@ -127,10 +129,10 @@
         Some(Allocation { machine, start_ms, length_ms, penalty_factor })
     }
 
-    /// What is free on a machine from a time on for a job of this rank.
+    /// Free capacity of a machine from `start_ms` on for a job of this priority.
     pub(super) fn free_for(&self, job: &JobView, machine: usize, start_ms: u64) -> Resources {
         let host = &self.machines[machine];
-        // Whatever runs now ends later than now.
+        // The end of each running task is later than now, so the end times needn't be searched.
         let mut free = match start_ms <= self.snapshot.now_ms {
             true => host.row.free,
             false => host.row.free_at(start_ms),
@@ -141,7 +143,7 @@
         free
     }
 
-    /// Whether a task of the job that ends then takes room that is reserved.
+    /// Whether a task of the job that ends at `end_ms` takes reserved capacity.
     fn delays_reservation(&self, job: &JobView, machine: usize, end_ms: u64) -> bool {
         let row = &self.machines[machine].row;
         self.reserved_rooms
@@ -154,10 +156,11 @@
             })
     }
 
-    /// Order among places that are alike. Services gather where services are, in the zone
-    /// with fewer replicas of the job; other work fills the holes beside them, which are paid
-    /// for anyway, then the kind of machine that it alone can use, the fullest first, so that
-    /// whole machines fall empty.
+    /// The tie-break between otherwise equal allocations. Services are packed onto machines that
+    /// already run services, in the zone with fewer replicas of the job. Other work first fills the
+    /// remaining capacity of those machines, which are kept in any case, then uses spot machines if
+    /// it may and ordinary ones if it may not. Within each kind it takes the fullest machine first,
+    /// so that whole machines become idle.
     pub(super) fn preference(&self, job: usize, machine: usize) -> Preference {
         let view = self.job_view(job);
         let host = self.machine_view(machine);
@@ -187,11 +190,12 @@
         }
     }
 
-    /// LessConsume Threshold for every threshold; the allocation of least slowdown.
+    /// Runs LessConsume Threshold for every threshold and returns the allocation with the least
+    /// slowdown.
     ///
-    /// A place that is free now and whose factor is under all thresholds is what every one of
-    /// them yields, so later places are worked out only where there is none: at hundreds of
-    /// machines they are nearly all the work.
+    /// If an allocation can start now with a factor below all thresholds, every threshold yields
+    /// it. Later allocations are computed only if there is none: with hundreds of machines, they
+    /// are most of the work.
     pub(super) fn allocate(&mut self, job: usize, may_wait: bool) -> Option<Allocation> {
         if !self.is_within_limit(job, 1) {
             return None;
@@ -205,7 +209,7 @@
         chosen
     }
 
-    /// The choice of [`Pass::allocate`] among the offers of all machines.
+    /// Chooses for [`Pass::allocate`] between the allocations on all machines.
     fn choose(&self, job: usize, may_wait: bool, offers: &mut Offers) -> Option<Allocation> {
         let FreeNow { least, first } = self.free_now(job, offers);
         let lowest_threshold =
@@ -222,7 +226,7 @@
         let mut only_machine = None;
         let reserved = self.snapshot.previous_reservation;
         if let Some(reserved) = reserved.filter(|reserved| reserved.job == job) {
-            // What is reserved stays where it is, if it can.
+            // The reservation stays on its machine if possible.
             let machine = reserved.machine;
             only_machine = (!offers.later(self, job, machine, bound).is_empty()).then_some(machine);
         }
@@ -237,7 +241,8 @@
         search.best()
     }
 
-    /// Among places that are free now, the one of the least factor, and the one that is liked most.
+    /// Of the allocations that can start now, the one with the least penalty factor and the
+    /// preferred one.
     fn free_now(&self, job: usize, offers: &mut Offers) -> FreeNow {
         let mut places = FreeNow { least: None, first: None };
         for &machine in &self.machines_with_room {
@@ -254,7 +259,7 @@
         places
     }
 
-    /// The place on a machine that is free now, if the job may be there.
+    /// The allocation on a machine that starts now, if the job may run there.
     pub(super) fn offer_now(&self, job: usize, machine: usize) -> Option<Allocation> {
         let fits = self.machines[machine].row.free.fits(&self.job_view(job).need);
         if !fits || !self.is_allowed(job, machine) {
@@ -263,8 +268,8 @@
         self.allocation_at(job, machine, self.snapshot.now_ms)
     }
 
-    /// At a machine the first time after now that there is room, and later ones as long as
-    /// they lower the factor; none whose factor is not under the bound.
+    /// Later allocations on a machine: the earliest one, and each later one with a lower penalty
+    /// factor than those before it. All factors are below `bound`.
     pub(super) fn offers_later(
         &self,
         job: usize,
@@ -283,7 +288,7 @@
             .iter()
             .filter(move |time_ms| **time_ms > now_ms)
             .map_while(move |time_ms| {
-                // Nothing can lower it any further.
+                // A later start can't lower the factor further.
                 if last_factor <= lowest_factor {
                     return None;
                 }
@@ -296,13 +301,13 @@
     }
 }
 
-/// Places that are free now.
+/// The best allocations that can start now.
 struct FreeNow {
     least: Option<Candidate>,
     first: Option<Candidate>,
 }
 
-/// The paper's penalty factor (section 3.3), with the time that the image takes counted in.
+/// The paper's penalty factor (section 3.3), with the time to fetch the image included.
 pub(super) fn penalty_factor(run_ms: u64, fetch_ms: u64, penalized_ms: f64) -> f64 {
     (run_ms + fetch_ms) as f64 / run_ms as f64 + penalized_ms / run_ms as f64
 }
--- a/src/coordination/planner/backfill.rs
+++ b/src/coordination/planner/backfill.rs
@@ -6,20 +6,21 @@
 use crate::protocol::users::Priority;
 use std::cmp::Ordering;
 
-/// What a job would start next.
+/// The next start of a job.
 #[derive(Debug, Clone, Copy)]
 struct Choice {
     job: usize,
     allocation: Option<Allocation>,
-    /// Placements on its machine when the choice was worked out.
+    /// Number of placements on the machine when the allocation was computed.
     placements_seen: u32,
 }
 
 impl Pass<'_> {
-    /// Starts jobs now that don't delay the reservation, by penalty factor, then length.
+    /// Starts jobs that don't delay the reservation, in order of priority and missed deadlines,
+    /// then of penalty factor, then of length.
     pub(super) fn backfill(&mut self, rest: &[usize]) {
-        // One computed choice per job. What is placed only takes room, so a choice whose
-        // machine has changed since is worked out anew only when its turn comes.
+        // One allocation per job is computed in advance. Placements only reduce free capacity, so
+        // an allocation whose machine has changed since is recomputed only when it is selected.
         let mut choices: Vec<Choice> = Vec::with_capacity(rest.len());
         for &job in rest {
             let allocation = match self.job_view(job).is_gang {
@@ -32,7 +33,8 @@
             let Some((index, allocation)) = self.next_choice(&choices) else { return };
             let Choice { job, placements_seen, .. } = choices[index];
             if self.job_view(job).is_gang {
-                // Others may have taken some of its places: it is worked out anew as a whole.
+                // Other jobs may have taken some of its slots, so the whole allocation is
+                // recomputed.
                 if let Some(gang) = self.gang_now(job) {
                     self.place_gang(job, &gang);
                 }
@@ -53,7 +55,7 @@
         Choice { job, allocation, placements_seen: allocation.map_or(0, placements) }
     }
 
-    /// The choice whose turn it is: its position, and what it would start.
+    /// The choice to start next: its index and its allocation.
     fn next_choice(&self, choices: &[Choice]) -> Option<(usize, Allocation)> {
         let with_allocation = |(index, choice): (usize, &Choice)| {
             choice.allocation.map(|allocation| (index, choice.job, allocation))
@@ -67,14 +69,14 @@
         best.map(|(index, _, allocation)| (index, allocation))
     }
 
-    /// The rank first: else what was stopped for a service takes its place again
-    /// while the service's image is still to come.
+    /// Priority goes before the penalty factor: otherwise a task that was preempted for a service
+    /// would take its slot again while the service's image is still being fetched.
     fn backfill_turn(&self, job: usize) -> (Priority, usize) {
         (self.job_view(job).priority, self.jobs[job].missed_deadlines)
     }
 
-    /// The allocation of a gang that starts now, as that of its first task: what its turn among
-    /// other jobs depends on.
+    /// The allocation of a whole gang that starts now, as an allocation of its first task, so that
+    /// it can be compared with those of other jobs.
     fn gang_start_now(&self, job: usize) -> Option<Allocation> {
         let gang = self.gang_now(job).filter(|_| self.jobs[job].waiting_tasks > 0)?;
         Some(Allocation {
@@ -85,13 +87,14 @@
         })
     }
 
-    /// The allocation of the job's next task that starts now, if that is its best. Tasks
-    /// that do better to wait, for a machine that holds their image, say, claim their place,
-    /// so that not all of them count on the same one.
+    /// The allocation of the job's next task that starts best now. If a later start is better for a
+    /// task, for example on a machine that holds its image, the later slot is claimed for it, so
+    /// that the job's other tasks don't expect the same slot, and the next task is considered.
     fn start_now(&mut self, job: usize) -> Option<Allocation> {
         let now_ms = self.snapshot.now_ms;
         while self.has_task_without_place(job) {
-            // With enough claims worked out, only what can start now is of interest.
+            // After enough later starts have been computed in this pass, only starts now are
+            // considered.
             let may_wait = self.claims_made < LATER_PLACEMENTS_PER_PASS;
             let allocation = self.allocate(job, may_wait)?;
             if allocation.start_ms <= now_ms {
@@ -107,7 +110,7 @@
         None
     }
 
-    /// Whether a task of the job neither runs nor counts on a place.
+    /// Whether a task of the job neither runs nor has an expected start.
     fn has_task_without_place(&self, job: usize) -> bool {
         let progress = &self.jobs[job];
         let waiting = progress.waiting_tasks + progress.awaiting_room;
--- a/src/coordination/planner/deadline_triage.rs
+++ b/src/coordination/planner/deadline_triage.rs
@@ -1,17 +1,18 @@
-//! Deadline triage: which of the waiting jobs can be complete in time, all of them together.
+//! Deadline triage: which of the waiting jobs can meet their deadlines together.
 //!
-//! In overload arrival order alone makes everyone late: every job begins and none ends. So the
-//! work that waits is laid end to end over the machines, and whenever a job would be late, the
-//! one with the most work of those laid so far gives way (Moore's rule, which leaves the fewest
-//! late). What has little left to place is kept, so that jobs that have begun come to their end.
+//! In overload, serving jobs in order of arrival makes all of them late: every job starts and none
+//! completes. So the waiting work is scheduled one job after the other on the total capacity of the
+//! machines. Whenever a job would miss its deadline, the job with the most work among those
+//! scheduled so far is dropped (Moore's rule, which minimizes the number of late jobs). Jobs with
+//! little remaining work are kept, so jobs that have started tend to be completed.
 
 use super::{BootingMachine, JobView, Snapshot};
 use crate::constants::{FETCH_SHARE_MAX, WORK_UNITS};
 use crate::protocol::Resources;
 use std::collections::BinaryHeap;
 
-/// For each job, how many of the times by which it should be complete it is not expected to
-/// meet. `order` are the jobs as they would be served if none were late.
+/// For each job, the number of its deadlines that it is not expected to meet. `order` is the order
+/// in which the jobs would be served if none were late.
 pub(super) fn missed_deadlines(
     snapshot: &Snapshot,
     order: &[usize],
@@ -30,22 +31,22 @@
     missed
 }
 
-/// Work of a job that is in time so far: its amount, and the job's position among those looked at.
-/// The heap gives the most work first.
+/// A job that meets its deadline so far: its work, and its position among the candidates. The heap
+/// returns the job with the most work first.
 type KeptWork = (u64, usize);
 
-/// The work laid over the machines so far.
+/// The state of the triage.
 struct Triage<'a> {
     snapshot: &'a Snapshot,
     capacity: Capacity,
     total: &'a Resources,
-    /// Work that goes before, of jobs that meet more of their deadlines.
+    /// Work that goes before that of the candidates: the total of the jobs kept at earlier levels.
     work_ahead: f64,
 }
 
 impl Triage<'_> {
-    /// Lays the work of the jobs that are open, each with its deadline of this level. Notes who meets
-    /// it in `missed`, and returns those that are late, in their order.
+    /// Schedules the candidates, each with its deadline number `level`. Records in `missed` which
+    /// of them meet it, and returns those that don't, in their original order.
     fn run_level(&mut self, level: usize, open: &[usize], missed: &mut [usize]) -> Vec<usize> {
         let mut kept: BinaryHeap<KeptWork> = BinaryHeap::new();
         let mut late = Vec::new();
@@ -54,7 +55,8 @@
             let work = self.work(job);
             work_laid += work;
             let Some(due_in_ms) = self.snapshot.jobs[job].due_in_ms.get(level) else {
-                // None of its deadlines is left to be missed: it has its turn, and is never late.
+                // The job has no further deadline: its work keeps its place in the order and is
+                // never dropped.
                 missed[job] = missed[job].min(level);
                 continue;
             };
@@ -62,7 +64,8 @@
             if self.end_ms(job, work_laid) <= *due_in_ms {
                 continue;
             }
-            // One that would be late even if it were alone drives nobody out.
+            // A job that would be late even without the other candidates doesn't displace any of
+            // them.
             let is_hopeless = self.end_ms(job, self.work_ahead + work) > *due_in_ms;
             let gives_way = if is_hopeless {
                 kept.retain(|(_, kept_position)| *kept_position != position);
@@ -81,31 +84,32 @@
         late.into_iter().map(|position| open[position]).collect()
     }
 
-    /// What a job's waiting tasks take: milliseconds of all machines.
+    /// Work of a job's waiting tasks, in milliseconds of the whole fleet.
     fn work(&self, job: usize) -> f64 {
         self.capacity.work(&self.snapshot.jobs[job], self.total)
     }
 
-    /// Milliseconds until a job has ended whose last task starts when so much work has been begun.
+    /// Milliseconds until the job ends, if its last task starts when this much work has been done.
     fn end_ms(&self, job: usize, work: f64) -> u64 {
         self.capacity.time_for(work).saturating_add(self.snapshot.jobs[job].run_ms)
     }
 }
 
-/// What the machines can do for work that ends.
+/// The capacity that is available to batch work.
 struct Capacity {
     steps: Vec<CapacityStep>,
-    /// What a task takes of a machine with the time while its image comes, as a factor of its run.
+    /// Factor by which the time to fetch the image lengthens the time that a task occupies its
+    /// machine.
     fetch_factor: f64,
 }
 
-/// How work goes on from a time on.
+/// Capacity from a time on, up to the next step.
 struct CapacityStep {
     /// Milliseconds from now.
     at_ms: f64,
-    /// Work that was done by then, in milliseconds of all machines.
+    /// Work that is done by then, in milliseconds of the whole fleet.
     done: f64,
-    /// Work that is done in a millisecond, as a share of the machines that are there now.
+    /// Work that is done per millisecond, relative to the machines that are up now.
     rate: f64,
 }
 
@@ -123,13 +127,13 @@
         }
     }
 
-    /// What a job's waiting tasks take: milliseconds of all machines.
+    /// Work of a job's waiting tasks, in milliseconds of the whole fleet.
     fn work(&self, job: &JobView, total: &Resources) -> f64 {
         let work_per_task = job.need.share_of(total) * job.run_ms as f64 * self.fetch_factor;
         f64::from(job.waiting_tasks) * work_per_task
     }
 
-    /// Milliseconds after which so much work has been begun.
+    /// Milliseconds until this much work has been done.
     fn time_for(&self, work: f64) -> u64 {
         let next = self.steps.partition_point(|step| step.done <= work).max(1);
         let CapacityStep { at_ms, done, rate } = self.steps[next - 1];
@@ -140,13 +144,13 @@
     }
 }
 
-/// What running tasks take of the machines, in shares of all of them.
+/// The load of the running tasks, as shares of all machines.
 struct RunningLoad {
-    /// What services leave.
+    /// What services leave to other work.
     left_by_services: f64,
-    /// Of tasks that run.
+    /// Load of batch tasks that run.
     ran: f64,
-    /// Of tasks that wait for their images.
+    /// Load of batch tasks that have not been reported as running: they wait for their images.
     fetched: f64,
 }
 
@@ -165,7 +169,7 @@
     }
 }
 
-/// What is done by when: each machine on its way adds to the rate once it is up.
+/// The capacity over time: each booting machine adds to the rate once it is up.
 fn capacity_steps(
     rate_now: f64,
     booting: &[BootingMachine],
--- a/src/coordination/planner/deadline_triage/tests.rs
+++ b/src/coordination/planner/deadline_triage/tests.rs
@@ -3,7 +3,7 @@
 use super::super::tests::{gpus, job, machine, running, snapshot};
 use super::*;
 
-/// What the jobs of these sizes miss on four slots, where each task runs for 10 s.
+/// The deadlines missed by jobs of these numbers of tasks, on four slots and with 10 s per task.
 fn missed_by(sizes: &[u32], times: &[u64]) -> Vec<usize> {
     let jobs = sizes.iter().enumerate().map(|(n, size)| {
         let mut pending = job(n as u64, 1, 10_000);
--- a/src/coordination/planner/gang.rs
+++ b/src/coordination/planner/gang.rs
@@ -1,9 +1,10 @@
-//! Places for gangs: the parallel jobs of the paper, allocated whole or not at all.
+//! Allocations for gangs, the parallel jobs of the paper: all tasks of a gang are placed, or none.
 //!
-//! As for single tasks, every threshold yields an allocation, here of all tasks at once: those
-//! machines whose factor is under it, the soonest first. Of these the one that ends first is taken. A
-//! gang starts when its last task does, so a machine counts with the time until its next report is
-//! answered and until it has the image, and every further machine counts a little more.
+//! As for single tasks, every threshold yields an allocation, here for all tasks at once: on the
+//! machines whose penalty factor is below the threshold, those that are ready soonest first. Of
+//! these allocations the one that ends first is chosen. A gang starts when its last task does, so
+//! the cost of a machine includes the time until its next report is answered and its image is
+//! cached, and each further machine adds a fixed delay.
 
 use super::allocation::{penalty_factor, Preference};
 use super::pass::{Pass, ReservedRoom};
@@ -18,12 +19,12 @@
     pub(super) tasks: u32,
 }
 
-/// Places and a time for a whole gang.
+/// Machines and a start time for a whole gang.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct GangAllocation {
     pub(super) shares: Vec<GangShare>,
     pub(super) start_ms: u64,
-    /// Run time with images, penalty and the wait for the last task.
+    /// Run time including image fetches, the penalty and the wait for the last task.
     pub(super) length_ms: u64,
     pub(super) penalty_factor: f64,
 }
@@ -35,35 +36,35 @@
     }
 }
 
-/// What one machine offers to a gang.
+/// A machine that can run tasks of a gang from now on.
 #[derive(Debug, Clone, Copy)]
 struct Offer {
     machine: usize,
     zone: usize,
-    /// Tasks that find room.
+    /// Number of the gang's tasks that it has capacity for.
     slots: u32,
-    /// Milliseconds until a task that is placed there now could begin.
+    /// Milliseconds until a task that is placed on it now could start.
     ready_ms: u64,
     penalized_ms: f64,
     penalty_factor: f64,
     preference: Preference,
 }
 
-/// An offer that is taken for some of the tasks.
+/// A machine that was chosen for some of the gang's tasks.
 #[derive(Debug, Clone, Copy)]
 struct TakenOffer {
     offer: Offer,
     tasks: u32,
 }
 
-/// Tasks that still need a place, and how many of them each zone may take.
+/// Tasks of a gang without a machine so far, and how many of them each zone may still get.
 struct TasksLeft {
     tasks: u32,
     per_zone: Vec<u32>,
 }
 
 impl TasksLeft {
-    /// How many of them may be on a machine with that many slots.
+    /// How many of them can be placed on a machine with that many free slots.
     fn fitting(&self, zone: usize, slots: u32) -> u32 {
         slots.min(self.per_zone[zone]).min(self.tasks)
     }
@@ -75,7 +76,7 @@
 }
 
 impl Pass<'_> {
-    /// The allocation of a whole gang that starts now.
+    /// The allocation for a whole gang that starts now.
     pub(super) fn gang_now(&self, job: usize) -> Option<GangAllocation> {
         if !self.is_gang_within_limit(job) {
             return None;
@@ -95,7 +96,8 @@
         best
     }
 
-    /// The earliest time at which machines are expected to have room for the whole gang, and where.
+    /// The allocation for a whole gang at the earliest later time at which enough capacity is
+    /// expected.
     pub(super) fn gang_later(&self, job: usize) -> Option<GangAllocation> {
         if !self.is_gang_within_limit(job) {
             return None;
@@ -117,7 +119,7 @@
         best
     }
 
-    /// The earliest later allocation of a whole gang on these machines.
+    /// The earliest later allocation for a whole gang on these machines.
     fn gang_later_on(&self, job: usize, machines: &[usize]) -> Option<GangAllocation> {
         let now_ms = self.snapshot.now_ms;
         let change_times = |machine: &usize| &self.machines[*machine].row.change_times_ms;
@@ -125,7 +127,8 @@
         times_ms.retain(|time_ms| *time_ms > now_ms);
         times_ms.sort_unstable();
         times_ms.dedup();
-        // Room only grows when nothing is added, so the first such time is found by halving.
+        // Free capacity only grows over time if nothing is added, so a binary search finds the
+        // first time with enough.
         let first = times_ms
             .partition_point(|time_ms| self.gang_shares_at(job, machines, *time_ms).is_none());
         let start_ms = times_ms.get(first).copied()?;
@@ -136,7 +139,7 @@
         Some(GangAllocation::new(shares, start_ms, run_ms + fetch_ms, run_ms))
     }
 
-    /// Places a whole gang.
+    /// Places all tasks of a gang.
     pub(super) fn place_gang(&mut self, job: usize, allocation: &GangAllocation) {
         for share in &allocation.shares {
             for _ in 0..share.tasks {
@@ -147,7 +150,7 @@
         debug_assert_eq!(self.jobs[job].waiting_tasks, 0, "a gang of {tasks} is placed whole");
     }
 
-    /// Reserves places for a whole gang.
+    /// Reserves capacity for all tasks of a gang.
     pub(super) fn reserve_gang(&mut self, job: usize, allocation: &GangAllocation) {
         let GangAllocation { shares, start_ms, length_ms, .. } = allocation;
         let (start_ms, length_ms) = (*start_ms, *length_ms);
@@ -170,7 +173,8 @@
         self.is_within_limit(job, self.job_view(job).waiting_tasks)
     }
 
-    /// Tasks of the job that a machine has room for from `start_ms` on, for so long.
+    /// Number of the job's tasks that fit on a machine from `start_ms` on, for `length_ms`, without
+    /// delaying a reservation.
     fn gang_slots(&self, job: usize, machine: usize, start_ms: u64, length_ms: u64) -> u32 {
         let view = self.job_view(job);
         let host = &self.machines[machine];
@@ -187,7 +191,7 @@
         slots.min(i64::from(view.waiting_tasks)) as u32
     }
 
-    /// What each machine offers for a start now, the soonest first.
+    /// The machines that can run tasks of the gang from now on, those that are ready soonest first.
     fn gang_offers(&self, job: usize) -> Vec<Offer> {
         let offers = self.machines_with_room.iter();
         let mut offers: Vec<Offer> =
@@ -196,7 +200,7 @@
         offers
     }
 
-    /// What a machine offers for a start now.
+    /// The machine as a candidate for a start now; `None` if it can't run a task of the gang.
     fn gang_offer(&self, job: usize, machine: usize) -> Option<Offer> {
         let view = self.job_view(job);
         let host = self.machine_view(machine);
@@ -225,7 +229,7 @@
         })
     }
 
-    /// The offers among which all tasks of the job have to find their places.
+    /// Groups of machines, each of which may run all tasks of the gang.
     fn zone_groups(&self, job: usize, offers: &[Offer]) -> Vec<Vec<Offer>> {
         if !self.job_view(job).one_zone {
             return vec![offers.to_vec()];
@@ -234,8 +238,9 @@
         (0..self.jobs[job].tasks_per_zone.len()).map(in_zone).collect()
     }
 
-    /// The best allocation now on machines sorted by when they are ready. A start a little later is
-    /// taken if it needs fewer machines: each of them may report later than expected.
+    /// The best allocation now on machines sorted by when they are ready. A slightly later start is
+    /// chosen if it needs fewer machines, since each further machine may report later than
+    /// expected.
     fn gang_on(&self, job: usize, offers: &[Offer]) -> Option<GangAllocation> {
         let soonest = self.machines_needed(job, offers)?;
         let mut best: Option<(u64, Vec<TakenOffer>)> = None;
@@ -259,8 +264,9 @@
         Some(GangAllocation::new(shares, self.snapshot.now_ms, length_ms, run_ms))
     }
 
-    /// What a start on these machines costs, in milliseconds: until the last task can begin, and
-    /// something for each further machine. `None` if the first tasks would give up before.
+    /// The cost of a start on these machines in milliseconds: the time until the last task can
+    /// start, plus a delay for each further machine. `None` if the first tasks would stop waiting
+    /// before the last one starts.
     fn gang_start_cost_ms(&self, taken: &[TakenOffer]) -> Option<u64> {
         let ready_ms = || taken.iter().map(|taken| taken.offer.ready_ms);
         let (first_ms, last_ms) = (ready_ms().min()?, ready_ms().max()?);
@@ -272,7 +278,7 @@
         Some(last_ms + (taken.len() as u64 - 1) * GANG_START_DELAY_PER_MACHINE_MS)
     }
 
-    /// How many of the soonest machines it takes to hold all tasks.
+    /// How many of the machines, taken in order of readiness, have capacity for all tasks.
     fn machines_needed(&self, job: usize, offers: &[Offer]) -> Option<usize> {
         let view = self.job_view(job);
         let mut slots_per_zone = vec![0u32; self.jobs[job].tasks_per_zone.len()];
@@ -292,8 +298,9 @@
         TasksLeft { tasks: view.waiting_tasks, per_zone: vec![view.max_tasks_per_zone; zones] }
     }
 
-    /// Places for all tasks on few machines: as long as none has room for all that are left the one
-    /// with most room, then the best liked of those that have.
+    /// Distributes all tasks over few machines: takes the machine with the most slots until one
+    /// machine has enough for all remaining tasks; of several such machines, takes the preferred
+    /// one.
     fn fewest_machines(&self, job: usize, offers: &[Offer]) -> Option<Vec<TakenOffer>> {
         let mut left = self.gang_tasks_left(job);
         let mut open: Vec<Offer> = offers.to_vec();
@@ -315,7 +322,8 @@
         Some(taken)
     }
 
-    /// Places for all tasks from a later time on; none if there is too little room by then.
+    /// The machines for all tasks at a later start time; `None` if there is too little capacity by
+    /// then.
     fn gang_shares_at(
         &self,
         job: usize,
--- a/src/coordination/planner/gang/tests.rs
+++ b/src/coordination/planner/gang/tests.rs
@@ -4,19 +4,19 @@
 use crate::coordination::planner::tests::{gpus, job, machine, running, snapshot};
 use crate::coordination::planner::{plan, JobOnMachine, JobView, MachineView, Plan, Snapshot};
 
-/// A gang of tasks of one GPU each.
+/// A gang whose tasks take one GPU each.
 fn gang(arrival: u64, tasks: u32, run_ms: u64) -> JobView {
     JobView { is_gang: true, waiting_tasks: tasks, ..job(arrival, 1, run_ms) }
 }
 
-/// A machine whose GPUs are all taken until then.
+/// A machine whose GPUs are all occupied until then.
 fn taken(gpus: i64, until: u64) -> MachineView {
     let mut view = machine(gpus);
     view.running = (0..gpus).map(|_| running(until)).collect();
     view
 }
 
-/// Tasks of the job that each machine gets.
+/// Number of the job's tasks placed on each machine.
 fn shares(plan: &Plan, job: usize, machines: usize) -> Vec<usize> {
     let on =
         |m| plan.placements.iter().filter(|place| (place.job, place.machine) == (job, m)).count();
@@ -63,7 +63,7 @@
     assert_eq!((with_limit(5), with_limit(6)), (0, 4));
 }
 
-/// Four machines in two zones with two GPUs each.
+/// Four machines with two GPUs each, in two zones.
 fn two_zones(change: impl Fn(&mut JobView)) -> Snapshot {
     let mut machines = vec![machine(2), machine(2), machine(2), machine(2)];
     machines[1].zone = 1;
@@ -89,7 +89,8 @@
 
 #[test]
 fn what_would_delay_the_gang_that_is_reserved_for_is_not_backfilled() {
-    // All four GPUs are free in 10 s. Beside them one is free now, and one more job fits before.
+    // Four GPUs become free in 10 s. One more is free now, and only a job that ends before that may
+    // use it.
     let machines = vec![taken(2, 10_000), taken(2, 10_000), machine(1)];
     let jobs = vec![gang(1, 5, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
     let decided = plan(&snapshot(machines, jobs));
@@ -106,7 +107,7 @@
     let waited = |waited_ms| {
         let mut late = gang(9, 2, 60_000);
         late.waited_ms = waited_ms;
-        // Nothing can make it in time any more; the others can.
+        // The gang can't meet its deadline any more; the others can.
         late.due_in_ms = vec![0];
         let mut others: Vec<JobView> = (1..5).map(|n| job(n, 1, 30_000)).collect();
         others.iter_mut().for_each(|other| other.due_in_ms = vec![500_000]);
@@ -134,6 +135,6 @@
         cluster.gang_wait_ms = gang_wait_ms;
         plan(&cluster).placements.len()
     };
-    // The image takes 20 s to fetch.
+    // Fetching the image takes 20 s.
     assert_eq!((waits(60_000), waits(10_000)), (4, 0));
 }
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -1,15 +1,16 @@
 //! RUA-Backfilling: a pure function from a [`Snapshot`] to a [`Plan`].
 //!
-//! After the paper, section 5, and DESIGN. The oldest waiting job gets a reservation: for
-//! each threshold an allocation by LessConsume Threshold (section 4: first fit, less loaded slots
-//! swapped in, later starts accepted until the penalty factor is under the threshold), and of these
-//! the one with the least slowdown. The other jobs follow if they can start now without
-//! delaying the reservation (backfilling), by penalty factor, then by length.
+//! After the paper, section 5, and DESIGN. The oldest waiting job gets a reservation: LessConsume
+//! Threshold (section 4) computes an allocation for each penalty-factor threshold, and the
+//! reservation is the allocation with the least slowdown. For one threshold, LessConsume Threshold
+//! starts from first fit, replaces slots by less loaded ones and accepts a later start until the
+//! penalty factor is below the threshold. The other jobs are backfilled: a job starts now if it
+//! does not delay the reservation, in order of penalty factor, then of length.
 //!
-//! Ours, in its spirit: an image that a machine must fetch first is a penalty of the place
-//! like a saturated resource is; ranks and guarantees order the queue before arrival does;
-//! services have no length, so a reference length stands in; where a higher rank can't
-//! start, tasks of lower ranks are preempted for it.
+//! Additions to the paper: fetching an image delays a task and counts towards the penalty factor of
+//! a machine, as a saturated resource does; priorities and guarantees order the queue before
+//! arrival time does; services have no run time, so a reference run time is used for them; if a job
+//! of higher priority can't start, tasks of lower priority are preempted for it.
 //!
 //! Nothing here does I/O, reads a clock or draws random numbers.
 
--- a/src/coordination/planner/offers.rs
+++ b/src/coordination/planner/offers.rs
@@ -1,41 +1,41 @@
-//! What the machines offer to one job, kept for as long as it holds.
+//! A cache of the allocations that each machine allows for one job.
 //!
-//! The tasks of a job are placed one after the other, and each placement changes one machine. So
-//! an offer is worked out again only when its machine has changed, or when something else did
-//! that all offers to the job depend on. What is chosen is the same as if every offer were worked out
-//! anew for each task; the tests compare the two.
+//! The tasks of a job are placed one after the other, and each placement changes one machine. A
+//! cached allocation is therefore recomputed only if its machine has changed, or if something has
+//! changed that all allocations of the job depend on. The result is the same as without the cache;
+//! unit tests compare the two.
 
 use super::allocation::Allocation;
 use super::pass::Pass;
 
-/// What offers depend on beside the machines themselves. A reservation concerns its own machine alone,
-/// which changes with the claim that goes with it.
+/// What allocations depend on besides the machines. A reservation affects only its own machine,
+/// whose version changes with the claim that is recorded for it.
 #[derive(Debug, PartialEq)]
 pub(super) struct OfferContext {
     job: usize,
-    /// The zones in which one more task of the job may be.
+    /// Zones that may get one more task of the job.
     zones: Vec<bool>,
 }
 
-/// Something worked out at a version of a machine; 0 for nothing yet.
+/// A value computed at a version of a machine; version 0 means not computed.
 #[derive(Debug, Clone, Default)]
 struct Cached<T> {
     version: u32,
     value: T,
 }
 
-/// The offers of all machines to the job that was looked at last.
+/// Allocations on all machines for the job that was considered last.
 #[derive(Debug, Default)]
 pub(super) struct Offers {
     context: Option<OfferContext>,
     now: Vec<Cached<Option<Allocation>>>,
     later: Vec<Cached<Vec<Allocation>>>,
-    /// The factor under which later offers are worth having, when they were worked out.
+    /// The bound on the penalty factor with which the later allocations were computed.
     bound: f64,
 }
 
 impl Offers {
-    /// Forgets the offers unless they were worked out in the same context.
+    /// Clears the cache unless it was filled in the same context.
     pub(super) fn set_context(&mut self, context: OfferContext, machines: usize) {
         if self.context.as_ref() == Some(&context) {
             return;
@@ -47,7 +47,7 @@
         self.later.iter_mut().for_each(|cached| cached.version = 0);
     }
 
-    /// The place that a machine offers now.
+    /// The allocation on a machine that starts now.
     pub(super) fn now(
         &mut self,
         pass: &Pass<'_>,
@@ -63,7 +63,7 @@
         cached.value
     }
 
-    /// The places that a machine offers later, of a factor under the bound.
+    /// The later allocations on a machine with a penalty factor below `bound`.
     pub(super) fn later(
         &mut self,
         pass: &Pass<'_>,
@@ -87,7 +87,7 @@
 }
 
 impl Pass<'_> {
-    /// What offers to a job depend on at present.
+    /// What the allocations of a job depend on at present, besides the machines.
     pub(super) fn offer_context(&self, job: usize) -> OfferContext {
         let zones = 0..self.jobs[job].tasks_per_zone.len();
         OfferContext { job, zones: zones.map(|zone| self.is_zone_allowed(job, zone)).collect() }
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -1,4 +1,4 @@
-//! One planning pass: what has been decided so far, and how a decision is entered.
+//! The state of a planning pass, and how each decision changes it.
 
 use super::allocation::Allocation;
 use super::offers::Offers;
@@ -9,44 +9,45 @@
 use crate::storage::reservation::{Bucket, ReservationRow};
 use std::cell::Cell;
 
-/// A pass under way: the snapshot, and what has been decided so far.
+/// A planning pass under way: the snapshot and the decisions so far.
 pub(super) struct Pass<'a> {
     pub(super) snapshot: &'a Snapshot,
     pub(super) machines: Vec<MachineProgress>,
     pub(super) jobs: Vec<JobProgress>,
-    /// What each team's tasks take, with those placed by this pass.
+    /// Resources that each team's tasks take, including those placed by this pass.
     pub(super) team_usage: Vec<Resources>,
-    /// All machines together.
+    /// Total resources of all machines.
     pub(super) cluster_total: Resources,
-    /// What is kept for the head of the queue: one place, or all those of a gang.
+    /// Capacity reserved for the head of the queue: one entry, or one for each machine of a gang.
     pub(super) reserved_rooms: Vec<ReservedRoom>,
     pub(super) claims_made: usize,
-    /// Machines with anything free: only these are looked at for a start now.
+    /// Machines with enough free capacity for a task; only these are considered for a start now.
     pub(super) machines_with_room: Vec<usize>,
-    /// What the machines offer to the job that was looked at last.
+    /// Allocations computed for the job that was considered last.
     pub(super) offers: Offers,
-    /// Places worked out so far.
+    /// Candidate allocations computed so far.
     pub(super) candidates_examined: Cell<u64>,
-    /// Places that jobs which have waited too long may still take ahead of the others.
+    /// How many more tasks of starving jobs may be placed ahead of the other jobs.
     pub(super) starving_budget: usize,
     pub(super) plan: Plan,
 }
 
-/// A machine as it stands after the decisions so far.
+/// A machine, with the decisions so far applied.
 pub(super) struct MachineProgress {
     /// Its row of the reservation table.
     pub(super) row: ReservationRow,
     pub(super) free_task_slots: usize,
     pub(super) service_tasks: i64,
     pub(super) images: Vec<CachedImage>,
-    /// Milliseconds until it has fetched all images that it waits for.
+    /// Milliseconds until the last image that it is fetching is cached.
     pub(super) images_ready_in_ms: u64,
-    /// Room that is being made on it for higher ranks.
+    /// Capacity being freed on it by preemption; not available to jobs below high priority.
     pub(super) held_for_priority: Resources,
-    /// How often something was placed on it in this pass: tells whether a choice worked out earlier
-    /// still holds.
+    /// Number of tasks placed on it by this pass; shows whether an allocation chosen earlier is
+    /// still valid.
     pub(super) placements: u32,
-    /// Grows with every change, from 1 on: tells whether what it offers still holds.
+    /// Incremented on each change, starting from 1; shows whether cached allocations on it are
+    /// still valid.
     pub(super) version: u32,
 }
 
@@ -73,12 +74,12 @@
         }
     }
 
-    /// The state of an image on the machine; `None` if it neither holds nor fetches it.
+    /// The state of an image on the machine; `None` if it is neither cached nor being fetched.
     pub(super) fn image(&self, image: usize) -> Option<&CachedImage> {
         self.images.iter().find(|known| known.image == image)
     }
 
-    /// Notes that an image will be there after so many milliseconds.
+    /// Records that an image will be cached after `ready_in_ms`.
     fn note_image(&mut self, image: usize, ready_in_ms: u64) {
         if self.image(image).is_none() {
             self.images.push(CachedImage { image, ready_in_ms });
@@ -87,13 +88,13 @@
     }
 }
 
-/// A job as it stands after the decisions so far.
+/// A job, with the decisions so far applied.
 pub(super) struct JobProgress {
     pub(super) tasks_per_zone: Vec<u32>,
     pub(super) waiting_tasks: u32,
-    /// How many of the times by which it should be complete it is not expected to meet.
+    /// Number of its deadlines that it is not expected to meet.
     pub(super) missed_deadlines: usize,
-    /// Tasks for which room is being made: they wait for it.
+    /// Waiting tasks for which capacity is being freed by preemption; not part of `waiting_tasks`.
     pub(super) awaiting_room: u32,
 }
 
@@ -108,7 +109,7 @@
     }
 }
 
-/// Room on a machine that is kept from a time on.
+/// Capacity reserved on a machine from `start_ms` on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReservedRoom {
     pub(super) machine: usize,
@@ -116,7 +117,7 @@
     pub(super) need: Resources,
 }
 
-/// Runs one pass.
+/// Runs a planning pass.
 pub fn plan(snapshot: &Snapshot) -> Plan {
     let mut pass = Pass::new(snapshot);
     pass.run();
@@ -150,23 +151,23 @@
         }
     }
 
-    /// A job as the snapshot shows it.
+    /// The job as the snapshot describes it.
     pub(super) fn job_view(&self, job: usize) -> &'a JobView {
         &self.snapshot.jobs[job]
     }
 
-    /// A machine as the snapshot shows it.
+    /// The machine as the snapshot describes it.
     pub(super) fn machine_view(&self, machine: usize) -> &'a MachineView {
         &self.snapshot.machines[machine]
     }
 
-    /// Whether the pass has placed as much as one may.
+    /// Whether the pass has made the maximum number of placements.
     pub(super) fn is_full(&self) -> bool {
         let most = PLACEMENTS_PER_PASS as f64 + self.machines.len() as f64 * PLACEMENTS_PER_MACHINE;
         self.plan.placements.len() >= most as usize
     }
 
-    /// What the job's team uses with that many more tasks of the job.
+    /// What the job's team uses if `tasks` more tasks of the job are placed.
     pub(super) fn usage_with(&self, job: usize, tasks: u32) -> Resources {
         let view = self.job_view(job);
         let mut usage = self.team_usage[view.team];
@@ -174,7 +175,7 @@
         usage
     }
 
-    /// Whether the job's team stays within its limit with that many more tasks of the job.
+    /// Whether the job's team stays within its limit if `tasks` more tasks of the job are placed.
     pub(super) fn is_within_limit(&self, job: usize, tasks: u32) -> bool {
         let limit = &self.snapshot.teams[self.job_view(job).team].limit;
         self.usage_with(job, tasks).under(limit)
@@ -185,7 +186,7 @@
         self.place_task(job, allocation.machine, allocation.end_ms());
     }
 
-    /// Counts a task on a machine until its end, as placed by this pass.
+    /// Places the job's next task on a machine, where it is expected to run until `end_ms`.
     pub(super) fn place_task(&mut self, job: usize, machine: usize, end_ms: u64) {
         let view = self.job_view(job);
         let fetch_ms = self.fetch_ms(job, machine, self.snapshot.now_ms);
@@ -203,7 +204,7 @@
         self.plan.placements.push(JobOnMachine { job, machine });
     }
 
-    /// Reserves a later place for the job's next task.
+    /// Reserves capacity from a later time on for the job's next task.
     pub(super) fn reserve(&mut self, job: usize, allocation: Allocation) {
         let Allocation { machine, start_ms, length_ms, .. } = allocation;
         let need = self.job_view(job).need;
@@ -213,13 +214,15 @@
         self.claim(job, machine, start_ms, length_ms);
     }
 
-    /// Notes that a waiting task can count on a place from a time on.
+    /// Records when a waiting task is expected to start.
     pub(super) fn expect_start(&mut self, job: usize, start_ms: u64) {
         self.plan.expected_wait_ms[job].push(start_ms - self.snapshot.now_ms);
     }
 
-    /// Counts a place that a task waits for, so that others see that they would not be alone. Whatever
-    /// else has just changed on the machine for it counts as changed with that.
+    /// Records that a waiting task is expected to run on the machine from `start_ms` on, so that
+    /// later allocations of other tasks take it into account. Also invalidates the allocations
+    /// cached for the machine, which covers other changes made to the machine just before this
+    /// call.
     pub(super) fn claim(&mut self, job: usize, machine: usize, start_ms: u64, length_ms: u64) {
         let need = self.job_view(job).need;
         self.machines[machine].row.claim(start_ms, length_ms, need);
@@ -227,7 +230,7 @@
     }
 }
 
-/// Milliseconds until the last of a machine's images is there.
+/// Milliseconds until the last of the images is cached.
 fn images_ready_in_ms(images: &[CachedImage]) -> u64 {
     images.iter().map(|image| image.ready_in_ms).max().unwrap_or(0)
 }
--- a/src/coordination/planner/plan.rs
+++ b/src/coordination/planner/plan.rs
@@ -1,41 +1,41 @@
-//! What a planning pass decides.
+//! The result of a planning pass.
 
 use super::snapshot::JobOnMachine;
 
 /// A running task that is to be stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Preemption {
-    /// The machine on which it runs, by index.
+    /// Index of the machine on which it runs.
     pub machine: usize,
-    /// The caller's handle of the task.
+    /// The caller's identifier of the task.
     pub handle: usize,
 }
 
-/// A place that is kept for the head of the queue.
+/// Capacity reserved for the head of the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Reservation {
-    /// The job, by index.
+    /// Index of the job.
     pub job: usize,
-    /// The machine, by index; of a gang the first one.
+    /// Index of the machine; for a gang, of its first machine.
     pub machine: usize,
-    /// The time from which on it is kept, on the planner's clock.
+    /// Start of the reservation on the planner's clock.
     pub start_ms: u64,
 }
 
-/// What a pass decides.
+/// The result of a planning pass.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Plan {
-    /// Where one task each is placed, in the order decided.
+    /// Placements of one task each, in the order in which they were decided.
     pub placements: Vec<JobOnMachine>,
-    /// Tasks to stop.
+    /// Tasks to preempt.
     pub preemptions: Vec<Preemption>,
-    /// What is reserved for the head.
+    /// The reservation for the head of the queue.
     pub reservation: Option<Reservation>,
-    /// When waiting tasks can count on a place, per job, in milliseconds from now; tasks
-    /// that are not named can count on none.
+    /// For each job, milliseconds until its waiting tasks are expected to start; tasks without an
+    /// entry have no expected start.
     pub expected_wait_ms: Vec<Vec<u64>>,
-    /// Tasks per job that were not placed.
+    /// For each job, the number of tasks that were not placed.
     pub unplaced: Vec<u32>,
-    /// Places that were worked out for this: what the pass cost.
+    /// Number of candidate allocations computed: a measure of the cost of the pass.
     pub candidates_examined: u64,
 }
--- a/src/coordination/planner/preemption.rs
+++ b/src/coordination/planner/preemption.rs
@@ -1,4 +1,5 @@
-//! Preemption: which tasks are stopped to make room for higher ranks and for guarantees.
+//! Preemption: which tasks are stopped to free capacity for jobs of higher priority and for
+//! guarantees.
 
 use super::allocation::Preference;
 use super::pass::Pass;
@@ -9,13 +10,14 @@
 use crate::protocol::Resources;
 use std::collections::BTreeMap;
 
-/// What stopping any task costs, in milliseconds of lost work.
+/// Fixed cost of stopping a task, in milliseconds of lost work.
 const STOP_COST_MS: u64 = 1_000;
 
-/// What stopping a task of a service costs more than others, in shields.
+/// Additional cost of stopping a service task, as a multiple of the cost of stopping a recently
+/// started task.
 const SERVICE_SHIELDS: u64 = 4;
 
-/// What decides which tasks may be stopped for a job.
+/// The properties of a waiting job that decide which tasks it may preempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Claimant {
     priority: Priority,
@@ -29,8 +31,8 @@
         Claimant { priority, within_guarantee, team }
     }
 
-    /// Whether a task may be stopped for the job: one of a lower rank, or for a guarantee one of a
-    /// team that uses more than its own.
+    /// Whether the job may preempt a task: one of lower priority, or, if the job is within its
+    /// team's guarantee, one of another team that uses more than its own guarantee.
     fn may_stop(&self, task: &RunningTask, is_borrowing: &[bool]) -> bool {
         let is_lower = task.priority > self.priority;
         let is_borrowed = || task.team.is_some_and(|team| team != self.team && is_borrowing[team]);
@@ -38,26 +40,27 @@
     }
 }
 
-/// Room that is there or coming, as far as it has been given away.
+/// Capacity that is free or being freed, less what has been given to waiting jobs.
 struct RoomToMake {
-    /// Per machine.
+    /// Capacity per machine.
     room: Vec<Resources>,
-    /// Tasks that are being stopped, per machine.
+    /// For each machine, whether each of its running tasks is being stopped.
     stopped: Vec<Vec<bool>>,
     /// What each team will use.
     team_usage: Vec<Resources>,
-    /// Teams that use more than their guarantee.
+    /// Whether each team uses more than its guarantee.
     is_borrowing: Vec<bool>,
 }
 
-/// What could be stopped on each machine for a claimant, at the most, once it is worked out: a quick
-/// look that spares the search where nothing would come of it.
+/// For each machine, the total resources of the tasks that a preemptor may stop; `None` until
+/// computed. This upper bound avoids the search for tasks to stop on machines where stopping all of
+/// them would not be enough.
 type MostStoppable = Vec<Option<Resources>>;
 
-/// A place for which tasks may have to be stopped.
+/// A machine for a waiting task, with the tasks to stop for it.
 struct RoomChoice {
     machine: usize,
-    /// Milliseconds of work that are lost, with the image that has to be fetched.
+    /// Milliseconds of work that are lost, plus the time to fetch the image.
     cost: u64,
     preference: Preference,
     victims: Vec<usize>,
@@ -69,15 +72,16 @@
     }
 }
 
-/// Tasks to stop on a machine, and the milliseconds of work that this loses.
+/// Tasks to stop on a machine, and the milliseconds of work that are lost by it.
 struct Victims {
     lost: u64,
     tasks: Vec<usize>,
 }
 
 impl Pass<'_> {
-    /// Stops tasks of lower ranks, or of teams beyond their guarantee, where a higher claim
-    /// can't start. What is being stopped already counts as room to come.
+    /// Preempts tasks for jobs that can't start otherwise and have at least high priority or are
+    /// within their team's guarantee. Stopped are tasks of lower priority, or of teams that exceed
+    /// their guarantee. Capacity of tasks that are already being stopped counts as available.
     pub(super) fn make_room(&mut self, queue: &[usize]) {
         let mut state = self.room_to_make();
         let mut most_stoppable: BTreeMap<Claimant, MostStoppable> = BTreeMap::new();
@@ -116,7 +120,8 @@
         }
     }
 
-    /// Finds room for one task of the job. Returns whether there is any.
+    /// Finds capacity for one task of the job, preempting others if necessary. Returns whether it
+    /// was found.
     fn make_room_for_task(
         &mut self,
         job: usize,
@@ -143,8 +148,9 @@
         true
     }
 
-    /// Where the least is lost, by the image that has to be fetched and by what is
-    /// stopped; a place where there is room wins over one like it.
+    /// The machine with the least cost: the time to fetch the image plus the work lost by
+    /// preemption, so that free capacity is used before tasks are stopped on a similar machine.
+    /// Between equal costs, the preference decides.
     fn cheapest_room(
         &self,
         job: usize,
@@ -165,7 +171,8 @@
         best
     }
 
-    /// Whether a task of the job would fit on a machine if all were stopped that may be.
+    /// Whether a task of the job would fit on the machine if all tasks were stopped that the job
+    /// may preempt.
     fn could_have_room(
         &self,
         job: usize,
@@ -183,8 +190,8 @@
         most.fits(&view.need)
     }
 
-    /// What room for a task of the job on a machine costs; `None` if it can't be made there, or costs
-    /// more than `most_cost` for the image alone.
+    /// The cost of running a task of the job on the machine; `None` if it can't run there, or if
+    /// fetching the image alone costs more than `most_cost`.
     fn room_on(
         &self,
         job: usize,
@@ -193,8 +200,9 @@
         most_cost: Option<u64>,
     ) -> Option<RoomChoice> {
         let view = self.job_view(job);
-        // Where it would not start for its image, room would be made for nothing, pass
-        // after pass: in the wake of a start five tasks were stopped for each service.
+        // The task would not be placed here because of its image, so preemption would be useless
+        // and repeated in each pass: while a fleet starts, five tasks would be stopped for each
+        // service task.
         if !self.is_allowed(job, machine) || self.is_better_on_the_way(job, machine) {
             return None;
         }
@@ -211,7 +219,7 @@
         Some(RoomChoice { machine, cost, preference, victims: victims.tasks })
     }
 
-    /// What all tasks that may be stopped for a job take of a machine.
+    /// Total resources of the tasks on a machine that the job may preempt.
     fn most_stoppable(&self, job: &JobView, machine: usize, state: &RoomToMake) -> Resources {
         let claimant = Claimant::of(job);
         let mut most = Resources::default();
@@ -223,8 +231,8 @@
         most
     }
 
-    /// Tasks to stop on a machine so that one task of the job fits, the cheapest first; `None` if it
-    /// does not fit even then.
+    /// The tasks to stop on a machine so that one task of the job fits, those with the least cost
+    /// first; `None` if it doesn't fit even then.
     fn cheapest_victims(
         &self,
         job: &JobView,
@@ -255,7 +263,7 @@
         (room.fits(&job.need) && !victims.tasks.is_empty()).then_some(victims)
     }
 
-    /// Decides to stop tasks. Returns the milliseconds until their room is free.
+    /// Preempts tasks. Returns the milliseconds until their capacity is free.
     fn stop_victims(&mut self, machine: usize, victims: &[usize], state: &mut RoomToMake) -> u64 {
         let now_ms = self.snapshot.now_ms;
         let mut wait_ms = PREEMPTED_ROOM_MIN_MS;
@@ -273,8 +281,8 @@
         wait_ms
     }
 
-    /// Keeps room that is being made for a task, which waits for it. Where it went elsewhere in the
-    /// same pass all the same, tasks were stopped for nothing, pass after pass.
+    /// Holds capacity that is being freed for a task, and lets the task wait for it. If the task
+    /// were placed elsewhere in the same pass, others would be stopped in vain, pass after pass.
     fn hold_room(&mut self, job: usize, machine: usize, wait_ms: u64) {
         let view = self.job_view(job);
         let start_ms = self.snapshot.now_ms + wait_ms;
@@ -286,14 +294,15 @@
     }
 }
 
-/// What stopping a task costs, in milliseconds of lost work.
+/// The cost of stopping a task, in milliseconds of lost work.
 fn stop_cost_ms(task: &RunningTask) -> u64 {
     let ran_ms = task.ran_ms.unwrap_or(0);
-    // A young start would not count for its users; old work without saves is lost.
+    // Stopping a recently started task makes its start worthless to its users; without saved
+    // progress, all its work is lost.
     let shield = if ran_ms < PREEMPT_SHIELD_MS { PREEMPT_SHIELD_MS } else { 0 };
     let lost = if task.keeps_progress { 0 } else { ran_ms };
     let service = if task.is_service { PREEMPT_SHIELD_MS * SERVICE_SHIELDS } else { 0 };
-    // The rest of its gang stops with it, and all of it starts anew.
+    // The rest of the gang stops too, and the whole gang has to start again.
     let gang = if task.tasks_stopped > 1 { PREEMPT_SHIELD_MS } else { 0 };
     (STOP_COST_MS + shield + lost + service + gang) * u64::from(task.tasks_stopped)
 }
--- a/src/coordination/planner/queue.rs
+++ b/src/coordination/planner/queue.rs
@@ -1,5 +1,5 @@
-//! The order of the waiting jobs, and the heads of the queue: they start now, and the first that can't
-//! gets the reservation.
+//! Queue order and the heads of the queue: heads are started now, and the first one that can't
+//! start gets the reservation.
 
 use super::deadline_triage::missed_deadlines;
 use super::pass::Pass;
@@ -8,7 +8,8 @@
 use crate::protocol::users::Priority;
 
 impl Pass<'_> {
-    /// Runs the pass: jobs that have waited too long, room for higher ranks, the heads, backfill.
+    /// Runs the pass: starving jobs first, then preemption, the heads of the queue, and
+    /// backfilling.
     pub(super) fn run(&mut self) {
         let mut queue = self.order_jobs();
         let mut starving = self.starving_jobs(&queue);
@@ -25,8 +26,8 @@
         self.backfill(&rest);
     }
 
-    /// All jobs in the order in which they are served: by rank and share, then those that can be in
-    /// time, then by arrival.
+    /// All jobs in the order in which they are served: by priority, guarantee and share, then by
+    /// the number of deadlines that they will miss, then by arrival.
     fn order_jobs(&mut self) -> Vec<usize> {
         let arrival = |pass: &Self, job: usize| pass.job_view(job).arrival;
         let mut queue: Vec<usize> = (0..self.jobs.len()).collect();
@@ -41,21 +42,21 @@
         queue
     }
 
-    /// A job's turn, before its deadlines and its arrival count.
+    /// The part of a job's sort key that goes before its deadlines and its arrival.
     fn turn(&self, job: usize) -> (Priority, bool, bool) {
         let view = self.job_view(job);
         (view.priority, !view.within_guarantee, self.is_over_share(job))
     }
 
-    /// Whether its team has filled its share, and so borrows from here on.
+    /// Whether the team would use more than its share with one more task of the job.
     fn is_over_share(&self, job: usize) -> bool {
         let share = self.snapshot.teams[self.job_view(job).team].share_permille;
         permille_of(&self.usage_with(job, 1), &self.cluster_total) > share
     }
 
-    /// Jobs that have waited too long. They go first, the oldest ahead, for a part of the places:
-    /// jobs that are late in any case would otherwise wait for ever behind those that can
-    /// still be in time.
+    /// Jobs that have waited too long, the oldest first among those that have not started, then the
+    /// oldest among those that have. They get a part of the free slots first: jobs that are late in
+    /// any case would otherwise wait for ever behind jobs that can still meet their deadlines.
     fn starving_jobs(&self, queue: &[usize]) -> Vec<usize> {
         let is_starving = |job: &usize| self.job_view(*job).is_starving();
         let mut starving: Vec<usize> = queue.iter().copied().filter(is_starving).collect();
@@ -63,7 +64,7 @@
         starving
     }
 
-    /// Places for a task like the smallest that waits.
+    /// Number of free slots, each with the minimum that any waiting task takes.
     fn places_now(&self) -> usize {
         let least_need = self.snapshot.least_need();
         let places =
@@ -71,11 +72,11 @@
         self.machines_with_room.iter().map(places).sum()
     }
 
-    /// Starts tasks of a job that has waited too long: one if none ever started, whatever
-    /// its rank, and the next ones as long as the part kept for such jobs lasts.
+    /// Starts tasks of a starving job, whatever its priority, until the slots set aside for
+    /// starving jobs are used up.
     ///
-    /// A gang needs all its places at once. Where they never fall free together, because others take
-    /// each of them before, it gets the reservation.
+    /// A gang needs all its slots at once. If other jobs take slots as soon as they fall free, the
+    /// gang can never start, so it gets the reservation.
     fn start_starving(&mut self, job: usize) {
         if self.job_view(job).is_gang {
             if self.starving_budget > 0 && self.reserved_rooms.is_empty() {
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Starts heads that can start now; the first that can't gets the reservation. Returns the jobs
-    /// that are left for backfilling.
+    /// Starts the heads of the queue that can start now; the first one that can't gets the
+    /// reservation. Returns the jobs that are left for backfilling.
     fn start_heads(&mut self, queue: &[usize]) -> Vec<usize> {
         let mut rest = Vec::new();
         for (position, &job) in queue.iter().enumerate() {
@@ -113,13 +114,13 @@
         rest
     }
 
-    /// Starts a head's tasks, and reserves for the first that has to wait.
+    /// Starts a head's tasks, and reserves capacity for the first one that has to wait.
     fn start_or_reserve_tasks(&mut self, job: usize) {
         for _ in 0..JOB_TASKS_PER_PASS {
             if self.jobs[job].waiting_tasks == 0 || self.is_full() {
                 return;
             }
-            // At its limit, or no machine for it yet: skipped.
+            // The team is at its limit, or no machine can run the task: the job is skipped.
             let Some(allocation) = self.allocate(job, true) else { return };
             if allocation.start_ms > self.snapshot.now_ms {
                 return self.reserve(job, allocation);
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Starts a gang if all its tasks find room, else reserves for all of them.
+    /// Starts a gang if there is capacity for all its tasks, else reserves capacity for all of
+    /// them.
     fn start_or_reserve_gang(&mut self, job: usize) {
         if self.jobs[job].waiting_tasks == 0 || self.is_full() {
             return;
--- a/src/coordination/planner/reference.rs
+++ b/src/coordination/planner/reference.rs
@@ -1,13 +1,13 @@
-//! Reference implementation of the choice of a placement, for unit tests only: it considers every machine and
-//! every start time anew for each task, without the caches and shortcuts of the planner. Each choice that the
-//! planner makes in a unit test is compared with it.
+//! Reference implementation of the choice of an allocation, for unit tests only. It examines every
+//! machine and every start time anew for each task, without the planner's caches and shortcuts.
+//! Each choice that the planner makes in a unit test is compared with it.
 
 use super::allocation::Allocation;
 use super::pass::Pass;
 use super::threshold_search::{Candidate, ThresholdSearch};
 use crate::protocol::users::Priority;
 
-/// Panics unless the reference implementation chooses the same.
+/// Panics unless the reference implementation makes the same choice.
 pub(super) fn assert_same_choice(
     pass: &Pass<'_>,
     job: usize,
@@ -28,7 +28,8 @@
                 known.ready_in_ms.saturating_sub(start_ms.saturating_sub(self.snapshot.now_ms))
             }
             None => {
-                // Images fetched at the same time share the rate.
+                // Images share the machine's fetch rate, so this one is ready only after those that
+                // are already being fetched.
                 let others_ms = images.iter().map(|known| known.ready_in_ms).max().unwrap_or(0);
                 (view.image_gb * self.machine_view(machine).fetch_ms_per_gb) as u64 + others_ms
             }
@@ -88,7 +89,8 @@
         Some(Allocation { machine, start_ms, length_ms, penalty_factor })
     }
 
-    /// Among placements that can start now, the one of the least penalty factor, and the preferred one.
+    /// Of the allocations that can start now, the one with the least penalty factor and the
+    /// preferred one.
     fn reference_free_now(&self, job: usize) -> (Option<Candidate>, Option<Candidate>) {
         let now_ms = self.snapshot.now_ms;
         let need = &self.job_view(job).need;
@@ -128,8 +130,9 @@
         {
             return least.map(|least| least.allocation);
         }
-        // For each threshold the earliest placement under it, of the least factor at that time; if
-        // there is none, the least factor of all. First fit is the earliest placement of all.
+        // For each threshold the earliest allocation below it, with the least factor at that time;
+        // if there is none, the one with the least factor of all. First fit is the earliest
+        // allocation of all.
         let mut search = ThresholdSearch::new(&self.snapshot.thresholds);
         for candidate in first.into_iter().chain(least) {
             search.add(candidate);
@@ -137,7 +140,7 @@
         let bound = least.map_or(f64::INFINITY, |least| least.allocation.penalty_factor);
         let mut only = None;
         if let Some(reserved) = self.snapshot.previous_reservation.filter(|it| it.job == job) {
-            // A reservation stays on its machine if it can.
+            // The reservation stays on its machine if possible.
             let machine = reserved.machine;
             only = self.reference_offers_later(job, machine, bound).next().map(|_| machine);
         }
@@ -171,7 +174,7 @@
             .iter()
             .filter(move |time_ms| **time_ms > now_ms)
             .map_while(move |time_ms| {
-                // Nothing can lower it any further.
+                // A later start can't lower the factor further.
                 if last <= lowest {
                     return None;
                 }
--- a/src/coordination/planner/shares.rs
+++ b/src/coordination/planner/shares.rs
@@ -3,17 +3,17 @@
 use super::snapshot::Snapshot;
 use crate::protocol::Resources;
 
-/// All machines, in thousandths.
+/// The share of all machines together, in thousandths.
 const WHOLE: i64 = 1_000;
 
-/// What is used of the machines, in thousandths.
+/// The part of the machines that is used, in thousandths.
 pub(super) fn permille_of(used: &Resources, total: &Resources) -> i64 {
     (used.share_of(total) * WHOLE as f64).round() as i64
 }
 
-/// Moves shares between teams: the team of the oldest waiting job gets what its head lacks
-/// from the teams that leave most of theirs unused. Shares are in thousandths and sum up to the whole
-/// fleet.
+/// Moves shares between teams: the team of the first waiting job gets what it lacks to run one more
+/// task of this job, taken from the teams with the largest unused shares. Shares are in thousandths
+/// and add up to the whole fleet.
 pub fn move_shares(snapshot: &Snapshot, mut shares: Vec<i64>) -> Vec<i64> {
     let teams = snapshot.teams.len();
     if teams == 0 {
@@ -40,7 +40,7 @@
     shares
 }
 
-/// Shares to start with: in proportion to the guarantees, and alike where there are none.
+/// Initial shares: in proportion to the guarantees, with an equal share for a team that has none.
 fn initial_shares(snapshot: &Snapshot) -> Vec<i64> {
     let teams = &snapshot.teams;
     let mut guaranteed = Resources::default();
@@ -64,7 +64,7 @@
     shares
 }
 
-/// Whether a use lies within a guarantee; a team with none has nothing within it.
+/// Whether a usage is within a guarantee; without a guarantee, it never is.
 pub fn is_within_guarantee(used: &Resources, guarantee: &Resources) -> bool {
     (guarantee.cpu != 0 || guarantee.gpu != 0) && used.under(guarantee)
 }
--- a/src/coordination/planner/snapshot.rs
+++ b/src/coordination/planner/snapshot.rs
@@ -1,74 +1,76 @@
-//! What a planning pass looks at.
+//! The input of a planning pass.
 
 use crate::constants::{STARVING_BEGUN_MS, STARVING_MS};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 
-/// A task that runs, as far as planning goes.
+/// A running task.
 #[derive(Debug, Clone)]
 pub struct RunningTask {
     /// Priority of its job.
     pub priority: Priority,
-    /// The team, by index; `None` if unknown.
+    /// Index of its team; `None` if unknown.
     pub team: Option<usize>,
-    /// What it takes of its machine.
+    /// Resources that it takes on its machine.
     pub need: Resources,
-    /// Shared bandwidth it takes, in cores' worth.
+    /// Shared bandwidth that it takes, in units of one core's bandwidth.
     pub bandwidth: f64,
     /// Estimated end, on the planner's clock.
     pub end_ms: u64,
-    /// It runs until its job is cancelled.
+    /// It belongs to a service, which runs until its job is cancelled.
     pub is_service: bool,
-    /// Milliseconds since it was seen running; `None` if it was not yet.
+    /// Milliseconds since it was first reported as running; `None` if it has not been yet.
     pub ran_ms: Option<u64>,
-    /// It keeps its progress when it is stopped.
+    /// Its progress is saved when it is stopped.
     pub keeps_progress: bool,
-    /// Tasks that stop if it is stopped: all those of its gang, or itself.
+    /// Number of tasks that stop if it is preempted: all tasks of its gang, or 1.
     pub tasks_stopped: u32,
-    /// It has been told to stop.
+    /// It has already been told to stop.
     pub is_stopping: bool,
-    /// Milliseconds that stopping it takes.
+    /// Milliseconds that it takes to stop.
     pub stop_ms: u64,
-    /// The caller's handle.
+    /// Identifies the task to the caller; the planner copies it into
+    /// [`Preemption`](super::Preemption).
     pub handle: usize,
 }
 
-/// An image that a machine holds or fetches.
+/// An image that a machine has cached or is fetching.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CachedImage {
-    /// The image, by index.
+    /// Index of the image.
     pub image: usize,
-    /// Milliseconds until it is there.
+    /// Milliseconds until it is cached; 0 if it is already.
     pub ready_in_ms: u64,
 }
 
 impl CachedImage {
-    /// An image that the machine holds.
+    /// An image that the machine has cached.
     pub fn ready(image: usize) -> CachedImage {
         CachedImage { image, ready_in_ms: 0 }
     }
 }
 
-/// A machine that planning may use.
+/// A machine on which tasks may be placed.
 #[derive(Debug, Clone)]
 pub struct MachineView {
-    /// Zone, by index.
+    /// Index of its zone.
     pub zone: usize,
-    /// Machine type, by index.
+    /// Index of its machine type.
     pub type_index: usize,
-    /// It may be taken back by the cloud.
+    /// It is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// What it has in all.
+    /// Its total resources.
     pub total: Resources,
-    /// How many more tasks its report can name.
+    /// How many more tasks its report can list.
     pub free_task_slots: usize,
-    /// Tasks on it.
+    /// Tasks placed on it that have not ended.
     pub running: Vec<RunningTask>,
-    /// Images that it holds or fetches.
+    /// Images that it has cached or is fetching.
     pub images: Vec<CachedImage>,
     /// Milliseconds to fetch a gigabyte.
     pub fetch_ms_per_gb: f64,
-    /// Milliseconds until its next report is expected, whose answer can start tasks.
+    /// Milliseconds until its next report is expected; tasks are started by the response to a
+    /// report.
     pub next_report_ms: u64,
 }
 
@@ -77,53 +79,54 @@
 pub struct JobView {
     /// Priority.
     pub priority: Priority,
-    /// Team, by index.
+    /// Index of its team.
     pub team: usize,
-    /// Its tasks run until it is cancelled.
+    /// It is a service: its tasks run until it is cancelled.
     pub is_service: bool,
-    /// Its tasks all run at the same time: it is placed whole.
+    /// All its tasks must run at the same time, so either all or none of them are placed.
     pub is_gang: bool,
-    /// Number that grows from job to job.
+    /// Sequence number in order of arrival.
     pub arrival: u64,
     /// Milliseconds since it was accepted.
     pub waited_ms: u64,
-    /// Milliseconds until each of the times by which it should be complete, the soonest first.
-    /// Jobs that can be in time go before those that can't.
+    /// Milliseconds until each of its deadlines, in rising order. Jobs that can meet their
+    /// deadlines are served before those that can't.
     pub due_in_ms: Vec<u64>,
-    /// It fits into its team's guarantee together with the team's earlier unfinished jobs.
+    /// The job, together with its team's earlier unfinished jobs, fits into the team's guarantee.
     pub within_guarantee: bool,
-    /// What each task takes.
+    /// Resources that each task takes.
     pub need: Resources,
-    /// Shared bandwidth that each task takes, in cores' worth.
+    /// Shared bandwidth that each task takes, in units of one core's bandwidth.
     pub bandwidth: f64,
-    /// Expected run time of a task in milliseconds, without its image.
+    /// Estimated run time of a task in milliseconds, without fetching the image.
     pub run_ms: u64,
-    /// Whether it may run on a machine type, by index.
+    /// Whether it may run on each machine type, by index.
     pub allowed_types: Vec<bool>,
-    /// The only allowed zone, by index.
+    /// Index of the only zone in which it may run; `None` if any zone will do.
     pub zone: Option<usize>,
     /// It may use spot machines.
     pub spot_allowed: bool,
-    /// Unsettled tasks per zone.
+    /// Tasks placed and not known to have ended, per zone.
     pub tasks_per_zone: Vec<u32>,
-    /// Most tasks that may be in one zone.
+    /// Maximum number of its tasks in one zone.
     pub max_tasks_per_zone: u32,
     /// All its tasks must be in the same zone.
     pub one_zone: bool,
-    /// Tasks that wait for a machine.
+    /// Tasks that are not placed yet.
     pub waiting_tasks: u32,
-    /// A task of it has started before, or is placed.
+    /// One of its tasks has started before or is placed.
     pub has_started: bool,
-    /// Its image, by index.
+    /// Index of its image.
     pub image: usize,
     /// Size of its image in gigabytes.
     pub image_gb: f64,
-    /// Machines it must not use for now (it failed there), by index.
+    /// Indices of machines that it must avoid for now because its tasks failed there.
     pub avoided_machines: Vec<usize>,
 }
 
 impl JobView {
-    /// Whether it has waited for longer than anyone should.
+    /// Whether it has waited so long that it takes precedence over jobs that would otherwise go
+    /// first.
     pub(super) fn is_starving(&self) -> bool {
         self.waited_ms >= if self.has_started { STARVING_BEGUN_MS } else { STARVING_MS }
     }
@@ -132,26 +135,27 @@
 /// A team.
 #[derive(Debug, Clone, Default)]
 pub struct TeamView {
-    /// What its unsettled tasks take.
+    /// Resources that its placed tasks take.
     pub used: Resources,
-    /// 0 in a dimension: none.
+    /// Resources that it is guaranteed; 0 in a dimension: no guarantee.
     pub guarantee: Resources,
-    /// What its tasks may take at the most; 0 in a dimension: no limit.
+    /// Maximum resources of its tasks; 0 in a dimension: no limit.
     pub limit: Resources,
-    /// The share of the machines that it may fill while others wait, in thousandths.
+    /// Share of the machines that it may use while other teams wait, in thousandths.
     pub share_permille: i64,
 }
 
-/// A machine on its way.
+/// A machine that is booting.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BootingMachine {
-    /// Milliseconds until it is up.
+    /// Milliseconds until it is expected to be up.
     pub ready_in_ms: u64,
-    /// What it has in all.
+    /// Its total resources.
     pub total: Resources,
 }
 
-/// Mean milliseconds until machines are up, for each kind of which many are on their way.
+/// Mean milliseconds until booting machines are up, for ordinary and for spot machines; `None`
+/// unless many of that kind are booting.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MeanBootWait {
     /// For ordinary machines.
@@ -160,41 +164,41 @@
     pub spot_ms: Option<u64>,
 }
 
-/// A job and a machine, by index.
+/// A job and a machine: the placement of one task, or a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobOnMachine {
-    /// The job.
+    /// Index of the job.
     pub job: usize,
-    /// The machine.
+    /// Index of the machine.
     pub machine: usize,
 }
 
-/// All that a pass looks at.
+/// The input of a planning pass.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// The present, on the planner's clock.
+    /// The current time on the planner's clock.
     pub now_ms: u64,
-    /// Penalty factors to try, in rising order.
+    /// Penalty-factor thresholds, in rising order.
     pub thresholds: Vec<f64>,
-    /// Machines that may get tasks.
+    /// Machines on which tasks may be placed.
     pub machines: Vec<MachineView>,
     /// Jobs with waiting tasks.
     pub jobs: Vec<JobView>,
     /// All teams.
     pub teams: Vec<TeamView>,
-    /// Milliseconds that tasks of a gang wait for each other; 0: not known.
+    /// Maximum milliseconds that started tasks of a gang wait for the others; 0 if unknown.
     pub gang_wait_ms: u64,
-    /// How long machines that many tasks could wait for are expected to boot.
+    /// Mean boot time of the machines that are booting.
     pub mean_boot_wait: MeanBootWait,
-    /// Machines on their way.
+    /// Machines that are booting.
     pub booting: Vec<BootingMachine>,
-    /// The last pass's reservation. A reservation that moved from machine to machine as estimates
-    /// slipped would never be emptied for.
+    /// The reservation made by the previous pass. It stays on its machine if possible: if it moved
+    /// between machines whenever estimates change, no machine would ever be drained for it.
     pub previous_reservation: Option<JobOnMachine>,
 }
 
 impl Snapshot {
-    /// What all machines have together.
+    /// Total resources of all machines.
     pub(super) fn total(&self) -> Resources {
         let mut total = Resources::default();
         for machine in &self.machines {
@@ -203,7 +207,7 @@
         total
     }
 
-    /// The least that any waiting task takes, in each dimension.
+    /// The minimum that any waiting task takes, separately for each dimension.
     pub(super) fn least_need(&self) -> Resources {
         let least = |amount: fn(&Resources) -> i64| {
             self.jobs.iter().map(|job| amount(&job.need)).min().unwrap_or(0)
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the planner on small snapshots made by hand.
+//! Tests of the planner on small hand-written snapshots and on random ones.
 
 use super::*;
 use crate::constants::{STARVING_BEGUN_MS, STARVING_MS, THRESHOLDS};
@@ -84,7 +84,7 @@
     }
 }
 
-/// An image that is there after so many milliseconds.
+/// An image that is cached after `ready_in_ms`.
 fn fetched(image: usize, ready_in_ms: u64) -> CachedImage {
     CachedImage { image, ready_in_ms }
 }
@@ -101,7 +101,7 @@
 fn what_delays_the_reservation_of_the_head_is_not_backfilled() {
     let mut host = machine(4);
     host.running = vec![running(10_000), running(10_000)];
-    // The head wants all four in 10 s. Beside it, 5 s fit before and 60 s don't.
+    // The head needs all four GPUs in 10 s. A job of 5 s fits in before that, one of 60 s doesn't.
     let jobs = vec![job(1, 4, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
     let decided = plan(&snapshot(vec![host], jobs));
     assert_eq!(decided.reservation, reserved(0, 0, 10_000));
@@ -139,14 +139,14 @@
 
 #[test]
 fn the_threshold_with_the_least_slowdown_decides_between_now_and_later() {
-    // Half more than there is for 2 s costs 1 s; the wait would cost 2 s.
+    // A start now exceeds the bandwidth by a half for 2 s, which costs 1 s; waiting would cost 2 s.
     let mut host = machine(2);
     host.running = vec![running(2_000)];
     host.running[0].bandwidth = 2.0;
     let mut pending = job(1, 1, 10_000);
     pending.bandwidth = 1.0;
     assert_eq!(plan(&snapshot(vec![host], vec![pending])).placements, vec![placed(0, 0)]);
-    // Over five times what there is for 9 s costs far more than the wait.
+    // A start now takes over five times the bandwidth for 9 s, which costs far more than waiting.
     let mut host = machine(2);
     host.running = vec![running(9_000)];
     host.running[0].bandwidth = 9.0;
@@ -158,7 +158,8 @@
 
 #[test]
 fn tasks_do_not_all_wait_for_the_same_machine_that_holds_their_image() {
-    // One place with the image in 5 s, one empty machine that has to fetch for 20 s.
+    // A machine that holds the image is free in 5 s; an empty machine would have to fetch it for 20
+    // s.
     let mut here = machine(1);
     here.running = vec![running(5_000)];
     let mut cold = machine(2);
@@ -238,8 +239,8 @@
 
 #[test]
 fn free_places_go_by_rank_before_they_go_by_factor() {
-    // What had been stopped for services was placed again beside them, since its image was
-    // there and theirs was not, and stopped again: thousands of times in a minute.
+    // A task that was preempted for a service must not take its slot again because its image is
+    // cached and the service's is not: it would be preempted again in each following pass.
     let mut here = machine(1);
     here.images = vec![];
     let mut cluster =
@@ -257,7 +258,8 @@
 
 #[test]
 fn a_task_for_which_room_is_made_does_not_go_elsewhere_meanwhile() {
-    // Its image is here, under a task of a lower rank; the free machine must fetch it.
+    // The image is cached on a machine that runs a task of lower priority; the free machine would
+    // have to fetch it.
     let mut here = machine(1);
     here.running = vec![running(90_000)];
     here.running[0].keeps_progress = true;
@@ -287,8 +289,8 @@
 
 #[test]
 fn the_largest_that_is_late_is_not_passed_over_for_ever() {
-    // A wide job that can't be in time any more, behind a stream of jobs that can, and of
-    // jobs of a higher rank.
+    // A job with many tasks that can't meet its deadlines any more, behind jobs that can and jobs
+    // of higher priority.
     let mut late = job(1, 1, 60_000);
     late.waiting_tasks = 100;
     late.due_in_ms = vec![0, 0];
@@ -322,7 +324,7 @@
     assert_eq!(move_shares(&cluster, vec![500, 500]), vec![500, 500], "nothing is unused");
 }
 
-/// Zones of a random snapshot.
+/// Number of zones in a random snapshot.
 const ZONES: usize = 2;
 
 fn random_priority(rng: &mut SmallRng) -> Priority {
@@ -378,7 +380,7 @@
     view
 }
 
-/// A small snapshot drawn at random, with all that a job or a machine can differ in.
+/// A small random snapshot that varies all properties of jobs and machines.
 fn random_snapshot(rng: &mut SmallRng) -> Snapshot {
     let machines = (0..rng.random_range(1..9)).map(|_| random_machine(rng)).collect();
     let jobs = (0..rng.random_range(1..10)).map(|arrival| random_job(rng, arrival)).collect();
@@ -398,7 +400,7 @@
 
 #[test]
 fn every_choice_on_random_snapshots_is_that_of_the_reference() {
-    // Each choice of a place is compared where it is made, see `reference`.
+    // Each choice of an allocation is compared where it is made, see `reference`.
     let mut rng = SmallRng::seed_from_u64(11);
     let (mut places, mut halts, mut reservations, mut waits) = (0, 0, 0, 0);
     for _ in 0..8_000 {
@@ -427,7 +429,7 @@
         "{} places",
         decided.candidates_examined
     );
-    // All are taken: the tasks wait, each for another place.
+    // All machines are occupied: each of the tasks waits for a different slot.
     let mut full = cluster;
     for host in &mut full.machines {
         host.running = vec![running(20_000); 4];
--- a/src/coordination/planner/threshold_search.rs
+++ b/src/coordination/planner/threshold_search.rs
@@ -3,7 +3,7 @@
 use super::allocation::{Allocation, Preference};
 use std::cmp::Ordering;
 
-/// A place, and how much it is liked.
+/// An allocation and its tie-break.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate {
     pub(super) allocation: Allocation,
@@ -11,7 +11,7 @@
 }
 
 impl Candidate {
-    /// Order of places that are alike but for their penalty: the least first.
+    /// Compares penalty factors, then preferences.
     pub(super) fn has_lower_penalty_than(&self, other: &Candidate) -> bool {
         let (factor, other_factor) =
             (self.allocation.penalty_factor, other.allocation.penalty_factor);
@@ -19,14 +19,15 @@
     }
 }
 
-/// The places that LessConsume Threshold chooses between, one for each threshold.
+/// The allocations found by LessConsume Threshold, one for each threshold.
 pub(super) struct ThresholdSearch<'a> {
     thresholds: &'a [f64],
-    /// For each threshold the earliest place under it, of the least factor at that time.
+    /// For each threshold the earliest allocation below it; of several with that start, the one
+    /// with the least factor.
     under: Vec<Option<Candidate>>,
-    /// The place of the least factor.
+    /// The allocation with the least factor.
     least: Option<Candidate>,
-    /// First fit: the earliest place.
+    /// First fit: the earliest allocation.
     first: Option<Candidate>,
 }
 
@@ -36,7 +37,7 @@
         ThresholdSearch { thresholds, under, least: None, first: None }
     }
 
-    /// Takes a place into account.
+    /// Adds an allocation to the search.
     pub(super) fn add(&mut self, candidate: Candidate) {
         let factor = candidate.allocation.penalty_factor;
         for (kept, threshold) in self.under.iter_mut().zip(self.thresholds) {
@@ -48,12 +49,15 @@
         keep_lesser(&mut self.least, candidate, by_factor);
     }
 
-    /// The one of least slowdown, that is, for one task, the one that ends first. First fit itself
-    /// stands beside the thresholds: with all factors high they would only wait.
+    /// The allocation with the least slowdown, which for a single task is the one that ends first.
+    /// A threshold without an allocation below it yields the one with the least factor, however
+    /// late that starts. First fit is considered too, so that an earlier start is among the choices
+    /// even if all factors are high.
     ///
-    /// Of places that end alike the earlier start: to start where the image is on its way ends
-    /// no later than to wait for the image first. Services waited so, the places went to tasks
-    /// of lower ranks, and these were stopped for them in the next pass, again and again.
+    /// Of allocations that end at the same time the earliest is chosen: starting while the image is
+    /// being fetched ends no later than waiting until it is cached. If a service waited instead,
+    /// its slot would go to a task of lower priority, which the next pass would preempt for the
+    /// service, again and again.
     pub(super) fn best(self) -> Option<Allocation> {
         let least = self.least;
         let under = self.under.into_iter().filter_map(|kept| kept.or(least));
@@ -62,7 +66,7 @@
     }
 }
 
-/// Keeps the lesser of two places; the one that is there if they are equal.
+/// Keeps the lesser of two candidates; the present one if they are equal.
 fn keep_lesser(
     kept: &mut Option<Candidate>,
     candidate: Candidate,
