--- a/src/constants/planning.rs
+++ b/src/constants/planning.rs
@@ -28,7 +28,7 @@
 pub const SERVICE_RUN_S: f64 = 3_600.0;
 /// Seconds that are used as the run time of a service where slowdowns are compared: about as long
 /// as its users would wait for it.
-pub const SERVICE_REFERENCE_S: f64 = 30.0;
+pub const SERVICE_REFERENCE_RUN_S: f64 = 30.0;
 /// Completed runs of a class from which on the users' run time estimates for it are corrected.
 pub const RATIO_SAMPLES_MIN: u32 = 5;
 /// Minimum estimate of a run time in seconds; keeps slowdowns finite.
@@ -36,7 +36,7 @@
 /// Maximum of the estimated ratio of the time that tasks wait for their images to the time that
 /// they run: while a new fleet starts, nearly all tasks wait for images, which says little about
 /// later.
-pub const FETCH_SHARE_MAX: f64 = 1.0;
+pub const FETCH_TO_RUN_RATIO_MAX: f64 = 1.0;
 /// Expected remaining run time of a task that has exceeded its estimate, as a share of the time
 /// that it has run.
 pub const OVERDUE_SHARE: f64 = 0.25;
@@ -61,21 +61,21 @@
 pub const STARVING_MS: u64 = 120_000;
 /// Milliseconds since its acceptance after which a job is starving although it has started: it then
 /// gets part of the free slots ahead of jobs that can still meet their deadlines.
-pub const STARVING_BEGUN_MS: u64 = 240_000;
+pub const STARVING_STARTED_MS: u64 = 240_000;
 /// One out of this many free slots is set aside for starving jobs: enough for these to complete,
 /// but few enough that other jobs don't miss their deadlines for them.
 pub const STARVING_PLACEMENTS_DIVISOR: usize = 4;
 /// Units in which the work of a job is compared, per millisecond of the whole fleet: the heap needs
 /// integer keys.
-pub const WORK_UNITS: f64 = 1e6;
+pub const WORK_UNITS_PER_FLEET_MS: f64 = 1e6;
 /// Milliseconds from now beyond which a later start is ignored, because estimates are too
 /// inaccurate.
 pub const LATER_PLACEMENT_HORIZON_MS: u64 = 90_000;
 /// Run time in milliseconds up to which a task counts as recently started, and the additional cost
 /// of preempting it, in milliseconds of lost work: to users, a start counts only if it lasts 30 s.
-pub const PREEMPT_SHIELD_MS: u64 = 30_000;
+pub const RECENT_START_MS: u64 = 30_000;
 /// Minimum milliseconds after which capacity freed by preemption is expected to be available.
-pub const PREEMPTED_ROOM_MIN_MS: u64 = 1_000;
+pub const PREEMPTION_DELAY_MIN_MS: u64 = 1_000;
 /// Weight of the newest sample in the moving averages of run times per class.
 pub const AVERAGE_WEIGHT: f64 = 0.1;
 /// First backoff in milliseconds of a job whose tasks fail on several machines; doubled each time.
@@ -84,9 +84,9 @@
 pub const FAILURE_BACKOFF_MAX_MS: u64 = 60_000;
 /// Number of machines on which a job has to fail, with no success since, to count as failing
 /// everywhere.
-pub const BAD_JOB_MACHINES: usize = 2;
+pub const FAILING_JOB_MACHINES: usize = 2;
 /// Number of failed jobs, or of failures if the job succeeds elsewhere, after which a machine is
 /// cordoned; jobs that fail everywhere don't count.
-pub const FAULTY_FAILURES: u32 = 2;
+pub const CORDON_FAILURES: u32 = 2;
 /// Milliseconds for which a failure counts against a machine.
-pub const FAULTY_WINDOW_MS: u64 = 60_000;
+pub const CORDON_WINDOW_MS: u64 = 60_000;
--- a/src/coordination/heartbeats/task_outcomes.rs
+++ b/src/coordination/heartbeats/task_outcomes.rs
@@ -1,7 +1,7 @@
 //! Conclusions from how tasks ended: run times, faulty machines, jobs that fail everywhere.
 
 use crate::constants::{
-    FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS, FAULTY_FAILURES, FAULTY_WINDOW_MS,
+    CORDON_FAILURES, CORDON_WINDOW_MS, FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS,
 };
 use crate::coordination::Leader;
 use crate::protocol::workers::EndCause;
@@ -51,7 +51,7 @@
         now: u64,
     ) {
         let Some(machine) = self.cluster.machines.get_mut(name) else { return };
-        if machine.failures.iter().any(|(at, _)| now - at < FAULTY_WINDOW_MS) {
+        if machine.failures.iter().any(|(at, _)| now - at < CORDON_WINDOW_MS) {
             log::info!("{name}: cordoned, {job} failed there and not on {worked_on}");
             machine.cordoned = true;
         }
@@ -70,8 +70,8 @@
         }
         let jobs = note_failure(machine, &id.job, now);
         let failures = machine.failures.len() as u32;
-        let works_elsewhere = job.successes > 0 && failures >= FAULTY_FAILURES;
-        if (jobs >= FAULTY_FAILURES || works_elsewhere) && !machine.cordoned {
+        let works_elsewhere = job.successes > 0 && failures >= CORDON_FAILURES;
+        if (jobs >= CORDON_FAILURES || works_elsewhere) && !machine.cordoned {
             log::info!("{machine_name}: cordoned, tasks of {jobs} jobs failed there");
             machine.cordoned = true;
         }
@@ -81,7 +81,7 @@
 /// Notes that a task of a job failed on a machine; gives the number of jobs that failed there
 /// lately.
 fn note_failure(machine: &mut Machine, job: &JobId, now: u64) -> u32 {
-    machine.failures.retain(|(at, _)| now - at < FAULTY_WINDOW_MS);
+    machine.failures.retain(|(at, _)| now - at < CORDON_WINDOW_MS);
     machine.failures.push((now, job.clone()));
     let jobs: BTreeSet<&JobId> = machine.failures.iter().map(|(_, job)| job).collect();
     jobs.len() as u32
--- a/src/coordination/leader/run_times.rs
+++ b/src/coordination/leader/run_times.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::constants::{
-    AVERAGE_WEIGHT, ESTIMATE_MIN_S, MS_PER_S, RATIO_SAMPLES_MIN, SERVICE_REFERENCE_S,
+    AVERAGE_WEIGHT, ESTIMATE_MIN_S, MS_PER_S, RATIO_SAMPLES_MIN, SERVICE_REFERENCE_RUN_S,
 };
 use crate::protocol::users::{JobKind, JobSpec};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
     /// by what its class was seen to take.
     pub(in crate::coordination) fn run_ms(&self, spec: &JobSpec) -> u64 {
         if spec.kind == JobKind::Service {
-            return (SERVICE_REFERENCE_S * MS_PER_S) as u64;
+            return (SERVICE_REFERENCE_RUN_S * MS_PER_S) as u64;
         }
         let expected_s = spec.run_estimate_s * self.run_times.correction(&spec.class);
         (expected_s.max(ESTIMATE_MIN_S) * MS_PER_S) as u64
--- a/src/coordination/planner/allocation.rs
+++ b/src/coordination/planner/allocation.rs
@@ -1,6 +1,6 @@
 //! Allocations that a task may get: what each one costs, and which one the pass chooses.
 
-use super::offers::Offers;
+use super::allocation_cache::AllocationCache;
 use super::pass::Pass;
 use super::snapshot::JobView;
 use super::threshold_search::{Candidate, ThresholdSearch};
@@ -39,7 +39,7 @@
     /// capacity.
     packing: i64,
     /// For services: free capacity of the machine. For others: 0.
-    service_packing: i64,
+    service_free_capacity: i64,
     machine: usize,
 }
 
@@ -88,7 +88,7 @@
     /// booting machine with nothing to fetch is expected to be up before these are cached. Without
     /// this rule, the first machines of a starting fleet get all waiting tasks with up to four
     /// images each, and the last image takes minutes to arrive.
-    pub(super) fn is_better_on_the_way(&self, job: usize, machine: usize) -> bool {
+    pub(super) fn booting_machine_is_sooner(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
         let host = &self.machines[machine];
         let wait = self.snapshot.mean_boot_wait;
@@ -113,7 +113,7 @@
             return None;
         }
         let fetch_ms = self.fetch_ms(job, machine, start_ms);
-        if start_ms == now_ms && self.is_better_on_the_way(job, machine) {
+        if start_ms == now_ms && self.booting_machine_is_sooner(job, machine) {
             return None;
         }
         let run_ms = view.run_ms.max(1);
@@ -138,7 +138,7 @@
             false => host.row.free_at(start_ms),
         };
         if job.priority > Priority::High {
-            free -= host.held_for_priority;
+            free -= host.held_by_preemption;
         }
         free
     }
@@ -146,7 +146,7 @@
     /// Whether a task of the job that ends at `end_ms` takes reserved capacity.
     fn delays_reservation(&self, job: &JobView, machine: usize, end_ms: u64) -> bool {
         let row = &self.machines[machine].row;
-        self.reserved_rooms
+        self.reserved_capacity
             .iter()
             .filter(|reserved| reserved.machine == machine && end_ms > reserved.start_ms)
             .any(|reserved| {
@@ -165,14 +165,14 @@
         let view = self.job_view(job);
         let host = self.machine_view(machine);
         let free = self.machines[machine].row.free;
-        let free_room = free.gpu * GPU_WEIGHT + free.cpu;
+        let free_capacity = free.gpu * GPU_WEIGHT + free.cpu;
         let service_tasks = self.machines[machine].service_tasks;
         if view.is_service {
             return Preference {
                 replicas_in_zone: self.jobs[job].tasks_per_zone[host.zone],
                 kind_rank: u8::from(host.spot),
                 packing: -service_tasks,
-                service_packing: free_room,
+                service_free_capacity: free_capacity,
                 machine,
             };
         }
@@ -184,8 +184,8 @@
         Preference {
             replicas_in_zone: 0,
             kind_rank,
-            packing: free_room,
-            service_packing: 0,
+            packing: free_capacity,
+            service_free_capacity: 0,
             machine,
         }
     }
@@ -200,41 +200,47 @@
         if !self.is_within_limit(job, 1) {
             return None;
         }
-        let mut offers = std::mem::take(&mut self.offers);
-        offers.set_context(self.offer_context(job), self.machines.len());
-        let chosen = self.choose(job, may_wait, &mut offers);
-        self.offers = offers;
+        let mut allocation_cache = std::mem::take(&mut self.allocation_cache);
+        allocation_cache.set_context(self.cache_context(job), self.machines.len());
+        let chosen = self.choose(job, may_wait, &mut allocation_cache);
+        self.allocation_cache = allocation_cache;
         #[cfg(test)]
         super::reference::assert_same_choice(self, job, may_wait, chosen);
         chosen
     }
 
     /// Chooses for [`Pass::allocate`] between the allocations on all machines.
-    fn choose(&self, job: usize, may_wait: bool, offers: &mut Offers) -> Option<Allocation> {
-        let FreeNow { least, first } = self.free_now(job, offers);
+    fn choose(
+        &self,
+        job: usize,
+        may_wait: bool,
+        allocation_cache: &mut AllocationCache,
+    ) -> Option<Allocation> {
+        let BestImmediate { least_penalty, preferred } = self.best_immediate(job, allocation_cache);
         let lowest_threshold =
             self.snapshot.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
-        let least_factor = least.map(|candidate| candidate.allocation.penalty_factor);
+        let least_factor = least_penalty.map(|candidate| candidate.allocation.penalty_factor);
         if !may_wait || least_factor.is_some_and(|factor| factor < lowest_threshold) {
-            return least.map(|candidate| candidate.allocation);
+            return least_penalty.map(|candidate| candidate.allocation);
         }
         let mut search = ThresholdSearch::new(&self.snapshot.thresholds);
-        for candidate in first.into_iter().chain(least) {
+        for candidate in preferred.into_iter().chain(least_penalty) {
             search.add(candidate);
         }
         let bound = least_factor.unwrap_or(f64::INFINITY);
-        let mut only_machine = None;
+        let mut reserved_machine = None;
         let reserved = self.snapshot.previous_reservation;
         if let Some(reserved) = reserved.filter(|reserved| reserved.job == job) {
             // The reservation stays on its machine if possible.
             let machine = reserved.machine;
-            only_machine = (!offers.later(self, job, machine, bound).is_empty()).then_some(machine);
+            reserved_machine =
+                (!allocation_cache.later(self, job, machine, bound).is_empty()).then_some(machine);
         }
         for machine in 0..self.machines.len() {
-            if only_machine.is_some_and(|only| only != machine) {
+            if reserved_machine.is_some_and(|reserved| reserved != machine) {
                 continue;
             }
-            for &allocation in offers.later(self, job, machine, bound) {
+            for &allocation in allocation_cache.later(self, job, machine, bound) {
                 search.add(Candidate { allocation, preference: self.preference(job, machine) });
             }
         }
@@ -243,24 +249,23 @@
 
     /// Of the allocations that can start now, the one with the least penalty factor and the
     /// preferred one.
-    fn free_now(&self, job: usize, offers: &mut Offers) -> FreeNow {
-        let mut places = FreeNow { least: None, first: None };
-        for &machine in &self.machines_with_room {
-            let Some(allocation) = offers.now(self, job, machine) else { continue };
+    fn best_immediate(&self, job: usize, allocation_cache: &mut AllocationCache) -> BestImmediate {
+        let mut best = BestImmediate { least_penalty: None, preferred: None };
+        for &machine in &self.machines_with_capacity {
+            let Some(allocation) = allocation_cache.immediate(self, job, machine) else { continue };
             let candidate = Candidate { allocation, preference: self.preference(job, machine) };
-            let is_first = places.first.is_none_or(|first| candidate.preference < first.preference);
-            if is_first {
-                places.first = Some(candidate);
+            if best.preferred.is_none_or(|other| candidate.preference < other.preference) {
+                best.preferred = Some(candidate);
             }
-            if places.least.is_none_or(|least| candidate.has_lower_penalty_than(&least)) {
-                places.least = Some(candidate);
+            if best.least_penalty.is_none_or(|other| candidate.has_lower_penalty_than(&other)) {
+                best.least_penalty = Some(candidate);
             }
         }
-        places
+        best
     }
 
     /// The allocation on a machine that starts now, if the job may run there.
-    pub(super) fn offer_now(&self, job: usize, machine: usize) -> Option<Allocation> {
+    pub(super) fn immediate_allocation(&self, job: usize, machine: usize) -> Option<Allocation> {
         let fits = self.machines[machine].row.free.fits(&self.job_view(job).need);
         if !fits || !self.is_allowed(job, machine) {
             return None;
@@ -270,7 +275,7 @@
 
     /// Later allocations on a machine: the earliest one, and each later one with a lower penalty
     /// factor than those before it. All factors are below `bound`.
-    pub(super) fn offers_later(
+    pub(super) fn later_allocations(
         &self,
         job: usize,
         machine: usize,
@@ -293,8 +298,8 @@
                     return None;
                 }
                 let allocation = self.allocation_at(job, machine, *time_ms);
-                let lower = allocation.filter(|offered| offered.penalty_factor < last_factor);
-                last_factor = lower.map_or(last_factor, |offered| offered.penalty_factor);
+                let lower = allocation.filter(|later| later.penalty_factor < last_factor);
+                last_factor = lower.map_or(last_factor, |later| later.penalty_factor);
                 Some(lower)
             })
             .flatten()
@@ -302,9 +307,9 @@
 }
 
 /// The best allocations that can start now.
-struct FreeNow {
-    least: Option<Candidate>,
-    first: Option<Candidate>,
+struct BestImmediate {
+    least_penalty: Option<Candidate>,
+    preferred: Option<Candidate>,
 }
 
 /// The paper's penalty factor (section 3.3), with the time to fetch the image included.
--- a/src/coordination/planner/offers.rs
+++ b/src/coordination/planner/allocation_cache.rs
@@ -11,7 +11,7 @@
 /// What allocations depend on besides the machines. A reservation affects only its own machine,
 /// whose version changes with the claim that is recorded for it.
 #[derive(Debug, PartialEq)]
-pub(super) struct OfferContext {
+pub(super) struct CacheContext {
     job: usize,
     /// Zones that may get one more task of the job.
     zones: Vec<bool>,
@@ -26,39 +26,39 @@
 
 /// Allocations on all machines for the job that was considered last.
 #[derive(Debug, Default)]
-pub(super) struct Offers {
-    context: Option<OfferContext>,
-    now: Vec<Cached<Option<Allocation>>>,
+pub(super) struct AllocationCache {
+    context: Option<CacheContext>,
+    immediate: Vec<Cached<Option<Allocation>>>,
     later: Vec<Cached<Vec<Allocation>>>,
     /// The bound on the penalty factor with which the later allocations were computed.
     bound: f64,
 }
 
-impl Offers {
+impl AllocationCache {
     /// Clears the cache unless it was filled in the same context.
-    pub(super) fn set_context(&mut self, context: OfferContext, machines: usize) {
+    pub(super) fn set_context(&mut self, context: CacheContext, machines: usize) {
         if self.context.as_ref() == Some(&context) {
             return;
         }
         self.context = Some(context);
-        self.now.resize_with(machines, Cached::default);
+        self.immediate.resize_with(machines, Cached::default);
         self.later.resize_with(machines, Cached::default);
-        self.now.iter_mut().for_each(|cached| cached.version = 0);
+        self.immediate.iter_mut().for_each(|cached| cached.version = 0);
         self.later.iter_mut().for_each(|cached| cached.version = 0);
     }
 
     /// The allocation on a machine that starts now.
-    pub(super) fn now(
+    pub(super) fn immediate(
         &mut self,
         pass: &Pass<'_>,
         job: usize,
         machine: usize,
     ) -> Option<Allocation> {
-        let cached = &mut self.now[machine];
+        let cached = &mut self.immediate[machine];
         let version = pass.machines[machine].version;
         if cached.version != version {
             cached.version = version;
-            cached.value = pass.offer_now(job, machine);
+            cached.value = pass.immediate_allocation(job, machine);
         }
         cached.value
     }
@@ -80,7 +80,7 @@
         if cached.version != version {
             cached.version = version;
             cached.value.clear();
-            cached.value.extend(pass.offers_later(job, machine, bound));
+            cached.value.extend(pass.later_allocations(job, machine, bound));
         }
         &cached.value
     }
@@ -88,8 +88,8 @@
 
 impl Pass<'_> {
     /// What the allocations of a job depend on at present, besides the machines.
-    pub(super) fn offer_context(&self, job: usize) -> OfferContext {
+    pub(super) fn cache_context(&self, job: usize) -> CacheContext {
         let zones = 0..self.jobs[job].tasks_per_zone.len();
-        OfferContext { job, zones: zones.map(|zone| self.is_zone_allowed(job, zone)).collect() }
+        CacheContext { job, zones: zones.map(|zone| self.is_zone_allowed(job, zone)).collect() }
     }
 }
--- a/src/coordination/planner/backfill.rs
+++ b/src/coordination/planner/backfill.rs
@@ -6,9 +6,9 @@
 use crate::protocol::users::Priority;
 use std::cmp::Ordering;
 
-/// The next start of a job.
+/// The next start of a job that waits for backfilling; `None` if it can't start now.
 #[derive(Debug, Clone, Copy)]
-struct Choice {
+struct BackfillCandidate {
     job: usize,
     allocation: Option<Allocation>,
     /// Number of placements on the machine when the allocation was computed.
@@ -21,49 +21,49 @@
     pub(super) fn backfill(&mut self, rest: &[usize]) {
         // One allocation per job is computed in advance. Placements only reduce free capacity, so
         // an allocation whose machine has changed since is recomputed only when it is selected.
-        let mut choices: Vec<Choice> = Vec::with_capacity(rest.len());
+        let mut candidates: Vec<BackfillCandidate> = Vec::with_capacity(rest.len());
         for &job in rest {
             let allocation = match self.job_view(job).is_gang {
-                true => self.gang_start_now(job),
-                false => self.start_now(job),
+                true => self.immediate_gang_start(job),
+                false => self.immediate_start(job),
             };
-            choices.push(self.choice(job, allocation));
+            candidates.push(self.candidate(job, allocation));
         }
         while !self.is_full() {
-            let Some((index, allocation)) = self.next_choice(&choices) else { return };
-            let Choice { job, placements_seen, .. } = choices[index];
+            let Some((index, allocation)) = self.best_candidate(&candidates) else { return };
+            let BackfillCandidate { job, placements_seen, .. } = candidates[index];
             if self.job_view(job).is_gang {
                 // Other jobs may have taken some of its slots, so the whole allocation is
                 // recomputed.
-                if let Some(gang) = self.gang_now(job) {
+                if let Some(gang) = self.immediate_gang_allocation(job) {
                     self.place_gang(job, &gang);
                 }
-                choices[index] = self.choice(job, None);
+                candidates[index] = self.candidate(job, None);
                 continue;
             }
             let still_holds = self.machines[allocation.machine].placements == placements_seen;
             if still_holds && self.is_within_limit(job, 1) {
                 self.place(job, allocation);
             }
-            let next = self.start_now(job);
-            choices[index] = self.choice(job, next);
+            let next = self.immediate_start(job);
+            candidates[index] = self.candidate(job, next);
         }
     }
 
-    fn choice(&self, job: usize, allocation: Option<Allocation>) -> Choice {
+    fn candidate(&self, job: usize, allocation: Option<Allocation>) -> BackfillCandidate {
         let placements = |allocation: Allocation| self.machines[allocation.machine].placements;
-        Choice { job, allocation, placements_seen: allocation.map_or(0, placements) }
+        BackfillCandidate { job, allocation, placements_seen: allocation.map_or(0, placements) }
     }
 
-    /// The choice to start next: its index and its allocation.
-    fn next_choice(&self, choices: &[Choice]) -> Option<(usize, Allocation)> {
-        let with_allocation = |(index, choice): (usize, &Choice)| {
-            choice.allocation.map(|allocation| (index, choice.job, allocation))
+    /// The candidate to start next: its index and its allocation.
+    fn best_candidate(&self, candidates: &[BackfillCandidate]) -> Option<(usize, Allocation)> {
+        let with_allocation = |(index, candidate): (usize, &BackfillCandidate)| {
+            candidate.allocation.map(|allocation| (index, candidate.job, allocation))
         };
-        let open = choices.iter().enumerate().filter_map(with_allocation);
-        let best = open.min_by(|(_, job, allocation), (_, other_job, other)| {
-            self.backfill_turn(*job)
-                .cmp(&self.backfill_turn(*other_job))
+        let startable = candidates.iter().enumerate().filter_map(with_allocation);
+        let best = startable.min_by(|(_, job, allocation), (_, other_job, other)| {
+            self.backfill_priority(*job)
+                .cmp(&self.backfill_priority(*other_job))
                 .then_with(|| by_factor_and_length(allocation, other))
         });
         best.map(|(index, _, allocation)| (index, allocation))
@@ -71,16 +71,17 @@
 
     /// Priority goes before the penalty factor: otherwise a task that was preempted for a service
     /// would take its slot again while the service's image is still being fetched.
-    fn backfill_turn(&self, job: usize) -> (Priority, usize) {
+    fn backfill_priority(&self, job: usize) -> (Priority, usize) {
         (self.job_view(job).priority, self.jobs[job].missed_deadlines)
     }
 
     /// The allocation of a whole gang that starts now, as an allocation of its first task, so that
     /// it can be compared with those of other jobs.
-    fn gang_start_now(&self, job: usize) -> Option<Allocation> {
-        let gang = self.gang_now(job).filter(|_| self.jobs[job].waiting_tasks > 0)?;
+    fn immediate_gang_start(&self, job: usize) -> Option<Allocation> {
+        let gang =
+            self.immediate_gang_allocation(job).filter(|_| self.jobs[job].waiting_tasks > 0)?;
         Some(Allocation {
-            machine: gang.shares.first()?.machine,
+            machine: gang.tasks_per_machine.first()?.machine,
             start_ms: gang.start_ms,
             length_ms: gang.length_ms,
             penalty_factor: gang.penalty_factor,
@@ -90,9 +91,9 @@
     /// The allocation of the job's next task that starts best now. If a later start is better for a
     /// task, for example on a machine that holds its image, the later slot is claimed for it, so
     /// that the job's other tasks don't expect the same slot, and the next task is considered.
-    fn start_now(&mut self, job: usize) -> Option<Allocation> {
+    fn immediate_start(&mut self, job: usize) -> Option<Allocation> {
         let now_ms = self.snapshot.now_ms;
-        while self.has_task_without_place(job) {
+        while self.has_task_without_start(job) {
             // After enough later starts have been computed in this pass, only starts now are
             // considered.
             let may_wait = self.claims_made < LATER_PLACEMENTS_PER_PASS;
@@ -104,16 +105,16 @@
                 return None;
             }
             self.claims_made += 1;
-            self.expect_start(job, allocation.start_ms);
+            self.record_expected_start(job, allocation.start_ms);
             self.claim(job, allocation.machine, allocation.start_ms, allocation.length_ms);
         }
         None
     }
 
     /// Whether a task of the job neither runs nor has an expected start.
-    fn has_task_without_place(&self, job: usize) -> bool {
+    fn has_task_without_start(&self, job: usize) -> bool {
         let progress = &self.jobs[job];
-        let waiting = progress.waiting_tasks + progress.awaiting_room;
+        let waiting = progress.waiting_tasks + progress.awaiting_preemption;
         (self.plan.expected_wait_ms[job].len() as u32) < waiting
     }
 }
--- a/src/coordination/planner/deadline_triage.rs
+++ b/src/coordination/planner/deadline_triage.rs
@@ -7,7 +7,7 @@
 //! little remaining work are kept, so jobs that have started tend to be completed.
 
 use super::{BootingMachine, JobView, Snapshot};
-use crate::constants::{FETCH_SHARE_MAX, WORK_UNITS};
+use crate::constants::{FETCH_TO_RUN_RATIO_MAX, WORK_UNITS_PER_FLEET_MS};
 use crate::protocol::Resources;
 use std::collections::BinaryHeap;
 
@@ -20,13 +20,13 @@
 ) -> Vec<usize> {
     let deadlines = |job: &JobView| if job.is_service { 0 } else { job.due_in_ms.len() };
     let mut missed: Vec<usize> = snapshot.jobs.iter().map(deadlines).collect();
-    let levels = missed.iter().copied().max().unwrap_or(0);
+    let max_deadlines = missed.iter().copied().max().unwrap_or(0);
     let mut triage =
         Triage { snapshot, capacity: Capacity::new(snapshot, total), total, work_ahead: 0.0 };
     let is_batch = |job: &usize| !snapshot.jobs[*job].is_service;
-    let mut open: Vec<usize> = order.iter().copied().filter(is_batch).collect();
-    for level in 0..=levels {
-        open = triage.run_level(level, &open, &mut missed);
+    let mut candidates: Vec<usize> = order.iter().copied().filter(is_batch).collect();
+    for level in 0..=max_deadlines {
+        candidates = triage.schedule_level(level, &candidates, &mut missed);
     }
     missed
 }
@@ -45,43 +45,48 @@
 }
 
 impl Triage<'_> {
-    /// Schedules the candidates, each with its deadline number `level`. Records in `missed` which
+    /// Schedules the candidates, each with the deadline of index `level` in its `due_in_ms`. Records in `missed` which
     /// of them meet it, and returns those that don't, in their original order.
-    fn run_level(&mut self, level: usize, open: &[usize], missed: &mut [usize]) -> Vec<usize> {
+    fn schedule_level(
+        &mut self,
+        level: usize,
+        candidates: &[usize],
+        missed: &mut [usize],
+    ) -> Vec<usize> {
         let mut kept: BinaryHeap<KeptWork> = BinaryHeap::new();
         let mut late = Vec::new();
-        let mut work_laid = self.work_ahead;
-        for (position, &job) in open.iter().enumerate() {
+        let mut work_scheduled = self.work_ahead;
+        for (position, &job) in candidates.iter().enumerate() {
             let work = self.work(job);
-            work_laid += work;
+            work_scheduled += work;
             let Some(due_in_ms) = self.snapshot.jobs[job].due_in_ms.get(level) else {
                 // The job has no further deadline: its work keeps its place in the order and is
                 // never dropped.
                 missed[job] = missed[job].min(level);
                 continue;
             };
-            kept.push(((work * WORK_UNITS) as u64, position));
-            if self.end_ms(job, work_laid) <= *due_in_ms {
+            kept.push(((work * WORK_UNITS_PER_FLEET_MS) as u64, position));
+            if self.end_ms(job, work_scheduled) <= *due_in_ms {
                 continue;
             }
             // A job that would be late even without the other candidates doesn't displace any of
             // them.
-            let is_hopeless = self.end_ms(job, self.work_ahead + work) > *due_in_ms;
-            let gives_way = if is_hopeless {
+            let is_late_alone = self.end_ms(job, self.work_ahead + work) > *due_in_ms;
+            let dropped = if is_late_alone {
                 kept.retain(|(_, kept_position)| *kept_position != position);
                 position
             } else {
                 kept.pop().map_or(position, |(_, largest)| largest)
             };
-            work_laid -= self.work(open[gives_way]);
-            late.push(gives_way);
+            work_scheduled -= self.work(candidates[dropped]);
+            late.push(dropped);
         }
         for (_, position) in kept {
-            missed[open[position]] = level;
+            missed[candidates[position]] = level;
         }
-        self.work_ahead = work_laid;
+        self.work_ahead = work_scheduled;
         late.sort_unstable();
-        late.into_iter().map(|position| open[position]).collect()
+        late.into_iter().map(|position| candidates[position]).collect()
     }
 
     /// Work of a job's waiting tasks, in milliseconds of the whole fleet.
@@ -108,7 +113,7 @@
     /// Milliseconds from now.
     at_ms: f64,
     /// Work that is done by then, in milliseconds of the whole fleet.
-    done: f64,
+    work_done: f64,
     /// Work that is done per millisecond, relative to the machines that are up now.
     rate: f64,
 }
@@ -116,14 +121,14 @@
 impl Capacity {
     fn new(snapshot: &Snapshot, total: &Resources) -> Capacity {
         let load = RunningLoad::new(snapshot, total);
-        let mut rate = load.left_by_services;
+        let mut rate = load.available_to_batch;
         for job in snapshot.jobs.iter().filter(|job| job.is_service) {
             rate -= job.need.share_of(total) * f64::from(job.waiting_tasks);
         }
-        let fetch_share = if load.ran > 0.0 { load.fetched / load.ran } else { 0.0 };
+        let fetch_share = if load.running > 0.0 { load.fetching / load.running } else { 0.0 };
         Capacity {
             steps: capacity_steps(rate, &snapshot.booting, total),
-            fetch_factor: 1.0 + fetch_share.min(FETCH_SHARE_MAX),
+            fetch_factor: 1.0 + fetch_share.min(FETCH_TO_RUN_RATIO_MAX),
         }
     }
 
@@ -135,34 +140,34 @@
 
     /// Milliseconds until this much work has been done.
     fn time_for(&self, work: f64) -> u64 {
-        let next = self.steps.partition_point(|step| step.done <= work).max(1);
-        let CapacityStep { at_ms, done, rate } = self.steps[next - 1];
+        let next = self.steps.partition_point(|step| step.work_done <= work).max(1);
+        let CapacityStep { at_ms, work_done, rate } = self.steps[next - 1];
         if rate <= 0.0 {
             return u64::MAX;
         }
-        (at_ms + (work - done) / rate) as u64
+        (at_ms + (work - work_done) / rate) as u64
     }
 }
 
 /// The load of the running tasks, as shares of all machines.
 struct RunningLoad {
     /// What services leave to other work.
-    left_by_services: f64,
+    available_to_batch: f64,
     /// Load of batch tasks that run.
-    ran: f64,
+    running: f64,
     /// Load of batch tasks that have not been reported as running: they wait for their images.
-    fetched: f64,
+    fetching: f64,
 }
 
 impl RunningLoad {
     fn new(snapshot: &Snapshot, total: &Resources) -> RunningLoad {
-        let mut load = RunningLoad { left_by_services: 1.0, ran: 0.0, fetched: 0.0 };
+        let mut load = RunningLoad { available_to_batch: 1.0, running: 0.0, fetching: 0.0 };
         for task in snapshot.machines.iter().flat_map(|machine| &machine.running) {
             let share = task.need.share_of(total);
             match (task.is_service, task.ran_ms) {
-                (true, _) => load.left_by_services -= share,
-                (false, Some(_)) => load.ran += share,
-                (false, None) => load.fetched += share,
+                (true, _) => load.available_to_batch -= share,
+                (false, Some(_)) => load.running += share,
+                (false, None) => load.fetching += share,
             }
         }
         load
@@ -177,14 +182,14 @@
 ) -> Vec<CapacityStep> {
     let mut booting = booting.to_vec();
     booting.sort_unstable_by_key(|machine| machine.ready_in_ms);
-    let (mut rate, mut at_ms, mut done) = (rate_now, 0.0, 0.0);
-    let mut steps = vec![CapacityStep { at_ms, done, rate: f64::max(rate, 0.0) }];
+    let (mut rate, mut at_ms, mut work_done) = (rate_now, 0.0, 0.0);
+    let mut steps = vec![CapacityStep { at_ms, work_done, rate: f64::max(rate, 0.0) }];
     for machine in &booting {
         let ready_in_ms = machine.ready_in_ms as f64;
-        done += (ready_in_ms - at_ms) * f64::max(rate, 0.0);
+        work_done += (ready_in_ms - at_ms) * f64::max(rate, 0.0);
         at_ms = ready_in_ms;
         rate += machine.total.share_of(total);
-        steps.push(CapacityStep { at_ms, done, rate: f64::max(rate, 0.0) });
+        steps.push(CapacityStep { at_ms, work_done, rate: f64::max(rate, 0.0) });
     }
     steps
 }
--- a/src/coordination/planner/gang.rs
+++ b/src/coordination/planner/gang.rs
@@ -7,14 +7,14 @@
 //! cached, and each further machine adds a fixed delay.
 
 use super::allocation::{penalty_factor, Preference};
-use super::pass::{Pass, ReservedRoom};
+use super::pass::{Pass, ReservedCapacity};
 use super::plan::Reservation;
 use crate::constants::{GANG_PATIENCE_MS, GANG_SPREAD_SHARE, GANG_START_DELAY_PER_MACHINE_MS};
 use std::cmp::Reverse;
 
 /// Tasks of a gang on one machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct GangShare {
+pub(super) struct TasksOnMachine {
     pub(super) machine: usize,
     pub(super) tasks: u32,
 }
@@ -22,7 +22,7 @@
 /// Machines and a start time for a whole gang.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct GangAllocation {
-    pub(super) shares: Vec<GangShare>,
+    pub(super) tasks_per_machine: Vec<TasksOnMachine>,
     pub(super) start_ms: u64,
     /// Run time including image fetches, the penalty and the wait for the last task.
     pub(super) length_ms: u64,
@@ -30,15 +30,20 @@
 }
 
 impl GangAllocation {
-    fn new(shares: Vec<GangShare>, start_ms: u64, length_ms: u64, run_ms: u64) -> GangAllocation {
+    fn new(
+        tasks_per_machine: Vec<TasksOnMachine>,
+        start_ms: u64,
+        length_ms: u64,
+        run_ms: u64,
+    ) -> GangAllocation {
         let penalty_factor = length_ms as f64 / run_ms as f64;
-        GangAllocation { shares, start_ms, length_ms, penalty_factor }
+        GangAllocation { tasks_per_machine, start_ms, length_ms, penalty_factor }
     }
 }
 
 /// A machine that can run tasks of a gang from now on.
 #[derive(Debug, Clone, Copy)]
-struct Offer {
+struct CandidateMachine {
     machine: usize,
     zone: usize,
     /// Number of the gang's tasks that it has capacity for.
@@ -52,18 +57,18 @@
 
 /// A machine that was chosen for some of the gang's tasks.
 #[derive(Debug, Clone, Copy)]
-struct TakenOffer {
-    offer: Offer,
+struct ChosenMachine {
+    candidate: CandidateMachine,
     tasks: u32,
 }
 
-/// Tasks of a gang without a machine so far, and how many of them each zone may still get.
-struct TasksLeft {
+/// The tasks of a gang that have no machine yet, and how many of them each zone may still get.
+struct UnplacedTasks {
     tasks: u32,
     per_zone: Vec<u32>,
 }
 
-impl TasksLeft {
+impl UnplacedTasks {
     /// How many of them can be placed on a machine with that many free slots.
     fn fitting(&self, zone: usize, slots: u32) -> u32 {
         slots.min(self.per_zone[zone]).min(self.tasks)
@@ -77,17 +82,17 @@
 
 impl Pass<'_> {
     /// The allocation for a whole gang that starts now.
-    pub(super) fn gang_now(&self, job: usize) -> Option<GangAllocation> {
+    pub(super) fn immediate_gang_allocation(&self, job: usize) -> Option<GangAllocation> {
         if !self.is_gang_within_limit(job) {
             return None;
         }
-        let offers = self.gang_offers(job);
+        let candidates = self.gang_candidates(job);
         let mut best: Option<GangAllocation> = None;
-        for group in self.zone_groups(job, &offers) {
+        for group in self.zone_groups(job, &candidates) {
             for threshold in self.snapshot.thresholds.iter().copied().chain([f64::INFINITY]) {
-                let is_under = |offer: &Offer| offer.penalty_factor < threshold;
-                let under: Vec<Offer> = group.iter().copied().filter(is_under).collect();
-                let Some(found) = self.gang_on(job, &under) else { continue };
+                let is_under = |candidate: &CandidateMachine| candidate.penalty_factor < threshold;
+                let under: Vec<CandidateMachine> = group.iter().copied().filter(is_under).collect();
+                let Some(found) = self.immediate_gang_allocation_on(job, &under) else { continue };
                 if best.as_ref().is_none_or(|best| found.length_ms < best.length_ms) {
                     best = Some(found);
                 }
@@ -98,20 +103,20 @@
 
     /// The allocation for a whole gang at the earliest later time at which enough capacity is
     /// expected.
-    pub(super) fn gang_later(&self, job: usize) -> Option<GangAllocation> {
+    pub(super) fn later_gang_allocation(&self, job: usize) -> Option<GangAllocation> {
         if !self.is_gang_within_limit(job) {
             return None;
         }
         let is_allowed = |machine: &usize| self.is_allowed(job, *machine);
         let allowed: Vec<usize> = (0..self.machines.len()).filter(is_allowed).collect();
         if !self.job_view(job).one_zone {
-            return self.gang_later_on(job, &allowed);
+            return self.later_gang_allocation_on(job, &allowed);
         }
         let mut best: Option<GangAllocation> = None;
         for zone in 0..self.jobs[job].tasks_per_zone.len() {
             let is_in_zone = |machine: &usize| self.machine_view(*machine).zone == zone;
             let machines: Vec<usize> = allowed.iter().copied().filter(is_in_zone).collect();
-            let Some(found) = self.gang_later_on(job, &machines) else { continue };
+            let Some(found) = self.later_gang_allocation_on(job, &machines) else { continue };
             if best.as_ref().is_none_or(|best| found.start_ms < best.start_ms) {
                 best = Some(found);
             }
@@ -120,7 +125,7 @@
     }
 
     /// The earliest later allocation for a whole gang on these machines.
-    fn gang_later_on(&self, job: usize, machines: &[usize]) -> Option<GangAllocation> {
+    fn later_gang_allocation_on(&self, job: usize, machines: &[usize]) -> Option<GangAllocation> {
         let now_ms = self.snapshot.now_ms;
         let change_times = |machine: &usize| &self.machines[*machine].row.change_times_ms;
         let mut times_ms: Vec<u64> = machines.iter().flat_map(change_times).copied().collect();
@@ -130,20 +135,21 @@
         // Free capacity only grows over time if nothing is added, so a binary search finds the
         // first time with enough.
         let first = times_ms
-            .partition_point(|time_ms| self.gang_shares_at(job, machines, *time_ms).is_none());
+            .partition_point(|time_ms| self.gang_machines_at(job, machines, *time_ms).is_none());
         let start_ms = times_ms.get(first).copied()?;
-        let shares = self.gang_shares_at(job, machines, start_ms)?;
-        let fetches = shares.iter().map(|share| self.fetch_ms(job, share.machine, start_ms));
+        let tasks_per_machine = self.gang_machines_at(job, machines, start_ms)?;
+        let fetches =
+            tasks_per_machine.iter().map(|part| self.fetch_ms(job, part.machine, start_ms));
         let fetch_ms = fetches.max().unwrap_or(0);
         let run_ms = self.job_view(job).run_ms.max(1);
-        Some(GangAllocation::new(shares, start_ms, run_ms + fetch_ms, run_ms))
+        Some(GangAllocation::new(tasks_per_machine, start_ms, run_ms + fetch_ms, run_ms))
     }
 
     /// Places all tasks of a gang.
     pub(super) fn place_gang(&mut self, job: usize, allocation: &GangAllocation) {
-        for share in &allocation.shares {
-            for _ in 0..share.tasks {
-                self.place_task(job, share.machine, allocation.start_ms + allocation.length_ms);
+        for part in &allocation.tasks_per_machine {
+            for _ in 0..part.tasks {
+                self.place_task(job, part.machine, allocation.start_ms + allocation.length_ms);
             }
         }
         let tasks = self.job_view(job).waiting_tasks;
@@ -152,19 +158,19 @@
 
     /// Reserves capacity for all tasks of a gang.
     pub(super) fn reserve_gang(&mut self, job: usize, allocation: &GangAllocation) {
-        let GangAllocation { shares, start_ms, length_ms, .. } = allocation;
+        let GangAllocation { tasks_per_machine, start_ms, length_ms, .. } = allocation;
         let (start_ms, length_ms) = (*start_ms, *length_ms);
         let need_per_task = self.job_view(job).need;
-        for &GangShare { machine, tasks } in shares {
+        for &TasksOnMachine { machine, tasks } in tasks_per_machine {
             let need = need_per_task * i64::from(tasks);
-            self.reserved_rooms.push(ReservedRoom { machine, start_ms, need });
+            self.reserved_capacity.push(ReservedCapacity { machine, start_ms, need });
             self.machines[machine].version += 1;
             for _ in 0..tasks {
-                self.expect_start(job, start_ms);
+                self.record_expected_start(job, start_ms);
                 self.claim(job, machine, start_ms, length_ms);
             }
         }
-        if let Some(first) = shares.first() {
+        if let Some(first) = tasks_per_machine.first() {
             self.plan.reservation = Some(Reservation { job, machine: first.machine, start_ms });
         }
     }
@@ -180,11 +186,11 @@
         let host = &self.machines[machine];
         let end_ms = start_ms + length_ms;
         let mut slots = self.free_for(view, machine, start_ms).times(&view.need);
-        for reserved in &self.reserved_rooms {
+        for reserved in &self.reserved_capacity {
             if reserved.machine == machine && end_ms > reserved.start_ms {
-                let mut left = host.row.free_at(reserved.start_ms);
-                left -= reserved.need;
-                slots = slots.min(left.times(&view.need));
+                let mut free_at_start = host.row.free_at(reserved.start_ms);
+                free_at_start -= reserved.need;
+                slots = slots.min(free_at_start.times(&view.need));
             }
         }
         let slots = slots.clamp(0, host.free_task_slots as i64);
@@ -192,16 +198,16 @@
     }
 
     /// The machines that can run tasks of the gang from now on, those that are ready soonest first.
-    fn gang_offers(&self, job: usize) -> Vec<Offer> {
-        let offers = self.machines_with_room.iter();
-        let mut offers: Vec<Offer> =
-            offers.filter_map(|machine| self.gang_offer(job, *machine)).collect();
-        offers.sort_unstable_by_key(|offer| (offer.ready_ms, offer.preference));
-        offers
+    fn gang_candidates(&self, job: usize) -> Vec<CandidateMachine> {
+        let machines = self.machines_with_capacity.iter();
+        let mut candidates: Vec<CandidateMachine> =
+            machines.filter_map(|machine| self.gang_candidate(job, *machine)).collect();
+        candidates.sort_unstable_by_key(|candidate| (candidate.ready_ms, candidate.preference));
+        candidates
     }
 
     /// The machine as a candidate for a start now; `None` if it can't run a task of the gang.
-    fn gang_offer(&self, job: usize, machine: usize) -> Option<Offer> {
+    fn gang_candidate(&self, job: usize, machine: usize) -> Option<CandidateMachine> {
         let view = self.job_view(job);
         let host = self.machine_view(machine);
         let row = &self.machines[machine].row;
@@ -218,7 +224,7 @@
         self.candidates_examined.set(self.candidates_examined.get() + 1);
         let bandwidth = view.bandwidth * f64::from(slots);
         let penalized_ms = row.penalized_ms(now_ms, run_ms + fetch_ms, bandwidth);
-        Some(Offer {
+        Some(CandidateMachine {
             machine,
             zone: host.zone,
             slots,
@@ -230,61 +236,73 @@
     }
 
     /// Groups of machines, each of which may run all tasks of the gang.
-    fn zone_groups(&self, job: usize, offers: &[Offer]) -> Vec<Vec<Offer>> {
+    fn zone_groups(
+        &self,
+        job: usize,
+        candidates: &[CandidateMachine],
+    ) -> Vec<Vec<CandidateMachine>> {
         if !self.job_view(job).one_zone {
-            return vec![offers.to_vec()];
+            return vec![candidates.to_vec()];
         }
-        let in_zone = |zone| offers.iter().copied().filter(|offer| offer.zone == zone).collect();
+        let in_zone =
+            |zone| candidates.iter().copied().filter(|candidate| candidate.zone == zone).collect();
         (0..self.jobs[job].tasks_per_zone.len()).map(in_zone).collect()
     }
 
     /// The best allocation now on machines sorted by when they are ready. A slightly later start is
     /// chosen if it needs fewer machines, since each further machine may report later than
     /// expected.
-    fn gang_on(&self, job: usize, offers: &[Offer]) -> Option<GangAllocation> {
-        let soonest = self.machines_needed(job, offers)?;
-        let mut best: Option<(u64, Vec<TakenOffer>)> = None;
+    fn immediate_gang_allocation_on(
+        &self,
+        job: usize,
+        candidates: &[CandidateMachine],
+    ) -> Option<GangAllocation> {
+        let machines_needed = self.machines_needed(job, candidates)?;
+        let mut best: Option<(u64, Vec<ChosenMachine>)> = None;
         for patience_ms in GANG_PATIENCE_MS {
-            let until_ms = offers[soonest - 1].ready_ms + patience_ms;
-            let among = &offers[..offers.partition_point(|offer| offer.ready_ms <= until_ms)];
-            let Some(taken) = self.fewest_machines(job, among) else { continue };
-            let Some(cost_ms) = self.gang_start_cost_ms(&taken) else { continue };
+            let until_ms = candidates[machines_needed - 1].ready_ms + patience_ms;
+            let ready_in_time = &candidates
+                [..candidates.partition_point(|candidate| candidate.ready_ms <= until_ms)];
+            let Some(chosen) = self.pack_on_few_machines(job, ready_in_time) else { continue };
+            let Some(cost_ms) = self.gang_start_cost_ms(&chosen) else { continue };
             if best.as_ref().is_none_or(|(least, _)| cost_ms < *least) {
-                best = Some((cost_ms, taken));
+                best = Some((cost_ms, chosen));
             }
         }
-        let (wait_ms, taken) = best?;
-        let penalties = taken.iter().map(|taken| taken.offer.penalized_ms);
+        let (wait_ms, chosen) = best?;
+        let penalties = chosen.iter().map(|chosen| chosen.candidate.penalized_ms);
         let penalized_ms = penalties.fold(0.0, f64::max);
         let run_ms = self.job_view(job).run_ms.max(1);
         let length_ms = run_ms + wait_ms + penalized_ms as u64;
-        let share =
-            |taken: &TakenOffer| GangShare { machine: taken.offer.machine, tasks: taken.tasks };
-        let shares = taken.iter().map(share).collect();
-        Some(GangAllocation::new(shares, self.snapshot.now_ms, length_ms, run_ms))
+        let part = |chosen: &ChosenMachine| TasksOnMachine {
+            machine: chosen.candidate.machine,
+            tasks: chosen.tasks,
+        };
+        let tasks_per_machine = chosen.iter().map(part).collect();
+        Some(GangAllocation::new(tasks_per_machine, self.snapshot.now_ms, length_ms, run_ms))
     }
 
     /// The cost of a start on these machines in milliseconds: the time until the last task can
     /// start, plus a delay for each further machine. `None` if the first tasks would stop waiting
     /// before the last one starts.
-    fn gang_start_cost_ms(&self, taken: &[TakenOffer]) -> Option<u64> {
-        let ready_ms = || taken.iter().map(|taken| taken.offer.ready_ms);
+    fn gang_start_cost_ms(&self, chosen: &[ChosenMachine]) -> Option<u64> {
+        let ready_ms = || chosen.iter().map(|chosen| chosen.candidate.ready_ms);
         let (first_ms, last_ms) = (ready_ms().min()?, ready_ms().max()?);
         let spread_ms = (last_ms - first_ms) as f64;
         let wait_ms = self.snapshot.gang_wait_ms;
         if wait_ms > 0 && spread_ms > wait_ms as f64 * GANG_SPREAD_SHARE {
             return None;
         }
-        Some(last_ms + (taken.len() as u64 - 1) * GANG_START_DELAY_PER_MACHINE_MS)
+        Some(last_ms + (chosen.len() as u64 - 1) * GANG_START_DELAY_PER_MACHINE_MS)
     }
 
     /// How many of the machines, taken in order of readiness, have capacity for all tasks.
-    fn machines_needed(&self, job: usize, offers: &[Offer]) -> Option<usize> {
+    fn machines_needed(&self, job: usize, candidates: &[CandidateMachine]) -> Option<usize> {
         let view = self.job_view(job);
         let mut slots_per_zone = vec![0u32; self.jobs[job].tasks_per_zone.len()];
-        for (index, offer) in offers.iter().enumerate() {
-            let slots = &mut slots_per_zone[offer.zone];
-            *slots = (*slots + offer.slots).min(view.max_tasks_per_zone);
+        for (index, candidate) in candidates.iter().enumerate() {
+            let slots = &mut slots_per_zone[candidate.zone];
+            *slots = (*slots + candidate.slots).min(view.max_tasks_per_zone);
             if slots_per_zone.iter().sum::<u32>() >= view.waiting_tasks {
                 return Some(index + 1);
             }
@@ -292,57 +310,63 @@
         None
     }
 
-    fn gang_tasks_left(&self, job: usize) -> TasksLeft {
+    fn unplaced_gang_tasks(&self, job: usize) -> UnplacedTasks {
         let view = self.job_view(job);
         let zones = self.jobs[job].tasks_per_zone.len();
-        TasksLeft { tasks: view.waiting_tasks, per_zone: vec![view.max_tasks_per_zone; zones] }
+        UnplacedTasks { tasks: view.waiting_tasks, per_zone: vec![view.max_tasks_per_zone; zones] }
     }
 
     /// Distributes all tasks over few machines: takes the machine with the most slots until one
     /// machine has enough for all remaining tasks; of several such machines, takes the preferred
     /// one.
-    fn fewest_machines(&self, job: usize, offers: &[Offer]) -> Option<Vec<TakenOffer>> {
-        let mut left = self.gang_tasks_left(job);
-        let mut open: Vec<Offer> = offers.to_vec();
-        let mut taken = Vec::new();
-        while left.tasks > 0 {
-            let room = |index: &usize| left.fitting(open[*index].zone, open[*index].slots);
-            let with_enough = (0..open.len()).filter(|index| room(index) >= left.tasks);
-            let best = with_enough
-                .min_by_key(|index| open[*index].preference)
-                .or_else(|| (0..open.len()).max_by_key(|index| (room(index), Reverse(*index))))?;
-            let tasks = room(&best);
+    fn pack_on_few_machines(
+        &self,
+        job: usize,
+        candidates: &[CandidateMachine],
+    ) -> Option<Vec<ChosenMachine>> {
+        let mut unplaced = self.unplaced_gang_tasks(job);
+        let mut remaining: Vec<CandidateMachine> = candidates.to_vec();
+        let mut chosen = Vec::new();
+        while unplaced.tasks > 0 {
+            let fitting =
+                |index: &usize| unplaced.fitting(remaining[*index].zone, remaining[*index].slots);
+            let with_enough = (0..remaining.len()).filter(|index| fitting(index) >= unplaced.tasks);
+            let best =
+                with_enough.min_by_key(|index| remaining[*index].preference).or_else(|| {
+                    (0..remaining.len()).max_by_key(|index| (fitting(index), Reverse(*index)))
+                })?;
+            let tasks = fitting(&best);
             if tasks == 0 {
                 return None;
             }
-            let offer = open.swap_remove(best);
-            left.take(offer.zone, tasks);
-            taken.push(TakenOffer { offer, tasks });
+            let candidate = remaining.swap_remove(best);
+            unplaced.take(candidate.zone, tasks);
+            chosen.push(ChosenMachine { candidate, tasks });
         }
-        Some(taken)
+        Some(chosen)
     }
 
     /// The machines for all tasks at a later start time; `None` if there is too little capacity by
     /// then.
-    fn gang_shares_at(
+    fn gang_machines_at(
         &self,
         job: usize,
         machines: &[usize],
         start_ms: u64,
-    ) -> Option<Vec<GangShare>> {
-        let mut left = self.gang_tasks_left(job);
-        let mut shares = Vec::new();
+    ) -> Option<Vec<TasksOnMachine>> {
+        let mut unplaced = self.unplaced_gang_tasks(job);
+        let mut tasks_per_machine = Vec::new();
         for &machine in machines {
             let zone = self.machine_view(machine).zone;
             let slots = self.gang_slots(job, machine, start_ms, self.job_view(job).run_ms);
-            let tasks = left.fitting(zone, slots);
+            let tasks = unplaced.fitting(zone, slots);
             if tasks == 0 {
                 continue;
             }
-            left.take(zone, tasks);
-            shares.push(GangShare { machine, tasks });
-            if left.tasks == 0 {
-                return Some(shares);
+            unplaced.take(zone, tasks);
+            tasks_per_machine.push(TasksOnMachine { machine, tasks });
+            if unplaced.tasks == 0 {
+                return Some(tasks_per_machine);
             }
         }
         None
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -15,10 +15,10 @@
 //! Nothing here does I/O, reads a clock or draws random numbers.
 
 mod allocation;
+mod allocation_cache;
 mod backfill;
 mod deadline_triage;
 mod gang;
-mod offers;
 mod pass;
 mod plan;
 mod preemption;
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -1,7 +1,7 @@
 //! The state of a planning pass, and how each decision changes it.
 
 use super::allocation::Allocation;
-use super::offers::Offers;
+use super::allocation_cache::AllocationCache;
 use super::plan::{Plan, Reservation};
 use super::snapshot::{CachedImage, JobOnMachine, JobView, MachineView, Snapshot};
 use crate::constants::{PLACEMENTS_PER_MACHINE, PLACEMENTS_PER_PASS};
@@ -12,19 +12,20 @@
 /// A planning pass under way: the snapshot and the decisions so far.
 pub(super) struct Pass<'a> {
     pub(super) snapshot: &'a Snapshot,
-    pub(super) machines: Vec<MachineProgress>,
-    pub(super) jobs: Vec<JobProgress>,
+    pub(super) machines: Vec<PlannedMachine>,
+    pub(super) jobs: Vec<PlannedJob>,
     /// Resources that each team's tasks take, including those placed by this pass.
     pub(super) team_usage: Vec<Resources>,
     /// Total resources of all machines.
     pub(super) cluster_total: Resources,
     /// Capacity reserved for the head of the queue: one entry, or one for each machine of a gang.
-    pub(super) reserved_rooms: Vec<ReservedRoom>,
+    pub(super) reserved_capacity: Vec<ReservedCapacity>,
+    /// Later starts that backfilling has claimed so far.
     pub(super) claims_made: usize,
     /// Machines with enough free capacity for a task; only these are considered for a start now.
-    pub(super) machines_with_room: Vec<usize>,
+    pub(super) machines_with_capacity: Vec<usize>,
     /// Allocations computed for the job that was considered last.
-    pub(super) offers: Offers,
+    pub(super) allocation_cache: AllocationCache,
     /// Candidate allocations computed so far.
     pub(super) candidates_examined: Cell<u64>,
     /// How many more tasks of starving jobs may be placed ahead of the other jobs.
@@ -33,7 +34,7 @@
 }
 
 /// A machine, with the decisions so far applied.
-pub(super) struct MachineProgress {
+pub(super) struct PlannedMachine {
     /// Its row of the reservation table.
     pub(super) row: ReservationRow,
     pub(super) free_task_slots: usize,
@@ -42,7 +43,7 @@
     /// Milliseconds until the last image that it is fetching is cached.
     pub(super) images_ready_in_ms: u64,
     /// Capacity being freed on it by preemption; not available to jobs below high priority.
-    pub(super) held_for_priority: Resources,
+    pub(super) held_by_preemption: Resources,
     /// Number of tasks placed on it by this pass; shows whether an allocation chosen earlier is
     /// still valid.
     pub(super) placements: u32,
@@ -51,8 +52,8 @@
     pub(super) version: u32,
 }
 
-impl MachineProgress {
-    fn new(view: &MachineView, now_ms: u64) -> MachineProgress {
+impl PlannedMachine {
+    fn new(view: &MachineView, now_ms: u64) -> PlannedMachine {
         let mut row = ReservationRow {
             free: view.total,
             bandwidth_capacity: view.total.cpu as f64 / MILLI,
@@ -62,13 +63,13 @@
             let end_ms = task.end_ms.max(now_ms + 1);
             row.add(Bucket { end_ms, need: task.need, bandwidth: task.bandwidth });
         }
-        MachineProgress {
+        PlannedMachine {
             row,
             free_task_slots: view.free_task_slots,
             service_tasks: view.running.iter().filter(|task| task.is_service).count() as i64,
             images: view.images.clone(),
             images_ready_in_ms: images_ready_in_ms(&view.images),
-            held_for_priority: Resources::default(),
+            held_by_preemption: Resources::default(),
             placements: 0,
             version: 1,
         }
@@ -89,29 +90,29 @@
 }
 
 /// A job, with the decisions so far applied.
-pub(super) struct JobProgress {
+pub(super) struct PlannedJob {
     pub(super) tasks_per_zone: Vec<u32>,
     pub(super) waiting_tasks: u32,
     /// Number of its deadlines that it is not expected to meet.
     pub(super) missed_deadlines: usize,
     /// Waiting tasks for which capacity is being freed by preemption; not part of `waiting_tasks`.
-    pub(super) awaiting_room: u32,
+    pub(super) awaiting_preemption: u32,
 }
 
-impl JobProgress {
-    fn new(view: &JobView) -> JobProgress {
-        JobProgress {
+impl PlannedJob {
+    fn new(view: &JobView) -> PlannedJob {
+        PlannedJob {
             tasks_per_zone: view.tasks_per_zone.clone(),
             waiting_tasks: view.waiting_tasks,
             missed_deadlines: 0,
-            awaiting_room: 0,
+            awaiting_preemption: 0,
         }
     }
 }
 
 /// Capacity reserved on a machine from `start_ms` on.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ReservedRoom {
+pub(super) struct ReservedCapacity {
     pub(super) machine: usize,
     pub(super) start_ms: u64,
     pub(super) need: Resources,
@@ -121,7 +122,8 @@
 pub fn plan(snapshot: &Snapshot) -> Plan {
     let mut pass = Pass::new(snapshot);
     pass.run();
-    let unplaced = pass.jobs.iter().map(|job| job.waiting_tasks + job.awaiting_room).collect();
+    let unplaced =
+        pass.jobs.iter().map(|job| job.waiting_tasks + job.awaiting_preemption).collect();
     let candidates_examined = pass.candidates_examined.get();
     Plan { unplaced, candidates_examined, ..pass.plan }
 }
@@ -129,22 +131,22 @@
 impl<'a> Pass<'a> {
     fn new(snapshot: &'a Snapshot) -> Pass<'a> {
         let now_ms = snapshot.now_ms;
-        let machines: Vec<MachineProgress> =
-            snapshot.machines.iter().map(|view| MachineProgress::new(view, now_ms)).collect();
+        let machines: Vec<PlannedMachine> =
+            snapshot.machines.iter().map(|view| PlannedMachine::new(view, now_ms)).collect();
         let least_need = snapshot.least_need();
-        let has_room = |machine: &usize| machines[*machine].row.free.fits(&least_need);
-        let machines_with_room = (0..machines.len()).filter(has_room).collect();
+        let has_capacity = |machine: &usize| machines[*machine].row.free.fits(&least_need);
+        let machines_with_capacity = (0..machines.len()).filter(has_capacity).collect();
         let expected_wait_ms = vec![Vec::new(); snapshot.jobs.len()];
         Pass {
             snapshot,
             machines,
-            jobs: snapshot.jobs.iter().map(JobProgress::new).collect(),
+            jobs: snapshot.jobs.iter().map(PlannedJob::new).collect(),
             team_usage: snapshot.teams.iter().map(|team| team.used).collect(),
             cluster_total: snapshot.total(),
-            reserved_rooms: Vec::new(),
+            reserved_capacity: Vec::new(),
             claims_made: 0,
-            machines_with_room,
-            offers: Offers::default(),
+            machines_with_capacity,
+            allocation_cache: AllocationCache::default(),
             candidates_examined: Cell::new(0),
             starving_budget: 0,
             plan: Plan { expected_wait_ms, ..Plan::default() },
@@ -190,13 +192,13 @@
     pub(super) fn place_task(&mut self, job: usize, machine: usize, end_ms: u64) {
         let view = self.job_view(job);
         let fetch_ms = self.fetch_ms(job, machine, self.snapshot.now_ms);
-        let on = &mut self.machines[machine];
-        on.row.add(Bucket { end_ms, need: view.need, bandwidth: view.bandwidth });
-        on.free_task_slots -= 1;
-        on.service_tasks += i64::from(view.is_service);
-        on.note_image(view.image, fetch_ms);
-        on.placements += 1;
-        on.version += 1;
+        let planned = &mut self.machines[machine];
+        planned.row.add(Bucket { end_ms, need: view.need, bandwidth: view.bandwidth });
+        planned.free_task_slots -= 1;
+        planned.service_tasks += i64::from(view.is_service);
+        planned.note_image(view.image, fetch_ms);
+        planned.placements += 1;
+        planned.version += 1;
         let zone = self.machine_view(machine).zone;
         self.jobs[job].tasks_per_zone[zone] += 1;
         self.jobs[job].waiting_tasks -= 1;
@@ -208,14 +210,14 @@
     pub(super) fn reserve(&mut self, job: usize, allocation: Allocation) {
         let Allocation { machine, start_ms, length_ms, .. } = allocation;
         let need = self.job_view(job).need;
-        self.reserved_rooms.push(ReservedRoom { machine, start_ms, need });
+        self.reserved_capacity.push(ReservedCapacity { machine, start_ms, need });
         self.plan.reservation = Some(Reservation { job, machine, start_ms });
-        self.expect_start(job, start_ms);
+        self.record_expected_start(job, start_ms);
         self.claim(job, machine, start_ms, length_ms);
     }
 
     /// Records when a waiting task is expected to start.
-    pub(super) fn expect_start(&mut self, job: usize, start_ms: u64) {
+    pub(super) fn record_expected_start(&mut self, job: usize, start_ms: u64) {
         self.plan.expected_wait_ms[job].push(start_ms - self.snapshot.now_ms);
     }
 
--- a/src/coordination/planner/queue.rs
+++ b/src/coordination/planner/queue.rs
@@ -16,12 +16,12 @@
         queue.truncate(JOBS_PER_PASS);
         starving.truncate(JOBS_PER_PASS);
         if !starving.is_empty() {
-            self.starving_budget = (self.places_now() / STARVING_PLACEMENTS_DIVISOR).max(1);
+            self.starving_budget = (self.free_slots() / STARVING_PLACEMENTS_DIVISOR).max(1);
         }
         for &job in &starving {
             self.start_starving(job);
         }
-        self.make_room(&queue);
+        self.preempt_for_waiting_jobs(&queue);
         let rest = self.start_heads(&queue);
         self.backfill(&rest);
     }
@@ -31,19 +31,19 @@
     fn order_jobs(&mut self) -> Vec<usize> {
         let arrival = |pass: &Self, job: usize| pass.job_view(job).arrival;
         let mut queue: Vec<usize> = (0..self.jobs.len()).collect();
-        queue.sort_by_key(|&job| (self.turn(job), arrival(self, job)));
+        queue.sort_by_key(|&job| (self.priority_key(job), arrival(self, job)));
         let missed = missed_deadlines(self.snapshot, &queue, &self.cluster_total);
         for (job, missed) in self.jobs.iter_mut().zip(missed) {
             job.missed_deadlines = missed;
         }
         queue.sort_by_key(|&job| {
-            (self.turn(job), self.jobs[job].missed_deadlines, arrival(self, job))
+            (self.priority_key(job), self.jobs[job].missed_deadlines, arrival(self, job))
         });
         queue
     }
 
     /// The part of a job's sort key that goes before its deadlines and its arrival.
-    fn turn(&self, job: usize) -> (Priority, bool, bool) {
+    fn priority_key(&self, job: usize) -> (Priority, bool, bool) {
         let view = self.job_view(job);
         (view.priority, !view.within_guarantee, self.is_over_share(job))
     }
@@ -65,11 +65,11 @@
     }
 
     /// Number of free slots, each with the minimum that any waiting task takes.
-    fn places_now(&self) -> usize {
+    fn free_slots(&self) -> usize {
         let least_need = self.snapshot.least_need();
-        let places =
+        let slots =
             |machine: &usize| self.machines[*machine].row.free.times(&least_need).max(0) as usize;
-        self.machines_with_room.iter().map(places).sum()
+        self.machines_with_capacity.iter().map(slots).sum()
     }
 
     /// Starts tasks of a starving job, whatever its priority, until the slots set aside for
@@ -79,7 +79,7 @@
     /// gang can never start, so it gets the reservation.
     fn start_starving(&mut self, job: usize) {
         if self.job_view(job).is_gang {
-            if self.starving_budget > 0 && self.reserved_rooms.is_empty() {
+            if self.starving_budget > 0 && self.reserved_capacity.is_empty() {
                 self.start_or_reserve_gang(job);
                 let placed = self.job_view(job).waiting_tasks - self.jobs[job].waiting_tasks;
                 self.starving_budget = self.starving_budget.saturating_sub(placed as usize);
@@ -98,7 +98,7 @@
     fn start_heads(&mut self, queue: &[usize]) -> Vec<usize> {
         let mut rest = Vec::new();
         for (position, &job) in queue.iter().enumerate() {
-            if !self.reserved_rooms.is_empty() {
+            if !self.reserved_capacity.is_empty() {
                 rest.extend_from_slice(&queue[position..]);
                 break;
             }
@@ -135,9 +135,9 @@
         if self.jobs[job].waiting_tasks == 0 || self.is_full() {
             return;
         }
-        if let Some(allocation) = self.gang_now(job) {
+        if let Some(allocation) = self.immediate_gang_allocation(job) {
             self.place_gang(job, &allocation);
-        } else if let Some(allocation) = self.gang_later(job) {
+        } else if let Some(allocation) = self.later_gang_allocation(job) {
             self.reserve_gang(job, &allocation);
         }
     }
--- a/src/coordination/planner/reference.rs
+++ b/src/coordination/planner/reference.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    fn reference_better_on_the_way(&self, job: usize, machine: usize) -> bool {
+    fn reference_booting_machine_is_sooner(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
         let images = &self.machines[machine].images;
         if images.iter().any(|known| known.image == view.image) {
@@ -60,13 +60,13 @@
         let now_ms = self.snapshot.now_ms;
         let mut free = row.free_at(start_ms);
         if view.priority > Priority::High {
-            free -= self.machines[machine].held_for_priority;
+            free -= self.machines[machine].held_by_preemption;
         }
         if !free.fits(&view.need) {
             return None;
         }
         let fetch_ms = self.reference_fetch_ms(job, machine, start_ms);
-        if start_ms == now_ms && self.reference_better_on_the_way(job, machine) {
+        if start_ms == now_ms && self.reference_booting_machine_is_sooner(job, machine) {
             return None;
         }
         let run_ms = view.run_ms.max(1);
@@ -75,7 +75,7 @@
         if start_ms > now_ms && !row.fits_later(start_ms, length_ms, &view.need) {
             return None;
         }
-        for reserved in &self.reserved_rooms {
+        for reserved in &self.reserved_capacity {
             if reserved.machine == machine && start_ms + length_ms > reserved.start_ms {
                 let mut left = row.free_at(reserved.start_ms);
                 left -= view.need;
@@ -91,12 +91,12 @@
 
     /// Of the allocations that can start now, the one with the least penalty factor and the
     /// preferred one.
-    fn reference_free_now(&self, job: usize) -> (Option<Candidate>, Option<Candidate>) {
+    fn reference_best_immediate(&self, job: usize) -> (Option<Candidate>, Option<Candidate>) {
         let now_ms = self.snapshot.now_ms;
         let need = &self.job_view(job).need;
-        let mut least: Option<Candidate> = None;
-        let mut first: Option<Candidate> = None;
-        for &machine in &self.machines_with_room {
+        let mut least_penalty: Option<Candidate> = None;
+        let mut preferred: Option<Candidate> = None;
+        for &machine in &self.machines_with_capacity {
             if !self.machines[machine].row.free.fits(need) || !self.is_allowed(job, machine) {
                 continue;
             }
@@ -105,48 +105,55 @@
             };
             let preference = self.preference(job, machine);
             let candidate = Candidate { allocation, preference };
-            if first.as_ref().is_none_or(|first| preference < first.preference) {
-                first = Some(candidate);
+            if preferred.as_ref().is_none_or(|other| preference < other.preference) {
+                preferred = Some(candidate);
             }
             let factor = allocation.penalty_factor;
-            let is_better = least.as_ref().is_none_or(|least| {
-                factor < least.allocation.penalty_factor
-                    || (factor == least.allocation.penalty_factor && preference < least.preference)
+            let is_better = least_penalty.as_ref().is_none_or(|other| {
+                factor < other.allocation.penalty_factor
+                    || (factor == other.allocation.penalty_factor && preference < other.preference)
             });
             if is_better {
-                least = Some(candidate);
+                least_penalty = Some(candidate);
             }
         }
-        (least, first)
+        (least_penalty, preferred)
     }
 
     fn reference_allocate(&self, job: usize, may_wait: bool) -> Option<Allocation> {
         if !self.is_within_limit(job, 1) {
             return None;
         }
-        let (least, first) = self.reference_free_now(job);
-        let lowest = self.snapshot.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
-        if !may_wait || least.as_ref().is_some_and(|least| least.allocation.penalty_factor < lowest)
+        let (least_penalty, preferred) = self.reference_best_immediate(job);
+        let lowest_threshold =
+            self.snapshot.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
+        if !may_wait
+            || least_penalty
+                .as_ref()
+                .is_some_and(|best| best.allocation.penalty_factor < lowest_threshold)
         {
-            return least.map(|least| least.allocation);
+            return least_penalty.map(|best| best.allocation);
         }
         // For each threshold the earliest allocation below it, with the least factor at that time;
         // if there is none, the one with the least factor of all. First fit is the earliest
         // allocation of all.
         let mut search = ThresholdSearch::new(&self.snapshot.thresholds);
-        for candidate in first.into_iter().chain(least) {
+        for candidate in preferred.into_iter().chain(least_penalty) {
             search.add(candidate);
         }
-        let bound = least.map_or(f64::INFINITY, |least| least.allocation.penalty_factor);
-        let mut only = None;
-        if let Some(reserved) = self.snapshot.previous_reservation.filter(|it| it.job == job) {
+        let bound = least_penalty.map_or(f64::INFINITY, |best| best.allocation.penalty_factor);
+        let mut reserved_machine = None;
+        if let Some(reserved) =
+            self.snapshot.previous_reservation.filter(|reserved| reserved.job == job)
+        {
             // The reservation stays on its machine if possible.
             let machine = reserved.machine;
-            only = self.reference_offers_later(job, machine, bound).next().map(|_| machine);
+            reserved_machine =
+                self.reference_later_allocations(job, machine, bound).next().map(|_| machine);
         }
         for machine in 0..self.snapshot.machines.len() {
-            if only.is_none_or(|only| only == machine) {
-                self.reference_offers_later(job, machine, bound).for_each(|allocation| {
+            if reserved_machine.is_none_or(|reserved| reserved == machine) {
+                self.reference_later_allocations(job, machine, bound).for_each(|allocation| {
                     search.add(Candidate { allocation, preference: self.preference(job, machine) });
                 });
             }
@@ -154,7 +161,7 @@
         search.best()
     }
 
-    fn reference_offers_later(
+    fn reference_later_allocations(
         &self,
         job: usize,
         machine: usize,
@@ -162,10 +169,11 @@
     ) -> impl Iterator<Item = Allocation> + '_ {
         let now_ms = self.snapshot.now_ms;
         let run_ms = self.job_view(job).run_ms.max(1) as f64;
-        let lowest = (run_ms + self.reference_fetch_ms(job, machine, u64::MAX) as f64) / run_ms;
+        let lowest_factor =
+            (run_ms + self.reference_fetch_ms(job, machine, u64::MAX) as f64) / run_ms;
         let row = &self.machines[machine].row;
-        let mut last = bound;
-        let times_ms = if lowest < bound && self.is_allowed(job, machine) {
+        let mut last_factor = bound;
+        let times_ms = if lowest_factor < bound && self.is_allowed(job, machine) {
             &row.change_times_ms[..]
         } else {
             &[]
@@ -175,13 +183,14 @@
             .filter(move |time_ms| **time_ms > now_ms)
             .map_while(move |time_ms| {
                 // A later start can't lower the factor further.
-                if last <= lowest {
+                if last_factor <= lowest_factor {
                     return None;
                 }
                 let allocation = self
                     .reference_allocation_at(job, machine, *time_ms)
-                    .filter(|offered| offered.penalty_factor < last);
-                last = allocation.map_or(last, |offered| offered.penalty_factor);
+                    .filter(|allocation| allocation.penalty_factor < last_factor);
+                last_factor =
+                    allocation.map_or(last_factor, |allocation| allocation.penalty_factor);
                 Some(allocation)
             })
             .flatten()
--- a/src/coordination/planner/shares.rs
+++ b/src/coordination/planner/shares.rs
@@ -4,11 +4,11 @@
 use crate::protocol::Resources;
 
 /// The share of all machines together, in thousandths.
-const WHOLE: i64 = 1_000;
+const WHOLE_PERMILLE: i64 = 1_000;
 
 /// The part of the machines that is used, in thousandths.
 pub(super) fn permille_of(used: &Resources, total: &Resources) -> i64 {
-    (used.share_of(total) * WHOLE as f64).round() as i64
+    (used.share_of(total) * WHOLE_PERMILLE as f64).round() as i64
 }
 
 /// Moves shares between teams: the team of the first waiting job gets what it lacks to run one more
@@ -19,7 +19,7 @@
     if teams == 0 {
         return shares;
     }
-    if shares.len() != teams || shares.iter().sum::<i64>() != WHOLE {
+    if shares.len() != teams || shares.iter().sum::<i64>() != WHOLE_PERMILLE {
         shares = initial_shares(snapshot);
     }
     let head = snapshot.jobs.iter().min_by_key(|job| (job.priority, job.arrival));
@@ -27,15 +27,15 @@
     let total = snapshot.total();
     let mut used_with_head = snapshot.teams[head.team].used;
     used_with_head += head.need;
-    let mut lacks = permille_of(&used_with_head, &total) - shares[head.team];
-    while lacks > 0 {
+    let mut missing = permille_of(&used_with_head, &total) - shares[head.team];
+    while missing > 0 {
         let unused = |team: usize| shares[team] - permille_of(&snapshot.teams[team].used, &total);
         let others = (0..teams).filter(|team| *team != head.team && unused(*team) > 0);
-        let Some(from) = others.max_by_key(|team| unused(*team)) else { break };
-        let moved = lacks.min(unused(from));
-        shares[from] -= moved;
+        let Some(donor) = others.max_by_key(|team| unused(*team)) else { break };
+        let moved = missing.min(unused(donor));
+        shares[donor] -= moved;
         shares[head.team] += moved;
-        lacks -= moved;
+        missing -= moved;
     }
     shares
 }
@@ -50,17 +50,17 @@
     let in_proportion = |guarantee: &Resources| {
         let share = guarantee.share_of(&guaranteed);
         if share > 0.0 {
-            (share * WHOLE as f64) as i64
+            (share * WHOLE_PERMILLE as f64) as i64
         } else {
-            WHOLE / teams.len() as i64
+            WHOLE_PERMILLE / teams.len() as i64
         }
     };
     let mut shares: Vec<i64> = teams.iter().map(|team| in_proportion(&team.guarantee)).collect();
     let sum = shares.iter().sum::<i64>().max(1);
     for share in &mut shares {
-        *share = *share * WHOLE / sum;
+        *share = *share * WHOLE_PERMILLE / sum;
     }
-    shares[0] += WHOLE - shares.iter().sum::<i64>();
+    shares[0] += WHOLE_PERMILLE - shares.iter().sum::<i64>();
     shares
 }
 
--- a/src/coordination/planner/snapshot.rs
+++ b/src/coordination/planner/snapshot.rs
@@ -1,6 +1,6 @@
 //! The input of a planning pass.
 
-use crate::constants::{STARVING_BEGUN_MS, STARVING_MS};
+use crate::constants::{STARVING_MS, STARVING_STARTED_MS};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 
@@ -128,7 +128,7 @@
     /// Whether it has waited so long that it takes precedence over jobs that would otherwise go
     /// first.
     pub(super) fn is_starving(&self) -> bool {
-        self.waited_ms >= if self.has_started { STARVING_BEGUN_MS } else { STARVING_MS }
+        self.waited_ms >= if self.has_started { STARVING_STARTED_MS } else { STARVING_MS }
     }
 }
 
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the planner on small hand-written snapshots and on random ones.
 
 use super::*;
-use crate::constants::{STARVING_BEGUN_MS, STARVING_MS, THRESHOLDS};
+use crate::constants::{STARVING_MS, STARVING_STARTED_MS, THRESHOLDS};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -305,7 +305,7 @@
     assert_eq!((of(0), of(1)), (2, 6), "a part of the places, not all of them");
     cluster.jobs[0].has_started = true;
     assert!(plan(&cluster).placements.iter().all(|place| place.job != 0), "it has begun");
-    cluster.jobs[0].waited_ms = STARVING_BEGUN_MS;
+    cluster.jobs[0].waited_ms = STARVING_STARTED_MS;
     assert!(
         plan(&cluster).placements.iter().any(|place| place.job == 0),
         "and goes on after a while"
--- a/src/coordination/planner/threshold_search.rs
+++ b/src/coordination/planner/threshold_search.rs
@@ -24,29 +24,29 @@
     thresholds: &'a [f64],
     /// For each threshold the earliest allocation below it; of several with that start, the one
     /// with the least factor.
-    under: Vec<Option<Candidate>>,
+    earliest_below: Vec<Option<Candidate>>,
     /// The allocation with the least factor.
-    least: Option<Candidate>,
+    least_penalty: Option<Candidate>,
     /// First fit: the earliest allocation.
-    first: Option<Candidate>,
+    earliest: Option<Candidate>,
 }
 
 impl<'a> ThresholdSearch<'a> {
     pub(super) fn new(thresholds: &'a [f64]) -> ThresholdSearch<'a> {
-        let under = vec![None; thresholds.len()];
-        ThresholdSearch { thresholds, under, least: None, first: None }
+        let earliest_below = vec![None; thresholds.len()];
+        ThresholdSearch { thresholds, earliest_below, least_penalty: None, earliest: None }
     }
 
     /// Adds an allocation to the search.
     pub(super) fn add(&mut self, candidate: Candidate) {
         let factor = candidate.allocation.penalty_factor;
-        for (kept, threshold) in self.under.iter_mut().zip(self.thresholds) {
+        for (earliest, threshold) in self.earliest_below.iter_mut().zip(self.thresholds) {
             if factor < *threshold {
-                keep_lesser(kept, candidate, by_start_and_factor);
+                keep_minimum(earliest, candidate, by_start_and_factor);
             }
         }
-        keep_lesser(&mut self.first, candidate, by_start);
-        keep_lesser(&mut self.least, candidate, by_factor);
+        keep_minimum(&mut self.earliest, candidate, by_start);
+        keep_minimum(&mut self.least_penalty, candidate, by_factor);
     }
 
     /// The allocation with the least slowdown, which for a single task is the one that ends first.
@@ -59,15 +59,16 @@
     /// its slot would go to a task of lower priority, which the next pass would preempt for the
     /// service, again and again.
     pub(super) fn best(self) -> Option<Allocation> {
-        let least = self.least;
-        let under = self.under.into_iter().filter_map(|kept| kept.or(least));
-        let allocations = under.chain(self.first).map(|candidate| candidate.allocation);
+        let least_penalty = self.least_penalty;
+        let per_threshold =
+            self.earliest_below.into_iter().filter_map(|earliest| earliest.or(least_penalty));
+        let allocations = per_threshold.chain(self.earliest).map(|candidate| candidate.allocation);
         allocations.min_by_key(|allocation| (allocation.end_ms(), allocation.start_ms))
     }
 }
 
 /// Keeps the lesser of two candidates; the present one if they are equal.
-fn keep_lesser(
+fn keep_minimum(
     kept: &mut Option<Candidate>,
     candidate: Candidate,
     order: fn(&Candidate, &Candidate) -> Ordering,
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -4,7 +4,7 @@
 use super::hashing::{HashKeys, HashMap, HashSet};
 use super::records::{chunk_name, Bitmap, JobId, JobRecord, JobStage, MachineName};
 use super::replica::Versioned;
-use crate::constants::{BAD_JOB_MACHINES, DONE_CHUNK_TASKS};
+use crate::constants::{DONE_CHUNK_TASKS, FAILING_JOB_MACHINES};
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
@@ -145,7 +145,7 @@
 
     /// Whether the job failed on several machines and nowhere succeeded since.
     pub fn fails_everywhere(&self) -> bool {
-        self.failed_on.len() >= BAD_JOB_MACHINES
+        self.failed_on.len() >= FAILING_JOB_MACHINES
     }
 
     /// Its unsettled placements.
