--- a/src/coordination/planner/deadline_triage/tests.rs
+++ b/src/coordination/planner/deadline_triage/tests.rs
@@ -4,11 +4,11 @@
 use super::*;
 
 /// The deadlines missed by jobs of these numbers of tasks, on four slots and with 10 s per task.
-fn missed_by(sizes: &[u32], times: &[u64]) -> Vec<usize> {
+fn missed_by(sizes: &[u32], deadlines: &[u64]) -> Vec<usize> {
     let jobs = sizes.iter().enumerate().map(|(n, size)| {
         let mut pending = job(n as u64, 1, 10_000);
         pending.waiting_tasks = *size;
-        pending.due_in_ms = times.to_vec();
+        pending.due_in_ms = deadlines.to_vec();
         pending
     });
     let cluster = snapshot(vec![machine(4)], jobs.collect());
@@ -17,18 +17,26 @@
 }
 
 #[test]
-fn the_largest_gives_way_where_not_all_can_be_in_time() {
+fn the_largest_job_is_dropped_if_not_all_can_meet_their_deadlines() {
     // Ten tasks take 25 s on four slots, and the last one runs for 10 s.
     assert_eq!(missed_by(&[4, 4, 2], &[40_000]), vec![0, 0, 0]);
     assert_eq!(missed_by(&[4, 20, 4, 4], &[40_000]), vec![0, 1, 0, 0]);
-    assert_eq!(missed_by(&[4, 20, 4, 4], &[40_000, 95_000]), vec![0, 1, 0, 0], "the next time");
+    assert_eq!(
+        missed_by(&[4, 20, 4, 4], &[40_000, 95_000]),
+        vec![0, 1, 0, 0],
+        "it meets its next deadline"
+    );
     assert_eq!(missed_by(&[4, 20, 4, 4], &[40_000, 50_000]), vec![0, 2, 0, 0]);
-    assert_eq!(missed_by(&[40, 4], &[9_000]), vec![1, 1], "nobody can, and nobody gives way");
-    assert_eq!(missed_by(&[40, 4], &[]), vec![0, 0], "nothing to miss");
+    assert_eq!(
+        missed_by(&[40, 4], &[9_000]),
+        vec![1, 1],
+        "none can, and none is dropped for another"
+    );
+    assert_eq!(missed_by(&[40, 4], &[]), vec![0, 0], "no deadlines to miss");
 }
 
 #[test]
-fn services_take_their_part_and_machines_on_their_way_add_theirs() {
+fn capacity_is_reduced_by_services_and_increased_by_booting_machines() {
     let mut pending = job(1, 1, 10_000);
     pending.waiting_tasks = 8;
     pending.due_in_ms = vec![35_000];
--- a/src/coordination/planner/gang/tests.rs
+++ b/src/coordination/planner/gang/tests.rs
@@ -10,46 +10,47 @@
 }
 
 /// A machine whose GPUs are all occupied until then.
-fn taken(gpus: i64, until: u64) -> MachineView {
+fn occupied_machine(gpus: i64, until: u64) -> MachineView {
     let mut view = machine(gpus);
     view.running = (0..gpus).map(|_| running(until)).collect();
     view
 }
 
 /// Number of the job's tasks placed on each machine.
-fn shares(plan: &Plan, job: usize, machines: usize) -> Vec<usize> {
-    let on =
-        |m| plan.placements.iter().filter(|place| (place.job, place.machine) == (job, m)).count();
+fn tasks_per_machine(plan: &Plan, job: usize, machines: usize) -> Vec<usize> {
+    let on = |m| {
+        plan.placements.iter().filter(|placed| (placed.job, placed.machine) == (job, m)).count()
+    };
     (0..machines).map(on).collect()
 }
 
 #[test]
 fn a_gang_is_placed_whole_or_not_at_all() {
     let fits = snapshot(vec![machine(2), machine(2)], vec![gang(1, 4, 5_000)]);
-    assert_eq!(shares(&plan(&fits), 0, 2), vec![2, 2]);
-    let wide = snapshot(vec![machine(2), machine(2)], vec![gang(1, 5, 5_000)]);
-    assert!(plan(&wide).placements.is_empty());
-    assert_eq!(plan(&wide).unplaced, vec![5]);
+    assert_eq!(tasks_per_machine(&plan(&fits), 0, 2), vec![2, 2]);
+    let large = snapshot(vec![machine(2), machine(2)], vec![gang(1, 5, 5_000)]);
+    assert!(plan(&large).placements.is_empty());
+    assert_eq!(plan(&large).unplaced, vec![5]);
 }
 
 #[test]
-fn a_gang_is_placed_on_as_few_machines_as_hold_it() {
+fn a_gang_is_placed_on_as_few_machines_as_possible() {
     let machines = vec![machine(2), machine(1), machine(4), machine(8)];
     let cluster = snapshot(machines, vec![gang(1, 4, 5_000)]);
     assert_eq!(
-        shares(&plan(&cluster), 0, 4),
+        tasks_per_machine(&plan(&cluster), 0, 4),
         vec![0, 0, 4, 0],
-        "the fullest of those that hold it all"
+        "the fullest machine of those with capacity for all tasks"
     );
 }
 
 #[test]
-fn a_gang_goes_where_its_image_is_and_the_next_report_comes_soon() {
-    let (mut cold, mut late, soon) = (machine(4), machine(4), machine(4));
-    cold.images.clear();
-    late.next_report_ms = 3_000;
-    let cluster = snapshot(vec![cold, late, soon], vec![gang(1, 4, 5_000)]);
-    assert_eq!(shares(&plan(&cluster), 0, 3), vec![0, 0, 4]);
+fn a_gang_goes_where_its_image_is_cached_and_the_next_report_is_soon() {
+    let (mut without_image, mut late_report, soon_report) = (machine(4), machine(4), machine(4));
+    without_image.images.clear();
+    late_report.next_report_ms = 3_000;
+    let cluster = snapshot(vec![without_image, late_report, soon_report], vec![gang(1, 4, 5_000)]);
+    assert_eq!(tasks_per_machine(&plan(&cluster), 0, 3), vec![0, 0, 4]);
 }
 
 #[test]
@@ -68,30 +69,30 @@
     let mut machines = vec![machine(2), machine(2), machine(2), machine(2)];
     machines[1].zone = 1;
     machines[3].zone = 1;
-    let mut wide = gang(1, 4, 5_000);
-    wide.tasks_per_zone = vec![0, 0];
-    change(&mut wide);
-    snapshot(machines, vec![wide])
+    let mut large = gang(1, 4, 5_000);
+    large.tasks_per_zone = vec![0, 0];
+    change(&mut large);
+    snapshot(machines, vec![large])
 }
 
 #[test]
-fn a_gang_keeps_to_one_zone_or_spreads_as_it_must() {
+fn a_gang_stays_in_one_zone_or_spreads_as_required() {
     let one = plan(&two_zones(|gang| gang.one_zone = true));
-    assert!([vec![2, 0, 2, 0], vec![0, 2, 0, 2]].contains(&shares(&one, 0, 4)));
-    let spread = shares(&plan(&two_zones(|gang| gang.max_tasks_per_zone = 2)), 0, 4);
+    assert!([vec![2, 0, 2, 0], vec![0, 2, 0, 2]].contains(&tasks_per_machine(&one, 0, 4)));
+    let spread = tasks_per_machine(&plan(&two_zones(|gang| gang.max_tasks_per_zone = 2)), 0, 4);
     assert_eq!((spread[0] + spread[2], spread[1] + spread[3]), (2, 2));
     let bound = plan(&two_zones(|gang| {
         gang.zone = Some(1);
         gang.max_tasks_per_zone = 2;
     }));
-    assert!(bound.placements.is_empty(), "no more than half of it in one zone");
+    assert!(bound.placements.is_empty(), "only half of its tasks may be in one zone");
 }
 
 #[test]
-fn what_would_delay_the_gang_that_is_reserved_for_is_not_backfilled() {
+fn a_job_that_would_delay_the_reservation_of_a_gang_is_not_backfilled() {
     // Four GPUs become free in 10 s. One more is free now, and only a job that ends before that may
     // use it.
-    let machines = vec![taken(2, 10_000), taken(2, 10_000), machine(1)];
+    let machines = vec![occupied_machine(2, 10_000), occupied_machine(2, 10_000), machine(1)];
     let jobs = vec![gang(1, 5, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
     let decided = plan(&snapshot(machines, jobs));
     assert_eq!(decided.placements, vec![JobOnMachine { job: 2, machine: 2 }]);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_gang_that_starves_behind_jobs_in_time_gets_the_reservation() {
+fn a_gang_that_starves_behind_jobs_that_meet_their_deadlines_gets_the_reservation() {
     let waited = |waited_ms| {
         let mut late = gang(9, 2, 60_000);
         late.waited_ms = waited_ms;
@@ -119,7 +120,7 @@
     assert_eq!(
         waited(1_000).placements,
         vec![JobOnMachine { job: 0, machine: 0 }],
-        "the first of the others"
+        "the first of the other jobs"
     );
     let starving = waited(STARVING_MS);
     assert!(starving.placements.is_empty(), "{:?}", starving.placements);
@@ -127,11 +128,11 @@
 }
 
 #[test]
-fn tasks_whose_starts_would_lie_too_far_apart_are_not_placed() {
+fn a_gang_whose_starts_would_be_too_far_apart_is_not_placed() {
     let waits = |gang_wait_ms| {
-        let mut cold = machine(2);
-        cold.images.clear();
-        let mut cluster = snapshot(vec![machine(2), cold], vec![gang(1, 4, 5_000)]);
+        let mut without_image = machine(2);
+        without_image.images.clear();
+        let mut cluster = snapshot(vec![machine(2), without_image], vec![gang(1, 4, 5_000)]);
         cluster.gang_wait_ms = gang_wait_ms;
         plan(&cluster).placements.len()
     };
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -85,7 +85,7 @@
 }
 
 /// An image that is cached after `ready_in_ms`.
-fn fetched(image: usize, ready_in_ms: u64) -> CachedImage {
+fn image_ready_in(image: usize, ready_in_ms: u64) -> CachedImage {
     CachedImage { image, ready_in_ms }
 }
 
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn what_delays_the_reservation_of_the_head_is_not_backfilled() {
+fn a_job_that_would_delay_the_reservation_is_not_backfilled() {
     let mut host = machine(4);
     host.running = vec![running(10_000), running(10_000)];
     // The head needs all four GPUs in 10 s. A job of 5 s fits in before that, one of 60 s doesn't.
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_reservation_stays_on_its_machine_when_estimates_slip() {
+fn a_reservation_stays_on_its_machine_when_estimates_change() {
     let (mut a, mut b) = (machine(1), machine(1));
     a.running = vec![running(12_000)];
     b.running = vec![running(10_000)];
@@ -118,22 +118,22 @@
     cluster.previous_reservation = Some(placed(0, 0));
     assert_eq!(plan(&cluster).reservation, reserved(0, 0, 12_000));
     cluster.machines[1].running.clear();
-    assert_eq!(plan(&cluster).placements, vec![placed(0, 1)], "room now is taken all the same");
+    assert_eq!(plan(&cluster).placements, vec![placed(0, 1)], "free capacity is used at once");
 }
 
 #[test]
-fn backfill_goes_by_penalty_factor_then_length() {
+fn backfilling_is_ordered_by_penalty_factor_then_length() {
     let mut host = machine(4);
     host.running = vec![running(60_000), running(60_000)];
     host.running[0].bandwidth = 3.5;
-    let mut loud = job(2, 1, 1_000);
-    loud.bandwidth = 2.0;
-    let jobs = vec![job(1, 4, 1_000), loud, job(3, 1, 20_000), job(4, 1, 10_000)];
+    let mut bandwidth_heavy = job(2, 1, 1_000);
+    bandwidth_heavy.bandwidth = 2.0;
+    let jobs = vec![job(1, 4, 1_000), bandwidth_heavy, job(3, 1, 20_000), job(4, 1, 10_000)];
     let decided = plan(&snapshot(vec![host], jobs));
     assert_eq!(
         decided.placements,
         vec![placed(3, 0), placed(2, 0)],
-        "the shorter of the quiet ones first"
+        "without a penalty first, the shorter one of these before the other"
     );
 }
 
@@ -160,19 +160,23 @@
 fn tasks_do_not_all_wait_for_the_same_machine_that_holds_their_image() {
     // A machine that holds the image is free in 5 s; an empty machine would have to fetch it for 20
     // s.
-    let mut here = machine(1);
-    here.running = vec![running(5_000)];
-    let mut cold = machine(2);
-    cold.images = vec![];
+    let mut with_image = machine(1);
+    with_image.running = vec![running(5_000)];
+    let mut without_image = machine(2);
+    without_image.images = vec![];
     let mut pending = job(1, 1, 40_000);
     pending.waiting_tasks = 3;
-    let decided = plan(&snapshot(vec![here, cold], vec![pending]));
-    assert_eq!(decided.placements, vec![placed(0, 1), placed(0, 1)], "one waits, the others fetch");
+    let decided = plan(&snapshot(vec![with_image, without_image], vec![pending]));
+    assert_eq!(
+        decided.placements,
+        vec![placed(0, 1), placed(0, 1)],
+        "one task waits, the others fetch the image"
+    );
     assert_eq!(decided.expected_wait_ms[0], vec![5_000]);
 }
 
 #[test]
-fn a_team_at_its_limit_is_skipped_and_holds_nobody_up() {
+fn a_team_at_its_limit_is_skipped_and_does_not_block_others() {
     let mut cluster = snapshot(vec![machine(4)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
     cluster.teams[0].limit.gpu = 1_000;
     cluster.teams[0].used = GPU;
@@ -182,69 +186,80 @@
 }
 
 #[test]
-fn room_is_made_for_higher_ranks_only_and_where_least_is_lost() {
+fn preemption_is_for_higher_priority_only_and_where_least_work_is_lost() {
     let mut host = machine(2);
     host.running = vec![running(90_000), running(90_000)];
     host.running[0].ran_ms = Some(80_000);
     host.running[1].ran_ms = Some(40_000);
     host.running[1].handle = 7;
     let mut cluster = snapshot(vec![host], vec![job(1, 1, 1_000)]);
-    assert!(plan(&cluster).preemptions.is_empty(), "not for the same rank");
+    assert!(plan(&cluster).preemptions.is_empty(), "not for the same priority");
     cluster.jobs[0].priority = Priority::Production;
     assert_eq!(plan(&cluster).preemptions, vec![Preemption { machine: 0, handle: 7 }]);
     cluster.machines[0].running[1].is_stopping = true;
     cluster.machines[0].running[1].end_ms = 2_000;
-    assert!(plan(&cluster).preemptions.is_empty(), "room that is being made counts");
+    assert!(
+        plan(&cluster).preemptions.is_empty(),
+        "capacity of a task that is being stopped counts"
+    );
 }
 
 #[test]
-fn images_are_not_queued_on_one_machine_while_others_come_up() {
+fn images_are_not_queued_on_one_machine_while_others_boot() {
     let mut host = machine(2);
-    host.images = vec![fetched(7, 30_000)];
+    host.images = vec![image_ready_in(7, 30_000)];
     let mut cluster = snapshot(vec![host], vec![job(1, 1, 30_000)]);
     cluster.jobs[0].spot_allowed = false;
     cluster.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: Some(1_000) };
     assert!(
         plan(&cluster).placements.is_empty(),
-        "an ordinary machine is up before that image is here"
+        "an ordinary machine is up before the other image is cached"
     );
     cluster.mean_boot_wait.ordinary_ms = Some(40_000);
-    assert_eq!(plan(&cluster).placements, vec![placed(0, 0)], "not that soon");
+    assert_eq!(
+        plan(&cluster).placements,
+        vec![placed(0, 0)],
+        "the ordinary machine is up only after that"
+    );
     cluster.mean_boot_wait.ordinary_ms = Some(10_000);
-    cluster.machines[0].images = vec![fetched(0, 5_000), fetched(7, 30_000)];
-    assert_eq!(plan(&cluster).placements, vec![placed(0, 0)], "its own is on its way");
+    cluster.machines[0].images = vec![image_ready_in(0, 5_000), image_ready_in(7, 30_000)];
+    assert_eq!(
+        plan(&cluster).placements,
+        vec![placed(0, 0)],
+        "its own image is already being fetched"
+    );
 }
 
 #[test]
-fn a_task_starts_where_its_image_is_on_its_way_rather_than_wait_for_the_image() {
+fn a_task_starts_while_its_image_is_being_fetched_rather_than_after() {
     let mut host = machine(2);
-    host.images = vec![fetched(0, 20_000)];
+    host.images = vec![image_ready_in(0, 20_000)];
     host.running = vec![running(10_000)];
     let decided = plan(&snapshot(vec![host], vec![job(1, 1, 30_000)]));
     assert_eq!(decided.placements, vec![placed(0, 0)]);
 }
 
 #[test]
-fn room_is_not_made_where_a_task_would_not_start_for_its_image() {
+fn no_preemption_where_the_task_would_wait_for_other_images() {
     let mut host = machine(1);
-    host.images = vec![fetched(7, 30_000)];
+    host.images = vec![image_ready_in(7, 30_000)];
     host.running = vec![running(90_000)];
     let mut cluster = snapshot(vec![host], vec![job(1, 1, 30_000)]);
     cluster.jobs[0].priority = Priority::Production;
     cluster.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: None };
-    assert!(plan(&cluster).preemptions.is_empty(), "it waits for the machine that is on its way");
+    assert!(plan(&cluster).preemptions.is_empty(), "it waits for the booting machine");
     cluster.mean_boot_wait = MeanBootWait { ordinary_ms: None, spot_ms: None };
     assert_eq!(plan(&cluster).preemptions.len(), 1);
 }
 
 #[test]
-fn free_places_go_by_rank_before_they_go_by_factor() {
+fn free_slots_go_by_priority_before_penalty_factor() {
     // A task that was preempted for a service must not take its slot again because its image is
     // cached and the service's is not: it would be preempted again in each following pass.
-    let mut here = machine(1);
-    here.images = vec![];
+    let mut without_image = machine(1);
+    without_image.images = vec![];
     let mut cluster =
-        snapshot(vec![here], vec![job(1, 8, 1_000), job(2, 1, 30_000), job(3, 1, 60_000)]);
+        snapshot(vec![without_image], vec![job(1, 8, 1_000), job(2, 1, 30_000), job(3, 1, 60_000)]);
     cluster.machines.push(machine(8));
     cluster.machines[1].running =
         vec![RunningTask { priority: Priority::Production, ..running(9_000) }; 8];
@@ -257,38 +272,38 @@
 }
 
 #[test]
-fn a_task_for_which_room_is_made_does_not_go_elsewhere_meanwhile() {
+fn a_task_that_waits_for_preemption_is_not_placed_elsewhere() {
     // The image is cached on a machine that runs a task of lower priority; the free machine would
     // have to fetch it.
-    let mut here = machine(1);
-    here.running = vec![running(90_000)];
-    here.running[0].keeps_progress = true;
+    let mut with_image = machine(1);
+    with_image.running = vec![running(90_000)];
+    with_image.running[0].keeps_progress = true;
     let mut free = machine(1);
     free.images = vec![];
     let mut pending = job(1, 1, 30_000);
     pending.priority = Priority::Production;
-    let mut cluster = snapshot(vec![here, free], vec![pending]);
+    let mut cluster = snapshot(vec![with_image, free], vec![pending]);
     let decided = plan(&cluster);
     assert_eq!(
         (decided.preemptions.len(), decided.placements.len()),
         (1, 0),
-        "stopped for it, and it waits"
+        "another task is preempted for it, and it waits"
     );
     cluster.machines[0].running[0].is_stopping = true;
-    assert_eq!(plan(&cluster).placements, vec![], "still");
+    assert_eq!(plan(&cluster).placements, vec![], "it goes on waiting");
     cluster.machines[0].running.clear();
     assert_eq!(plan(&cluster).placements, vec![placed(0, 0)]);
 }
 
 #[test]
-fn a_job_that_can_still_be_in_time_goes_before_one_that_can_not() {
+fn a_job_that_can_meet_its_deadline_goes_before_one_that_can_not() {
     let mut cluster = snapshot(vec![machine(1)], vec![job(1, 1, 1_000), job(2, 1, 1_000)]);
     cluster.jobs[0].due_in_ms = vec![500];
     assert_eq!(plan(&cluster).placements, vec![placed(1, 0)]);
 }
 
 #[test]
-fn the_largest_that_is_late_is_not_passed_over_for_ever() {
+fn a_large_late_job_does_not_starve() {
     // A job with many tasks that can't meet its deadlines any more, behind jobs that can and jobs
     // of higher priority.
     let mut late = job(1, 1, 60_000);
@@ -298,28 +313,31 @@
     higher.priority = Priority::High;
     higher.waiting_tasks = 100;
     let mut cluster = snapshot(vec![machine(8)], vec![late, higher, job(3, 1, 1_000)]);
-    assert!(plan(&cluster).placements.iter().all(|place| place.job != 0), "late, and lower");
+    assert!(
+        plan(&cluster).placements.iter().all(|placed| placed.job != 0),
+        "it is late and of lower priority"
+    );
     cluster.jobs[0].waited_ms = STARVING_MS;
-    let places = plan(&cluster).placements;
-    let of = |pending: usize| places.iter().filter(|place| place.job == pending).count();
-    assert_eq!((of(0), of(1)), (2, 6), "a part of the places, not all of them");
+    let placements = plan(&cluster).placements;
+    let tasks_of = |job: usize| placements.iter().filter(|placed| placed.job == job).count();
+    assert_eq!((tasks_of(0), tasks_of(1)), (2, 6), "a part of the slots, not all of them");
     cluster.jobs[0].has_started = true;
-    assert!(plan(&cluster).placements.iter().all(|place| place.job != 0), "it has begun");
+    assert!(plan(&cluster).placements.iter().all(|placed| placed.job != 0), "it has started");
     cluster.jobs[0].waited_ms = STARVING_STARTED_MS;
     assert!(
-        plan(&cluster).placements.iter().any(|place| place.job == 0),
-        "and goes on after a while"
+        plan(&cluster).placements.iter().any(|placed| placed.job == 0),
+        "it is starving again after a longer wait"
     );
 }
 
 #[test]
-fn shares_grow_for_the_head_by_what_others_leave_unused() {
+fn the_share_of_the_head_grows_by_what_others_leave_unused() {
     let mut cluster = snapshot(vec![machine(10)], vec![job(1, 3, 1_000)]);
     cluster.teams = vec![TeamView::default(), TeamView::default()];
     cluster.teams[0].used = gpus(4);
     cluster.teams[1].used = gpus(2);
     let shares = move_shares(&cluster, vec![]);
-    assert_eq!(shares, vec![700, 300], "half each, and 200 moved for the head");
+    assert_eq!(shares, vec![700, 300], "half each, and 200 moved to the team of the head");
     cluster.teams[1].used = gpus(5);
     assert_eq!(move_shares(&cluster, vec![500, 500]), vec![500, 500], "nothing is unused");
 }
@@ -328,8 +346,9 @@
 const ZONES: usize = 2;
 
 fn random_priority(rng: &mut SmallRng) -> Priority {
-    let ranks = [Priority::Production, Priority::High, Priority::Standard, Priority::BestEffort];
-    ranks[rng.random_range(0..ranks.len())]
+    let priorities =
+        [Priority::Production, Priority::High, Priority::Standard, Priority::BestEffort];
+    priorities[rng.random_range(0..priorities.len())]
 }
 
 fn random_running_task(rng: &mut SmallRng, handle: usize) -> RunningTask {
@@ -350,7 +369,8 @@
     view.zone = rng.random_range(0..ZONES);
     view.spot = rng.random_bool(0.3);
     view.free_task_slots = rng.random_range(0..5);
-    view.images = (0..3).map(|image| fetched(image, rng.random_range(0..2) * 7_000)).collect();
+    view.images =
+        (0..3).map(|image| image_ready_in(image, rng.random_range(0..2) * 7_000)).collect();
     view.images.retain(|_| rng.random_bool(0.5));
     for handle in 0..rng.random_range(0..=view.total.gpu / 1_000) {
         view.running.push(random_running_task(rng, handle as usize));
@@ -399,25 +419,25 @@
 }
 
 #[test]
-fn every_choice_on_random_snapshots_is_that_of_the_reference() {
+fn every_choice_on_random_snapshots_equals_that_of_the_reference() {
     // Each choice of an allocation is compared where it is made, see `reference`.
     let mut rng = SmallRng::seed_from_u64(11);
-    let (mut places, mut halts, mut reservations, mut waits) = (0, 0, 0, 0);
+    let (mut placements, mut preemptions, mut reservations, mut expected_starts) = (0, 0, 0, 0);
     for _ in 0..8_000 {
         let plan = plan(&random_snapshot(&mut rng));
-        places += plan.placements.len();
-        halts += plan.preemptions.len();
+        placements += plan.placements.len();
+        preemptions += plan.preemptions.len();
         reservations += usize::from(plan.reservation.is_some());
-        waits += plan.expected_wait_ms.iter().map(Vec::len).sum::<usize>();
+        expected_starts += plan.expected_wait_ms.iter().map(Vec::len).sum::<usize>();
     }
-    assert!(places > 10_000, "{places} places");
-    assert!(halts > 1_000, "{halts} tasks stopped");
+    assert!(placements > 10_000, "{placements} placements");
+    assert!(preemptions > 1_000, "{preemptions} preemptions");
     assert!(reservations > 1_000, "{reservations} reservations");
-    assert!(waits > 5_000, "{waits} tasks that wait for a place");
+    assert!(expected_starts > 5_000, "{expected_starts} tasks with an expected start");
 }
 
 #[test]
-fn the_tasks_of_a_job_are_placed_without_looking_at_every_machine_for_each() {
+fn placing_the_tasks_of_a_job_does_not_examine_every_machine_for_each() {
     const MACHINES: usize = 200;
     let mut wide = job(1, 1, 30_000);
     wide.waiting_tasks = 60;
@@ -426,7 +446,7 @@
     assert_eq!(decided.placements.len(), 60);
     assert!(
         decided.candidates_examined < MACHINES as u64 + 2 * 60,
-        "{} places",
+        "{} candidates examined",
         decided.candidates_examined
     );
     // All machines are occupied: each of the tasks waits for a different slot.
@@ -438,7 +458,7 @@
     assert!(decided.expected_wait_ms[0].len() > 50);
     assert!(
         decided.candidates_examined < 3 * MACHINES as u64 + 4 * 60,
-        "{} places",
+        "{} candidates examined",
         decided.candidates_examined
     );
 }
