--- a/src/coordination/planner/deadline_triage.rs
+++ b/src/coordination/planner/deadline_triage.rs
@@ -45,8 +45,9 @@
 }
 
 impl Triage<'_> {
-    /// Schedules the candidates, each with the deadline of index `level` in its `due_in_ms`. Records in `missed` which
-    /// of them meet it, and returns those that don't, in their original order.
+    /// Schedules the candidates, each with the deadline of index `level` in its `due_in_ms`.
+    /// Records in `missed` which of them meet it, and returns those that don't, in their original
+    /// order.
     fn schedule_level(
         &mut self,
         level: usize,
