--- a/src/coordination/transactions/builder.rs
+++ b/src/coordination/transactions/builder.rs
@@ -1,45 +1,46 @@
-//! A transaction that is being packed, within the limits of the state service.
+//! Builds one transaction within the size limits of the state service.
 
 use crate::constants::{COMMIT_BYTES, COMMIT_FRAME_BYTES};
 use crate::protocol::state::{Condition, Mutation, Transaction};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// What a transaction is for, ahead of everything else.
+/// Which changes a transaction may contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TransactionScope {
-    /// Nothing in particular.
+    /// All kinds of changes, the most urgent first.
     Everything,
-    /// Dividing a group that is too large.
+    /// The split of a placement group that exceeds the value size limit, and urgent changes.
     DivideGroup,
-    /// Storing a gang that did not fit beside other changes.
+    /// A gang that did not fit beside other changes.
     StoreGang,
 }
 
-/// A transaction that is being packed.
+/// A transaction under construction.
 pub(super) struct TransactionBuilder {
-    /// Revision that each key must have.
+    /// Revision that each key must still have when the transaction is applied.
     pub(super) conditions: BTreeMap<String, u64>,
-    /// Changes so far.
+    /// Writes added so far.
     pub(super) writes: Vec<Mutation>,
-    /// Bytes of their values.
+    /// Total bytes of the values written.
     pub(super) bytes: usize,
-    /// Changes at the most.
+    /// Maximum number of writes.
     pub(super) writes_max: usize,
-    /// Conditions at the most.
+    /// Maximum number of conditions.
     pub(super) conditions_max: usize,
-    /// Bytes of one value at the most.
+    /// Maximum bytes of one value.
     pub(super) value_bytes_max: usize,
 }
 
 impl TransactionBuilder {
-    /// Whether so many more changes and conditions fit.
+    /// Whether this many more writes and conditions fit.
     pub(super) fn has_room(&self, writes: usize, conditions: usize) -> bool {
         self.writes.len() + writes <= self.writes_max
             && self.conditions.len() + conditions <= self.conditions_max
     }
 
-    /// Adds a write that depends on the key's revision; false if it does not fit.
+    /// Adds a write that requires the key to have `mod_revision`; returns false and adds nothing if
+    /// it does not fit.
     pub(super) fn put(&mut self, key: String, value: Box<RawValue>, mod_revision: u64) -> bool {
         let bytes = value.get().len();
         let fits = bytes <= self.value_bytes_max
@@ -53,13 +54,12 @@
         fits
     }
 
-    /// Removes a key that has this revision.
+    /// Adds the removal of a key, which must have `mod_revision`.
     pub(super) fn remove(&mut self, key: String, mod_revision: u64) {
         self.conditions.insert(key.clone(), mod_revision);
         self.writes.push(Mutation::Remove { key });
     }
 
-    /// The transaction.
     pub(super) fn build(self) -> Transaction {
         let conditions = self.conditions.into_iter();
         let conditions =
--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -1,4 +1,4 @@
-//! Bitmaps of done tasks, which stand in groups of one key each.
+//! Writes of the done-task bitmaps. Chunks of bitmaps are stored in groups, each group under one key.
 
 use super::builder::TransactionBuilder;
 use super::pending::PendingTransaction;
@@ -8,11 +8,11 @@
 use crate::storage::done_tasks_group::DoneTasksGroup;
 use crate::storage::records::{chunk_name, done_tasks_key, DoneTasksRecord, JobId};
 
-/// A chunk of a job's bitmap, with the bytes that it takes at the most.
+/// A chunk of a job's bitmap and the maximum bytes that it takes in a stored group.
 type SizedChunk = ((JobId, u32), usize);
 
 impl ClusterState {
-    /// Bitmaps that changed, as far as they fit beside `writes_kept` other writes.
+    /// Adds the groups with changed bitmaps, as many as fit while `writes_kept` writes stay free.
     pub(super) fn pack_done_tasks(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Gives every changed chunk a group, and marks the groups as changed.
+    /// Assigns every changed chunk to a group and marks those groups as dirty.
     fn mark_groups_of_changed_chunks(&mut self, pending: &PendingTransaction, bytes_max: usize) {
         let changed_chunks: Vec<(JobId, u32)> = self
             .queue
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Puts a chunk into the first group with room for it, or into a new one.
+    /// Assigns a chunk to the first group with room for it, or to a new group.
     fn assign_done_group(
         &mut self,
         uid: &JobId,
@@ -72,11 +72,12 @@
         number
     }
 
+    /// The lowest number that no group has.
     fn unused_done_group(&self) -> u32 {
         (0..).find(|number| !self.done_groups.contains_key(number)).unwrap_or(0)
     }
 
-    /// Writes one group of bitmaps; false if it does not fit.
+    /// Adds the write of one group; returns false if it does not fit.
     fn pack_done_group(
         &mut self,
         number: u32,
@@ -104,9 +105,10 @@
         true
     }
 
-    /// Makes a group of bitmaps fit into a value if it was written when values might be larger: chunks
-    /// go to groups of their own, which this transaction writes too. A chunk that stands in two groups is
-    /// read from both, so the parts are written before the rest. False if the transaction has no room.
+    /// Splits a group that exceeds the value size limit because it was written under a higher one.
+    /// The excess chunks move to new groups, which this transaction also writes. The new groups are
+    /// packed first, so that no chunk is removed from the old group before its new one is written; a
+    /// chunk that is stored in both is read from both. Returns false if the transaction has no room.
     fn divide_done_group(
         &mut self,
         number: u32,
@@ -120,7 +122,10 @@
         if !builder.has_room(parts.len() + 1, parts.len() + 1) {
             return false;
         }
-        log::info!("group {number} of bitmaps: divided into {}", parts.len() + 1);
+        log::info!(
+            "splitting done-task group {number} into {} groups: it exceeds the value size limit",
+            parts.len() + 1
+        );
         for part in parts {
             let target = self.unused_done_group();
             self.move_chunks(number, target, part);
@@ -146,8 +151,8 @@
     }
 }
 
-/// What has to leave a group so that it takes no more than `bytes_max`, in parts that take no more
-/// either.
+/// The chunks that must leave a group so that it takes at most `bytes_max`, divided into parts that
+/// each take at most `bytes_max`.
 fn parts_to_move(group: &DoneTasksGroup, bytes_max: usize) -> Vec<Vec<SizedChunk>> {
     let mut parts: Vec<Vec<SizedChunk>> = Vec::new();
     let mut bytes_kept = 0;
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -1,5 +1,5 @@
-//! What is written only with writes to spare: hints for a new leader, and removal of keys that
-//! nobody needs.
+//! Low-priority changes, written only when the write budget is not short: hints for the next leader,
+//! and the removal of keys that are no longer needed.
 
 use super::builder::TransactionBuilder;
 use super::pending::PendingTransaction;
@@ -13,7 +13,8 @@
 use crate::storage::replica::Replica;
 
 impl Controller {
-    /// Catalogue, shares, images on machines, and keys that nobody needs any more.
+    /// Adds the machine type catalog, the teams' shares, the images on machines and removals of
+    /// stale keys, as far as they fit.
     pub(super) fn pack_housekeeping(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Looks for batches whose jobs are all over, with nothing left on machines.
+    /// Finds submission batches that are stale: each of their jobs has ended and has no tasks left
+    /// on machines.
     fn find_stale_keys(&mut self, replica: &Replica, now: u64) {
         if now < self.transactions.stale_keys_at || !self.cluster.stale_keys.is_empty() {
             return;
@@ -113,7 +115,7 @@
     }
 }
 
-/// Whether two catalogues name the same machine types, in the same order.
+/// Whether two catalogs name the same machine types in the same order.
 fn names_same_types(stored: &Catalog, current: &Catalog) -> bool {
     let stored_names = stored.machine_types.iter().map(|machine_type| &machine_type.type_name);
     let names = current.machine_types.iter().map(|machine_type| &machine_type.type_name);
--- a/src/coordination/transactions/images.rs
+++ b/src/coordination/transactions/images.rs
@@ -1,19 +1,19 @@
-//! The images on machines, which a new leader takes for hints until the machines report.
+//! Records of the images on each machine, which a new leader uses as hints until the machines report.
 
 use crate::constants::GROUP_FRAME_BYTES;
 use crate::storage::cluster::ClusterState;
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::ImagesRecord;
 
-/// Bytes that an image takes in a record beside its name: its size, quotes and brackets.
+/// Bytes that an image takes in a record in addition to its name: its size, quotes and brackets.
 const IMAGE_FRAME_BYTES: usize = 24;
-/// Bytes that a machine takes beside its name: quotes, colon and brackets.
+/// Bytes that a machine takes in a record in addition to its name: quotes, colon and brackets.
 const MACHINE_FRAME_BYTES: usize = 8;
-/// Bytes of an image's index in the list of a machine, with its comma.
+/// Bytes of an image's index in a machine's list, including its comma.
 const INDEX_BYTES: usize = 5;
 
 impl ClusterState {
-    /// The images on machines, in parts that fit into a value each.
+    /// The images on all machines, divided into records that each fit into one stored value.
     pub(super) fn image_records(&self, value_bytes_max: usize) -> Vec<ImagesRecord> {
         let mut parts: Vec<ImagesRecord> = Vec::new();
         let mut bytes = value_bytes_max;
@@ -35,7 +35,8 @@
     }
 }
 
-/// Adds a machine; each image is named once a part. Gives the bytes of the names that were added.
+/// Adds a machine to a record, which names each image once and refers to it by index. Returns the
+/// bytes that newly named images take.
 fn add_machine(part: &mut ImagesRecord, machine: &Machine) -> usize {
     let mut bytes = 0;
     let mut indices = Vec::new();
--- a/src/coordination/transactions/mod.rs
+++ b/src/coordination/transactions/mod.rs
@@ -1,14 +1,19 @@
-//! The leader's transactions: starts, settlements, done tasks and ends of jobs, packed together.
+//! The leader's write-ahead transactions, which combine starts of placements, removals of settled ones,
+//! done tasks and job ends into as few commits as possible. A placement is settled once there is proof
+//! that its task no longer runs on the machine.
 //!
-//! Placements live in groups, one key each, that hold hundreds of them for any machines and
-//! jobs. What starts goes where most has ended, so that one write both settles and starts;
-//! the state service takes a few writes a second, and tasks start and end far faster.
-//! One transaction is under way at a time. Each depends on the revision of the leader key, of every
-//! key that it writes, and on every job that it starts not having ended.
+//! The state service accepts a few writes per second, while tasks start and end much faster.
+//! Placements are therefore stored in groups: one key holds hundreds of placements of any machines
+//! and jobs. New placements go to the groups with the most free space, so that the same write
+//! removes settled placements and adds new ones.
 //!
-//! [`Transactions`] owns the transaction under way and when each kind of record is written next;
-//! [`packing`] decides what goes into the next one, [`placements`], [`done_tasks`], [`images`] and [`housekeeping`] add
-//! their records, [`outcome`] sends it and applies its answer.
+//! At most one transaction is pending at a time. Each is conditional, a compare-and-swap on all of
+//! its keys: it is applied only if the leader key still has the revision of this term, every key
+//! that it writes has the revision last known, and no job that it starts has an end record.
+//!
+//! [`Transactions`] owns the pending transaction and the time at which each kind of record is next
+//! written. [`packing`] decides what goes into the next transaction; [`placements`], [`done_tasks`],
+//! [`images`] and [`housekeeping`] add their records; [`outcome`] sends it and handles the response.
 
 mod builder;
 mod done_tasks;
@@ -23,21 +28,23 @@
 use crate::storage::token_bucket::TokenBucket;
 use pending::PendingTransaction;
 
-/// The leader's transactions of one term.
+/// The pending transaction of a term, and the schedule of the next ones.
 #[derive(Debug)]
 pub(super) struct Transactions {
+    /// The transaction that is being sent or whose outcome is not yet known.
     pending: Option<PendingTransaction>,
-    /// The last one was there to divide a group that is too large.
+    /// Whether the last transaction was limited to the split of an oversized group.
     divided_last: bool,
-    /// When done tasks are written next without anything urgent.
+    /// When the next periodic transaction is due, which writes done tasks and other changes that are
+    /// not urgent.
     done_tasks_at: u64,
-    /// When the images on machines are written next.
+    /// When the image records are next written.
     images_at: u64,
-    /// When keys that nobody needs are looked for next.
+    /// When the next scan for stale keys is due.
     stale_keys_at: u64,
-    /// The teams' shares are in the store as they are.
+    /// Whether the store has the teams' current shares.
     shares_written: bool,
-    /// The catalogue's machine types are in the store.
+    /// Whether the store has the machine types of the current catalog.
     catalog_written: bool,
 }
 
@@ -54,17 +61,19 @@
         }
     }
 
-    /// Whether one is under way whose answer tells what it did.
+    /// Whether a transaction is pending and every earlier copy of it was answered, so that its
+    /// response will tell the outcome.
     pub(super) fn is_pending(&self) -> bool {
         self.pending.as_ref().is_some_and(|pending| !pending.outcome_unknown)
     }
 
-    /// The teams' shares have changed.
+    /// Notes that the teams' shares have changed and must be written again.
     pub(super) fn note_shares_changed(&mut self) {
         self.shares_written = false;
     }
 
-    /// When the next one can be sent: none if nothing waits, or if only an answer is waited for.
+    /// The earliest time to send the next transaction; `None` if there is nothing to store or the
+    /// pending one only awaits a response or a read.
     pub(super) fn next_wake(&self, has_proposals: bool, writes: &TokenBucket) -> Option<u64> {
         match &self.pending {
             Some(pending) if pending.in_flight || pending.awaiting_read_since.is_some() => None,
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -1,7 +1,8 @@
-//! Sending the transaction under way, and what becomes of it.
+//! Sends the pending transaction and handles its outcome.
 //!
-//! A transaction with no answer is sent again as it was until it is answered. After a refusal a fresh read
-//! tells whether an earlier copy was applied. The leader's state changes only once that is known.
+//! A transaction without a response is sent again unchanged until there is one. After a conflict, a
+//! fresh read shows whether an earlier copy was applied. The leader's state changes only once the
+//! outcome is known.
 
 use super::pending::{PendingTransaction, PlacementEntry};
 use crate::constants::STATE_RETRY_BACKOFF_MS;
@@ -17,7 +18,7 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Sends the transaction under way as soon as there are writes for it.
+    /// Sends the pending transaction if the write budget allows it.
     pub(super) fn send_transaction(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -38,7 +39,7 @@
         reply: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
-        // An answer to a transaction of an earlier term of ours says nothing about this one's.
+        // A response to a transaction of an earlier term says nothing about the one pending now.
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.term == term) else {
             return;
         };
@@ -52,7 +53,8 @@
                 }
             }
             Some(Response { status: 409, body }) => self.on_transaction_conflict(&body),
-            // Not executed: if no earlier copy can have been, it is built anew.
+            // This copy was not executed. Unless an earlier copy may have been, a new transaction is
+            // built.
             Some(Response { status: 429 | 503, .. }) => {
                 pending.not_before = now + STATE_RETRY_BACKOFF_MS;
                 if !pending.outcome_unknown {
@@ -77,10 +79,10 @@
         self.apply_pending_transaction(revision);
     }
 
-    /// A condition did not hold: another copy was applied, or somebody else has changed a key.
+    /// A condition failed: either an earlier copy was applied, or another process changed a key.
     fn on_transaction_conflict(&mut self, body: &[u8]) {
         let failed_keys = TransactionConflict::failed_keys(body);
-        log::debug!("commit refused: {failed_keys:?}");
+        log::debug!("transaction conflict: conditions failed on {failed_keys:?}");
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         let Some(pending) = leader.transactions.pending.as_mut() else { return };
@@ -92,10 +94,13 @@
         self.request_leader_read();
     }
 
-    /// The state service takes it for malformed, or answers what it should not.
+    /// The state service rejected the transaction as malformed or answered with an unexpected status.
     fn on_transaction_rejected(&mut self, response: &Response) {
         let Response { status, body } = response;
-        log::error!("commit answered {status}: {}", String::from_utf8_lossy(body));
+        log::error!(
+            "transaction rejected: the state service answered {status}: {}",
+            String::from_utf8_lossy(body)
+        );
         let is_malformed = *status == 400;
         if is_malformed {
             self.store.halve_size_limits();
@@ -103,24 +108,25 @@
         let Some(leader) = &self.leader else { return };
         let pending = leader.transactions.pending.as_ref();
         match pending.is_some_and(|pending| pending.outcome_unknown) {
-            // Sent again it would be refused for ever, and built anew it might be stored
-            // twice. A new term settles that: earlier copies depend on this one's key.
+            // Sending it again would fail forever, and a rebuilt one might store its changes twice.
+            // A new term resolves this: earlier copies depend on the leader key's revision of this
+            // term, so none can be applied later.
             true if is_malformed => {
-                self.step_down("a commit that may be stored is too large by now");
+                self.step_down("a transaction of unknown outcome exceeds the size limits");
             }
             true => {}
             false => self.discard_pending_transaction(),
         }
     }
 
-    /// A refused transaction, after a fresh read begun at `begun`: applied by an earlier copy, or
-    /// not at all.
+    /// Resolves a conflict after a fresh read that began at `begun`: an earlier copy was applied, or
+    /// none was.
     pub(in crate::coordination) fn resolve_unknown_outcome(&mut self, begun: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
         let Some(pending) = leader.transactions.pending.as_mut() else { return };
         let Some(since) = pending.awaiting_read_since else { return };
         if begun < since {
-            // A read from before the refusal can't tell.
+            // A read that began before the conflict may not show its cause.
             return self.request_leader_read();
         }
         pending.awaiting_read_since = None;
@@ -134,12 +140,13 @@
         let was_refused_for_nothing = pending.conditions_hold(replica);
         self.discard_pending_transaction();
         if was_refused_for_nothing {
-            // The copy holds what the store denies: one of them is wrong.
+            // Every condition holds in the replica, yet the store reported a conflict: they differ.
             self.suspect_data_loss(None);
         }
     }
 
-    /// The transaction was not applied and never will be: all of it is to be written again.
+    /// Drops the pending transaction, which was not applied and never will be, and restores its
+    /// changes so that a later transaction writes them.
     fn discard_pending_transaction(&mut self) {
         let replica = self.store.replica();
         let Some(leader) = self.leader.as_mut() else { return };
@@ -151,7 +158,7 @@
         self.check_term();
     }
 
-    /// The transaction was applied with this revision.
+    /// The pending transaction was applied at `revision`: updates the leader's state and the replica.
     fn apply_pending_transaction(&mut self, revision: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
         let Some(pending) = leader.transactions.pending.take() else { return };
@@ -161,14 +168,15 @@
 }
 
 impl PendingTransaction {
-    /// Whether all conditions hold as far as the replica tells.
+    /// Whether all conditions hold in the replica.
     fn conditions_hold(&self, replica: &Replica) -> bool {
         let holds =
             |condition: &Condition| replica.mod_revision(&condition.key) == condition.mod_revision;
         self.transaction.conditions.iter().all(holds)
     }
 
-    /// The revision with which it was applied, if it was. All or nothing: one written key tells.
+    /// The revision at which it was applied, if it was. A transaction is atomic, so any one of the
+    /// written keys shows it.
     fn applied_at(&self, replica: &Replica) -> Option<u64> {
         self.transaction.writes.iter().find_map(|mutation| {
             let Mutation::Put { key, value, .. } = mutation else {
@@ -197,7 +205,7 @@
     fn restore_proposals(&mut self, pending: &PendingTransaction) {
         for entry in &pending.additions {
             if self.is_on_machine(entry) {
-                // On the machine whatever the store says: it must be recorded.
+                // An adopted task: it already runs on the machine, so its placement must be recorded.
                 let proposal = (entry.machine.clone(), entry.attempt.task.clone());
                 self.cluster.proposals.push_back(proposal);
             } else {
@@ -222,8 +230,8 @@
         })
     }
 
-    /// Revisions of keys that changed under us are taken from the replica. Only our own
-    /// earlier transactions and users' requests write, so nothing is lost by that.
+    /// Takes the revisions of keys that have changed from the replica. Only this leader's earlier
+    /// transactions and users' requests write while the term lasts, so no change is overwritten.
     fn restore_groups(&mut self, pending: &PendingTransaction, replica: &Replica) {
         for number in &pending.groups {
             if let Some(group) = self.cluster.groups.get_mut(number) {
@@ -237,7 +245,7 @@
             }
         }
         for stale in &pending.stale_keys {
-            // Only what is still as it was: it may have come into use again.
+            // A key that has changed since the scan may be in use again.
             let is_unchanged = replica.mod_revision(&stale.key) == stale.mod_revision;
             if is_unchanged && stale.mod_revision != 0 {
                 self.cluster.stale_keys.push(stale.clone());
@@ -245,7 +253,7 @@
         }
     }
 
-    /// Takes over into the state of the cluster what a transaction has stored; gives the transaction.
+    /// Applies the changes of a committed transaction to the cluster state; returns the transaction.
     fn apply(&mut self, pending: PendingTransaction, revision: u64, now: u64) -> Transaction {
         let cluster = &mut self.cluster;
         for number in &pending.groups {
@@ -255,7 +263,7 @@
             cluster.done_groups.entry(*number).or_default().mod_revision = revision;
         }
         for uid in &pending.finished_jobs {
-            log::debug!("{uid}: done");
+            log::debug!("job completed: {uid}");
             cluster.end_job(uid, JobStage::Done);
         }
         cluster.apply_moves(pending.moves);
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -1,4 +1,4 @@
-//! What goes into the next transaction, the most urgent first.
+//! Decides when the next transaction is due and what goes into it, the most urgent changes first.
 
 use super::builder::{TransactionBuilder, TransactionScope};
 use super::pending::PendingTransaction;
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// Sends the transaction under way again, or packs and sends the next one.
+    /// Retries the pending transaction if that is due; with none pending, packs and sends the next.
     pub(in crate::coordination) fn transactions_due(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -21,7 +21,7 @@
             }
             return;
         }
-        // What was never stored needs no transaction to be over.
+        // A placement that was never stored needs no write when it ends.
         if leader.cluster.drop_unstored_settlements() {
             leader.plan_soon(now);
         }
@@ -37,7 +37,8 @@
         }
     }
 
-    /// The writes that a transaction may have now; none if it should wait for more.
+    /// The number of writes that a transaction may have now; `None` if it has to wait until the write
+    /// budget allows more.
     fn writes_for(&mut self, scope: TransactionScope) -> Option<usize> {
         let writes_left = self.store.writes_left(self.now.monotonic_ms) - WRITE_RESERVE;
         let available = writes_left.max(0.0) as usize;
@@ -50,7 +51,7 @@
         (available >= needed).then_some(available.min(writes_max))
     }
 
-    /// Packs what is to be written into one transaction.
+    /// Packs the next transaction and makes it the pending one, unless there is nothing to write.
     fn pack_transaction(&mut self, is_periodic: bool, scope: TransactionScope, writes_max: usize) {
         let now = self.now.monotonic_ms;
         let limits = self.store.limits();
@@ -67,7 +68,7 @@
         let mut pending = PendingTransaction::default();
         let has_starts = !leader.cluster.proposals.is_empty();
         if scope == TransactionScope::Everything {
-            // Users wait for ends of jobs, but starts go along.
+            // Job ends come first because users wait for them, but starts keep half of the writes.
             let ends_max = if has_starts { writes_max.div_ceil(2) } else { writes_max };
             leader.cluster.pack_job_ends(&mut builder, &mut pending, ends_max);
         }
@@ -77,7 +78,7 @@
             leader.cluster.pack_done_tasks(&mut builder, &mut pending, usize::from(has_starts));
         }
         leader.cluster.pack_placements(&mut builder, &mut pending, is_periodic, scope);
-        // Hints and tidying up only with writes to spare.
+        // Hints and removals must not take writes that more urgent changes need.
         if with_rest && !self.store.writes_are_short(now) {
             self.pack_housekeeping(&mut builder, &mut pending);
         }
@@ -93,9 +94,9 @@
 }
 
 impl Leader {
-    /// Every second transaction divides until no group is too large. Such a transaction, and one for a gang
-    /// that did not fit beside other changes, holds nothing else that can wait, and waits itself for
-    /// as many writes as a transaction may have.
+    /// The scope of the next transaction. Every second one splits a placement group until none is
+    /// oversized; the others may store a gang that did not fit beside other changes. Both leave out
+    /// whatever can wait, and are packed only once the write budget allows a transaction of full size.
     fn next_scope(&self, value_bytes: usize) -> TransactionScope {
         if self.cluster.has_oversized_group(value_bytes) && !self.transactions.divided_last {
             TransactionScope::DivideGroup
@@ -108,14 +109,14 @@
 }
 
 impl ClusterState {
-    /// Whether anything waits that should not wait for the next periodic transaction.
+    /// Whether there are changes that must not wait for the next periodic transaction.
     fn has_urgent_changes(&self) -> bool {
         !self.proposals.is_empty()
             || !self.completed_jobs.is_empty()
             || self.groups.values().any(|group| group.urgent)
     }
 
-    /// Ends of jobs whose tasks are all done, as far as they fit into `writes_max` writes.
+    /// Adds the end records of jobs whose tasks are all done, as many as `writes_max` allows.
     fn pack_job_ends(
         &self,
         builder: &mut TransactionBuilder,
--- a/src/coordination/transactions/placements/group_fill.rs
+++ b/src/coordination/transactions/placements/group_fill.rs
@@ -1,40 +1,40 @@
-//! Which groups of placements a transaction writes, and how full each will be.
+//! Chooses the placement groups that a transaction writes and tracks how full each will be.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The groups that a transaction writes, and how full each group will be.
+/// The placement groups that a transaction writes, and how full each group will be.
 #[derive(Debug, Clone)]
 pub(super) struct GroupFill {
-    /// Bytes of every group once what may be taken out of it is.
+    /// Bytes of every group, without the settled placements that can be removed from it.
     pub(super) bytes: BTreeMap<u32, usize>,
-    /// Groups that are written.
+    /// Groups that the transaction writes.
     pub(super) chosen: BTreeSet<u32>,
-    /// Groups that may be written at the most.
+    /// Maximum number of groups written.
     pub(super) groups_max: usize,
-    /// Bytes of a group at the most.
+    /// Maximum bytes of one group.
     pub(super) bytes_max: usize,
 }
 
 impl GroupFill {
-    /// Whether there is room for so many bytes in a group.
+    /// Whether a group has room for `bytes` more.
     fn has_room(&self, group: u32, bytes: usize) -> bool {
         self.bytes.get(&group).is_some_and(|used| used + bytes <= self.bytes_max)
     }
 
-    /// Whether a group holds more than a value may by now.
+    /// Whether a group exceeds the current value size limit.
     pub(super) fn is_oversized(&self, group: u32) -> bool {
         self.bytes.get(&group).is_some_and(|used| *used > self.bytes_max)
     }
 
-    /// Writes a group if that is not one too many.
+    /// Chooses a group to be written, unless the maximum number is already chosen.
     pub(super) fn choose(&mut self, group: u32) {
         if self.chosen.len() < self.groups_max {
             self.chosen.insert(group);
         }
     }
 
-    /// Takes room for one placement: in a group that is written anyway, else in the emptiest, else
-    /// in a new one.
+    /// Reserves room for one placement and returns its group: one that is already chosen, else the
+    /// emptiest, else a new one. `None` if there is no room.
     pub(super) fn add(&mut self, bytes: usize) -> Option<u32> {
         if bytes > self.bytes_max {
             return None;
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -1,9 +1,10 @@
-//! Placements in a transaction: what starts, what is taken out, and groups that have to be divided.
+//! Writes of placement groups: starts, removals of settled placements, and splits of oversized groups.
 //!
-//! Placements stand in groups, one key each. What starts goes to the groups where most room is or has
-//! fallen free, those first whose settlements are urgent. The placements of a gang's attempt go into
-//! one transaction together or wait together. A group that is larger than a value may be by now, because
-//! it was written under higher limits, is divided by one transaction.
+//! Placements are stored in groups, each group under one key. Starts go to groups that are written
+//! anyway, first those with urgent settlements, and then to those with the most free space. The
+//! placements of a gang's attempt are committed in one transaction or all deferred. A group that
+//! exceeds the value size limit, because it was written under a higher one, is split by a single
+//! transaction.
 
 mod group_fill;
 mod starts;
@@ -21,10 +22,10 @@
 use group_fill::GroupFill;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Settled placements that may be taken out, by group.
+/// Settled placements that may be removed, by group.
 type RemovableByGroup = BTreeMap<u32, Vec<PlacementEntry>>;
 
-/// Attempts that leave a group.
+/// The attempts of these entries.
 fn attempts_of<'a>(
     entries: impl IntoIterator<Item = &'a PlacementEntry>,
 ) -> BTreeSet<&'a AttemptId> {
@@ -32,12 +33,13 @@
 }
 
 impl ClusterState {
-    /// Whether any group holds more than a value may by now.
+    /// Whether any placement group exceeds the current value size limit.
     pub(super) fn has_oversized_group(&self, value_bytes: usize) -> bool {
         self.groups.values().any(|group| group.bytes + GROUP_FRAME_BYTES > value_bytes)
     }
 
-    /// Starts and settlements.
+    /// Adds the placement groups that change: with starts, removals of settled placements, or moves
+    /// between groups.
     pub(super) fn pack_placements(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -66,7 +68,10 @@
                 pending.removals.extend(removals);
                 continue;
             }
-            log::error!("group {number} does not fit into the commit");
+            log::error!(
+                "placement group left out: group {number} does not fit into the transaction; \
+                 its starts remain proposed"
+            );
             for entry in additions.extract_if(.., |entry| entry.group == number) {
                 self.proposals.push_back((entry.machine, entry.attempt.task));
             }
@@ -83,7 +88,8 @@
         self.jobs.get(uid).is_some_and(|job| job.is_live())
     }
 
-    /// Whether a settled placement may be taken out of the store: what it did must be there.
+    /// Whether a settled placement may be removed from the store. If its task is done, the done bit
+    /// or the end of the job must be stored first or by the same transaction.
     fn may_be_removed(
         &self,
         machine: &MachineName,
@@ -145,8 +151,8 @@
         }
     }
 
-    /// Divides one group that is larger than a value may be, if the transaction can hold all its parts:
-    /// an urgent one if there is any.
+    /// Splits one oversized group, preferably an urgent one, if the transaction can hold all of its
+    /// parts.
     fn divide_one_group(
         &self,
         fill: &mut GroupFill,
@@ -159,7 +165,7 @@
         let leaving = attempts_of(removable.get(number).into_iter().flatten());
         let mut divided = fill.clone();
         divided.chosen.insert(*number);
-        // Nothing is added to the group itself.
+        // Marks the group as full, so that nothing is added to it.
         divided.bytes.insert(*number, divided.bytes_max);
         let mut bytes_kept = 0;
         let mut moves = Vec::new();
@@ -180,12 +186,16 @@
             };
             moves.push(PlacementMove { from: *number, entry });
         }
-        log::info!("group {number}: divided, {} placements move", moves.len());
+        log::info!(
+            "splitting placement group {number}: {} placements move to other groups",
+            moves.len()
+        );
         *fill = divided;
         pending.moves = moves;
     }
 
-    /// Writes one group with what stays, what is added and what moves; false if it does not fit.
+    /// Adds the write of one group: placements that stay, are added or move in. Returns false if it
+    /// does not fit.
     fn pack_group(
         &mut self,
         number: u32,
@@ -212,7 +222,8 @@
         true
     }
 
-    /// Notes that placements were moved to other groups, with what was settled of them meanwhile.
+    /// Applies committed moves to the groups. A placement that was settled while the transaction was
+    /// pending stays settled in its new group.
     pub(super) fn apply_moves(&mut self, moves: Vec<PlacementMove>) {
         for PlacementMove { from, entry } in moves {
             let Some(source) = self.groups.get_mut(&from) else { continue };
@@ -230,7 +241,7 @@
         }
     }
 
-    /// A settled placement was taken out of its group.
+    /// Applies the committed removal of a settled placement.
     pub(super) fn apply_removal(&mut self, entry: &PlacementEntry) {
         if let Some(group) = self.groups.get_mut(&entry.group) {
             group.remove(&entry.attempt);
@@ -238,7 +249,7 @@
         self.settlement_committed(&entry.machine, &entry.attempt);
     }
 
-    /// A placement was stored.
+    /// Applies the committed addition of a placement.
     pub(super) fn apply_addition(&mut self, entry: &PlacementEntry) {
         let group = self.groups.entry(entry.group).or_default();
         group.insert(entry.attempt.clone(), entry.machine.clone(), entry.bytes);
@@ -246,7 +257,7 @@
     }
 }
 
-/// Adds the groups with most to take out.
+/// Chooses the groups with the most removable placements.
 fn choose_groups_to_clean(fill: &mut GroupFill, removable: &RemovableByGroup) {
     let mut candidates: Vec<(usize, u32)> = removable
         .iter()
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -1,4 +1,4 @@
-//! Which of the proposed placements a transaction stores.
+//! Chooses which of the proposed placements a transaction stores.
 
 use super::{GroupFill, PlacementEntry, TransactionScope};
 use crate::storage::cluster::ClusterState;
@@ -6,27 +6,29 @@
 use crate::storage::records::{JobId, MachineName};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Placements that are stored together or not at all: one, or all those of a gang's attempt.
+/// Placements that are committed atomically: a single one, or all placements of a gang's attempt.
 #[derive(Debug, Default)]
 struct PlacementUnit {
-    /// The gang whose attempt it is; none for a single placement.
+    /// The gang whose attempt it is; `None` for a single placement.
     gang: Option<JobId>,
     placements: Vec<(MachineName, TaskId)>,
 }
 
-/// What becomes of a proposed placement.
+/// Whether a proposed placement can be stored.
 enum ProposalState {
-    /// It is over already.
+    /// It is settled or gone, so there is nothing to store.
     Over,
-    /// It must not be stored any more.
+    /// It must not start any more and has to be retracted.
     Obsolete,
     /// It can be stored.
     Storable(PlacementEntry),
 }
 
 impl ClusterState {
-    /// What is proposed and fits, the rest stays proposed. A gang that waits has the next transaction to
-    /// itself; if it does not fit there either, it is taken back.
+    /// Chooses the proposed placements that the transaction stores; those that do not fit stay
+    /// proposed. A gang that does not fit is deferred to the next transaction of scope
+    /// [`TransactionScope::StoreGang`]; if it is the first there and still does not fit, it is
+    /// retracted.
     pub(super) fn choose_starts(
         &mut self,
         fill: &mut GroupFill,
@@ -56,7 +58,9 @@
             }
             let is_gang = unit.gang.is_some();
             if is_gang && scope == TransactionScope::StoreGang && additions.is_empty() {
-                log::error!("{uid}: one commit can't hold all tasks of the gang");
+                log::error!(
+                    "gang retracted: the tasks of job {uid} do not fit into one transaction"
+                );
                 self.retract_unit(&unit);
                 continue;
             }
@@ -67,7 +71,7 @@
         additions
     }
 
-    /// Proposals in their order, those of a gang's attempt together.
+    /// Takes the proposals in their order; consecutive ones of one gang's attempt form one unit.
     fn take_proposed_units(&mut self) -> Vec<PlacementUnit> {
         let mut units: Vec<PlacementUnit> = Vec::new();
         for (machine, id) in std::mem::take(&mut self.proposals) {
@@ -85,8 +89,8 @@
         units
     }
 
-    /// What can be stored of a unit; none if it must be taken back. Of a gang nothing is stored if
-    /// any of it can't be.
+    /// The placements of a unit that can be stored; `None` if the unit must be retracted. A gang is
+    /// retracted if any of its placements can't be stored.
     fn storable_entries(&self, unit: &PlacementUnit) -> Option<Vec<PlacementEntry>> {
         let mut entries = Vec::new();
         for (machine, id) in &unit.placements {
@@ -128,7 +132,8 @@
     }
 }
 
-/// Finds a group for each entry; none, and nothing is filled, if there is not room for all.
+/// Assigns each entry to a group. Without room for all entries it returns `None` and leaves `fill`
+/// unchanged.
 fn assign_groups(
     entries: Vec<PlacementEntry>,
     fill: &mut GroupFill,
