--- a/src/constants/leadership.rs
+++ b/src/constants/leadership.rs
@@ -1,32 +1,36 @@
-//! The leader's lease, elections, fencing tokens and messages between controllers.
+//! Leader lease, elections, fencing tokens, and messages between controllers.
 
-/// Milliseconds after which the leader's lease expires without renewal.
+/// Milliseconds after which the lease of the leader key expires without renewal.
 pub const LEADER_LEASE_MS: u64 = 3_000;
-/// Milliseconds between renewals: three may fail before the lease expires.
+/// Milliseconds between lease renewals: three may fail before the lease expires.
 pub const LEADER_RENEWAL_PERIOD_MS: u64 = 750;
-/// Milliseconds to wait for the answer of a renewal.
+/// Milliseconds to wait for the response to a lease renewal.
 pub const LEADER_RENEWAL_TIMEOUT_MS: u64 = 700;
-/// Longest random wait in milliseconds before campaigning in an election, so that
-/// controllers seldom collide.
+/// Maximum random delay in milliseconds before a campaign; it makes election conflicts between
+/// controllers rare.
 pub const ELECTION_JITTER_MS: u64 = 120;
-/// Least milliseconds that an election takes: a lease and a commit, two round trips to the store.
+/// Minimum milliseconds that an election takes: a lease grant and a commit, two round trips to the
+/// state service.
 pub const ELECTION_MIN_MS: u64 = 10;
-/// Milliseconds for which a controller that handed over leadership doesn't campaign again.
+/// Milliseconds for which a controller does not campaign after it has handed over leadership.
 pub const HANDOVER_BACKOFF_MS: u64 = 20_000;
-/// Bits of an attempt number below the term: attempts of one term.
+/// Low bits of an attempt number, which count the attempts of one term; the term is in the high
+/// bits.
 pub const ATTEMPT_BITS: u32 = 26;
-/// Milliseconds between two messages to a peer.
+/// Milliseconds between two gossip messages to the same peer.
 pub const GOSSIP_PERIOD_MS: u64 = 500;
-/// Milliseconds to wait for a peer's answer.
+/// Milliseconds to wait for a peer's response to gossip.
 pub const GOSSIP_TIMEOUT_MS: u64 = 900;
-/// Milliseconds after which a peer's last gossip message is no longer fresh.
+/// Milliseconds for which a peer's last gossip message counts as current.
 pub const GOSSIP_FRESH_MS: u64 = 1_800;
-/// Milliseconds to wait for a peer that answers a user's request for us.
+/// Milliseconds to wait for the response to a user's request that was relayed to a peer.
 pub const RELAY_TIMEOUT_MS: u64 = 1_500;
-/// Version of the messages between controllers; others are dropped with a log line.
+/// Version of the messages between controllers; messages of another version are rejected, and
+/// gossip of another version is logged.
 pub const PEER_VERSION: u32 = 2;
-/// Milliseconds without a served state request after which a controller considers
-/// the store unavailable to it, for `/up` and relaying.
+/// Milliseconds without an answered state request after which a controller considers the state
+/// service unavailable: it relays users' requests to a peer, and `/up` may report a failure.
 pub const STATE_LOST_MS: u64 = 2_000;
-/// Milliseconds of silence of all workers, while peers hear them, before a leader hands over.
+/// Milliseconds without any heartbeat, while peers receive heartbeats, after which a leader hands
+/// over.
 pub const WORKERS_UNREACHABLE_HANDOVER_MS: u64 = 9_000;
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,8 +1,10 @@
-//! Elections: a leased key, and a term that only grows, taken in one transaction.
+//! Leader election: one conditional transaction writes the leader key, bound to a lease, and the next
+//! term.
 //!
-//! A controller campaigns once nobody holds the leader key. It leads only after its transaction was
-//! applied to the store that it reads; one without an answer may still be applied, but nobody renews
-//! its lease then.
+//! A controller campaigns when no other controller holds the leader key. It obtains a lease, then
+//! commits the transaction, and leads once the transaction has been applied to the store that it
+//! reads. A transaction without a response may still be applied; since nobody renews its lease, the
+//! leader key then expires with the lease.
 
 use super::store_client::ReadPoint;
 use super::{CallPurpose, Controller, Leader};
@@ -18,26 +20,26 @@
 use crate::storage::records::{leader_key, term_key, LeaderRecord, TermRecord};
 use rand::Rng;
 
-/// How far this controller is with becoming leader.
+/// The progress of this controller's candidacy.
 #[derive(Debug, Default)]
 pub(super) struct Election {
-    /// A call for it is under way.
+    /// Whether the lease request or the election transaction is in flight.
     in_progress: bool,
-    /// When we may campaign, once there is no leader.
+    /// When this controller may campaign; set when there is found to be no leader.
     campaign_at: Option<u64>,
-    /// Elections in a row that were refused although nobody was seen to win.
+    /// Consecutive election conflicts since another controller was last seen to lead.
     refusals: u32,
-    /// We handed over and let others go first until then.
+    /// No campaign before this time, after a handover.
     rest_until: u64,
 }
 
 impl Election {
-    /// We have handed over: others go first.
+    /// Delays the next campaign after a handover, so that another controller can win.
     pub(super) fn rest_after_handover(&mut self, now: u64) {
         self.rest_until = now + HANDOVER_BACKOFF_MS;
     }
 
-    /// Somebody leads.
+    /// Notes that another controller holds the leader key.
     fn note_leader(&mut self) {
         self.campaign_at = None;
         self.refusals = 0;
@@ -45,7 +47,7 @@
 }
 
 impl Controller {
-    /// Campaigns when nobody leads.
+    /// Starts a campaign when there is no leader and the random wait is over.
     pub(super) fn election_due(&mut self) {
         let now = self.now.monotonic_ms;
         let is_resting = now < self.election.rest_until;
@@ -74,7 +76,8 @@
         self.state_call("POST", LEASES_PATH.into(), body, STATE_TIMEOUT_MS, CallPurpose::Lease);
     }
 
-    /// Whether a leader was an earlier process of this very controller: it surely leads no more.
+    /// Whether the leader key was written by an earlier process of this controller, which can't lead
+    /// any more.
     fn is_earlier_process(&self, leader: &LeaderRecord) -> bool {
         leader.label == self.settings.label && leader.incarnation != self.process_id
     }
@@ -102,7 +105,7 @@
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
-    /// Takes leader key and term, unless somebody else has changed either.
+    /// The transaction that takes the leader key and the term, on condition that neither has changed.
     fn election_transaction(
         &self,
         term: u64,
@@ -139,8 +142,8 @@
         let won: Option<TransactionApplied> = match reply {
             Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             Some(Response { status: 409, .. }) => return self.on_election_refused(),
-            // An unanswered transaction may still apply. Nobody renews its lease then, so it
-            // ends by itself, and the next attempt takes a new term.
+            // A transaction without a response may still be applied. Nobody renews its lease, so
+            // the leader key expires by itself, and the next campaign uses a new term.
             _ => None,
         };
         let Some(TransactionApplied { revision }) = won else { return };
@@ -149,20 +152,24 @@
             return;
         }
         if self.leader_revision_was_used(revision) {
-            log::info!("the leader key has had this revision before the loss, campaigns again");
+            log::info!(
+                "election discarded: the leader key already had revision {revision} before the \
+                 data loss; revoking the lease and campaigning again"
+            );
             return self.revoke_lease(lease_id);
         }
-        // The watch may have told of our own term before this answer came: only a higher one
-        // counts. Taking an equal one for someone else's once cost three terms in a row.
+        // Only a higher term makes this one obsolete: the watch may already have shown this
+        // controller's own term. Treating an equal term as another leader's would discard each
+        // election won in this way, term after term.
         if self.membership.highest_term() <= term {
             self.lead(term, revision, lease_id);
         }
     }
 
-    /// Begins a term; `mod_revision` is that of the leader key.
+    /// Begins to lead in `term`; `mod_revision` is the revision of the leader key.
     fn lead(&mut self, term: u64, mod_revision: u64, lease_id: u64) {
         let now = self.now.monotonic_ms;
-        log::info!("leads in term {term}");
+        log::info!("became leader in term {term}");
         self.membership.note_term(term);
         self.store.note_revision(mod_revision);
         self.cloud.set_leader_rate(now);
@@ -174,8 +181,8 @@
         self.request_leader_read();
     }
 
-    /// Somebody else may have won. Where nobody is seen to again and again, the store has keys that we don't
-    /// know of.
+    /// Handles an election conflict. Another controller may have won; if repeated conflicts show no
+    /// winner, the store differs from the replica, so data loss is suspected.
     fn on_election_refused(&mut self) {
         self.election.refusals += 1;
         if self.election.refusals >= ELECTION_REFUSALS_MAX {
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -1,4 +1,4 @@
-//! Holding the leader key: renewing its lease, and giving leadership up.
+//! Holds leadership: renews the lease of the leader key, steps down and hands over.
 
 use super::write_shares::{follower_write_share, leader_write_share};
 use super::{CallPurpose, Controller};
@@ -18,14 +18,14 @@
 }
 
 impl LeaderLease {
-    /// A lease that has just been granted.
+    /// A lease that was just granted; the first renewal is due after one period.
     pub(super) fn new(id: u64, now: u64) -> LeaderLease {
         LeaderLease { id, renew_at: now + LEADER_RENEWAL_PERIOD_MS, renewal_in_flight: false }
     }
 }
 
 impl Controller {
-    /// Renews the lease of the leader key when it is time.
+    /// Renews the lease of the leader key when the next renewal is due.
     pub(super) fn renew_leader_lease_due(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
@@ -52,31 +52,32 @@
         match reply {
             Some(Response { status: 200..=299, .. }) => {}
             Some(Response { status: 404, .. }) => {
-                self.step_down("the lease has expired");
+                self.step_down("the lease of the leader key has expired");
                 self.suspect_stale_leader_key();
             }
             _ => leader.lease.renew_at = now + STATE_RETRY_BACKOFF_MS,
         }
     }
 
-    /// Steps down when someone has a higher term, or our key is not ours any more.
+    /// Steps down if there is a higher term or the leader key is no longer the one that this leader
+    /// wrote.
     pub(super) fn check_term(&mut self) {
         let Some(leader) = &self.leader else { return };
         if self.membership.highest_term() > leader.term {
-            return self.step_down("there is a higher term");
+            return self.step_down("a higher term exists");
         }
         let replica = self.store.replica();
         let key_was_read = replica.revision >= leader.mod_revision;
         if key_was_read && replica.mod_revision(&leader_key()) != leader.mod_revision {
-            self.step_down("the leader key is not ours");
+            self.step_down("the leader key was replaced or removed");
         }
     }
 
-    /// Leads no longer. What waited for this leader is redirected.
+    /// Stops leading and redirects the workers whose heartbeats await an answer.
     pub(super) fn step_down(&mut self, reason: &str) {
         let Some(leader) = self.leader.take() else { return };
         self.abandon_rebuild();
-        log::info!("no longer leads in term {}: {reason}", leader.term);
+        log::info!("stepped down from leadership of term {}: {reason}", leader.term);
         self.set_state_rates();
         self.cloud.set_follower_rate(self.settings.controllers(), self.now.monotonic_ms);
         for heartbeat in leader.deferred_heartbeats {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Gives leadership up so that a controller that hears the workers can take it.
+    /// Gives up leadership, so that a controller that receives the workers' heartbeats can take over.
     pub(super) fn hand_over(&mut self, reason: &str) {
         let Some(leader) = &self.leader else { return };
         self.revoke_lease(leader.lease.id);
@@ -92,13 +93,14 @@
         self.step_down(reason);
     }
 
-    /// Ends a lease at once, and with it the leader key.
+    /// Revokes a lease, which also deletes the leader key bound to it.
     pub(super) fn revoke_lease(&mut self, lease_id: u64) {
         let path = lease_path(lease_id);
         self.state_call("DELETE", path, vec![], STATE_TIMEOUT_MS, CallPurpose::StepDown);
     }
 
-    /// Sets this controller's part of what the state service allows all of them.
+    /// Sets this controller's share of the state service's request rates, which depends on whether it
+    /// leads.
     pub(super) fn set_state_rates(&mut self) {
         let controllers = self.settings.controllers();
         let write_share = match self.leader.is_some() {
