--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -1,14 +1,14 @@
-//! What goes into the core and what comes out of it: commands, effects and clocks.
+//! The interface of the core: commands and clock readings go in, effects come out.
 
 use crate::protocol::http::Response;
 use crate::protocol::routes::{HEALTH_PATH, HEARTBEAT_PATH};
 
-/// Two clocks in milliseconds: steady, and time of day.
+/// Readings of the monotonic clock and the wall clock, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Clock {
-    /// Steady clock: only differences mean anything.
+    /// Monotonic clock; only differences are meaningful.
     pub monotonic_ms: u64,
-    /// Time of day, which may be off and step.
+    /// Wall clock: milliseconds since the Unix epoch, which may be wrong and may jump.
     pub wall_ms: u64,
 }
 
@@ -17,18 +17,18 @@
 /// Identifies an outbound call.
 pub type CallId = u64;
 
-/// Where a call goes.
+/// The destination of an outbound call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Service {
     /// The state service.
     State,
     /// The cloud.
     Cloud,
-    /// Another controller, by its place in the settings.
+    /// Another controller, by its index in the settings' list of peers.
     Peer(usize),
 }
 
-/// What comes in.
+/// An input of the core.
 #[derive(Debug)]
 pub enum Command {
     /// A request from users, workers or health checks.
@@ -53,11 +53,12 @@
         /// Body; may be empty.
         body: Vec<u8>,
     },
-    /// The answer to a call; `None`: no answer, it may have been carried out or may be later.
+    /// The reply to a call.
     Reply {
-        /// The call that it answers.
+        /// The call that was answered.
         call: CallId,
-        /// The answer, or none.
+        /// The response. `None` if there was none: the request may have been carried out, or may
+        /// still be.
         reply: Option<Response>,
     },
 }
@@ -67,7 +68,7 @@
 pub(super) enum CommandPriority {
     /// Workers' heartbeats and health checks.
     Heartbeat,
-    /// Answers to calls and requests of other controllers.
+    /// Replies to calls, and requests from other controllers.
     Decision,
     /// Users' requests.
     User,
@@ -85,25 +86,25 @@
     }
 }
 
-/// What goes out.
+/// An output of the core.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Answers a request.
+    /// Responds to an inbound request.
     Respond {
-        /// The connection it came on.
+        /// The connection on which the request came.
         connection: ConnectionId,
         /// HTTP status.
         status: u16,
-        /// Seconds after which the client may come back.
+        /// Value of the `Retry-After` header in seconds, if it is to be sent.
         retry_after_s: Option<u64>,
-        /// Body.
+        /// Body; may be empty.
         body: Vec<u8>,
     },
-    /// Sends a request; its reply comes back as [`Command::Reply`].
+    /// Sends a request; the reply is passed back as [`Command::Reply`].
     Call {
-        /// Name of the call.
+        /// Identifies the call in its reply.
         id: CallId,
-        /// Where it goes.
+        /// The destination.
         service: Service,
         /// HTTP method.
         method: &'static str,
@@ -111,7 +112,7 @@
         path: String,
         /// Body; may be empty.
         body: Vec<u8>,
-        /// Milliseconds after which it counts as unanswered.
+        /// Milliseconds after which the call counts as unanswered.
         timeout_ms: u64,
     },
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,20 +1,20 @@
-//! The core of a controller: leadership, planning, machines, workers' commands and users' requests.
+//! The deterministic core of a controller: leadership, planning, machines, workers and users' requests.
 //!
-//! [`Controller`] takes commands in batches, in the order of their priority, and gives effects. It does no
-//! I/O; the clock and the seed of its randomness are passed in. It hands each command to the part that it
-//! concerns; each part owns its state in private fields of a module of its own:
+//! [`Controller`] handles commands in batches, ordered by priority, and returns effects. It performs no
+//! I/O; the clock and the random seed are passed in. Each command is dispatched to the module
+//! responsible for it, and each module keeps its state in private fields:
 //!
-//! * `store_client`: the copy of the state service's store, reads and request rates;
-//! * `cloud_client`: the rate of the cloud's requests, the catalogue of machine types;
-//! * `membership`: what peers say, the highest term heard of, lease extension;
+//! * `store_client`: the replica of the state service's store, reads, and request rates;
+//! * `cloud_client`: the rate of requests to the cloud, and the catalog of machine types;
+//! * `membership`: gossip from peers, the highest known term, and lease extension;
 //! * `election` and `leadership`: taking, holding and giving up the leader key;
-//! * `leader`: the state of a term, planning passes, gangs, and with it `fleet`;
-//! * `heartbeats`: what workers' heartbeats prove, and the commands in their responses;
-//! * `transactions`: the leader's write-ahead transactions, and what becomes of them;
+//! * `leader` and `fleet`: the state of a term, planning passes, gangs, and the rented machines;
+//! * `heartbeats`: evidence from workers' heartbeats, and the commands in the responses;
+//! * `transactions`: the leader's write-ahead transactions and their outcomes;
 //! * `requests`: users' submissions, polls and cancellations;
-//! * `recovery`: noticing that the store has lost data, and rebuilding it;
-//! * `outbox`: effects, and calls that are not answered yet;
-//! * [`metrics`] and [`status`]: what operators are told.
+//! * `recovery`: detection of data loss in the store, and its rebuild;
+//! * `outbox`: effects of a batch, and calls that await a reply;
+//! * [`metrics`] and [`status`]: reports to operators.
 
 mod cloud_client;
 mod election;
@@ -63,12 +63,12 @@
 use std::rc::Rc;
 use store_client::StoreClient;
 
-/// A controller.
+/// A controller: one of several redundant processes, of which one at a time leads.
 pub struct Controller {
     settings: Rc<Platform>,
     operator: Rc<Operator>,
     rng: SmallRng,
-    /// Random number that tells this process from earlier ones of the same controller.
+    /// Random number that distinguishes this process from earlier ones of the same controller.
     process_id: u64,
     now: Clock,
     started_at: u64,
@@ -77,7 +77,7 @@
     cloud: CloudClient,
     membership: Membership,
     election: Election,
-    /// The state of the term that this controller leads in.
+    /// The state of the current term while this controller leads.
     leader: Option<Leader>,
     submissions: Submissions,
     recovery: Recovery,
@@ -85,7 +85,7 @@
 }
 
 impl Controller {
-    /// A controller that has just started.
+    /// Creates a controller that has just started.
     pub fn new(settings: Platform, operator: Operator, clock: Clock, seed: u64) -> Controller {
         let mut rng = SmallRng::seed_from_u64(seed);
         let keys = HashKeys::from_seed(seed);
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Handles a batch and everything that is due, and gives the effects. Call it with no
-    /// commands when [`Controller::next_wake`] has come.
+    /// Handles a batch of commands and all due timers, and returns the effects. Must be called, even
+    /// without commands, when the time given by [`Controller::next_wake`] has come.
     pub fn batch(&mut self, clock: Clock, mut commands: Vec<Command>) -> Vec<Effect> {
         self.now = clock;
         self.metrics.work.batches += 1;
@@ -132,14 +132,14 @@
         self.outbox.take_effects()
     }
 
-    /// When the next batch is due at the latest, on the steady clock in milliseconds.
+    /// The latest time for the next batch, in milliseconds of the monotonic clock.
     pub fn next_wake(&self) -> u64 {
         let now = self.now.monotonic_ms;
         let writes = self.store.write_budget();
         let leader = self.leader.as_ref().filter(|_| self.store_is_usable());
         let leader = leader.and_then(|leader| leader.next_wake(now, writes));
         let times = [leader, self.submissions.next_wake(writes)].into_iter().flatten();
-        // What is due already waits for something that no time tells, and is looked at now and then.
+        // A time in the past means that the work awaits an event of unknown time, so it is polled.
         let times = times.map(|t| if t > now { t } else { now + POLL_SOON_MS });
         times.fold(now + POLL_MAX_MS, u64::min)
     }
@@ -181,14 +181,14 @@
         }
     }
 
-    /// Refuses a user's request that came in one batch with too many others.
+    /// Refuses a user's request beyond the number that one batch may contain.
     fn shed(&mut self, command: Command) {
         if let Command::Public { connection, .. } = command {
             self.refuse_overloaded(Requester::direct(connection, self.now.monotonic_ms));
         }
     }
 
-    /// Hands the answer of a call to the part that made it.
+    /// Dispatches the reply to a call by the purpose of the call.
     fn reply(&mut self, call: CallId, reply: Option<Response>) {
         let Some(purpose) = self.outbox.take_purpose(call) else {
             return;
@@ -255,17 +255,17 @@
         self.outbox.respond(connection, status, retry_after_s, body);
     }
 
-    /// The term this controller leads in.
+    /// The term in which this controller leads; `None` if it does not lead.
     pub fn leads(&self) -> Option<u64> {
         self.leader.as_ref().map(|leader| leader.term)
     }
 
-    /// The leader's state, for tests and the operators' view.
+    /// The leader's state; `None` if this controller does not lead.
     pub fn leader(&self) -> Option<&Leader> {
         self.leader.as_ref()
     }
 
-    /// The copy of the store.
+    /// The local replica of the store.
     pub fn replica(&self) -> &Replica {
         self.store.replica()
     }
--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -1,4 +1,4 @@
-//! Effects of the batch under way, and the calls that have not been answered yet.
+//! Collects the effects of the current batch and keeps track of calls that await a reply.
 
 use super::interface::{CallId, ConnectionId, Effect, Service};
 use super::recovery::{DecisionCall, RebuildCall};
@@ -9,50 +9,50 @@
 use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::records::MachineName;
 
-/// What a call was made for, with what its answer is judged by.
+/// The purpose of an outbound call, with the context needed to handle its reply.
 #[derive(Debug)]
 pub(super) enum CallPurpose {
-    /// A page of the whole store.
+    /// A page of the listing of the whole store.
     List { epoch: u32 },
-    /// A watch of the store.
+    /// A long-polling watch for changes of the store.
     Watch { asked: ReadPoint },
-    /// A zero-wait read of the store.
+    /// A read of the store's changes that returns at once.
     Fresh { begun: u64, asked: ReadPoint },
-    /// A lease for the leader key.
+    /// The grant of a lease for the leader key.
     Lease,
-    /// The transaction that takes leader key and term.
+    /// The election transaction, which takes the leader key and the term.
     Elect { lease_id: u64, term: u64, sent: ReadPoint },
-    /// Renewal of the leader's lease.
+    /// The renewal of the leader key's lease.
     Renew { lease_id: u64 },
-    /// End of the leader's lease; its answer does not matter.
+    /// The revocation of the leader key's lease; its reply is ignored.
     StepDown,
-    /// A transaction of the leader.
+    /// A write-ahead transaction of the leader.
     LeaderCommit { term: u64 },
-    /// A copy of a batch of submissions.
+    /// One send of a batch of submissions; a slow batch is sent more than once.
     Submit { batch: u64, copy: usize },
-    /// A cancellation.
+    /// The transaction that cancels a job.
     Cancel { requester: Requester, uid: String, commit: Transaction, sent: ReadPoint },
     /// A transaction of a rebuild of the store.
     Rebuild(RebuildCall),
-    /// An operator's decision after a rebuild.
+    /// A transaction that carries out an operator's decision after a rebuild.
     Decision(DecisionCall),
-    /// A page of a peer's image of the lost store.
+    /// A page of a peer's image of the store before it lost data.
     Image { peer: usize },
     /// Gossip to a peer.
     Gossip { peer: usize, begun: u64 },
-    /// A user's request that a peer is asked to answer.
+    /// A user's request that is relayed to a peer.
     Relay { requester: Requester },
-    /// The cloud's machine types and prices.
+    /// The cloud's catalog of machine types and prices.
     Catalog,
     /// A page of the cloud's list of machines.
     Hosts { begun: u64 },
-    /// A rental.
+    /// A rental of machines.
     Rent(Rental),
-    /// A deletion of machines.
+    /// The deletion of machines.
     Delete(Vec<MachineName>),
 }
 
-/// Collects the effects of a batch and remembers what each call was made for.
+/// Collects the effects of a batch and remembers the purpose of each unanswered call.
 #[derive(Debug)]
 pub(super) struct Outbox {
     effects: Vec<Effect>,
@@ -65,7 +65,7 @@
         Outbox { effects: Vec::new(), next_call: 1, unanswered: keys.map() }
     }
 
-    /// Sends a request.
+    /// Adds an outbound call.
     pub(super) fn call(
         &mut self,
         service: Service,
@@ -81,7 +81,7 @@
         self.effects.push(Effect::Call { id, service, method, path, body, timeout_ms });
     }
 
-    /// Answers a request.
+    /// Adds the response to an inbound request.
     pub(super) fn respond(
         &mut self,
         connection: ConnectionId,
@@ -92,12 +92,12 @@
         self.effects.push(Effect::Respond { connection, status, retry_after_s, body });
     }
 
-    /// What an answered call was made for; none if it was answered before.
+    /// Takes the purpose of a call whose reply has arrived; `None` if it was already answered.
     pub(super) fn take_purpose(&mut self, call: CallId) -> Option<CallPurpose> {
         self.unanswered.remove(&call)
     }
 
-    /// The effects of the batch.
+    /// Takes the effects collected since the last call.
     pub(super) fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
