--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -73,7 +73,13 @@
         self.election.in_progress = true;
         let body =
             serde_json::to_vec(&LeaseRequest { life_ms: LEADER_LEASE_MS }).unwrap_or_default();
-        self.state_call("POST", LEASES_PATH.into(), body, STATE_TIMEOUT_MS, CallPurpose::Lease);
+        self.state_call(
+            "POST",
+            LEASES_PATH.into(),
+            body,
+            STATE_TIMEOUT_MS,
+            CallPurpose::LeaseGrant,
+        );
     }
 
     /// Whether the leader key was written by an earlier process of this controller, which can't lead
@@ -101,7 +107,7 @@
         self.election.in_progress = true;
         self.store.take_writes(2.0, f64::MIN, self.now.monotonic_ms);
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
-        let purpose = CallPurpose::Elect { lease_id, term, sent: self.store.read_point() };
+        let purpose = CallPurpose::Election { lease_id, term, read_point: self.store.read_point() };
         self.state_call("POST", COMMIT_PATH.into(), body, STATE_TIMEOUT_MS, purpose);
     }
 
@@ -135,7 +141,7 @@
         &mut self,
         lease_id: u64,
         term: u64,
-        sent: ReadPoint,
+        read_point: ReadPoint,
         reply: Option<Response>,
     ) {
         self.election.in_progress = false;
@@ -148,7 +154,7 @@
         };
         let Some(TransactionApplied { revision }) = won else { return };
         self.election.refusals = 0;
-        if !self.applied_to_current_store(sent, revision) {
+        if !self.applied_to_current_store(read_point, revision) {
             return;
         }
         if self.leader_revision_was_used(revision) {
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -32,7 +32,7 @@
     /// Asks for the page of the list that follows a machine; `None`: the first one.
     fn ask_for_page(&mut self, after: Option<&str>, list_started_at: u64) {
         let path = machine_list_path(after, LIST_LIMIT);
-        let purpose = CallPurpose::Hosts { begun: list_started_at };
+        let purpose = CallPurpose::MachineList { begun_at: list_started_at };
         self.call(Service::Cloud, "GET", path, vec![], CLOUD_TIMEOUT_MS, purpose);
     }
 
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -39,7 +39,7 @@
         lease.renew_at = now + LEADER_RENEWAL_PERIOD_MS;
         let lease_id = lease.id;
         let path = lease_renewal_path(lease_id);
-        let purpose = CallPurpose::Renew { lease_id };
+        let purpose = CallPurpose::LeaseRenewal { lease_id };
         self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEWAL_TIMEOUT_MS, purpose);
     }
 
@@ -96,7 +96,7 @@
     /// Revokes a lease, which also deletes the leader key bound to it.
     pub(super) fn revoke_lease(&mut self, lease_id: u64) {
         let path = lease_path(lease_id);
-        self.state_call("DELETE", path, vec![], STATE_TIMEOUT_MS, CallPurpose::StepDown);
+        self.state_call("DELETE", path, vec![], STATE_TIMEOUT_MS, CallPurpose::LeaseRevocation);
     }
 
     /// Sets this controller's share of the state service's request rates, which depends on whether it
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -49,7 +49,7 @@
             peer.gossip_in_flight = true;
             peer.next_gossip_at = now + GOSSIP_PERIOD_MS;
             let body = encode(&self.gossip());
-            let purpose = CallPurpose::Gossip { peer: index, begun: now };
+            let purpose = CallPurpose::Gossip { peer: index, begun_at: now };
             let service = Service::Peer(index);
             self.call(service, "POST", GOSSIP_PATH.into(), body, GOSSIP_TIMEOUT_MS, purpose);
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -196,26 +196,32 @@
         self.note_store_response(&purpose, reply.as_ref().map(|response| response.status));
         match purpose {
             CallPurpose::List { epoch } => self.on_list_response(epoch, reply),
-            CallPurpose::Watch { asked } => self.on_watch_response(asked, reply),
-            CallPurpose::Fresh { begun, asked } => self.on_fresh_read_response(begun, asked, reply),
-            CallPurpose::Lease => self.on_lease_granted(reply),
-            CallPurpose::Elect { lease_id, term, sent } => {
-                self.on_election_response(lease_id, term, sent, reply);
+            CallPurpose::Watch { read_point } => self.on_watch_response(read_point, reply),
+            CallPurpose::FreshRead { begun_at, read_point } => {
+                self.on_fresh_read_response(begun_at, read_point, reply)
             }
-            CallPurpose::Renew { lease_id } => self.on_lease_renewal_response(lease_id, reply),
-            CallPurpose::StepDown => {}
+            CallPurpose::LeaseGrant => self.on_lease_granted(reply),
+            CallPurpose::Election { lease_id, term, read_point } => {
+                self.on_election_response(lease_id, term, read_point, reply);
+            }
+            CallPurpose::LeaseRenewal { lease_id } => {
+                self.on_lease_renewal_response(lease_id, reply)
+            }
+            CallPurpose::LeaseRevocation => {}
             CallPurpose::LeaderCommit { term } => self.on_leader_commit_response(term, reply),
             CallPurpose::Submit { batch, copy } => self.on_batch_response(batch, copy, reply),
-            CallPurpose::Cancel { requester, uid, commit, sent } => {
-                self.on_cancellation_response(requester, uid, commit, sent, reply);
+            CallPurpose::Cancel { requester, uid, commit, read_point } => {
+                self.on_cancellation_response(requester, uid, commit, read_point, reply);
             }
             CallPurpose::Rebuild(call) => self.on_rebuild_response(call, reply),
             CallPurpose::Decision(call) => self.on_decision_response(call, reply),
             CallPurpose::Image { peer } => self.on_image_response(peer, reply),
-            CallPurpose::Gossip { peer, begun } => self.on_gossip_response(peer, begun, reply),
+            CallPurpose::Gossip { peer, begun_at } => {
+                self.on_gossip_response(peer, begun_at, reply)
+            }
             CallPurpose::Relay { requester } => self.on_relay_response(requester, reply),
             CallPurpose::Catalog => self.on_catalog_response(reply),
-            CallPurpose::Hosts { begun } => self.on_machine_list_response(begun, reply),
+            CallPurpose::MachineList { begun_at } => self.on_machine_list_response(begun_at, reply),
             CallPurpose::Rent(rental) => self.on_rental_response(rental, reply),
             CallPurpose::Delete(names) => self.on_deletion_response(names, reply),
         }
--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -9,29 +9,30 @@
 use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::records::MachineName;
 
-/// The purpose of an outbound call, with the context needed to handle its reply.
+/// The purpose of an outbound call, with the context needed to handle its reply: `read_point` is how
+/// far the store had been read when the call was sent, `begun_at` the time at which it was sent.
 #[derive(Debug)]
 pub(super) enum CallPurpose {
     /// A page of the listing of the whole store.
     List { epoch: u32 },
     /// A long-polling watch for changes of the store.
-    Watch { asked: ReadPoint },
+    Watch { read_point: ReadPoint },
     /// A read of the store's changes that returns at once.
-    Fresh { begun: u64, asked: ReadPoint },
+    FreshRead { begun_at: u64, read_point: ReadPoint },
     /// The grant of a lease for the leader key.
-    Lease,
+    LeaseGrant,
     /// The election transaction, which takes the leader key and the term.
-    Elect { lease_id: u64, term: u64, sent: ReadPoint },
+    Election { lease_id: u64, term: u64, read_point: ReadPoint },
     /// The renewal of the leader key's lease.
-    Renew { lease_id: u64 },
+    LeaseRenewal { lease_id: u64 },
     /// The revocation of the leader key's lease; its reply is ignored.
-    StepDown,
+    LeaseRevocation,
     /// A write-ahead transaction of the leader.
     LeaderCommit { term: u64 },
     /// One send of a batch of submissions; a slow batch is sent more than once.
     Submit { batch: u64, copy: usize },
     /// The transaction that cancels a job.
-    Cancel { requester: Requester, uid: String, commit: Transaction, sent: ReadPoint },
+    Cancel { requester: Requester, uid: String, commit: Transaction, read_point: ReadPoint },
     /// A transaction of a rebuild of the store.
     Rebuild(RebuildCall),
     /// A transaction that carries out an operator's decision after a rebuild.
@@ -39,13 +40,13 @@
     /// A page of a peer's image of the store before it lost data.
     Image { peer: usize },
     /// Gossip to a peer.
-    Gossip { peer: usize, begun: u64 },
+    Gossip { peer: usize, begun_at: u64 },
     /// A user's request that is relayed to a peer.
     Relay { requester: Requester },
     /// The cloud's catalog of machine types and prices.
     Catalog,
     /// A page of the cloud's list of machines.
-    Hosts { begun: u64 },
+    MachineList { begun_at: u64 },
     /// A rental of machines.
     Rent(Rental),
     /// The deletion of machines.
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -54,7 +54,8 @@
         }
         let body = serde_json::to_vec(&commit).unwrap_or_default();
         let sent = self.store.read_point();
-        let purpose = CallPurpose::Cancel { requester, uid: uid.to_string(), commit, sent };
+        let purpose =
+            CallPurpose::Cancel { requester, uid: uid.to_string(), commit, read_point: sent };
         self.commit_call(body, 1, purpose);
     }
 
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -247,7 +247,7 @@
             | CallPurpose::Relay { .. }
             | CallPurpose::Image { .. }
             | CallPurpose::Catalog
-            | CallPurpose::Hosts { .. }
+            | CallPurpose::MachineList { .. }
             | CallPurpose::Rent(_)
             | CallPurpose::Delete(_)
     )
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -95,7 +95,9 @@
         let work = &mut self.metrics.work;
         work.state_calls += 1;
         match purpose {
-            CallPurpose::List { .. } | CallPurpose::Watch { .. } | CallPurpose::Fresh { .. } => {
+            CallPurpose::List { .. }
+            | CallPurpose::Watch { .. }
+            | CallPurpose::FreshRead { .. } => {
                 work.state_reads += 1;
             }
             _ if path == COMMIT_PATH => work.state_commits += 1,
@@ -143,7 +145,7 @@
     fn open_watch(&mut self) {
         self.store.watching = true;
         let path = changes_path(KEY_FAMILY, self.store.replica.revision, WATCH_BLOCK_MS);
-        let purpose = CallPurpose::Watch { asked: self.store.read_point() };
+        let purpose = CallPurpose::Watch { read_point: self.store.read_point() };
         self.state_call("GET", path, vec![], WATCH_TIMEOUT_MS, purpose);
     }
 
@@ -162,7 +164,7 @@
         reads.running = Some(std::mem::take(&mut reads.waiting));
         reads.begun_at = now;
         let path = changes_path(KEY_FAMILY, self.store.replica.revision, 0);
-        let purpose = CallPurpose::Fresh { begun: now, asked: self.store.read_point() };
+        let purpose = CallPurpose::FreshRead { begun_at: now, read_point: self.store.read_point() };
         self.state_call("GET", path, vec![], STATE_TIMEOUT_MS, purpose);
     }
 
