--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -30,13 +30,13 @@
     /// Consecutive election conflicts since another controller was last seen to lead.
     refusals: u32,
     /// No campaign before this time, after a handover.
-    rest_until: u64,
+    backoff_until: u64,
 }
 
 impl Election {
     /// Delays the next campaign after a handover, so that another controller can win.
-    pub(super) fn rest_after_handover(&mut self, now: u64) {
-        self.rest_until = now + HANDOVER_BACKOFF_MS;
+    pub(super) fn back_off_after_handover(&mut self, now: u64) {
+        self.backoff_until = now + HANDOVER_BACKOFF_MS;
     }
 
     /// Notes that another controller holds the leader key.
@@ -48,10 +48,13 @@
 
 impl Controller {
     /// Starts a campaign when there is no leader and the random wait is over.
-    pub(super) fn election_due(&mut self) {
+    pub(super) fn campaign_if_due(&mut self) {
         let now = self.now.monotonic_ms;
-        let is_resting = now < self.election.rest_until;
-        if self.leader.is_some() || self.election.in_progress || is_resting || !self.may_campaign()
+        let is_backing_off = now < self.election.backoff_until;
+        if self.leader.is_some()
+            || self.election.in_progress
+            || is_backing_off
+            || !self.may_campaign()
         {
             return;
         }
@@ -168,12 +171,12 @@
         // controller's own term. Treating an equal term as another leader's would discard each
         // election won in this way, term after term.
         if self.membership.highest_term() <= term {
-            self.lead(term, revision, lease_id);
+            self.begin_term(term, revision, lease_id);
         }
     }
 
     /// Begins to lead in `term`; `mod_revision` is the revision of the leader key.
-    fn lead(&mut self, term: u64, mod_revision: u64, lease_id: u64) {
+    fn begin_term(&mut self, term: u64, mod_revision: u64, lease_id: u64) {
         let now = self.now.monotonic_ms;
         log::info!("became leader in term {term}");
         self.membership.note_term(term);
--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -69,7 +69,7 @@
     /// Workers' heartbeats and health checks.
     Heartbeat,
     /// Replies to calls, and requests from other controllers.
-    Decision,
+    Internal,
     /// Users' requests.
     User,
 }
@@ -80,7 +80,7 @@
             Command::Public { path, .. } if path == HEARTBEAT_PATH || path == HEALTH_PATH => {
                 CommandPriority::Heartbeat
             }
-            Command::Reply { .. } | Command::Peer { .. } => CommandPriority::Decision,
+            Command::Reply { .. } | Command::Peer { .. } => CommandPriority::Internal,
             Command::Public { .. } => CommandPriority::User,
         }
     }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -147,7 +147,7 @@
         if self.leader.is_none() {
             return;
         }
-        self.renew_leader_lease_due();
+        self.renew_leader_lease_if_due();
         if self.is_rebuilding() {
             return;
         }
@@ -164,7 +164,7 @@
         self.fleet_due();
         self.log_summary_due();
         self.planning_due();
-        self.transactions_due();
+        self.send_due_transaction();
         self.answer_deferred_heartbeats();
     }
 
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -26,7 +26,7 @@
 
 impl Controller {
     /// Renews the lease of the leader key when the next renewal is due.
-    pub(super) fn renew_leader_lease_due(&mut self) {
+    pub(super) fn renew_leader_lease_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
             return;
@@ -89,7 +89,7 @@
     pub(super) fn hand_over(&mut self, reason: &str) {
         let Some(leader) = &self.leader else { return };
         self.revoke_lease(leader.lease.id);
-        self.election.rest_after_handover(self.now.monotonic_ms);
+        self.election.back_off_after_handover(self.now.monotonic_ms);
         self.step_down(reason);
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -114,7 +114,7 @@
 
     /// Handles a batch of commands and all due timers, and returns the effects. Must be called, even
     /// without commands, when the time given by [`Controller::next_wake`] has come.
-    pub fn batch(&mut self, clock: Clock, mut commands: Vec<Command>) -> Vec<Effect> {
+    pub fn handle_batch(&mut self, clock: Clock, mut commands: Vec<Command>) -> Vec<Effect> {
         self.now = clock;
         self.metrics.work.batches += 1;
         self.metrics.work.batches_empty += u64::from(commands.is_empty());
@@ -125,10 +125,10 @@
             if user_requests > BATCH_USER_MAX {
                 self.shed(command);
             } else {
-                self.command(command);
+                self.handle_command(command);
             }
         }
-        self.do_what_is_due();
+        self.run_due_work();
         self.outbox.take_effects()
     }
 
@@ -144,19 +144,25 @@
         times.fold(now + POLL_MAX_MS, u64::min)
     }
 
-    fn command(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Public { connection, method, path, body } => {
-                self.public_request(connection, &method, &path, &body);
+                self.handle_public_request(connection, &method, &path, &body);
             }
             Command::Peer { connection, method, path, body } => {
-                self.peer_request(connection, &method, &path, &body);
+                self.handle_peer_request(connection, &method, &path, &body);
             }
-            Command::Reply { call, reply } => self.reply(call, reply),
+            Command::Reply { call, reply } => self.handle_reply(call, reply),
         }
     }
 
-    fn public_request(&mut self, connection: ConnectionId, method: &str, path: &str, body: &[u8]) {
+    fn handle_public_request(
+        &mut self,
+        connection: ConnectionId,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) {
         let requester = Requester::direct(connection, self.now.monotonic_ms);
         match Route::parse(method, path) {
             Ok(Route::Heartbeat) => self.on_heartbeat(connection, body),
@@ -171,7 +177,13 @@
         }
     }
 
-    fn peer_request(&mut self, connection: ConnectionId, method: &str, path: &str, body: &[u8]) {
+    fn handle_peer_request(
+        &mut self,
+        connection: ConnectionId,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) {
         self.metrics.work.peer_requests_received += 1;
         match PeerRoute::parse(method, path) {
             Ok(PeerRoute::Gossip) => self.answer_gossip(connection, body),
@@ -189,7 +201,7 @@
     }
 
     /// Dispatches the reply to a call by the purpose of the call.
-    fn reply(&mut self, call: CallId, reply: Option<Response>) {
+    fn handle_reply(&mut self, call: CallId, reply: Option<Response>) {
         let Some(purpose) = self.outbox.take_purpose(call) else {
             return;
         };
@@ -227,13 +239,13 @@
         }
     }
 
-    fn do_what_is_due(&mut self) {
+    fn run_due_work(&mut self) {
         self.store_reads_due();
         self.recovery_due();
         self.batches_due();
         self.catalog_due();
         self.gossip_due();
-        self.election_due();
+        self.campaign_if_due();
         self.leader_due();
         self.log_metrics_due();
     }
@@ -262,7 +274,7 @@
     }
 
     /// The term in which this controller leads; `None` if it does not lead.
-    pub fn leads(&self) -> Option<u64> {
+    pub fn leading_term(&self) -> Option<u64> {
         self.leader.as_ref().map(|leader| leader.term)
     }
 
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -11,7 +11,7 @@
 
 impl Controller {
     /// Retries the pending transaction if that is due; with none pending, packs and sends the next.
-    pub(in crate::coordination) fn transactions_due(&mut self) {
+    pub(in crate::coordination) fn send_due_transaction(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         if let Some(pending) = &leader.transactions.pending {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -45,7 +45,7 @@
     loop {
         let commands = wait_for_commands(&mut transport, &core, clock(start))?;
         core.note_transport(transport.counts());
-        for effect in core.batch(clock(start), commands) {
+        for effect in core.handle_batch(clock(start), commands) {
             perform(&mut transport, effect);
         }
         if let Some(writer) = &mut snapshot_writer {
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -790,14 +790,15 @@
         w.until(10_000, "a leader", |w| w.leader().is_some());
         w.run(3_000);
         let leader = w.leader().expect("one leads");
-        let term = w.nodes[leader].core.as_ref().expect("it runs").leads().expect("it leads");
+        let term =
+            w.nodes[leader].core.as_ref().expect("it runs").leading_term().expect("it leads");
         let name = w.workers.keys().next().expect("there are workers").clone();
         w.workers.get_mut(&name).expect("there").claim_token(token);
         let s = w.spec(1, "batch", 6);
         w.submit(s, 2_000, leader);
         w.until_done("job-000001", 60_000);
         assert_eq!(w.leader(), Some(leader), "token {token}");
-        let leads = w.nodes[leader].core.as_ref().expect("it runs").leads();
+        let leads = w.nodes[leader].core.as_ref().expect("it runs").leading_term();
         assert_eq!(leads, Some(term), "in the same term");
         // The same where nobody can read the store: the token is out of all proportion.
         w.state.outage = true;
@@ -805,7 +806,8 @@
         assert_eq!(w.leader(), Some(leader), "token {token}, without the store");
         w.end_outage();
         w.ends_well();
-        let leads = w.leader().and_then(|l| w.nodes[l].core.as_ref().expect("it runs").leads());
+        let leads =
+            w.leader().and_then(|l| w.nodes[l].core.as_ref().expect("it runs").leading_term());
         assert!(leads.expect("one leads") <= term + 1, "and terms go on from where they were");
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -520,7 +520,7 @@
         w.state.slow_commits = 60;
         w.until(5_000, "a leader", |w| w.leader().is_some());
         let l = w.leader().unwrap();
-        let term = w.nodes[l].core.as_ref().unwrap().leads();
+        let term = w.nodes[l].core.as_ref().unwrap().leading_term();
         assert_eq!(term, Some(1), "seed {seed}: the first term taken is the one that leads");
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -322,7 +322,7 @@
             return;
         }
         let clock = Clock { monotonic_ms: now, wall_ms: 1_000_000 + now };
-        let effects = core.batch(clock, std::mem::take(&mut n.inbox));
+        let effects = core.handle_batch(clock, std::mem::take(&mut n.inbox));
         n.wake = core.next_wake();
         n.frozen_until = now + n.turn_ms;
         let life = n.life;
--- a/tests/world/scenario.rs
+++ b/tests/world/scenario.rs
@@ -41,7 +41,7 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.core.as_ref().and_then(|c| c.leads());
+        let leads = |n: &Node| n.core.as_ref().and_then(|c| c.leading_term());
         (0..self.nodes.len())
             .filter(|i| leads(&self.nodes[*i]).is_some())
             .max_by_key(|i| leads(&self.nodes[*i]))
