--- a/src/coordination/transactions/builder.rs
+++ b/src/coordination/transactions/builder.rs
@@ -11,7 +11,7 @@
     /// All kinds of changes, the most urgent first.
     Everything,
     /// The split of a placement group that exceeds the value size limit, and urgent changes.
-    DivideGroup,
+    SplitGroup,
     /// A gang that did not fit beside other changes.
     StoreGang,
 }
--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -24,7 +24,7 @@
         let dirty_groups: Vec<u32> =
             self.done_groups.iter().filter(is_dirty).map(|(number, _)| *number).collect();
         for number in dirty_groups {
-            if !self.divide_done_group(number, builder, pending) {
+            if !self.split_done_group(number, builder, pending) {
                 continue;
             }
             let has_room = builder.has_room(1 + writes_kept, 1);
@@ -62,8 +62,8 @@
         bytes: usize,
         bytes_max: usize,
     ) -> u32 {
-        let open = self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
-        let number = open.map_or_else(|| self.unused_done_group(), |(number, _)| *number);
+        let with_room = self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
+        let number = with_room.map_or_else(|| self.unused_done_group(), |(number, _)| *number);
         let group = self.done_groups.entry(number).or_default();
         group.insert(uid.clone(), chunk, bytes);
         if let Some(job) = self.jobs.get_mut(uid) {
@@ -109,7 +109,7 @@
     /// The excess chunks move to new groups, which this transaction also writes. The new groups are
     /// packed first, so that no chunk is removed from the old group before its new one is written; a
     /// chunk that is stored in both is read from both. Returns false if the transaction has no room.
-    fn divide_done_group(
+    fn split_done_group(
         &mut self,
         number: u32,
         builder: &mut TransactionBuilder,
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -68,7 +68,7 @@
     }
 
     fn pack_images(&mut self, builder: &mut TransactionBuilder, replica: &Replica, now: u64) {
-        if now < self.transactions.images_at {
+        if now < self.transactions.next_images_at {
             return;
         }
         let records = self.cluster.image_records(builder.value_bytes_max);
@@ -81,17 +81,17 @@
             }
         }
         if all_written {
-            self.transactions.images_at = now + IMAGES_PERIOD_MS;
+            self.transactions.next_images_at = now + IMAGES_PERIOD_MS;
         }
     }
 
     /// Finds submission batches that are stale: each of their jobs has ended and has no tasks left
     /// on machines.
     fn find_stale_keys(&mut self, replica: &Replica, now: u64) {
-        if now < self.transactions.stale_keys_at || !self.cluster.stale_keys.is_empty() {
+        if now < self.transactions.next_stale_key_scan_at || !self.cluster.stale_keys.is_empty() {
             return;
         }
-        self.transactions.stale_keys_at = now + GARBAGE_PERIOD_MS;
+        self.transactions.next_stale_key_scan_at = now + GARBAGE_PERIOD_MS;
         let jobs = &self.cluster.jobs;
         let is_over = |uid: &JobId| replica.has_ended(uid) && !jobs.contains_key(uid);
         for (key, batch) in &replica.batches {
--- a/src/coordination/transactions/mod.rs
+++ b/src/coordination/transactions/mod.rs
@@ -34,14 +34,14 @@
     /// The transaction that is being sent or whose outcome is not yet known.
     pending: Option<PendingTransaction>,
     /// Whether the last transaction was limited to the split of an oversized group.
-    divided_last: bool,
+    last_was_split: bool,
     /// When the next periodic transaction is due, which writes done tasks and other changes that are
     /// not urgent.
-    done_tasks_at: u64,
+    next_periodic_at: u64,
     /// When the image records are next written.
-    images_at: u64,
+    next_images_at: u64,
     /// When the next scan for stale keys is due.
-    stale_keys_at: u64,
+    next_stale_key_scan_at: u64,
     /// Whether the store has the teams' current shares.
     shares_written: bool,
     /// Whether the store has the machine types of the current catalog.
@@ -52,10 +52,10 @@
     pub(super) fn new(now: u64) -> Transactions {
         Transactions {
             pending: None,
-            divided_last: false,
-            done_tasks_at: now,
-            images_at: now + IMAGES_PERIOD_MS,
-            stale_keys_at: now + GARBAGE_PERIOD_MS,
+            last_was_split: false,
+            next_periodic_at: now,
+            next_images_at: now + IMAGES_PERIOD_MS,
+            next_stale_key_scan_at: now + GARBAGE_PERIOD_MS,
             shares_written: true,
             catalog_written: false,
         }
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -119,13 +119,13 @@
         }
     }
 
-    /// Resolves a conflict after a fresh read that began at `begun`: an earlier copy was applied, or
-    /// none was.
-    pub(in crate::coordination) fn resolve_unknown_outcome(&mut self, begun: u64) {
+    /// Resolves a conflict after a fresh read that began at `begun_at`: an earlier copy was applied,
+    /// or none was.
+    pub(in crate::coordination) fn resolve_unknown_outcome(&mut self, begun_at: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
         let Some(pending) = leader.transactions.pending.as_mut() else { return };
         let Some(since) = pending.awaiting_read_since else { return };
-        if begun < since {
+        if begun_at < since {
             // A read that began before the conflict may not show its cause.
             return self.request_leader_read();
         }
@@ -137,9 +137,9 @@
                 None => self.discard_pending_transaction(),
             };
         }
-        let was_refused_for_nothing = pending.conditions_hold(replica);
+        let conflict_is_unexplained = pending.conditions_hold(replica);
         self.discard_pending_transaction();
-        if was_refused_for_nothing {
+        if conflict_is_unexplained {
             // Every condition holds in the replica, yet the store reported a conflict: they differ.
             self.suspect_data_loss(None);
         }
@@ -162,7 +162,7 @@
     fn apply_pending_transaction(&mut self, revision: u64) {
         let Some(leader) = self.leader.as_mut() else { return };
         let Some(pending) = leader.transactions.pending.take() else { return };
-        let transaction = leader.apply(pending, revision, self.now.monotonic_ms);
+        let transaction = leader.apply_committed(pending, revision, self.now.monotonic_ms);
         self.apply_own_transaction(&transaction, revision);
     }
 }
@@ -254,7 +254,12 @@
     }
 
     /// Applies the changes of a committed transaction to the cluster state; returns the transaction.
-    fn apply(&mut self, pending: PendingTransaction, revision: u64, now: u64) -> Transaction {
+    fn apply_committed(
+        &mut self,
+        pending: PendingTransaction,
+        revision: u64,
+        now: u64,
+    ) -> Transaction {
         let cluster = &mut self.cluster;
         for number in &pending.groups {
             cluster.groups.entry(*number).or_default().mod_revision = revision;
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -26,12 +26,12 @@
             leader.plan_soon(now);
         }
         let scope = leader.next_scope(self.store.limits().value_bytes);
-        let is_periodic = now >= leader.transactions.done_tasks_at;
-        let is_wanted = is_periodic || leader.cluster.has_urgent_changes();
-        if !is_wanted || !self.store_is_usable() {
+        let is_periodic = now >= leader.transactions.next_periodic_at;
+        let is_due = is_periodic || leader.cluster.has_urgent_changes();
+        if !is_due || !self.store_is_usable() {
             return;
         }
-        if let Some(writes_max) = self.writes_for(scope) {
+        if let Some(writes_max) = self.available_writes(scope) {
             self.pack_transaction(is_periodic, scope, writes_max);
             self.send_transaction();
         }
@@ -39,7 +39,7 @@
 
     /// The number of writes that a transaction may have now; `None` if it has to wait until the write
     /// budget allows more.
-    fn writes_for(&mut self, scope: TransactionScope) -> Option<usize> {
+    fn available_writes(&mut self, scope: TransactionScope) -> Option<usize> {
         let writes_left = self.store.writes_left(self.now.monotonic_ms) - WRITE_RESERVE;
         let available = writes_left.max(0.0) as usize;
         let writes_max = self.store.limits().transaction_ops;
@@ -56,7 +56,7 @@
         let now = self.now.monotonic_ms;
         let limits = self.store.limits();
         let Some(leader) = self.leader.as_mut() else { return };
-        leader.transactions.divided_last = scope == TransactionScope::DivideGroup;
+        leader.transactions.last_was_split = scope == TransactionScope::SplitGroup;
         let mut builder = TransactionBuilder {
             conditions: BTreeMap::from([(leader_key(), leader.mod_revision)]),
             writes: Vec::new(),
@@ -72,14 +72,14 @@
             let ends_max = if has_starts { writes_max.div_ceil(2) } else { writes_max };
             leader.cluster.pack_job_ends(&mut builder, &mut pending, ends_max);
         }
-        let with_rest = is_periodic && scope == TransactionScope::Everything;
-        if with_rest {
-            leader.transactions.done_tasks_at = now + DONE_BATCH_MS;
+        let includes_deferrable = is_periodic && scope == TransactionScope::Everything;
+        if includes_deferrable {
+            leader.transactions.next_periodic_at = now + DONE_BATCH_MS;
             leader.cluster.pack_done_tasks(&mut builder, &mut pending, usize::from(has_starts));
         }
         leader.cluster.pack_placements(&mut builder, &mut pending, is_periodic, scope);
         // Hints and removals must not take writes that more urgent changes need.
-        if with_rest && !self.store.writes_are_short(now) {
+        if includes_deferrable && !self.store.writes_are_short(now) {
             self.pack_housekeeping(&mut builder, &mut pending);
         }
         if builder.writes.is_empty() {
@@ -98,8 +98,8 @@
     /// oversized; the others may store a gang that did not fit beside other changes. Both leave out
     /// whatever can wait, and are packed only once the write budget allows a transaction of full size.
     fn next_scope(&self, value_bytes: usize) -> TransactionScope {
-        if self.cluster.has_oversized_group(value_bytes) && !self.transactions.divided_last {
-            TransactionScope::DivideGroup
+        if self.cluster.has_oversized_group(value_bytes) && !self.transactions.last_was_split {
+            TransactionScope::SplitGroup
         } else if self.cluster.gang_is_deferred {
             TransactionScope::StoreGang
         } else {
--- a/src/coordination/transactions/placements/group_fill.rs
+++ b/src/coordination/transactions/placements/group_fill.rs
@@ -39,8 +39,9 @@
         if bytes > self.bytes_max {
             return None;
         }
-        let written = self.chosen.iter().copied().find(|group| self.has_room(*group, bytes));
-        let group = match written {
+        let chosen_with_room =
+            self.chosen.iter().copied().find(|group| self.has_room(*group, bytes));
+        let group = match chosen_with_room {
             Some(group) => group,
             None if self.chosen.len() >= self.groups_max => return None,
             None => self.emptiest_with_room(bytes).unwrap_or_else(|| self.unused()),
@@ -51,11 +52,11 @@
     }
 
     fn emptiest_with_room(&self, bytes: usize) -> Option<u32> {
-        let open = self
+        let candidates = self
             .bytes
             .iter()
             .filter(|(group, _)| !self.chosen.contains(group) && self.has_room(**group, bytes));
-        open.min_by_key(|(_, used)| **used).map(|(group, _)| *group)
+        candidates.min_by_key(|(_, used)| **used).map(|(group, _)| *group)
     }
 
     /// The lowest number that no group has.
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -49,8 +49,8 @@
     ) {
         let mut removable = self.removable_by_group(pending);
         let mut fill = self.group_fill(builder, &removable);
-        if scope == TransactionScope::DivideGroup {
-            self.divide_one_group(&mut fill, &removable, pending);
+        if scope == TransactionScope::SplitGroup {
+            self.split_one_group(&mut fill, &removable, pending);
         }
         if scope != TransactionScope::StoreGang {
             self.choose_urgent_groups(&mut fill);
@@ -153,7 +153,7 @@
 
     /// Splits one oversized group, preferably an urgent one, if the transaction can hold all of its
     /// parts.
-    fn divide_one_group(
+    fn split_one_group(
         &self,
         fill: &mut GroupFill,
         removable: &RemovableByGroup,
@@ -163,21 +163,21 @@
         let oversized = oversized.min_by_key(|(number, group)| (!group.urgent, **number));
         let Some((number, group)) = oversized else { return };
         let leaving = attempts_of(removable.get(number).into_iter().flatten());
-        let mut divided = fill.clone();
-        divided.chosen.insert(*number);
+        let mut split_fill = fill.clone();
+        split_fill.chosen.insert(*number);
         // Marks the group as full, so that nothing is added to it.
-        divided.bytes.insert(*number, divided.bytes_max);
+        split_fill.bytes.insert(*number, split_fill.bytes_max);
         let mut bytes_kept = 0;
         let mut moves = Vec::new();
         for (attempt, placement) in &group.placements {
             if leaving.contains(attempt) {
                 continue;
             }
-            if bytes_kept + placement.bytes <= divided.bytes_max {
+            if bytes_kept + placement.bytes <= split_fill.bytes_max {
                 bytes_kept += placement.bytes;
                 continue;
             }
-            let Some(target) = divided.add(placement.bytes) else { return };
+            let Some(target) = split_fill.add(placement.bytes) else { return };
             let entry = PlacementEntry {
                 group: target,
                 machine: placement.machine.clone(),
@@ -190,7 +190,7 @@
             "splitting placement group {number}: {} placements move to other groups",
             moves.len()
         );
-        *fill = divided;
+        *fill = split_fill;
         pending.moves = moves;
     }
 
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -17,7 +17,7 @@
 /// Whether a proposed placement can be stored.
 enum ProposalState {
     /// It is settled or gone, so there is nothing to store.
-    Over,
+    Ended,
     /// It must not start any more and has to be retracted.
     Obsolete,
     /// It can be stored.
@@ -97,8 +97,8 @@
             match self.proposal_state(machine, id) {
                 ProposalState::Storable(entry) => entries.push(entry),
                 ProposalState::Obsolete => return None,
-                ProposalState::Over if unit.gang.is_some() => return None,
-                ProposalState::Over => {}
+                ProposalState::Ended if unit.gang.is_some() => return None,
+                ProposalState::Ended => {}
             }
         }
         Some(entries)
@@ -111,14 +111,14 @@
     }
 
     fn proposal_state(&self, machine_name: &MachineName, id: &TaskId) -> ProposalState {
-        let Some(machine) = self.machines.get(machine_name) else { return ProposalState::Over };
+        let Some(machine) = self.machines.get(machine_name) else { return ProposalState::Ended };
         let placement = machine.placements.get(id).filter(|p| p.settled.is_none());
-        let Some(placement) = placement else { return ProposalState::Over };
-        let takes_tasks = machine.state == MachineState::Up
+        let Some(placement) = placement else { return ProposalState::Ended };
+        let accepts_tasks = machine.state == MachineState::Up
             && !machine.lease_expired
             && machine.reclaim_at.is_none();
-        let is_wanted = self.is_live(&id.job) && takes_tasks && placement.stop_reason.is_none();
-        if placement.phase == PlacementPhase::Proposed && !is_wanted {
+        let may_start = self.is_live(&id.job) && accepts_tasks && placement.stop_reason.is_none();
+        if placement.phase == PlacementPhase::Proposed && !may_start {
             return ProposalState::Obsolete;
         }
         let attempt = AttemptId::new(id.clone(), placement.attempt);
--- a/src/coordination/transactions/placements/tests.rs
+++ b/src/coordination/transactions/placements/tests.rs
@@ -112,10 +112,10 @@
     }
     assert!(cluster.has_oversized_group(VALUE_BYTES));
     let (mut p, mut f) = (packer(2), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, true, TransactionScope::DivideGroup);
+    cluster.pack_placements(&mut p, &mut f, true, TransactionScope::SplitGroup);
     assert!(p.writes.is_empty(), "not unless all parts find room");
     let (mut p, mut f) = (packer(8), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, true, TransactionScope::DivideGroup);
+    cluster.pack_placements(&mut p, &mut f, true, TransactionScope::SplitGroup);
     let stored: usize = p.writes.iter().map(stored_placements).sum();
     assert_eq!(stored, 60, "every placement stands in one of the values");
     cluster.apply_moves(std::mem::take(&mut f.moves));
