--- a/src/coordination/transactions/builder/tests.rs
+++ b/src/coordination/transactions/builder/tests.rs
@@ -27,11 +27,11 @@
 }
 
 #[test]
-fn what_is_too_large_or_one_too_many_does_not_fit() {
+fn a_write_beyond_a_limit_is_refused() {
     let mut builder = builder();
     assert!(!builder.put("a".into(), raw_json(&"longer than a value"), 0));
     assert!(builder.put("a".into(), raw_json(&1), 0));
     assert!(builder.put("b".into(), raw_json(&2), 0));
-    assert!(!builder.put("c".into(), raw_json(&3), 0), "a third write");
-    assert!(!builder.has_room(0, 1), "and a fourth condition");
+    assert!(!builder.put("c".into(), raw_json(&3), 0), "a third write exceeds the maximum of two");
+    assert!(!builder.has_room(0, 1), "a fourth condition exceeds the maximum of three");
 }
--- a/src/coordination/transactions/placements/tests.rs
+++ b/src/coordination/transactions/placements/tests.rs
@@ -11,10 +11,10 @@
 use crate::storage::testing::batch_of;
 use std::rc::Rc;
 
-/// Bytes of a value that holds some twenty placements.
+/// Value size limit under which a group holds about twenty placements.
 const VALUE_BYTES: usize = 512;
 
-fn packer(writes_max: usize) -> TransactionBuilder {
+fn builder_with_writes(writes_max: usize) -> TransactionBuilder {
     TransactionBuilder {
         conditions: BTreeMap::new(),
         writes: Vec::new(),
@@ -25,8 +25,8 @@
     }
 }
 
-/// A cluster in which a gang of so many tasks is proposed on two machines.
-fn proposed(tasks: u32) -> ClusterState {
+/// A cluster with a gang of `tasks` tasks that is proposed on two machines.
+fn cluster_with_proposed_gang(tasks: u32) -> ClusterState {
     let mut batch = batch_of("job-1", tasks);
     Rc::make_mut(&mut batch.jobs[0]).kind = JobKind::Gang;
     let mut replica = Replica::new(HashKeys::from_seed(1));
@@ -42,66 +42,70 @@
 }
 
 #[test]
-fn a_gang_is_stored_by_one_commit_that_may_write_several_groups() {
-    let mut cluster = proposed(50);
-    let (mut p, mut f) = (packer(8), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::Everything);
-    assert_eq!(f.additions.len(), 50);
-    assert!(p.writes.len() > 1);
+fn a_gang_is_committed_in_one_transaction_across_several_groups() {
+    let mut cluster = cluster_with_proposed_gang(50);
+    let (mut builder, mut pending) = (builder_with_writes(8), PendingTransaction::default());
+    cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::Everything);
+    assert_eq!(pending.additions.len(), 50);
+    assert!(builder.writes.len() > 1);
     assert_eq!(
-        p.conditions.get("mg/2/end/job-1"),
+        builder.conditions.get("mg/2/end/job-1"),
         Some(&0),
-        "it depends on the job not having ended"
+        "it requires that the job has no end record"
     );
     assert!(cluster.proposals.is_empty());
 }
 
 #[test]
-fn a_gang_that_does_not_fit_waits_whole() {
-    let mut cluster = proposed(50);
-    let (mut p, mut f) = (packer(1), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::Everything);
-    assert!(f.additions.is_empty() && p.writes.is_empty(), "{} are stored", f.additions.len());
+fn a_gang_that_does_not_fit_is_deferred_whole() {
+    let mut cluster = cluster_with_proposed_gang(50);
+    let (mut builder, mut pending) = (builder_with_writes(1), PendingTransaction::default());
+    cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::Everything);
+    assert!(
+        pending.additions.is_empty() && builder.writes.is_empty(),
+        "stored {} placements",
+        pending.additions.len()
+    );
     assert_eq!(cluster.proposals.len(), 50);
-    assert!(cluster.gang_is_deferred, "the next commit is for it");
+    assert!(cluster.gang_is_deferred, "the next transaction is for it");
 }
 
 #[test]
-fn a_gang_that_no_commit_can_hold_is_taken_back_and_blocks_nothing() {
-    let mut cluster = proposed(50);
-    let (mut p, mut f) = (packer(1), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::StoreGang);
+fn a_gang_too_large_for_any_transaction_is_retracted_and_blocks_nothing() {
+    let mut cluster = cluster_with_proposed_gang(50);
+    let (mut builder, mut pending) = (builder_with_writes(1), PendingTransaction::default());
+    cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::StoreGang);
     assert!(cluster.proposals.is_empty() && !cluster.gang_is_deferred);
     assert_eq!(cluster.jobs["job-1"].waiting(), 50);
 }
 
 #[test]
-fn a_commit_for_a_gang_leaves_urgent_groups_to_the_next() {
-    let mut cluster = proposed(20);
+fn a_transaction_for_a_gang_leaves_out_urgent_groups() {
+    let mut cluster = cluster_with_proposed_gang(20);
     let bytes = VALUE_BYTES - GROUP_FRAME_BYTES;
     cluster.groups.insert(0, PlacementGroup { bytes, urgent: true, ..PlacementGroup::default() });
-    let (mut p, mut f) = (packer(1), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::Everything);
-    assert!(f.additions.is_empty() && cluster.gang_is_deferred);
-    let (mut p, mut f) = (packer(1), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::StoreGang);
-    assert_eq!(f.additions.len(), 20);
+    let (mut builder, mut pending) = (builder_with_writes(1), PendingTransaction::default());
+    cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::Everything);
+    assert!(pending.additions.is_empty() && cluster.gang_is_deferred);
+    let (mut builder, mut pending) = (builder_with_writes(1), PendingTransaction::default());
+    cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::StoreGang);
+    assert_eq!(pending.additions.len(), 20);
 }
 
 #[test]
-fn a_gang_of_which_a_machine_is_gone_is_taken_back_whole() {
-    let mut cluster = proposed(6);
+fn a_gang_with_a_terminated_machine_is_retracted_whole() {
+    let mut cluster = cluster_with_proposed_gang(6);
     cluster.machines.get_mut("n-000002").expect("a machine").state = MachineState::Terminated;
-    let (mut p, mut f) = (packer(8), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, false, TransactionScope::Everything);
-    assert!(f.additions.is_empty() && p.writes.is_empty());
+    let (mut builder, mut pending) = (builder_with_writes(8), PendingTransaction::default());
+    cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::Everything);
+    assert!(pending.additions.is_empty() && builder.writes.is_empty());
     assert_eq!(cluster.jobs["job-1"].waiting(), 6);
     assert!(cluster.machines.values().all(|m| m.placements.is_empty()));
 }
 
 #[test]
-fn a_group_that_is_too_large_is_divided_and_nothing_is_lost() {
-    let mut cluster = proposed(6);
+fn an_oversized_group_is_split_and_no_placement_is_lost() {
+    let mut cluster = cluster_with_proposed_gang(6);
     cluster.proposals.clear();
     for task in 0..60 {
         let (machine, id): (MachineName, TaskId) =
@@ -111,20 +115,20 @@
         group.insert(AttemptId::new(id, 9), machine, bytes);
     }
     assert!(cluster.has_oversized_group(VALUE_BYTES));
-    let (mut p, mut f) = (packer(2), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, true, TransactionScope::SplitGroup);
-    assert!(p.writes.is_empty(), "not unless all parts find room");
-    let (mut p, mut f) = (packer(8), PendingTransaction::default());
-    cluster.pack_placements(&mut p, &mut f, true, TransactionScope::SplitGroup);
-    let stored: usize = p.writes.iter().map(stored_placements).sum();
-    assert_eq!(stored, 60, "every placement stands in one of the values");
-    cluster.apply_moves(std::mem::take(&mut f.moves));
+    let (mut builder, mut pending) = (builder_with_writes(2), PendingTransaction::default());
+    cluster.pack_placements(&mut builder, &mut pending, true, TransactionScope::SplitGroup);
+    assert!(builder.writes.is_empty(), "a group is only split if all of its parts fit");
+    let (mut builder, mut pending) = (builder_with_writes(8), PendingTransaction::default());
+    cluster.pack_placements(&mut builder, &mut pending, true, TransactionScope::SplitGroup);
+    let stored: usize = builder.writes.iter().map(stored_placements).sum();
+    assert_eq!(stored, 60, "every placement is in one of the values");
+    cluster.apply_moves(std::mem::take(&mut pending.moves));
     assert!(!cluster.has_oversized_group(VALUE_BYTES));
     assert_eq!(cluster.groups.values().map(|g| g.placements.len()).sum::<usize>(), 60);
 }
 
 fn stored_placements(write: &crate::protocol::state::Mutation) -> usize {
-    let crate::protocol::state::Mutation::Put { value: data, .. } = write else { return 0 };
-    let rec: PlacementsRecord = serde_json::from_str(data.get()).expect("a record");
-    rec.placed().count()
+    let crate::protocol::state::Mutation::Put { value, .. } = write else { return 0 };
+    let record: PlacementsRecord = serde_json::from_str(value.get()).expect("a record");
+    record.placed().count()
 }
