--- a/src/constants/leadership.rs
+++ b/src/constants/leadership.rs
@@ -16,7 +16,7 @@
 pub const HANDOVER_BACKOFF_MS: u64 = 20_000;
 /// Low bits of an attempt number, which count the attempts of one term; the term is in the high
 /// bits.
-pub const ATTEMPT_BITS: u32 = 26;
+pub const ATTEMPT_COUNTER_BITS: u32 = 26;
 /// Milliseconds between two gossip messages to the same peer.
 pub const GOSSIP_PERIOD_MS: u64 = 500;
 /// Milliseconds to wait for a peer's response to gossip.
@@ -30,7 +30,7 @@
 pub const PEER_VERSION: u32 = 2;
 /// Milliseconds without an answered state request after which a controller considers the state
 /// service unavailable: it relays users' requests to a peer, and `/up` may report a failure.
-pub const STATE_LOST_MS: u64 = 2_000;
+pub const STATE_UNAVAILABLE_MS: u64 = 2_000;
 /// Milliseconds without any heartbeat, while peers receive heartbeats, after which a leader hands
 /// over.
 pub const WORKERS_UNREACHABLE_HANDOVER_MS: u64 = 9_000;
--- a/src/coordination/heartbeats/response/tests.rs
+++ b/src/coordination/heartbeats/response/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`], the module `response`.
 
 use super::*;
-use crate::constants::ATTEMPT_BITS;
+use crate::constants::ATTEMPT_COUNTER_BITS;
 
 const TERM: u64 = 5;
 const HEARTBEAT: HeartbeatId = HeartbeatId { incarnation: 2, sequence: 9 };
@@ -18,7 +18,7 @@
 
 /// A committed placement that a leader of this term has made.
 fn placement_of_term(term: u64) -> Placement {
-    Placement::new((term << ATTEMPT_BITS) + 1, PlacementPhase::Committed, 0)
+    Placement::new((term << ATTEMPT_COUNTER_BITS) + 1, PlacementPhase::Committed, 0)
 }
 
 #[test]
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -20,7 +20,7 @@
 use super::leadership::LeaderLease;
 use super::transactions::Transactions;
 use super::Controller;
-use crate::constants::{ATTEMPT_BITS, POLL_SOON_MS, STATUS_LOG_PERIOD_MS};
+use crate::constants::{ATTEMPT_COUNTER_BITS, POLL_SOON_MS, STATUS_LOG_PERIOD_MS};
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Placement, PlacementPhase};
@@ -106,7 +106,7 @@
     /// A number never used before or after: the term and a counter.
     pub(super) fn unique(&mut self) -> u64 {
         self.unique_numbers += 1;
-        (self.term << ATTEMPT_BITS) + self.unique_numbers
+        (self.term << ATTEMPT_COUNTER_BITS) + self.unique_numbers
     }
 
     /// When it has to look again if nothing comes in before. Answers to transactions come in; what
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -10,7 +10,7 @@
 
 pub(super) use lease_extension::stop_commands_of_ended_jobs;
 
-use crate::constants::{GOSSIP_FRESH_MS, STATE_LOST_MS};
+use crate::constants::{GOSSIP_FRESH_MS, STATE_UNAVAILABLE_MS};
 use crate::protocol::peers::Gossip;
 use crate::storage::hashing::{HashKeys, HashMap, HashSet};
 use crate::storage::records::JobId;
@@ -126,5 +126,5 @@
 
 /// Whether a peer says that the state service serves it.
 pub(super) fn is_served(gossip: &Gossip) -> bool {
-    gossip.served_ago_ms.is_some_and(|ms| ms < STATE_LOST_MS)
+    gossip.served_ago_ms.is_some_and(|ms| ms < STATE_UNAVAILABLE_MS)
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -210,14 +210,14 @@
             CallPurpose::List { epoch } => self.on_list_response(epoch, reply),
             CallPurpose::Watch { read_point } => self.on_watch_response(read_point, reply),
             CallPurpose::FreshRead { begun_at, read_point } => {
-                self.on_fresh_read_response(begun_at, read_point, reply)
+                self.on_fresh_read_response(begun_at, read_point, reply);
             }
             CallPurpose::LeaseGrant => self.on_lease_granted(reply),
             CallPurpose::Election { lease_id, term, read_point } => {
                 self.on_election_response(lease_id, term, read_point, reply);
             }
             CallPurpose::LeaseRenewal { lease_id } => {
-                self.on_lease_renewal_response(lease_id, reply)
+                self.on_lease_renewal_response(lease_id, reply);
             }
             CallPurpose::LeaseRevocation => {}
             CallPurpose::LeaderCommit { term } => self.on_leader_commit_response(term, reply),
@@ -229,7 +229,7 @@
             CallPurpose::Decision(call) => self.on_decision_response(call, reply),
             CallPurpose::Image { peer } => self.on_image_response(peer, reply),
             CallPurpose::Gossip { peer, begun_at } => {
-                self.on_gossip_response(peer, begun_at, reply)
+                self.on_gossip_response(peer, begun_at, reply);
             }
             CallPurpose::Relay { requester } => self.on_relay_response(requester, reply),
             CallPurpose::Catalog => self.on_catalog_response(reply),
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -12,7 +12,7 @@
 
 use super::CallPurpose;
 use crate::constants::{
-    SHORT_OF_WRITES_SHARE, STATE_LOST_MS, STATE_RETRY_BACKOFF_MS, STATE_RPS_SHARE,
+    SHORT_OF_WRITES_SHARE, STATE_RETRY_BACKOFF_MS, STATE_RPS_SHARE, STATE_UNAVAILABLE_MS,
 };
 use crate::protocol::state::{Mutation, Transaction};
 use crate::settings::StateLimits;
@@ -163,7 +163,7 @@
 
     /// Whether the state service answers us, whatever it may have lost.
     pub(super) fn is_reachable(&self, now: u64) -> bool {
-        let answered_lately = self.last_served_at.is_some_and(|t| now - t < STATE_LOST_MS);
+        let answered_lately = self.last_served_at.is_some_and(|t| now - t < STATE_UNAVAILABLE_MS);
         self.loaded && !self.refused && answered_lately
     }
 
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -1,7 +1,7 @@
 //! Machines, and tasks placed on them, as the leader of a term knows them.
 
 use super::records::{JobId, MachineName, StoredPlacement};
-use crate::constants::{ATTEMPT_BITS, IMAGES_KEPT, UNREACHABLE_SIGNS};
+use crate::constants::{ATTEMPT_COUNTER_BITS, IMAGES_KEPT, UNREACHABLE_SIGNS};
 use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
@@ -89,7 +89,7 @@
 
     /// The term of the leader that made it.
     pub fn term(&self) -> u64 {
-        self.attempt >> ATTEMPT_BITS
+        self.attempt >> ATTEMPT_COUNTER_BITS
     }
 }
 
