--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -28,7 +28,7 @@
     /// When this controller may campaign; set when there is found to be no leader.
     campaign_at: Option<u64>,
     /// Consecutive election conflicts since another controller was last seen to lead.
-    refusals: u32,
+    conflicts: u32,
     /// No campaign before this time, after a handover.
     backoff_until: u64,
 }
@@ -42,7 +42,7 @@
     /// Notes that another controller holds the leader key.
     fn note_leader(&mut self) {
         self.campaign_at = None;
-        self.refusals = 0;
+        self.conflicts = 0;
     }
 }
 
@@ -91,7 +91,7 @@
         leader.label == self.settings.label && leader.incarnation != self.process_id
     }
 
-    pub(super) fn on_lease_granted(&mut self, reply: Option<Response>) {
+    pub(super) fn on_lease_grant_response(&mut self, reply: Option<Response>) {
         self.election.in_progress = false;
         self.election.campaign_at = None;
         let Some(Response { status: 200 | 201, body }) = reply else { return };
@@ -150,13 +150,13 @@
         self.election.in_progress = false;
         let won: Option<TransactionApplied> = match reply {
             Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
-            Some(Response { status: 409, .. }) => return self.on_election_refused(),
+            Some(Response { status: 409, .. }) => return self.on_election_conflict(),
             // A transaction without a response may still be applied. Nobody renews its lease, so
             // the leader key expires by itself, and the next campaign uses a new term.
             _ => None,
         };
         let Some(TransactionApplied { revision }) = won else { return };
-        self.election.refusals = 0;
+        self.election.conflicts = 0;
         if !self.applied_to_current_store(read_point, revision) {
             return;
         }
@@ -192,10 +192,10 @@
 
     /// Handles an election conflict. Another controller may have won; if repeated conflicts show no
     /// winner, the store differs from the replica, so data loss is suspected.
-    fn on_election_refused(&mut self) {
-        self.election.refusals += 1;
-        if self.election.refusals >= ELECTION_REFUSALS_MAX {
-            self.election.refusals = 0;
+    fn on_election_conflict(&mut self) {
+        self.election.conflicts += 1;
+        if self.election.conflicts >= ELECTION_REFUSALS_MAX {
+            self.election.conflicts = 0;
             self.suspect_data_loss(None);
         }
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -212,7 +212,7 @@
             CallPurpose::FreshRead { begun_at, read_point } => {
                 self.on_fresh_read_response(begun_at, read_point, reply);
             }
-            CallPurpose::LeaseGrant => self.on_lease_granted(reply),
+            CallPurpose::LeaseGrant => self.on_lease_grant_response(reply),
             CallPurpose::Election { lease_id, term, read_point } => {
                 self.on_election_response(lease_id, term, read_point, reply);
             }
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Drops the pending transaction, which was not applied and never will be, and restores its
-    /// changes so that a later transaction writes them.
+    /// Drops the pending transaction, which was not applied and never will be. Its changes are marked
+    /// again to be written, except for starts: those are retracted and their tasks wait again.
     fn discard_pending_transaction(&mut self) {
         let replica = self.store.replica();
         let Some(leader) = self.leader.as_mut() else { return };
@@ -205,7 +205,7 @@
     fn restore_proposals(&mut self, pending: &PendingTransaction) {
         for entry in &pending.additions {
             if self.is_on_machine(entry) {
-                // An adopted task: it already runs on the machine, so its placement must be recorded.
+                // An adopted task already runs on the machine, so its placement must still be stored.
                 let proposal = (entry.machine.clone(), entry.attempt.task.clone());
                 self.cluster.proposals.push_back(proposal);
             } else {
