--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -57,13 +57,13 @@
 #[derive(Debug)]
 pub(super) struct Outbox {
     effects: Vec<Effect>,
-    next_call: CallId,
+    next_call_id: CallId,
     unanswered: HashMap<CallId, CallPurpose>,
 }
 
 impl Outbox {
     pub(super) fn new(keys: HashKeys) -> Outbox {
-        Outbox { effects: Vec::new(), next_call: 1, unanswered: keys.map() }
+        Outbox { effects: Vec::new(), next_call_id: 1, unanswered: keys.map() }
     }
 
     /// Adds an outbound call.
@@ -76,8 +76,8 @@
         timeout_ms: u64,
         purpose: CallPurpose,
     ) {
-        let id = self.next_call;
-        self.next_call += 1;
+        let id = self.next_call_id;
+        self.next_call_id += 1;
         self.unanswered.insert(id, purpose);
         self.effects.push(Effect::Call { id, service, method, path, body, timeout_ms });
     }
--- a/src/coordination/transactions/mod.rs
+++ b/src/coordination/transactions/mod.rs
@@ -2,6 +2,9 @@
 //! done tasks and job ends into as few commits as possible. A placement is settled once there is proof
 //! that its task no longer runs on the machine.
 //!
+//! Decisions are committed before they take effect: a worker is told to start a task only once the
+//! placement is stored, and a task is placed again only once its settlement is.
+//!
 //! The state service accepts a few writes per second, while tasks start and end much faster.
 //! Placements are therefore stored in groups: one key holds hundreds of placements of any machines
 //! and jobs. New placements go to the groups with the most free space, so that the same write
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -25,7 +25,6 @@
 /// Settled placements that may be removed, by group.
 type RemovableByGroup = BTreeMap<u32, Vec<PlacementEntry>>;
 
-/// The attempts of these entries.
 fn attempts_of<'a>(
     entries: impl IntoIterator<Item = &'a PlacementEntry>,
 ) -> BTreeSet<&'a AttemptId> {
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -37,7 +37,7 @@
     ) -> Vec<PlacementEntry> {
         self.gang_is_deferred = false;
         let mut additions: Vec<PlacementEntry> = Vec::new();
-        let mut jobs: BTreeSet<JobId> = BTreeSet::new();
+        let mut jobs_with_condition: BTreeSet<JobId> = BTreeSet::new();
         let mut deferred: VecDeque<(MachineName, TaskId)> = VecDeque::new();
         for unit in self.take_proposed_units() {
             let Some(entries) = self.storable_entries(&unit) else {
@@ -47,11 +47,11 @@
             let Some(first) = entries.first() else { continue };
             let uid = first.attempt.task.job.clone();
             let is_live = self.is_live(&uid);
-            let needs_condition = is_live && !jobs.contains(&uid);
-            let has_condition = !needs_condition || jobs.len() < conditions_left;
-            if let Some(placed) = assign_groups(entries, fill, has_condition) {
+            let needs_condition = is_live && !jobs_with_condition.contains(&uid);
+            let condition_fits = !needs_condition || jobs_with_condition.len() < conditions_left;
+            if let Some(placed) = assign_groups(entries, fill, condition_fits) {
                 if is_live {
-                    jobs.insert(uid);
+                    jobs_with_condition.insert(uid);
                 }
                 additions.extend(placed);
                 continue;
@@ -137,7 +137,7 @@
 fn assign_groups(
     entries: Vec<PlacementEntry>,
     fill: &mut GroupFill,
-    has_condition: bool,
+    condition_fits: bool,
 ) -> Option<Vec<PlacementEntry>> {
     let mut filled = fill.clone();
     let assign = |entry: PlacementEntry| {
@@ -145,7 +145,7 @@
         Some(PlacementEntry { group, ..entry })
     };
     let assigned: Option<Vec<PlacementEntry>> = entries.into_iter().map(assign).collect();
-    let assigned = assigned.filter(|_| has_condition)?;
+    let assigned = assigned.filter(|_| condition_fits)?;
     *fill = filled;
     Some(assigned)
 }
