--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -20,7 +20,7 @@
 use super::leadership::LeaderLease;
 use super::transactions::Transactions;
 use super::Controller;
-use crate::constants::{ATTEMPT_BITS, POLL_SOON_MS, STATUS_LOG_PERIOD_MS};
+use crate::constants::{ATTEMPT_COUNTER_BITS, POLL_SOON_MS, STATUS_LOG_PERIOD_MS};
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Placement, PlacementPhase};
@@ -106,7 +106,7 @@
     /// A number never used before or after: the term and a counter.
     pub(super) fn unique(&mut self) -> u64 {
         self.unique_numbers += 1;
-        (self.term << ATTEMPT_BITS) + self.unique_numbers
+        (self.term << ATTEMPT_COUNTER_BITS) + self.unique_numbers
     }
 
     /// When it has to look again if nothing comes in before. Answers to transactions come in; what
@@ -147,7 +147,7 @@
         if self.leader.is_none() {
             return;
         }
-        self.renew_leader_lease_due();
+        self.renew_leader_lease_if_due();
         if self.is_rebuilding() {
             return;
         }
@@ -164,7 +164,7 @@
         self.fleet_due();
         self.log_summary_due();
         self.planning_due();
-        self.transactions_due();
+        self.send_due_transaction();
         self.answer_deferred_heartbeats();
     }
 
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -1,4 +1,4 @@
-//! What goes into the next transaction, the most urgent first.
+//! Decides when the next transaction is due and what goes into it, the most urgent changes first.
 
 use super::builder::{TransactionBuilder, TransactionScope};
 use super::pending::PendingTransaction;
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// Sends the transaction under way again, or packs and sends the next one.
-    pub(in crate::coordination) fn transactions_due(&mut self) {
+    /// Retries the pending transaction if that is due; with none pending, packs and sends the next.
+    pub(in crate::coordination) fn send_due_transaction(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         if let Some(pending) = &leader.transactions.pending {
@@ -21,24 +21,25 @@
             }
             return;
         }
-        // What was never stored needs no transaction to be over.
+        // A placement that was never stored needs no write when it ends.
         if leader.cluster.drop_unstored_settlements() {
             leader.plan_soon(now);
         }
         let scope = leader.next_scope(self.store.limits().value_bytes);
-        let is_periodic = now >= leader.transactions.done_tasks_at;
-        let is_wanted = is_periodic || leader.cluster.has_urgent_changes();
-        if !is_wanted || !self.store_is_usable() {
+        let is_periodic = now >= leader.transactions.next_periodic_at;
+        let is_due = is_periodic || leader.cluster.has_urgent_changes();
+        if !is_due || !self.store_is_usable() {
             return;
         }
-        if let Some(writes_max) = self.writes_for(scope) {
+        if let Some(writes_max) = self.available_writes(scope) {
             self.pack_transaction(is_periodic, scope, writes_max);
             self.send_transaction();
         }
     }
 
-    /// The writes that a transaction may have now; none if it should wait for more.
-    fn writes_for(&mut self, scope: TransactionScope) -> Option<usize> {
+    /// The number of writes that a transaction may have now; `None` if it has to wait until the write
+    /// budget allows more.
+    fn available_writes(&mut self, scope: TransactionScope) -> Option<usize> {
         let writes_left = self.store.writes_left(self.now.monotonic_ms) - WRITE_RESERVE;
         let available = writes_left.max(0.0) as usize;
         let writes_max = self.store.limits().transaction_ops;
@@ -50,12 +51,12 @@
         (available >= needed).then_some(available.min(writes_max))
     }
 
-    /// Packs what is to be written into one transaction.
+    /// Packs the next transaction and makes it the pending one, unless there is nothing to write.
     fn pack_transaction(&mut self, is_periodic: bool, scope: TransactionScope, writes_max: usize) {
         let now = self.now.monotonic_ms;
         let limits = self.store.limits();
         let Some(leader) = self.leader.as_mut() else { return };
-        leader.transactions.divided_last = scope == TransactionScope::DivideGroup;
+        leader.transactions.last_was_split = scope == TransactionScope::SplitGroup;
         let mut builder = TransactionBuilder {
             conditions: BTreeMap::from([(leader_key(), leader.mod_revision)]),
             writes: Vec::new(),
@@ -67,18 +68,18 @@
         let mut pending = PendingTransaction::default();
         let has_starts = !leader.cluster.proposals.is_empty();
         if scope == TransactionScope::Everything {
-            // Users wait for ends of jobs, but starts go along.
+            // Job ends come first because users wait for them, but starts keep half of the writes.
             let ends_max = if has_starts { writes_max.div_ceil(2) } else { writes_max };
             leader.cluster.pack_job_ends(&mut builder, &mut pending, ends_max);
         }
-        let with_rest = is_periodic && scope == TransactionScope::Everything;
-        if with_rest {
-            leader.transactions.done_tasks_at = now + DONE_BATCH_MS;
+        let includes_deferrable = is_periodic && scope == TransactionScope::Everything;
+        if includes_deferrable {
+            leader.transactions.next_periodic_at = now + DONE_BATCH_MS;
             leader.cluster.pack_done_tasks(&mut builder, &mut pending, usize::from(has_starts));
         }
         leader.cluster.pack_placements(&mut builder, &mut pending, is_periodic, scope);
-        // Hints and tidying up only with writes to spare.
-        if with_rest && !self.store.writes_are_short(now) {
+        // Hints and removals must not take writes that more urgent changes need.
+        if includes_deferrable && !self.store.writes_are_short(now) {
             self.pack_housekeeping(&mut builder, &mut pending);
         }
         if builder.writes.is_empty() {
@@ -93,12 +94,12 @@
 }
 
 impl Leader {
-    /// Every second transaction divides until no group is too large. Such a transaction, and one for a gang
-    /// that did not fit beside other changes, holds nothing else that can wait, and waits itself for
-    /// as many writes as a transaction may have.
+    /// The scope of the next transaction. Every second one splits a placement group until none is
+    /// oversized; the others may store a gang that did not fit beside other changes. Both leave out
+    /// whatever can wait, and are packed only once the write budget allows a transaction of full size.
     fn next_scope(&self, value_bytes: usize) -> TransactionScope {
-        if self.cluster.has_oversized_group(value_bytes) && !self.transactions.divided_last {
-            TransactionScope::DivideGroup
+        if self.cluster.has_oversized_group(value_bytes) && !self.transactions.last_was_split {
+            TransactionScope::SplitGroup
         } else if self.cluster.gang_is_deferred {
             TransactionScope::StoreGang
         } else {
@@ -108,14 +109,14 @@
 }
 
 impl ClusterState {
-    /// Whether anything waits that should not wait for the next periodic transaction.
+    /// Whether there are changes that must not wait for the next periodic transaction.
     fn has_urgent_changes(&self) -> bool {
         !self.proposals.is_empty()
             || !self.completed_jobs.is_empty()
             || self.groups.values().any(|group| group.urgent)
     }
 
-    /// Ends of jobs whose tasks are all done, as far as they fit into `writes_max` writes.
+    /// Adds the end records of jobs whose tasks are all done, as many as `writes_max` allows.
     fn pack_job_ends(
         &self,
         builder: &mut TransactionBuilder,
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -1,4 +1,4 @@
-//! Which of the proposed placements a transaction stores.
+//! Chooses which of the proposed placements a transaction stores.
 
 use super::{GroupFill, PlacementEntry, TransactionScope};
 use crate::storage::cluster::ClusterState;
@@ -6,27 +6,29 @@
 use crate::storage::records::{JobId, MachineName};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Placements that are stored together or not at all: one, or all those of a gang's attempt.
+/// Placements that are committed atomically: a single one, or all placements of a gang's attempt.
 #[derive(Debug, Default)]
 struct PlacementUnit {
-    /// The gang whose attempt it is; none for a single placement.
+    /// The gang whose attempt it is; `None` for a single placement.
     gang: Option<JobId>,
     placements: Vec<(MachineName, TaskId)>,
 }
 
-/// What becomes of a proposed placement.
+/// Whether a proposed placement can be stored.
 enum ProposalState {
-    /// It is over already.
-    Over,
-    /// It must not be stored any more.
+    /// It is settled or gone, so there is nothing to store.
+    Ended,
+    /// It must not start any more and has to be retracted.
     Obsolete,
     /// It can be stored.
     Storable(PlacementEntry),
 }
 
 impl ClusterState {
-    /// What is proposed and fits, the rest stays proposed. A gang that waits has the next transaction to
-    /// itself; if it does not fit there either, it is taken back.
+    /// Chooses the proposed placements that the transaction stores; those that do not fit stay
+    /// proposed. A gang that does not fit is deferred to the next transaction of scope
+    /// [`TransactionScope::StoreGang`]; if it is the first there and still does not fit, it is
+    /// retracted.
     pub(super) fn choose_starts(
         &mut self,
         fill: &mut GroupFill,
@@ -35,7 +37,7 @@
     ) -> Vec<PlacementEntry> {
         self.gang_is_deferred = false;
         let mut additions: Vec<PlacementEntry> = Vec::new();
-        let mut jobs: BTreeSet<JobId> = BTreeSet::new();
+        let mut jobs_with_condition: BTreeSet<JobId> = BTreeSet::new();
         let mut deferred: VecDeque<(MachineName, TaskId)> = VecDeque::new();
         for unit in self.take_proposed_units() {
             let Some(entries) = self.storable_entries(&unit) else {
@@ -45,18 +47,20 @@
             let Some(first) = entries.first() else { continue };
             let uid = first.attempt.task.job.clone();
             let is_live = self.is_live(&uid);
-            let needs_condition = is_live && !jobs.contains(&uid);
-            let has_condition = !needs_condition || jobs.len() < conditions_left;
-            if let Some(placed) = assign_groups(entries, fill, has_condition) {
+            let needs_condition = is_live && !jobs_with_condition.contains(&uid);
+            let condition_fits = !needs_condition || jobs_with_condition.len() < conditions_left;
+            if let Some(placed) = assign_groups(entries, fill, condition_fits) {
                 if is_live {
-                    jobs.insert(uid);
+                    jobs_with_condition.insert(uid);
                 }
                 additions.extend(placed);
                 continue;
             }
             let is_gang = unit.gang.is_some();
             if is_gang && scope == TransactionScope::StoreGang && additions.is_empty() {
-                log::error!("{uid}: one commit can't hold all tasks of the gang");
+                log::error!(
+                    "gang retracted: the tasks of job {uid} do not fit into one transaction"
+                );
                 self.retract_unit(&unit);
                 continue;
             }
@@ -67,7 +71,7 @@
         additions
     }
 
-    /// Proposals in their order, those of a gang's attempt together.
+    /// Takes the proposals in their order; consecutive ones of one gang's attempt form one unit.
     fn take_proposed_units(&mut self) -> Vec<PlacementUnit> {
         let mut units: Vec<PlacementUnit> = Vec::new();
         for (machine, id) in std::mem::take(&mut self.proposals) {
@@ -85,16 +89,16 @@
         units
     }
 
-    /// What can be stored of a unit; none if it must be taken back. Of a gang nothing is stored if
-    /// any of it can't be.
+    /// The placements of a unit that can be stored; `None` if the unit must be retracted. A gang is
+    /// retracted if any of its placements can't be stored.
     fn storable_entries(&self, unit: &PlacementUnit) -> Option<Vec<PlacementEntry>> {
         let mut entries = Vec::new();
         for (machine, id) in &unit.placements {
             match self.proposal_state(machine, id) {
                 ProposalState::Storable(entry) => entries.push(entry),
                 ProposalState::Obsolete => return None,
-                ProposalState::Over if unit.gang.is_some() => return None,
-                ProposalState::Over => {}
+                ProposalState::Ended if unit.gang.is_some() => return None,
+                ProposalState::Ended => {}
             }
         }
         Some(entries)
@@ -107,14 +111,14 @@
     }
 
     fn proposal_state(&self, machine_name: &MachineName, id: &TaskId) -> ProposalState {
-        let Some(machine) = self.machines.get(machine_name) else { return ProposalState::Over };
+        let Some(machine) = self.machines.get(machine_name) else { return ProposalState::Ended };
         let placement = machine.placements.get(id).filter(|p| p.settled.is_none());
-        let Some(placement) = placement else { return ProposalState::Over };
-        let takes_tasks = machine.state == MachineState::Up
+        let Some(placement) = placement else { return ProposalState::Ended };
+        let accepts_tasks = machine.state == MachineState::Up
             && !machine.lease_expired
             && machine.reclaim_at.is_none();
-        let is_wanted = self.is_live(&id.job) && takes_tasks && placement.stop_reason.is_none();
-        if placement.phase == PlacementPhase::Proposed && !is_wanted {
+        let may_start = self.is_live(&id.job) && accepts_tasks && placement.stop_reason.is_none();
+        if placement.phase == PlacementPhase::Proposed && !may_start {
             return ProposalState::Obsolete;
         }
         let attempt = AttemptId::new(id.clone(), placement.attempt);
@@ -128,11 +132,12 @@
     }
 }
 
-/// Finds a group for each entry; none, and nothing is filled, if there is not room for all.
+/// Assigns each entry to a group. Without room for all entries it returns `None` and leaves `fill`
+/// unchanged.
 fn assign_groups(
     entries: Vec<PlacementEntry>,
     fill: &mut GroupFill,
-    has_condition: bool,
+    condition_fits: bool,
 ) -> Option<Vec<PlacementEntry>> {
     let mut filled = fill.clone();
     let assign = |entry: PlacementEntry| {
@@ -140,7 +145,7 @@
         Some(PlacementEntry { group, ..entry })
     };
     let assigned: Option<Vec<PlacementEntry>> = entries.into_iter().map(assign).collect();
-    let assigned = assigned.filter(|_| has_condition)?;
+    let assigned = assigned.filter(|_| condition_fits)?;
     *fill = filled;
     Some(assigned)
 }
