--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -1,17 +1,17 @@
-//! The client of the cloud: the rate of its requests, and the catalogue of machine types.
+//! Client state for the cloud's interface: the request rate limit, and the catalogue of machine types.
 
 use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_BACKOFF_MS, STATE_RPS_SHARE};
 use crate::protocol::cloud::Catalog;
 use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
 
-/// Catalogue periods between two requests of a follower, in those of a leader.
+/// How many times longer a follower waits between two catalogue requests than a leader.
 const FOLLOWER_CATALOG_PERIODS: u64 = 10;
 
-/// A controller's view of the cloud's interface.
+/// A controller's client state for the cloud's interface.
 #[derive(Debug)]
 pub(super) struct CloudClient {
-    /// Requests a second that the cloud takes from all controllers.
+    /// Requests a second that the cloud accepts from all controllers together.
     requests_per_s: f64,
     budget: TokenBucket,
     catalog: Option<Rc<Catalog>>,
@@ -20,7 +20,7 @@
 }
 
 impl CloudClient {
-    /// A client with a follower's share of the requests.
+    /// A client with a follower's share of the request rate.
     pub(super) fn new(requests_per_s: f64, controllers: usize, now: u64) -> CloudClient {
         let share = requests_per_s * STATE_RPS_SHARE / controllers as f64;
         CloudClient {
@@ -32,40 +32,40 @@
         }
     }
 
-    /// The leader may use the rate of all controllers.
+    /// Sets the leader's rate: all that the cloud accepts.
     pub(super) fn set_leader_rate(&mut self, now: u64) {
         self.budget.set_rate(self.requests_per_s * STATE_RPS_SHARE, now);
     }
 
-    /// A follower shares it with the others.
+    /// Sets a follower's rate: an equal part of what the cloud accepts.
     pub(super) fn set_follower_rate(&mut self, controllers: usize, now: u64) {
         let share = self.requests_per_s * STATE_RPS_SHARE / controllers as f64;
         self.budget.set_rate(share, now);
     }
 
-    /// Takes a request out of the budget if that leaves `keep`; false if it does not.
+    /// Takes one request out of the budget if at least `keep` remain after it, and tells whether it did.
     pub(super) fn take_request(&mut self, keep: f64, now: u64) -> bool {
         self.budget.take(1.0, keep, now)
     }
 
-    /// The last known machine types.
+    /// The last known catalogue of machine types.
     pub(super) fn catalog(&self) -> Option<&Rc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// Takes the catalogue that the cloud has answered with.
+    /// Stores a catalogue that the cloud has returned.
     pub(super) fn set_catalog(&mut self, catalog: Catalog) {
         self.catalog = Some(Rc::new(catalog));
     }
 
-    /// Takes the catalogue from the store unless the cloud has given one.
+    /// Falls back to the catalogue kept in the store if the cloud has returned none yet.
     pub(super) fn restore_catalog(&mut self, stored: Option<&Catalog>) {
         if self.catalog.is_none() {
             self.catalog = stored.map(|catalog| Rc::new(catalog.clone()));
         }
     }
 
-    /// Whether the catalogue is to be asked for now; notes the request if it is.
+    /// Whether to request the catalogue now. If so, the request is recorded as in flight.
     pub(super) fn begin_catalog_request(&mut self, is_leader: bool, now: u64) -> bool {
         let period_ms = match (&self.catalog, is_leader) {
             (None, _) => CLOUD_RETRY_BACKOFF_MS,
@@ -81,7 +81,7 @@
         true
     }
 
-    /// The request for the catalogue is answered, or will not be.
+    /// Records that the catalogue request was answered or has failed.
     pub(super) fn end_catalog_request(&mut self) {
         self.catalog_request_in_flight = false;
     }
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs of the leader's term: attempts that can't become complete, and stops that take all tasks.
+//! Gang scheduling in the leader: stopping a gang as a whole, and stopping attempts that can't complete.
 
 use super::{was_never_ordered, Leader};
 use crate::constants::{GANG_SCAN_MS, MS_PER_S, SILENT_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S};
@@ -10,15 +10,15 @@
 use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeSet;
 
-/// Milliseconds of silence after which a machine is not waited for: longer than a worker takes to report
-/// again when it has missed one response.
+/// Milliseconds without a heartbeat after which a machine is not waited for: longer than a worker takes to send
+/// the next heartbeat when it has missed one response.
 fn silent_ms(workers: &Workers) -> u64 {
     let missed_answer_s = WORKER_TIMEOUT_S + WORKER_RETRY_S + workers.report_s;
     (missed_answer_s.max(workers.report_s * SILENT_PERIODS) * MS_PER_S) as u64
 }
 
 impl Leader {
-    /// Stops all tasks of a gang; those that were never ordered are settled at once.
+    /// Stops all tasks of a gang. Tasks for which no start command was sent are settled at once.
     pub(in crate::coordination) fn stop_gang(&mut self, uid: &JobId, reason: StopReason, now: u64) {
         self.cluster.stop_gang(uid, reason);
         for (machine, id) in self.never_ordered_tasks(uid) {
@@ -27,7 +27,7 @@
         self.plan_soon(now);
     }
 
-    /// Tasks of a job that are placed, and on no machine.
+    /// Placed tasks of a job for which no start command was sent, so that they are on no machine.
     fn never_ordered_tasks(&self, uid: &JobId) -> Vec<(MachineName, TaskId)> {
         let Some(job) = self.cluster.jobs.get(uid) else { return Vec::new() };
         let tasks =
@@ -42,8 +42,8 @@
             .collect()
     }
 
-    /// Stops the attempts of gangs that can't become complete: a task is to start on a machine that
-    /// has fallen silent, and no task of the gang was seen running.
+    /// Stops gang attempts that can't complete: a task has yet to start on a machine that can't be reached,
+    /// and no worker has reported a task of the gang as running.
     fn stop_hopeless_gangs(&mut self, workers: &Workers, now: u64) {
         let silent_ms = silent_ms(workers);
         let jobs = self.cluster.queue.values().filter_map(|uid| self.cluster.jobs.get(uid));
@@ -52,13 +52,14 @@
             .map(|job| job.id.clone())
             .collect();
         for uid in hopeless {
-            log::info!("{uid}: its gang can't become complete, the attempt is stopped");
+            log::info!("gang attempt stopped: {uid} can't complete, the machine of a task can't be reached");
             self.stop_gang(&uid, StopReason::NotNeeded, now);
         }
     }
 
     fn is_hopeless(&self, job: &Job, silent_ms: u64, now: u64) -> bool {
-        // One that has run goes on if the machine is only cut off, and ends by itself if not.
+        // A gang that has run continues if the machine is only cut off; if the machine is gone, the end of
+        // its task ends the attempt.
         if job.gang.as_ref().is_none_or(|gang| gang.running) {
             return false;
         }
@@ -67,14 +68,14 @@
             let placement = machine.placements.get(&TaskId::new(job.id.clone(), *index));
             let is_to_start =
                 placement.is_some_and(|p| p.reported_status.is_none() && p.stop_reason.is_none());
-            // What an earlier leader has placed may run there.
+            // Until its worker reports in this term, a task that an earlier leader placed may run there.
             let is_known = machine.has_our_token || now > self.began_at + silent_ms * 2;
             is_to_start && is_known && is_out_of_reach(machine, silent_ms, now)
         })
     }
 }
 
-/// Whether a task that was placed on a machine can't be expected to start there soon.
+/// Whether a machine can't be expected to start a task soon.
 fn is_out_of_reach(machine: &Machine, silent_ms: u64, now: u64) -> bool {
     machine.state != MachineState::Up
         || machine.lease_expired
@@ -83,7 +84,7 @@
 }
 
 impl Controller {
-    /// Looks for gangs that can't become complete, when it is time.
+    /// Stops gang attempts that can't complete, if the next scan is due.
     pub(super) fn gangs_due(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.gang_scan_at) else {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,13 +1,13 @@
-//! The leader: the state of one term, its takeover, and what it does when nothing comes in.
+//! The leader: the state of one term, the takeover that builds it, and the leader's periodic work.
 //!
-//! [`Leader`] owns what a term knows of jobs, machines and placements, and is dropped with the term. It
-//! must not change anything in the store but by a transaction that depends on the leader key's revision.
+//! [`Leader`] owns the jobs, machines and placements known in a term, and is dropped when the term ends. It
+//! writes to the store only by transactions whose condition is the revision of the leader key.
 //!
-//! * [`gangs`]: attempts of gangs that can't become complete;
-//! * [`planning`]: planning passes, from the planner's input to proposals and stops;
-//! * [`worker_leases`]: evidence that time gives, and handing over when no worker is heard;
-//! * [`run_times`]: what a class of jobs was seen to take;
-//! * [`summary`]: the line on how things stand.
+//! * [`gangs`]: stopping gangs, and gang attempts that can't complete;
+//! * [`planning`]: planning passes, from the planner's input to proposed placements and preemptions;
+//! * [`worker_leases`]: expiry of worker leases, and handover when no worker reaches this leader;
+//! * [`run_times`]: run times observed for each class of jobs;
+//! * [`summary`]: the periodic log line on machines and tasks.
 
 mod gangs;
 mod planning;
@@ -29,47 +29,50 @@
 use planning::PassSchedule;
 use run_times::RunTimes;
 
-/// A leader's state.
+/// The state of a leader in its term.
 pub struct Leader {
-    /// The term in which it leads, which is also the fencing token shown to workers.
+    /// The term in which it leads. The same number is the fencing token in responses to workers.
     pub term: u64,
-    /// Revision of the leader key: condition of every transaction.
+    /// Revision of the leader key: the condition of every transaction.
     pub mod_revision: u64,
     pub(super) lease: LeaderLease,
-    /// The state of the cluster is built.
+    /// Whether the takeover is done: `cluster` is built from the store.
     pub ready: bool,
-    /// After a rebuild of the store: what runs on every machine is known to this term.
+    /// After a rebuild of the store: whether this term knows what runs on every machine.
     pub(super) machines_accounted: bool,
-    /// When that state was built: until then workers were answered to keep their leases at the most.
+    /// When the takeover was done. Before it, responses to workers only renewed their leases.
     pub(super) ready_at: u64,
-    /// Jobs, machines and placements as this term knows them.
+    /// Jobs, machines and placements as known in this term.
     pub cluster: ClusterState,
     pub(super) fleet: Fleet,
+    /// Heartbeats that wait for their response.
     pub(super) deferred_heartbeats: Vec<DeferredHeartbeat>,
+    /// When this controller became the leader.
     pub(super) began_at: u64,
-    /// Last heartbeat of any worker.
+    /// When the last heartbeat of any worker arrived.
     pub(super) last_heartbeat_at: u64,
-    /// When each peer was last told that we lead: what permits it to extend leases in our place.
+    /// When each peer was last told that this controller leads, which permits the peer to extend worker leases
+    /// in its place for a while.
     pub(super) lease_extension_permits: Vec<Option<u64>>,
-    /// When gangs that can't become complete are looked for next.
+    /// When the next scan for gang attempts that can't complete is due.
     gang_scan_at: u64,
-    /// When worker leases are looked at next.
+    /// When the next scan for expired worker leases is due.
     lease_scan_at: u64,
-    /// When the next summary is logged.
+    /// When the next summary line is logged.
     summary_at: u64,
-    /// Numbers given out by [`Leader::unique`].
+    /// The last counter value used by [`Leader::unique`].
     unique_numbers: u64,
     pub(super) transactions: Transactions,
     passes: PassSchedule,
     run_times: RunTimes,
     /// The oldest waiting job and the machine that is reserved for it.
     pub(super) reservation: Option<(JobId, MachineName)>,
-    /// The teams' shares, in thousandths of the fleet.
+    /// Each team's share of the fleet, in thousandths.
     pub(super) shares: Vec<i64>,
 }
 
 impl Leader {
-    /// The leader of a term that has just begun; `mod_revision` is that of its leader key.
+    /// The leader of a term that has just begun; `mod_revision` is the revision of its leader key.
     pub(super) fn new(
         term: u64,
         mod_revision: u64,
@@ -103,28 +106,29 @@
         }
     }
 
-    /// A number never used before or after: the term and a counter.
+    /// A number that is unique across all terms: the term in the high bits, a counter in the low ones.
     pub(super) fn unique(&mut self) -> u64 {
         self.unique_numbers += 1;
         (self.term << ATTEMPT_BITS) + self.unique_numbers
     }
 
-    /// When it has to look again if nothing comes in before. Answers to transactions come in; what
-    /// waits for a pass, for a write to spare or for its longest time does not.
+    /// When the leader has work to do even if no command arrives before: a write that its rate limit then
+    /// permits, a deferred response at its deadline, a planning pass. Replies to transactions arrive as commands
+    /// and need no timer.
     pub(super) fn next_wake(&self, now: u64, writes: &TokenBucket) -> Option<u64> {
         let has_proposals = !self.cluster.proposals.is_empty();
         let write = self.transactions.next_wake(has_proposals, writes);
-        // Whatever comes in answers those that have waited long enough too: in a large fleet a heartbeat
-        // comes every few milliseconds, and to wake for each of them alone is mostly for nothing.
+        // Any command also triggers the responses that are due, and in a large fleet a heartbeat arrives every
+        // few milliseconds. So this timer only has to fire somewhat after the deadline.
         let deferred = self.deferred_heartbeats.iter();
         let response = deferred.map(|heartbeat| heartbeat.answer_by() + POLL_SOON_MS).min();
-        // A pass waits until what the last one decided is stored.
+        // No pass runs until the proposals of the last one are committed.
         let waits_for_pass = response.is_some() && !has_proposals;
         let pass = waits_for_pass.then(|| self.passes.next_at().max(now + 1));
         [write, response, pass].into_iter().flatten().min()
     }
 
-    /// Whether a transaction that may bring commands for a worker is under way or due.
+    /// Whether a transaction whose commit may add commands for a worker is in flight or due soon.
     pub(super) fn deciding(&self, now: u64) -> bool {
         self.transactions.is_pending()
             || !self.cluster.proposals.is_empty()
@@ -132,7 +136,7 @@
     }
 }
 
-/// Whether a stored placement of a term was never ordered: its task is on no machine.
+/// Whether a committed placement of the term is on no machine for sure: no start command was sent for it.
 fn was_never_ordered(placement: &Placement, term: u64) -> bool {
     placement.term() == term
         && placement.phase == PlacementPhase::Committed
@@ -141,7 +145,7 @@
 }
 
 impl Controller {
-    /// Does what is due of the leader's work.
+    /// Does the leader's work that is due; nothing if this controller doesn't lead.
     pub(super) fn leader_due(&mut self) {
         self.check_term();
         if self.leader.is_none() {
@@ -168,12 +172,13 @@
         self.answer_deferred_heartbeats();
     }
 
-    /// A read that was begun after the election, or after a transaction of unknown outcome, is in.
+    /// Handles the result of a read that was begun after the election, or after a transaction of unknown
+    /// outcome.
     pub(super) fn on_leader_read(&mut self, begun: u64) {
         match &self.leader {
             None => {}
             Some(leader) if leader.ready => self.resolve_unknown_outcome(begun),
-            // The store is written back first.
+            // Takeover waits until recovery has restored the store.
             Some(_) if self.recovery.is_suspended() => {}
             Some(leader) if self.store.replica().revision < leader.mod_revision => {
                 self.request_leader_read();
@@ -182,7 +187,8 @@
         }
     }
 
-    /// Builds the state of the cluster from the store. Every placement counts as possibly running.
+    /// Builds the state of the cluster from the store. Every stored placement is assumed to be possibly
+    /// running.
     fn take_over(&mut self) {
         let now = self.now.monotonic_ms;
         let replica = self.store.replica();
@@ -200,7 +206,7 @@
         }
         leader.passes.pass_at(now);
         log::info!(
-            "term {}: {} live jobs, {} machines with placements",
+            "takeover done: term {}, {} live jobs, {} machines with placements",
             leader.term,
             leader.cluster.queue.len(),
             leader.cluster.machines.len()
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -1,7 +1,7 @@
 //! Planning passes: from the state of the cluster to proposed placements and tasks to stop.
 //!
-//! Nothing that a pass decides is ordered before it is stored: placements are proposed, and
-//! [`super::super::transactions`] writes them ahead.
+//! Placements are write-ahead: a pass only proposes them, [`super::super::transactions`] commits them to the
+//! store, and no start command is sent before that commit.
 
 use super::{was_never_ordered, Leader};
 use crate::constants::{
@@ -16,7 +16,7 @@
 use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeMap;
 
-/// When planning passes are due.
+/// Times of the last and the next planning pass.
 #[derive(Debug)]
 pub(super) struct PassSchedule {
     next_at: u64,
@@ -33,12 +33,12 @@
         self.next_at
     }
 
-    /// The next pass is due at this time.
+    /// Sets when the next pass is due.
     pub(super) fn pass_at(&mut self, at: u64) {
         self.next_at = at;
     }
 
-    /// A pass is wanted before its period is over, but not within `min_gap_ms` of the last one.
+    /// Makes the next pass due now, but not within `min_gap_ms` after the last one.
     fn bring_forward(&mut self, min_gap_ms: u64, now: u64) {
         self.next_at = self.next_at.min(now.max(self.last_at + min_gap_ms));
     }
@@ -50,23 +50,23 @@
 }
 
 impl Leader {
-    /// A pass is wanted before its period is over.
+    /// Requests a planning pass before the period is over.
     pub(in crate::coordination) fn plan_soon(&mut self, now: u64) {
         self.passes.bring_forward(self.min_pass_gap_ms(), now);
     }
 
-    /// Least milliseconds between two passes: what a pass costs grows with the fleet.
+    /// Least milliseconds between two passes: the cost of a pass grows with the fleet.
     pub(super) fn min_pass_gap_ms(&self) -> u64 {
         PASS_GAP_MS + (self.cluster.machines.len() as f64 * PASS_GAP_PER_MACHINE_MS) as u64
     }
 
-    /// Milliseconds between two looks at the size of the fleet, for the same reason.
+    /// Milliseconds between two evaluations of the fleet's size, whose cost grows with the fleet too.
     pub(in crate::coordination) fn fleet_period(&self) -> u64 {
         FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * FLEET_PERIOD_PER_MACHINE_MS) as u64
     }
 
-    /// Whether a pass is due. What the last pass decided is stored first: to decide more would
-    /// only queue it.
+    /// Whether a pass is due. The proposals of the last pass are committed first: further ones would only
+    /// queue up.
     fn is_pass_due(&self, now: u64) -> bool {
         self.passes.next_at() <= now && self.cluster.proposals.is_empty()
     }
@@ -93,7 +93,7 @@
         leader.passes.note_pass(self.operator.pass_period_ms, now);
         let shares_are_known = leader.shares.len() == self.settings.params.teams.len();
         if !leader.cluster.has_waiting_tasks() && shares_are_known {
-            // There is nothing to place, to make room for or to reserve.
+            // No waiting task: nothing to place, to preempt for or to reserve.
             leader.reservation = None;
             leader.fleet.clear_unplaced();
             return;
@@ -111,7 +111,7 @@
 }
 
 impl Leader {
-    /// Moves shares to the team of the oldest waiting job, and puts them into the planner's input.
+    /// Moves shares to the team of the oldest waiting job, and sets the result in the planner's input.
     fn move_shares(&mut self, input: &mut PlannerInput) {
         let shares = planner::move_shares(&input.snapshot, self.shares.clone());
         if shares != self.shares {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Proposes and stops what a pass has decided.
+    /// Applies a plan: proposes its placements and stops the tasks that it preempts.
     fn adopt_plan(&mut self, plan: &Plan, input: &PlannerInput, catalog: &Catalog, now: u64) {
         self.reservation = plan.reservation.map(|reserved| {
             (input.jobs[reserved.job].clone(), input.machines[reserved.machine].clone())
@@ -151,29 +151,31 @@
         let Some(task) = job.and_then(|job| job.next_waiting()) else { return };
         let attempt = self.unique();
         self.cluster.propose(uid, task, machine, attempt, now);
-        log::debug!("{uid}/{task}: placed on {machine}, attempt {attempt}");
+        log::debug!("task placed: {uid}/{task} on {machine}, attempt {attempt}");
     }
 
     fn propose_attempt_of_gang(&mut self, uid: &JobId, machines: &[MachineName], now: u64) {
         let attempt = self.unique();
         if self.cluster.propose_gang(uid, machines, attempt, now) {
-            log::debug!("{uid}: gang placed on {}, attempt {attempt}", machines.join(", "));
+            log::debug!("gang placed: {uid} on {}, attempt {attempt}", machines.join(", "));
         } else {
-            log::error!("{uid}: a part of a gang is not placed");
+            log::error!(
+                "gang placement discarded: {uid}, the plan doesn't cover each of its tasks"
+            );
         }
     }
 
-    /// Stops a task, or the whole gang that it belongs to, to make room.
+    /// Stops a task, or the whole gang that it belongs to, to free resources for a job that goes first.
     fn preempt(&mut self, machine_name: &MachineName, id: &TaskId, now: u64) {
         if self.cluster.jobs.get(&id.job).is_some_and(|job| job.is_gang()) {
-            log::debug!("{}: gang stopped to make room", id.job);
+            log::debug!("gang preempted: {}", id.job);
             return self.stop_gang(&id.job, StopReason::Eviction, now);
         }
         let Some(placement) = self.cluster.placement_mut(machine_name, id) else { return };
-        log::debug!("{id}: stopped on {machine_name} to make room");
+        log::debug!("task preempted: {id} on {machine_name}");
         placement.stop_reason = placement.stop_reason.max(Some(StopReason::Eviction));
         if was_never_ordered(placement, self.term) {
-            // It can't be there, so its place is free at once.
+            // The task can't be on the machine, so its resources are free at once.
             self.cluster.settle(machine_name, id, EndCause::Lost);
         }
     }
--- a/src/coordination/leader/run_times.rs
+++ b/src/coordination/leader/run_times.rs
@@ -1,4 +1,4 @@
-//! Run times seen for classes of jobs, against what their owners guessed.
+//! Run times observed for each class of jobs, relative to the estimates that users submitted.
 
 use super::Leader;
 use crate::constants::{
@@ -8,10 +8,11 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Run times over guesses that are taken for real: outside it a figure was left out or mistyped.
+/// Range that ratios of observed to estimated run times are clamped to; an estimate further off was left out
+/// or mistyped.
 const PLAUSIBLE_RATIOS: RangeInclusive<f64> = 0.05..=20.0;
 
-/// Run times over guesses of one class.
+/// Ratio of observed to estimated run times of one class.
 #[derive(Debug, Default, Clone, Copy)]
 struct RunTimeRatio {
     /// Moving average.
@@ -19,14 +20,14 @@
     samples: u32,
 }
 
-/// Run times over guesses, by class.
+/// Ratios of observed to estimated run times, by class.
 #[derive(Debug, Default)]
 pub(super) struct RunTimes {
     by_class: BTreeMap<String, RunTimeRatio>,
 }
 
 impl RunTimes {
-    /// What guesses of a class are to be multiplied with.
+    /// The factor that corrects estimates of a class; 1 until there are enough samples.
     fn correction(&self, class: &str) -> f64 {
         match self.by_class.get(class) {
             Some(seen) if seen.samples >= RATIO_SAMPLES_MIN => seen.ratio,
@@ -43,8 +44,8 @@
 }
 
 impl Leader {
-    /// The run time to expect of a job's task, in milliseconds: the owner's guess, corrected
-    /// by what its class was seen to take.
+    /// The expected run time of a job's task, in milliseconds: the submitted estimate, corrected by the run
+    /// times observed for its class.
     pub(in crate::coordination) fn run_ms(&self, spec: &JobSpec) -> u64 {
         if spec.kind == JobKind::Service {
             return (SERVICE_REFERENCE_S * MS_PER_S) as u64;
@@ -53,7 +54,7 @@
         (expected_s.max(ESTIMATE_MIN_S) * MS_PER_S) as u64
     }
 
-    /// Learns from a run that ended well.
+    /// Adds the run time of a task that ended well to the average of its class.
     pub(in crate::coordination) fn learn_run(&mut self, spec: &JobSpec, ran_ms: u64) {
         if spec.run_estimate_s <= 0.0 {
             return;
--- a/src/coordination/leader/summary.rs
+++ b/src/coordination/leader/summary.rs
@@ -1,4 +1,4 @@
-//! The leader's line in the log on how things stand.
+//! The leader's periodic log line on machines, tasks and free resources.
 
 use super::Leader;
 use crate::constants::STATUS_LOG_PERIOD_MS;
@@ -25,7 +25,7 @@
             self.cluster.jobs.values().map(|job| u64::from(job.waiting())).sum();
         let free = self.free_resources();
         log::info!(
-            "{} ordinary and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
+            "cluster summary: {} ordinary and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
             self.count_machines(|machine| is_up(machine) && !machine.spot),
             self.count_machines(|machine| is_up(machine) && machine.spot),
             self.count_machines(|machine| is_up(machine) && machine.placements.is_empty()),
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -1,4 +1,4 @@
-//! Evidence that time gives: worker leases that have expired, and workers that nobody here hears.
+//! Expiry of worker leases, and handover of leadership when no worker reaches this leader.
 
 use super::Leader;
 use crate::constants::{
@@ -10,9 +10,9 @@
 use crate::storage::records::MachineName;
 
 impl Controller {
-    /// Settles what was on machines whose lease has surely expired: the worker had shown our token, so
-    /// nobody of a lower term can have renewed it, our last response is older than the lease, and no peer
-    /// has answered it in our place since.
+    /// Settles the tasks of machines whose worker lease has expired for sure. The evidence for that: the
+    /// worker has shown this term's fencing token, so no leader of a lower term can have renewed the lease
+    /// since; the last response is longer ago than the lease; and no peer has extended it since then.
     pub(super) fn expire_worker_leases(&mut self) {
         let now = self.now.monotonic_ms;
         if self.leader.as_ref().is_none_or(|leader| now < leader.lease_scan_at) {
@@ -25,19 +25,21 @@
             return;
         };
         for name in leader.find_expired_leases(lease_ms, not_extended_before, now) {
-            log::info!("{name}: silent, its lease has expired");
+            log::info!("worker lease expired: {name} is silent, its tasks are settled as lost");
             leader.cluster.settle_machine(&name);
             leader.plan_soon(now);
         }
     }
 
-    /// The longest time after a response at which a worker may still run tasks, in milliseconds.
+    /// Milliseconds after a response for which its worker may run tasks at the most: its lease, with clock
+    /// drift and a margin added.
     pub(in crate::coordination) fn lease_ms(&self) -> u64 {
         let lease_s = self.settings.params.workers.lease_s * (1.0 + CLOCK_DRIFT);
         (lease_s * MS_PER_S) as u64 + LEASE_MARGIN_MS
     }
 
-    /// All workers are silent here while peers see them come round: someone else should lead.
+    /// Hands leadership over if no worker reaches this leader while workers do reach a peer that is served by
+    /// the state service.
     pub(super) fn hand_over_if_no_worker_reports(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return };
@@ -52,15 +54,15 @@
 }
 
 impl Leader {
-    /// Marks machines whose lease has expired, and sets when to look again.
+    /// Finds machines whose lease has expired, marks them so, and schedules the next scan.
     fn find_expired_leases(
         &mut self,
         lease_ms: u64,
         not_extended_before: u64,
         now: u64,
     ) -> Vec<MachineName> {
-        // No lease that runs now can expire before the oldest of them: until then a look at
-        // every machine would find nothing.
+        // Of the leases that are running, the one with the oldest activity expires first. A scan before that
+        // would find nothing.
         let mut oldest_sign = now;
         let mut expired = Vec::new();
         for machine in self.cluster.machines.values_mut() {
@@ -77,11 +79,11 @@
     }
 }
 
-/// When a machine whose lease we renew was last answered or heard; none if its lease is not ours or
-/// has expired.
+/// When a machine whose lease this leader renews last sent a heartbeat or got a response; `None` if another
+/// controller may renew its lease or the lease has expired.
 ///
-/// One whose heartbeat waits for its response is not silent: it was once taken for silent
-/// again when it came back, with a start for it on the way, and that task ran twice.
+/// Heartbeats count too: a machine that has come back and whose heartbeat still waits for its response is not
+/// silent. To expire its lease again while a start command is on the way to it makes that task run twice.
 fn last_sign_of_lease(machine: &Machine) -> Option<u64> {
     let last_response_at = machine.last_response_at?;
     let is_ours =
