--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -1,5 +1,5 @@
-//! What a worker's heartbeat proves: about its machine, about whether our responses arrive there, and
-//! about the placements that we know of.
+//! What a worker's heartbeat proves: about its machine, about whether responses reach the machine, and about
+//! the placements on it.
 
 use crate::constants::{
     MS_PER_S, RECLAIM_NOTICE_MAX_S, UNREACHABLE_SESSION_SIGNS, WORKER_TIMEOUT_S,
@@ -10,11 +10,11 @@
 use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::machine::{AttemptId, HeartbeatId, Machine, MachineState, Placement, TaskId};
 
-/// Tasks of a heartbeat by attempt.
+/// The tasks that a heartbeat reports, by attempt.
 pub(super) struct ReportedTasks<'a>(HashMap<AttemptId, &'a ReportedTask>);
 
 impl<'a> ReportedTasks<'a> {
-    /// The tasks that a heartbeat shows; names that can't be read are left out.
+    /// The tasks that a heartbeat reports; those whose name can't be parsed are left out.
     pub(super) fn of(heartbeat: &'a Heartbeat, keys: HashKeys) -> ReportedTasks<'a> {
         let mut tasks = keys.map();
         for reported in &heartbeat.tasks {
@@ -31,21 +31,21 @@
     }
 }
 
-/// Whether our responses arrive at a machine, as far as a heartbeat tells.
+/// What a heartbeat tells about whether the leader's responses reach its machine.
 pub(super) struct ResponseDelivery {
-    /// A response of ours has arrived.
+    /// Whether it proves that a response has arrived.
     pub(super) delivered: bool,
-    /// Signs that none does.
+    /// Number of signs that responses do not arrive.
     pub(super) undelivered_signs: u32,
 }
 
 impl ResponseDelivery {
-    /// Judges a heartbeat before it is noted as the machine's newest.
+    /// Evaluates a heartbeat; to be called before it is recorded as the machine's newest.
     ///
-    /// A worker that our response has reached stays with us: its next heartbeat is the next one it
-    /// sends, and comes before it would have given the response up. One that no response reaches
-    /// waits, and tries the other controllers first. The first heartbeat with our token also
-    /// shows that a response has arrived.
+    /// A worker that a response has reached sends its next heartbeat to the same controller, with the next
+    /// sequence number and before the response would have timed out. A worker that no response reaches waits
+    /// for the timeout and then tries the other controllers first. The first heartbeat that shows this term's
+    /// fencing token proves too that a response has arrived.
     pub(super) fn of(
         machine: &Machine,
         id: HeartbeatId,
@@ -62,7 +62,7 @@
         let follows_promptly = answered_last && id == previous.next() && is_in_time;
         let mut undelivered_signs = u32::from(!has_our_token && answered_at.is_some());
         if answered_last && id.incarnation > previous.incarnation {
-            // A worker that a response reaches keeps its incarnation.
+            // A worker that responses reach keeps its incarnation.
             undelivered_signs += UNREACHABLE_SESSION_SIGNS;
         }
         let skipped_numbers = id.sequence > previous.next().sequence;
@@ -72,7 +72,7 @@
     }
 }
 
-/// Notes what a heartbeat says of its machine itself.
+/// Updates a machine with what a heartbeat says of the machine itself.
 pub(super) fn note_machine(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
@@ -91,11 +91,11 @@
     if matches!(machine.state, MachineState::Booting | MachineState::AwaitingHeartbeat) {
         machine.state = MachineState::Up;
         let spot = if machine.spot { ", spot" } else { "" };
-        log::info!("{}: up, {} in {}{spot}", machine.name, machine.type_name, machine.zone);
+        log::info!("machine up: {}, {} in {}{spot}", machine.name, machine.type_name, machine.zone);
     }
     machine.up_at.get_or_insert(now);
-    // A heartbeat that does not show our token though we answered one before may be a late copy
-    // of one from before our term: such must not hide that a machine is silent.
+    // A heartbeat without this term's token, though an earlier one was answered in this term, may be a delayed
+    // copy from before the term. Such a copy must not hide that the machine is silent.
     if has_our_token || machine.last_response_at.is_none() {
         machine.last_alive_at = Some(now);
     }
@@ -104,42 +104,47 @@
     note_reclaim(machine, heartbeat.reclaim_s, now);
 }
 
-/// Notes when the cloud takes the machine back, if it has said so.
+/// Updates when the cloud reclaims the machine, if the heartbeat passes on such a notice.
 fn note_reclaim(machine: &mut Machine, reclaim_s: Option<f64>, now: u64) {
     let was_known = machine.reclaim_at.is_some();
     let notice_ms = |s: f64| (s.clamp(0.0, RECLAIM_NOTICE_MAX_S) * MS_PER_S) as u64;
     machine.reclaim_at = reclaim_s.map(|s| now + notice_ms(s));
     if machine.reclaim_at.is_some() && !was_known {
-        log::info!("{}: to be reclaimed in {:.0} s", machine.name, reclaim_s.unwrap_or(0.0));
+        log::info!(
+            "machine to be reclaimed: {} in {:.0} s",
+            machine.name,
+            reclaim_s.unwrap_or(0.0)
+        );
     }
 }
 
-/// A task that a heartbeat is the first to show running.
+/// A task that a heartbeat is the first to report as running.
 pub(super) struct StartedTask {
     pub(super) id: TaskId,
-    /// When it was placed.
+    /// When its placement was proposed.
     pub(super) placed_at: u64,
 }
 
-/// A placement that a heartbeat proves to be over.
+/// A task whose placement is over, as a heartbeat proves.
 pub(super) struct EndedTask {
     pub(super) id: TaskId,
     pub(super) cause: EndCause,
 }
 
-/// What a heartbeat shows, against the placements that we know of.
+/// What a heartbeat proves about the placements on its machine.
 #[derive(Default)]
 pub(super) struct Evidence {
     pub(super) ended: Vec<EndedTask>,
     pub(super) started: Vec<StartedTask>,
-    /// A start that we ordered has arrived.
+    /// Whether a start command has arrived.
     pub(super) start_arrived: bool,
-    /// A start that we ordered has not.
+    /// Whether a start command was sent and did not arrive.
     pub(super) start_missed: bool,
 }
 
 impl Evidence {
-    /// Compares the placements on a machine with what is shown, and notes what is shown of each.
+    /// Compares the placements on a machine with the reported tasks, and updates each with its reported
+    /// status.
     pub(super) fn of(
         machine: &mut Machine,
         shown: &ReportedTasks<'_>,
@@ -168,7 +173,7 @@
         self.ended.push(EndedTask { id: id.clone(), cause });
     }
 
-    /// The task is on the machine.
+    /// The heartbeat reports the task as being on the machine.
     fn add_present(
         &mut self,
         id: &TaskId,
@@ -186,16 +191,16 @@
         }
     }
 
-    /// A heartbeat with our token does not show the task.
+    /// A heartbeat with this term's fencing token does not report the task.
     fn add_absent(&mut self, id: &TaskId, placement: &Placement, heartbeat: HeartbeatId) {
         if placement.reported_status.is_some() {
-            // It was there and is not any more: killed with its incarnation.
+            // It was reported before, so it was killed when the worker's incarnation ended.
             return self.add_end(id, EndCause::Lost);
         }
         let start_sent_after = placement.start_sent_after;
         let can_still_arrive = start_sent_after.is_some_and(|ordered| heartbeat <= ordered);
         if placement.stop_reason.is_some() && !can_still_arrive {
-            // Never arrived, and not wanted any more.
+            // The start command never arrived, and the task is to be stopped anyway.
             return self.add_end(id, EndCause::Lost);
         }
         self.start_missed |= start_sent_after.is_some() && !can_still_arrive;
--- a/src/coordination/heartbeats/mod.rs
+++ b/src/coordination/heartbeats/mod.rs
@@ -1,12 +1,13 @@
-//! Workers' heartbeats, and the commands that travel in their responses.
+//! Workers' heartbeats, and the commands in the responses to them.
 //!
-//! What a heartbeat settles, and when: only one that shows our fencing token, the newest by
-//! incarnation and sequence. A start that a newer heartbeat doesn't show was not executed, since a
-//! worker has one heartbeat in flight and drops late responses, so it is sent again.
+//! A heartbeat is evidence about placements only if it shows this term's fencing token and is the newest of its
+//! machine by incarnation and sequence. A worker has one heartbeat in flight and drops late responses, so a start
+//! command whose task the next heartbeat does not report was not executed, and is sent again.
 //!
-//! [`evidence`] judges what a heartbeat proves, [`processing`] applies that to the leader's state, [`response`]
-//! answers with commands, [`task_outcomes`] learns from how tasks ended, [`reclaim`] evicts tasks from machines
-//! that the cloud takes back. No task is started or settled here without a committed placement.
+//! [`evidence`] evaluates what a heartbeat proves, [`processing`] applies that to the leader's state, [`response`]
+//! builds the response with its commands, [`task_outcomes`] draws conclusions from how tasks ended, [`reclaim`]
+//! evicts tasks from machines that the cloud reclaims. No task is started or settled here without a committed
+//! placement.
 
 mod evidence;
 mod processing;
@@ -22,7 +23,7 @@
 use crate::protocol::workers::{Heartbeat, LeaderRedirect};
 
 impl Controller {
-    /// Takes a worker's heartbeat.
+    /// Handles a worker's heartbeat.
     pub(super) fn on_heartbeat(&mut self, connection: ConnectionId, body: &[u8]) {
         let now = self.now.monotonic_ms;
         let heartbeat: Heartbeat = match serde_json::from_slice(body) {
@@ -37,7 +38,8 @@
         self.check_worker_token(&heartbeat);
         self.observe_fencing_token(heartbeat.fencing_token);
         if heartbeat.fencing_token > self.membership.highest_term() {
-            // It would drop our response. Whoever gave it that token, it is not the leader that we know.
+            // The worker would drop a response with a lower token, and it has that token from another leader than
+            // the one known here.
             return self.redirect_to_term(connection, heartbeat.fencing_token);
         }
         let leads = self.leader.as_ref().is_some_and(|leader| leader.ready);
@@ -52,12 +54,12 @@
         }
     }
 
-    /// Takes note of a token above every term that we know. Whoever leads has stored its term before it
-    /// showed it to anyone, so where the store can be read it decides. A worker that showed an absurd
-    /// token once made every leader step down, and the terms after it run out of numbers.
+    /// Reacts to a fencing token above every known term. A leader stores its term before it sends it to anyone,
+    /// so the store is read, where possible, and decides. The token alone must not: one worker with an absurd
+    /// token would make every leader step down and use up the numbers for later terms.
     ///
-    /// Without the store the token is believed if there was time for so many elections: a leader
-    /// that is cut off should make way for its successor.
+    /// Without the store, the token is accepted as a term if there was time for that many elections, so that a
+    /// leader that is cut off from the store steps down for its successor.
     fn observe_fencing_token(&mut self, token: u64) {
         let highest_term = self.membership.highest_term();
         if token <= highest_term {
@@ -74,12 +76,12 @@
         }
     }
 
-    /// Answers a heartbeat with the leader to turn to, if it is known.
+    /// Redirects a worker to the current leader, if it is known.
     pub(super) fn redirect(&mut self, connection: ConnectionId) {
         self.redirect_to_term(connection, self.membership.highest_term());
     }
 
-    /// The same, where only a leader of this term or a later one will do.
+    /// Redirects a worker to the leader of this term or a later one, if it is known.
     fn redirect_to_term(&mut self, connection: ConnectionId, term: u64) {
         self.metrics.work.reports_redirected += 1;
         let leader = self.leader_of_term(term);
@@ -87,8 +89,7 @@
         self.respond(connection, 421, None, body);
     }
 
-    /// Name of another controller that leads in this term or a later one, by the store or by what
-    /// peers say.
+    /// Name of another controller that leads in this term or a later one, according to the store or to gossip.
     fn leader_of_term(&self, term: u64) -> Option<String> {
         let stored = self.store.replica().leader.as_ref().map(|record| &record.value);
         let is_other = |label: &String| *label != self.settings.label;
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -1,4 +1,4 @@
-//! Applying a heartbeat to the leader's state of its machine.
+//! Applying a heartbeat to the leader's state of its machine and of the tasks on it.
 
 use super::evidence::{note_machine, Evidence, ReportedTasks, ResponseDelivery, StartedTask};
 use super::response::{DeferredHeartbeat, TaskAttempt};
@@ -12,14 +12,14 @@
 use crate::storage::records::MachineName;
 use std::collections::BTreeSet;
 
-/// A task runs that the store should name a placement of.
+/// A running task that has no placement in the store, though placements are stored before tasks start.
 struct UnrecordedTask {
-    /// Its name on the wire.
+    /// The task's name on the wire.
     task_id: String,
 }
 
 impl Controller {
-    /// Applies a heartbeat to the leader's state; its response may wait for a commit.
+    /// Applies a heartbeat to the leader's state and defers its response, which may wait for a commit.
     pub(super) fn process_heartbeat(&mut self, connection: ConnectionId, heartbeat: &Heartbeat) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
@@ -27,7 +27,7 @@
         };
         leader.last_heartbeat_at = now;
         if leader.fleet.is_terminated(&heartbeat.machine) {
-            // A late heartbeat of a machine that was deleted.
+            // A delayed heartbeat of a machine that was deleted.
             return self.redirect(connection);
         }
         let name = MachineName::from(heartbeat.machine.as_str());
@@ -59,7 +59,7 @@
         ));
     }
 
-    /// Notes what a heartbeat says of its machine and of the placements on it.
+    /// Updates the machine and the placements on it with the evidence of a heartbeat.
     fn apply_evidence(&mut self, name: &MachineName, heartbeat: &Heartbeat) {
         let now = self.now.monotonic_ms;
         let catalog = self.cloud.catalog().map(|catalog| &**catalog);
@@ -79,7 +79,10 @@
             if leader.note_task_started(name, &started, catalog) {
                 let start_ms = now - started.placed_at;
                 let _ = self.metrics.start_ms.record(start_ms);
-                log::debug!("{}: runs on {name}, {start_ms} ms after it was placed", started.id);
+                log::debug!(
+                    "task running: {} on {name}, {start_ms} ms after placement",
+                    started.id
+                );
             }
         }
         for ended in evidence.ended {
@@ -89,7 +92,8 @@
         }
     }
 
-    /// Accounts for tasks that are shown and that no placement explains; gives those to stop.
+    /// Handles reported tasks that have no placement on the machine: some are adopted or left running, the others
+    /// are returned and have to be stopped.
     fn account_for_untracked_tasks(
         &mut self,
         name: &MachineName,
@@ -108,19 +112,23 @@
             if leader.cluster.placement(name, &id.task).is_some_and(|p| p.attempt == id.number) {
                 continue;
             }
-            // Perhaps a late copy. What really runs there a heartbeat with our token shows.
+            // The heartbeat may be a delayed copy. One with this term's token shows what really runs there.
             if history_is_doubtful && !has_our_token {
                 continue;
             }
             if was_rebuilt && !self.store.replica().jobs.contains_key(&id.task.job) {
-                // Accepted in the lost history, as far as anyone can tell: it is left alone.
+                // The job may have been accepted in the lost part of the history, so the task is left running.
                 tasks_of_unknown_jobs.insert(id);
                 continue;
             }
             if was_rebuilt && leader.cluster.adopt(name, &id, now) != Adoption::Refused {
                 continue;
             }
-            log::info!("{}: attempt {} on {name} is not known", reported.task_id, id.number);
+            log::info!(
+                "task without placement: {} attempt {} on {name}",
+                reported.task_id,
+                id.number
+            );
             if has_our_token && !was_rebuilt && self.recovery.notices_losses() {
                 return Err(UnrecordedTask { task_id: reported.task_id.clone() });
             }
@@ -135,20 +143,20 @@
     }
 }
 
-/// Whether a heartbeat is older than what is known of its machine.
+/// Whether a heartbeat is superseded by what is known of its machine.
 fn is_outdated(machine: &Machine, heartbeat: &Heartbeat) -> bool {
-    // Late or repeated: the worker has given it up.
+    // Delayed or duplicated: the worker no longer waits for its response.
     let is_late = HeartbeatId::of(heartbeat) <= machine.newest_heartbeat;
-    // Sent before its lease expired and held on the way: what it shows is over, and the worker
-    // has begun another incarnation since. Such heartbeats once brought back machines that were
-    // still cut off, with tasks long started elsewhere.
+    // Sent before the lease expired and delayed on the way: the tasks that it reports have ended, and the worker
+    // has begun another incarnation since. To accept it would bring back a machine that is still cut off, with
+    // tasks that have been started elsewhere.
     let is_of_expired_lease =
         machine.lease_expired && heartbeat.incarnation <= machine.newest_heartbeat.incarnation;
     is_late || is_of_expired_lease
 }
 
-/// Notes whether our responses reach the machine. While none does, what was never shown there is
-/// settled by its next heartbeat and starts elsewhere.
+/// Updates whether responses reach the machine. While none does, tasks that were never reported there are
+/// stopped, so that the next heartbeat settles them and they start elsewhere.
 fn note_delivery(
     machine: &mut Machine,
     delivery: &ResponseDelivery,
@@ -160,7 +168,7 @@
     let delivered = delivery.delivered || evidence.start_arrived;
     if machine.note_response_delivery(undelivered_signs, delivered, now, calm_ms) {
         log::info!(
-            "{}: unreachable, its heartbeats arrive but no response reaches it",
+            "machine unreachable: {} sends heartbeats but gets no response, so it gets no new tasks",
             machine.name
         );
     }
@@ -175,8 +183,8 @@
 }
 
 impl Leader {
-    /// Notes that a task was seen running, and that its machine holds its image. Tells whether the job
-    /// is known.
+    /// Records that a task is running and that its machine holds its image. Returns whether the job and the
+    /// machine are known.
     fn note_task_started(
         &mut self,
         machine_name: &MachineName,
@@ -196,8 +204,7 @@
         true
     }
 
-    /// Whether the answer to a machine's heartbeat may still bring it commands of a commit that is
-    /// under way or due.
+    /// Whether a commit that is in flight or due may add commands to the response to a machine's heartbeat.
     pub(super) fn may_get_commands(&self, machine_name: &MachineName) -> bool {
         self.cluster.machines.get(machine_name).is_some_and(|machine| {
             let takes_new_tasks = machine.state == MachineState::Up
--- a/src/coordination/heartbeats/reclaim.rs
+++ b/src/coordination/heartbeats/reclaim.rs
@@ -1,4 +1,4 @@
-//! Spot machines that the cloud is about to take back.
+//! Eviction of tasks from spot machines that the cloud is about to reclaim.
 
 use crate::constants::{MS_PER_S, RECLAIM_MARGIN_S};
 use crate::coordination::gang_rules::saves_when_stopped;
@@ -10,8 +10,9 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Evicts tasks from a machine that the cloud will take: those that can't end in time while
-    /// they can still save, and those that can't save at once, so that they start elsewhere.
+    /// Evicts tasks from a machine that the cloud will reclaim. Tasks that save when they are stopped stay until
+    /// there is just enough time left for that. Others are evicted at once, to start elsewhere, except running
+    /// tasks that are expected to end in time and are no services.
     pub(super) fn evict_before_reclaim(&mut self, name: &MachineName, now: u64, workers: &Workers) {
         let jobs = &self.cluster.jobs;
         let Some(machine) = self.cluster.machines.get_mut(name) else {
@@ -39,7 +40,7 @@
     }
 }
 
-/// Whether a task has to leave now a machine that goes in `left_ms`.
+/// Whether a task must be evicted now from a machine that is reclaimed in `left_ms`.
 fn must_be_evicted(
     spec: &JobSpec,
     placement: &Placement,
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -1,4 +1,4 @@
-//! Responses to heartbeats: which commands a worker gets, and when.
+//! Responses to heartbeats: which commands a worker gets, and when the response is sent.
 
 use crate::constants::{COMMANDS_MAX, GRACE_EXTRA_S, HEARTBEAT_HOLD_MS};
 use crate::coordination::{ConnectionId, Controller};
@@ -11,15 +11,15 @@
 };
 use crate::storage::records::MachineName;
 
-/// An attempt of a task as a heartbeat names it.
+/// An attempt of a task as a heartbeat reports it.
 #[derive(Debug)]
 pub(super) struct TaskAttempt {
-    /// Name of the task on the wire.
+    /// The task's name on the wire.
     pub(super) task_id: String,
     pub(super) attempt: u64,
 }
 
-/// A heartbeat whose response waits for a commit that may bring commands.
+/// A heartbeat whose response waits for a commit that may add commands to it.
 #[derive(Debug)]
 pub(in crate::coordination) struct DeferredHeartbeat {
     connection: ConnectionId,
@@ -28,7 +28,7 @@
     received_at: u64,
     has_our_token: bool,
     ended_tasks: Vec<TaskAttempt>,
-    /// Tasks that no placement explains.
+    /// Reported tasks without a placement, which have to be stopped.
     untracked_tasks: Vec<TaskAttempt>,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The connection to answer on.
+    /// The connection that the response goes to.
     pub(in crate::coordination) fn connection(&self) -> ConnectionId {
         self.connection
     }
@@ -67,13 +67,13 @@
         &self.machine
     }
 
-    /// When it is answered at the latest.
+    /// When the response is sent at the latest.
     pub(in crate::coordination) fn answer_by(&self) -> u64 {
         self.received_at + HEARTBEAT_HOLD_MS
     }
 
-    /// Stops of tasks that no placement explains, and removal of ended ones from the heartbeats. What does
-    /// not fit into a response goes out with the next one.
+    /// Commands that stop tasks without a placement, and commands that let the worker drop ended tasks from its
+    /// heartbeats. What does not fit into this response goes into a later one.
     fn stop_and_clear_commands(&self, machine: &Machine) -> Vec<WorkerCommand> {
         let mut commands: Vec<WorkerCommand> = Vec::new();
         for TaskAttempt { task_id, attempt } in self.untracked_tasks.iter().take(COMMANDS_MAX) {
@@ -81,7 +81,7 @@
             commands.push(WorkerCommand::Stop { task_id, attempt, grace_s: 0.0 });
         }
         for TaskAttempt { task_id, attempt } in &self.ended_tasks {
-            // Only once what it said is committed, which takes the placement out.
+            // Only once the end of the task is committed, which removes the placement.
             if !machine_has_placement(machine, task_id, *attempt) && commands.len() < COMMANDS_MAX {
                 let (task_id, attempt) = (task_id.clone(), *attempt);
                 commands.push(WorkerCommand::Clear { task_id, attempt });
@@ -97,24 +97,24 @@
     placement.is_some_and(|placement| placement.attempt == attempt)
 }
 
-/// What a response has to do about a placement.
+/// What a response does about a placement.
 enum Decision {
-    /// Nothing now.
+    /// No command.
     Nothing,
     /// Stop the task.
     Stop {
-        /// Seconds that it may take to save.
+        /// Seconds that the task gets to save its progress.
         grace_s: f64,
     },
     /// Start the task.
     Start,
-    /// It is surely not on the machine, and is settled without a command.
+    /// Settle the task as lost without a command: it is not on the machine for sure.
     SettleAsLost,
 }
 
-/// What is decided on a machine's placements for one response.
+/// The decisions on a machine's placements for one response.
 struct DecidedCommands {
-    /// Stops and removals, which come first.
+    /// Stop and clear commands, which come before the starts.
     commands: Vec<WorkerCommand>,
     starts: Vec<WorkerCommand>,
     /// Tasks to settle as lost.
@@ -126,7 +126,7 @@
         DecidedCommands { commands, starts: Vec::new(), lost: Vec::new() }
     }
 
-    /// Whether the response has as many commands as it may.
+    /// Whether the response holds the most commands that it may.
     fn is_full(&self) -> bool {
         self.commands.len() + self.starts.len() >= COMMANDS_MAX
     }
@@ -158,7 +158,7 @@
     }
 }
 
-/// What the decisions of one response have in common.
+/// What all decisions for one response depend on.
 struct ResponseContext {
     /// The leader's term.
     term: u64,
@@ -166,14 +166,14 @@
     rebuilt_in_term: u64,
     /// The heartbeat that is answered.
     heartbeat: HeartbeatId,
-    /// It shows our fencing token.
+    /// Whether it shows this term's fencing token.
     has_our_token: bool,
-    /// Starts may be ordered, and the machine takes them.
+    /// Whether start commands may be sent now, and to this machine.
     may_start: bool,
 }
 
 impl ResponseContext {
-    /// Decides on a committed placement that is not settled.
+    /// Decides on a committed placement that is not settled. `ended` tells that peers report the end of the job.
     fn decide(
         &self,
         placement: &Placement,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// The placement was made by an earlier leader.
+    /// Whether the placement was made in an earlier term.
     fn is_inherited(&self, placement: &Placement) -> bool {
         placement.term() != self.term
     }
@@ -207,7 +207,7 @@
         let was_ordered =
             placement.reported_status.is_some() || placement.start_sent_after.is_some();
         if !was_ordered && !self.is_inherited(placement) {
-            // That a peer has told of the job's end settles nothing: see `store_isolation`.
+            // A peer's report of the job's end is no evidence that settles a task: see `store_isolation`.
             return match !is_needed || placement.stop_reason.is_some() {
                 true => Decision::SettleAsLost,
                 false => Decision::Nothing,
@@ -229,8 +229,8 @@
         if !may_start {
             return Decision::Nothing;
         }
-        // A rebuild may have brought back what was settled before: it is not started once more
-        // past its team's limit, but placed anew.
+        // A rebuild of the store may have restored a placement that had been settled. Its task is not started
+        // from that placement, which could exceed the team's limit, but is placed anew.
         let is_brought_back = placement.term() < self.rebuilt_in_term;
         let gang = job.and_then(|job| job.gang.as_ref());
         let may_have_run = gang.is_some_and(|gang| self.gang_may_have_run(gang, placement));
@@ -241,9 +241,9 @@
         }
     }
 
-    /// Whether a task of a gang that a machine does not show may have been there before, and the gang may
-    /// have run: an attempt that lost a task is not made whole again. It was placed by an earlier
-    /// leader, the machine has begun another incarnation since it was ordered, or others ran already.
+    /// Whether a gang's task that its machine does not report may have run there, so that the attempt has lost a
+    /// task; such an attempt is not completed again. This is so if the placement is of an earlier term, if the
+    /// worker has begun another incarnation since the start command was sent, or if the gang was running.
     fn gang_may_have_run(&self, gang: &GangState, placement: &Placement) -> bool {
         let ordered_in = placement.start_sent_after.map(|ordered| ordered.incarnation);
         let incarnation_ended = ordered_in.is_some_and(|known| known < self.heartbeat.incarnation);
@@ -252,7 +252,7 @@
 }
 
 impl Controller {
-    /// Answers deferred heartbeats whose commits are in, or that can wait no longer.
+    /// Answers the deferred heartbeats that have no commit to wait for, or whose deadline has come.
     pub(in crate::coordination) fn answer_deferred_heartbeats(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
@@ -284,7 +284,7 @@
         }
     }
 
-    /// The commands that answer a heartbeat; none if its machine is gone or has sent a newer one.
+    /// The response to a heartbeat; `None` if its machine is gone or has sent a newer heartbeat.
     fn commands_for(&mut self, heartbeat: &DeferredHeartbeat) -> Option<HeartbeatResponse> {
         let may_order_starts = self.may_order_starts();
         let rebuilt_in_term = self.store.replica().rebuild_term();
@@ -311,7 +311,7 @@
             if decided.is_full() {
                 break;
             }
-            // What a peer has told of the job's end stops a task, but settles nothing.
+            // A peer's report of the job's end stops a task, but does not settle it.
             let ended = is_over_by_peers(&id.job);
             let decision = context.decide(placement, jobs.get(&id.job), id.index, ended);
             decided.add(decision, id, placement, heartbeat.id);
--- a/src/coordination/heartbeats/response/tests.rs
+++ b/src/coordination/heartbeats/response/tests.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// A committed placement that a leader of this term has made.
+/// A committed placement made by the leader of `term`.
 fn placement_of_term(term: u64) -> Placement {
     Placement::new((term << ATTEMPT_BITS) + 1, PlacementPhase::Committed, 0)
 }
--- a/src/coordination/heartbeats/task_outcomes.rs
+++ b/src/coordination/heartbeats/task_outcomes.rs
@@ -1,4 +1,4 @@
-//! Conclusions from how tasks ended: run times, faulty machines, jobs that fail everywhere.
+//! Conclusions from how tasks ended: run times, faulty machines, and jobs that fail on any machine.
 
 use crate::constants::{
     FAILURE_BACKOFF_MAX_MS, FAILURE_BACKOFF_MS, FAULTY_FAILURES, FAULTY_WINDOW_MS,
@@ -29,7 +29,7 @@
         let Some(job) = self.cluster.jobs.get_mut(&id.job) else { return };
         let Some(machine) = self.cluster.machines.get_mut(machine_name) else { return };
         let running_since = machine.placements.get(id).and_then(|p| p.running_since);
-        // It works here: the machines where it failed before are to blame.
+        // The job succeeds here, so its earlier failures are the fault of the machines that it failed on.
         let blamed: Vec<MachineName> = job.failed_on.drain().collect();
         let spec = job.spec.clone();
         machine.failures.clear();
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A job failed on a machine and not on another one: the machine gets no new tasks.
+    /// Cordons a machine on which a job failed recently, now that the job has succeeded on another one.
     fn cordon_if_failed_lately(
         &mut self,
         name: &MachineName,
@@ -52,7 +52,7 @@
     ) {
         let Some(machine) = self.cluster.machines.get_mut(name) else { return };
         if machine.failures.iter().any(|(at, _)| now - at < FAULTY_WINDOW_MS) {
-            log::info!("{name}: cordoned, {job} failed there and not on {worked_on}");
+            log::info!("machine cordoned: {name}, {job} failed there and succeeded on {worked_on}");
             machine.cordoned = true;
         }
     }
@@ -66,20 +66,23 @@
                 (job.fail_pause_ms * 2).clamp(FAILURE_BACKOFF_MS, FAILURE_BACKOFF_MAX_MS);
             job.paused_until = now + job.fail_pause_ms;
             let pause_ms = job.fail_pause_ms;
-            return log::debug!("{}: failed on several machines, paused {pause_ms} ms", id.job);
+            return log::debug!(
+                "job paused: {} failed on several machines, paused for {pause_ms} ms",
+                id.job
+            );
         }
         let jobs = note_failure(machine, &id.job, now);
         let failures = machine.failures.len() as u32;
         let works_elsewhere = job.successes > 0 && failures >= FAULTY_FAILURES;
         if (jobs >= FAULTY_FAILURES || works_elsewhere) && !machine.cordoned {
-            log::info!("{machine_name}: cordoned, tasks of {jobs} jobs failed there");
+            log::info!("machine cordoned: {machine_name}, tasks of {jobs} jobs failed there");
             machine.cordoned = true;
         }
     }
 }
 
-/// Notes that a task of a job failed on a machine; gives the number of jobs that failed there
-/// lately.
+/// Records that a task of a job failed on a machine, and returns the number of jobs that failed there
+/// recently.
 fn note_failure(machine: &mut Machine, job: &JobId, now: u64) -> u32 {
     machine.failures.retain(|(at, _)| now - at < FAULTY_WINDOW_MS);
     machine.failures.push((now, job.clone()));
