--- a/src/constants/workers.rs
+++ b/src/constants/workers.rs
@@ -3,12 +3,12 @@
 use super::state_service::{READ_PERIOD_MS, STATE_TIMEOUT_MS};
 
 /// Share of the heartbeat period by which a heartbeat may arrive early or late (protocol).
-pub const HEARTBEAT_JITTER: f64 = 0.25;
+pub const HEARTBEAT_JITTER_SHARE: f64 = 0.25;
 /// Share by which two monotonic clocks may run apart (protocol: each is off by 0.05% at the most).
-pub const CLOCK_DRIFT: f64 = 0.001;
+pub const CLOCK_DRIFT_SHARE: f64 = 0.001;
 /// Milliseconds added to a worker's lease before it is considered expired: covers packet delay and coarse
 /// timers.
-pub const LEASE_MARGIN_MS: u64 = 1_500;
+pub const WORKER_LEASE_MARGIN_MS: u64 = 1_500;
 /// Milliseconds added to a worker's lease where cancelled tasks must be gone within `cancel_s` without the
 /// state service: the lease starts when a heartbeat is sent, so only clocks and timers need a margin.
 pub const CANCEL_MARGIN_MS: u64 = 1_000;
@@ -23,10 +23,10 @@
 pub const ENDED_JOBS_NAMED_MAX: usize = 4_096;
 /// Least milliseconds between two scans for expired leases: far less than a lease, and more than a batch of
 /// commands takes, since a scan visits every machine.
-pub const LEASE_SCAN_MS: u64 = 100;
+pub const WORKER_LEASE_SCAN_MS: u64 = 100;
 /// Longest time in milliseconds that the response to a heartbeat waits for a commit that may add commands to
 /// it; well below [`WORKER_TIMEOUT_S`].
-pub const HEARTBEAT_HOLD_MS: u64 = 400;
+pub const HEARTBEAT_HOLD_MAX_MS: u64 = 400;
 /// Seconds that a worker waits for the response to a heartbeat (protocol).
 pub const WORKER_TIMEOUT_S: f64 = 4.0;
 /// Seconds between a worker's failed attempt and its attempt at the next controller (protocol).
@@ -35,19 +35,19 @@
 /// larger part suggests a network partition.
 pub const SILENT_MINORITY_DIVISOR: usize = 6;
 /// Heartbeat periods without a heartbeat after which a machine counts as silent and gets no new tasks.
-pub const SILENT_PERIODS: f64 = 2.2;
+pub const SILENT_AFTER_PERIODS: f64 = 2.2;
 
 /// Signs in a row that responses do not reach a machine, after which it counts as unreachable: a single sign
 /// may come from a duplicate of an old heartbeat or from a response that arrived too late.
-pub const UNREACHABLE_SIGNS: u32 = 3;
+pub const UNREACHABLE_AFTER_SIGNS: u32 = 3;
 /// Number of such signs that a new incarnation of a worker counts for if its last heartbeat was answered.
-pub const UNREACHABLE_SESSION_SIGNS: u32 = 2;
+pub const NEW_INCARNATION_SIGNS: u32 = 2;
 /// Worker leases without a further sign after which a machine no longer counts as unreachable. A machine that
 /// no response reaches begins a new incarnation, which is such a sign, with every lease.
-pub const UNREACHABLE_CALM_LEASES: f64 = 1.3;
+pub const UNREACHABLE_RESET_LEASES: f64 = 1.3;
 
 /// Seconds that `grace_s` of a stop exceeds the task's `checkpoint_cost_s` by, since a machine may be slow.
 pub const GRACE_EXTRA_S: f64 = 1.0;
 
 /// Milliseconds between two summary lines in the leader's log.
-pub const STATUS_LOG_PERIOD_MS: u64 = 10_000;
+pub const SUMMARY_LOG_PERIOD_MS: u64 = 10_000;
--- a/src/coordination/gang_rules.rs
+++ b/src/coordination/gang_rules.rs
@@ -2,8 +2,8 @@
 
 use super::write_shares::leader_write_share;
 use crate::constants::{
-    COMMIT_BYTES, COMMIT_FRAME_BYTES, GROUP_FRAME_BYTES, HEARTBEAT_JITTER, PLACEMENT_BYTES_MAX,
-    WRITE_RESERVE,
+    COMMIT_BYTES, COMMIT_FRAME_BYTES, GROUP_FRAME_BYTES, HEARTBEAT_JITTER_SHARE,
+    PLACEMENT_BYTES_MAX, WRITE_RESERVE,
 };
 use crate::protocol::users::JobSpec;
 use crate::settings::Workers;
@@ -27,7 +27,7 @@
 /// Whether a task that is told to stop keeps its progress. Those of a gang do if all of them can be told
 /// in time, each in the response to its next heartbeat.
 pub(super) fn saves_when_stopped(spec: &JobSpec, workers: &Workers) -> bool {
-    let told_within_s = workers.report_s * (1.0 + HEARTBEAT_JITTER);
+    let told_within_s = workers.report_s * (1.0 + HEARTBEAT_JITTER_SHARE);
     let in_time = workers.gang_peer_s <= 0.0 || told_within_s <= workers.gang_peer_s;
     spec.saves() && (!spec.is_gang() || in_time)
 }
--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -1,9 +1,7 @@
 //! What a worker's heartbeat proves: about its machine, about whether responses reach the machine, and about
 //! the placements on it.
 
-use crate::constants::{
-    MS_PER_S, RECLAIM_NOTICE_MAX_S, UNREACHABLE_SESSION_SIGNS, WORKER_TIMEOUT_S,
-};
+use crate::constants::{MS_PER_S, NEW_INCARNATION_SIGNS, RECLAIM_NOTICE_MAX_S, WORKER_TIMEOUT_S};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::parse_task;
 use crate::protocol::workers::{EndCause, Heartbeat, ReportedTask};
@@ -63,7 +61,7 @@
         let mut undelivered_signs = u32::from(!has_our_token && answered_at.is_some());
         if answered_last && id.incarnation > previous.incarnation {
             // A worker that responses reach keeps its incarnation.
-            undelivered_signs += UNREACHABLE_SESSION_SIGNS;
+            undelivered_signs += NEW_INCARNATION_SIGNS;
         }
         let skipped_numbers = id.sequence > previous.next().sequence;
         undelivered_signs += u32::from(answered_last && skipped_numbers);
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -2,7 +2,7 @@
 
 use super::evidence::{note_machine, Evidence, ReportedTasks, ResponseDelivery, StartedTask};
 use super::response::{DeferredHeartbeat, TaskAttempt};
-use crate::constants::{MS_PER_S, UNREACHABLE_CALM_LEASES};
+use crate::constants::{MS_PER_S, UNREACHABLE_RESET_LEASES};
 use crate::coordination::{ConnectionId, Controller, Leader};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::parse_task;
@@ -64,7 +64,7 @@
         let now = self.now.monotonic_ms;
         let catalog = self.cloud.catalog().map(|catalog| &**catalog);
         let lease_ms = self.settings.params.workers.lease_s * MS_PER_S;
-        let calm_ms = (lease_ms * UNREACHABLE_CALM_LEASES) as u64;
+        let calm_ms = (lease_ms * UNREACHABLE_RESET_LEASES) as u64;
         let Some(leader) = self.leader.as_mut() else { return };
         let has_our_token = heartbeat.fencing_token == leader.term;
         let keys = leader.cluster.hash_keys();
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -1,6 +1,6 @@
 //! Responses to heartbeats: which commands a worker gets, and when the response is sent.
 
-use crate::constants::{COMMANDS_MAX, GRACE_EXTRA_S, HEARTBEAT_HOLD_MS};
+use crate::constants::{COMMANDS_MAX, GRACE_EXTRA_S, HEARTBEAT_HOLD_MAX_MS};
 use crate::coordination::{ConnectionId, Controller};
 use crate::protocol::parse_task;
 use crate::protocol::workers::{EndCause, Heartbeat, HeartbeatResponse, WorkerCommand};
@@ -69,7 +69,7 @@
 
     /// When the response is sent at the latest.
     pub(in crate::coordination) fn answer_by(&self) -> u64 {
-        self.received_at + HEARTBEAT_HOLD_MS
+        self.received_at + HEARTBEAT_HOLD_MAX_MS
     }
 
     /// Commands that stop tasks without a placement, and commands that let the worker drop ended tasks from its
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -1,7 +1,9 @@
 //! Gang scheduling in the leader: stopping a gang as a whole, and stopping attempts that can't complete.
 
 use super::{was_never_ordered, Leader};
-use crate::constants::{GANG_SCAN_MS, MS_PER_S, SILENT_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S};
+use crate::constants::{
+    GANG_SCAN_MS, MS_PER_S, SILENT_AFTER_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S,
+};
 use crate::coordination::Controller;
 use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
@@ -14,7 +16,7 @@
 /// the next heartbeat when it has missed one response.
 fn silent_ms(workers: &Workers) -> u64 {
     let missed_answer_s = WORKER_TIMEOUT_S + WORKER_RETRY_S + workers.report_s;
-    (missed_answer_s.max(workers.report_s * SILENT_PERIODS) * MS_PER_S) as u64
+    (missed_answer_s.max(workers.report_s * SILENT_AFTER_PERIODS) * MS_PER_S) as u64
 }
 
 impl Leader {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -20,7 +20,7 @@
 use super::leadership::LeaderLease;
 use super::transactions::Transactions;
 use super::Controller;
-use crate::constants::{ATTEMPT_BITS, POLL_SOON_MS, STATUS_LOG_PERIOD_MS};
+use crate::constants::{ATTEMPT_BITS, POLL_SOON_MS, SUMMARY_LOG_PERIOD_MS};
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Placement, PlacementPhase};
@@ -96,7 +96,7 @@
             lease_extension_permits: vec![None; peers],
             gang_scan_at: now,
             lease_scan_at: now,
-            summary_at: now + STATUS_LOG_PERIOD_MS,
+            summary_at: now + SUMMARY_LOG_PERIOD_MS,
             unique_numbers: 0,
             transactions: Transactions::new(now),
             passes: PassSchedule::new(now),
--- a/src/coordination/leader/summary.rs
+++ b/src/coordination/leader/summary.rs
@@ -1,7 +1,7 @@
 //! The leader's periodic log line on machines, tasks and free resources.
 
 use super::Leader;
-use crate::constants::STATUS_LOG_PERIOD_MS;
+use crate::constants::SUMMARY_LOG_PERIOD_MS;
 use crate::coordination::Controller;
 use crate::protocol::{Resources, MILLI};
 use crate::storage::machine::{Machine, MachineState, Placement};
@@ -12,7 +12,7 @@
         let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.summary_at) else {
             return;
         };
-        leader.summary_at = now + STATUS_LOG_PERIOD_MS;
+        leader.summary_at = now + SUMMARY_LOG_PERIOD_MS;
         leader.log_summary();
     }
 }
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -2,7 +2,8 @@
 
 use super::Leader;
 use crate::constants::{
-    CLOCK_DRIFT, LEASE_MARGIN_MS, LEASE_SCAN_MS, MS_PER_S, WORKERS_UNREACHABLE_HANDOVER_MS,
+    CLOCK_DRIFT_SHARE, MS_PER_S, WORKERS_UNREACHABLE_HANDOVER_MS, WORKER_LEASE_MARGIN_MS,
+    WORKER_LEASE_SCAN_MS,
 };
 use crate::coordination::Controller;
 use crate::protocol::peers::Gossip;
@@ -34,8 +35,8 @@
     /// Milliseconds after a response for which its worker may run tasks at the most: its lease, with clock
     /// drift and a margin added.
     pub(in crate::coordination) fn lease_ms(&self) -> u64 {
-        let lease_s = self.settings.params.workers.lease_s * (1.0 + CLOCK_DRIFT);
-        (lease_s * MS_PER_S) as u64 + LEASE_MARGIN_MS
+        let lease_s = self.settings.params.workers.lease_s * (1.0 + CLOCK_DRIFT_SHARE);
+        (lease_s * MS_PER_S) as u64 + WORKER_LEASE_MARGIN_MS
     }
 
     /// Hands leadership over if no worker reaches this leader while workers do reach a peer that is served by
@@ -74,7 +75,7 @@
                 oldest_sign = oldest_sign.min(last_sign);
             }
         }
-        self.lease_scan_at = (oldest_sign + lease_ms + 1).max(now + LEASE_SCAN_MS);
+        self.lease_scan_at = (oldest_sign + lease_ms + 1).max(now + WORKER_LEASE_SCAN_MS);
         expired
     }
 }
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -3,8 +3,8 @@
 use super::placements::MachineTasks;
 use super::InputBuilder;
 use crate::constants::{
-    BOOTING_MACHINES_MANY, BOOT_LATE, BOOT_OVERDUE_DIVISOR, HEARTBEAT_JITTER, HEARTBEAT_TASK_BYTES,
-    HTTP_BODY_MAX, MS_PER_S,
+    BOOTING_MACHINES_MANY, BOOT_LATE, BOOT_OVERDUE_DIVISOR, HEARTBEAT_JITTER_SHARE,
+    HEARTBEAT_TASK_BYTES, HTTP_BODY_MAX, MS_PER_S,
 };
 use crate::coordination::planner::{BootingMachine, MachineView, MeanBootWait};
 use crate::protocol::cloud::MachineType;
@@ -124,7 +124,8 @@
 pub(super) fn next_report_ms(machine: &Machine, report_s: f64, now_ms: u64) -> u64 {
     let period = report_s * MS_PER_S;
     let since = machine.last_heartbeat_at.map_or(0, |at| now_ms - at) as f64;
-    let earliest = (period * (1.0 - HEARTBEAT_JITTER) - since).max(0.0);
-    let latest = (period * (1.0 + HEARTBEAT_JITTER) - since).max(period * HEARTBEAT_JITTER);
+    let earliest = (period * (1.0 - HEARTBEAT_JITTER_SHARE) - since).max(0.0);
+    let latest =
+        (period * (1.0 + HEARTBEAT_JITTER_SHARE) - since).max(period * HEARTBEAT_JITTER_SHARE);
     ((earliest + latest) / 2.0) as u64
 }
--- a/src/coordination/store_isolation.rs
+++ b/src/coordination/store_isolation.rs
@@ -5,7 +5,7 @@
 //! than [`Controller::isolation_budget_ms`] after it, is gone by its lease within `cancel_s`.
 
 use super::Controller;
-use crate::constants::{CANCEL_MARGIN_MS, CLOCK_DRIFT, MS_PER_S, START_READ_AGE_MAX_MS};
+use crate::constants::{CANCEL_MARGIN_MS, CLOCK_DRIFT_SHARE, MS_PER_S, START_READ_AGE_MAX_MS};
 
 impl Controller {
     /// The latest time before which no user can have been told of an end that we don't know of:
@@ -42,8 +42,8 @@
     /// every lease renewed by then has expired when tasks cancelled since must be gone.
     pub(super) fn isolation_budget_ms(&self) -> u64 {
         let workers = &self.settings.params.workers;
-        let lease_ms = (workers.lease_s * (1.0 + CLOCK_DRIFT) * MS_PER_S) as u64;
-        let cancel_ms = (workers.cancel_s * (1.0 - CLOCK_DRIFT) * MS_PER_S) as u64;
+        let lease_ms = (workers.lease_s * (1.0 + CLOCK_DRIFT_SHARE) * MS_PER_S) as u64;
+        let cancel_ms = (workers.cancel_s * (1.0 - CLOCK_DRIFT_SHARE) * MS_PER_S) as u64;
         cancel_ms.saturating_sub(lease_ms + CANCEL_MARGIN_MS)
     }
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -2,7 +2,7 @@
 
 use super::SettingsProblem;
 use crate::constants::{
-    BYTES_PER_KB, LIST_MARGIN_MS, MS_PER_S, SILENT_PERIODS, STORE_VALUE_BYTES_MIN,
+    BYTES_PER_KB, LIST_MARGIN_MS, MS_PER_S, SILENT_AFTER_PERIODS, STORE_VALUE_BYTES_MIN,
     TRANSACTION_OPS_MIN,
 };
 use crate::protocol::Resources;
@@ -162,7 +162,7 @@
 impl Workers {
     /// Milliseconds without a heartbeat after which a machine counts as silent.
     pub fn silent_ms(&self) -> u64 {
-        (self.report_s * SILENT_PERIODS * MS_PER_S) as u64
+        (self.report_s * SILENT_AFTER_PERIODS * MS_PER_S) as u64
     }
 }
 
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -1,7 +1,7 @@
 //! Machines, and tasks placed on them, as the leader of a term knows them.
 
 use super::records::{JobId, MachineName, StoredPlacement};
-use crate::constants::{ATTEMPT_BITS, IMAGES_KEPT, UNREACHABLE_SIGNS};
+use crate::constants::{ATTEMPT_BITS, IMAGES_KEPT, UNREACHABLE_AFTER_SIGNS};
 use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
@@ -294,7 +294,7 @@
         }
         self.undelivered_signs += undelivered_signs;
         self.undelivered_sign_at = now;
-        if self.undelivered_signs < UNREACHABLE_SIGNS || self.unreachable_since.is_some() {
+        if self.undelivered_signs < UNREACHABLE_AFTER_SIGNS || self.unreachable_since.is_some() {
             return false;
         }
         self.unreachable_since = Some(now);
