--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -43,9 +43,9 @@
         self.budget.set_rate(share, now);
     }
 
-    /// Takes one request out of the budget if at least `keep` remain after it, and tells whether it did.
-    pub(super) fn take_request(&mut self, keep: f64, now: u64) -> bool {
-        self.budget.take(1.0, keep, now)
+    /// Takes one request out of the budget if that leaves at least `min_remaining`; returns whether it was taken.
+    pub(super) fn take_request(&mut self, min_remaining: f64, now: u64) -> bool {
+        self.budget.take(1.0, min_remaining, now)
     }
 
     /// The last known catalogue of machine types.
@@ -72,7 +72,7 @@
             (Some(_), true) => CATALOG_PERIOD_MS,
             (Some(_), false) => CATALOG_PERIOD_MS * FOLLOWER_CATALOG_PERIODS,
         };
-        let too_early = self.catalog_requested_at.is_some_and(|t| now < t + period_ms);
+        let too_early = self.catalog_requested_at.is_some_and(|at| now < at + period_ms);
         if self.catalog_request_in_flight || too_early || !self.take_request(0.0, now) {
             return false;
         }
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -123,7 +123,7 @@
         let unplaced = self.fleet.unplaced.iter();
         let unplaced: f64 = unplaced.map(|tasks| tasks.slots * tasks.need.share_of(&whole)).sum();
         let many_unplaced = unplaced > open.len() as f64 * UNPLACED_SHARE;
-        let is_early = now < self.began_at + ARRIVAL_WINDOW_MS / 2;
+        let is_early = now < self.term_began_at + ARRIVAL_WINDOW_MS / 2;
         many_unplaced || room.free < room.headroom || is_early
     }
 
--- a/src/coordination/fleet/forecast.rs
+++ b/src/coordination/fleet/forecast.rs
@@ -55,7 +55,7 @@
             if spec.kind == JobKind::Service {
                 services.push(ServiceArrival { at, tasks: job.tasks });
             } else {
-                let ms_per_task = self.run_ms(spec) as f64 * job.need.share_of(&largest);
+                let ms_per_task = self.expected_run_ms(spec) as f64 * job.need.share_of(&largest);
                 let machine_ms = f64::from(job.tasks) * ms_per_task;
                 batches.push(BatchArrival { at, machine_ms });
             }
@@ -71,7 +71,7 @@
 
     /// Over how long arrivals have been watched, in milliseconds.
     fn watched_ms(&self, now: u64, window_ms: u64) -> f64 {
-        let watched_ms = now - self.began_at;
+        let watched_ms = now - self.term_began_at;
         watched_ms.clamp(ARRIVAL_WINDOW_MS / 2, ARRIVAL_WINDOW_MS).min(window_ms) as f64
     }
 
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -115,7 +115,7 @@
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         if now >= leader.fleet.next_scan_at {
-            leader.fleet.next_scan_at = now + leader.fleet_period();
+            leader.fleet.next_scan_at = now + leader.fleet_scan_period_ms();
             self.metrics.work.fleet_scans += 1;
             self.scan_fleet();
         }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -27,7 +27,7 @@
         let operator = self.operator.clone();
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
         // Leases may be kept in our place for so long after we were last heard.
-        let isolated_ms = self.isolation_budget_ms() + self.lease_ms();
+        let isolated_ms = self.isolation_budget_ms() + self.worker_lease_max_ms();
         let Some(leader) = self.leader.as_mut() else { return };
         let workers = &self.settings.params.workers;
         let rules = ReturnRules {
@@ -264,7 +264,7 @@
                 && !machine.failed
         };
         let missed_round = |machine: &Machine| {
-            let last_alive_at = machine.last_alive_at.unwrap_or(0).max(self.began_at);
+            let last_alive_at = machine.last_alive_at.unwrap_or(0).max(self.term_began_at);
             !machine.lease_expired && now > last_alive_at.max(machine.first_known_at) + round_ms
         };
         let reported_lately =
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -59,7 +59,7 @@
                     continue;
                 }
                 *left -= count;
-                let request_id = format!("mg-{}", leader.unique());
+                let request_id = format!("mg-{}", leader.next_unique_number());
                 rentals.push(Rental { request_id, kind: kind.clone(), count });
             }
         }
--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -13,7 +13,7 @@
 
 impl<'a> ReportedTasks<'a> {
     /// The tasks that a heartbeat reports; those whose name can't be parsed are left out.
-    pub(super) fn of(heartbeat: &'a Heartbeat, keys: HashKeys) -> ReportedTasks<'a> {
+    pub(super) fn from_heartbeat(heartbeat: &'a Heartbeat, keys: HashKeys) -> ReportedTasks<'a> {
         let mut tasks = keys.map();
         for reported in &heartbeat.tasks {
             if let Some((job, index)) = parse_task(&reported.task_id) {
@@ -44,7 +44,7 @@
     /// sequence number and before the response would have timed out. A worker that no response reaches waits
     /// for the timeout and then tries the other controllers first. The first heartbeat that shows this term's
     /// fencing token proves too that a response has arrived.
-    pub(super) fn of(
+    pub(super) fn evaluate(
         machine: &Machine,
         id: HeartbeatId,
         has_our_token: bool,
@@ -71,7 +71,7 @@
 }
 
 /// Updates a machine with what a heartbeat says of the machine itself.
-pub(super) fn note_machine(
+pub(super) fn update_machine(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
     catalog: Option<&Catalog>,
@@ -83,8 +83,9 @@
     machine.type_name.clone_from(&heartbeat.machine_type);
     machine.zone.clone_from(&heartbeat.zone);
     machine.spot = heartbeat.spot;
-    if let Some(known) = catalog.and_then(|catalog| catalog.machine_type(&machine.type_name)) {
-        machine.total = known.total();
+    let machine_type = catalog.and_then(|catalog| catalog.machine_type(&machine.type_name));
+    if let Some(machine_type) = machine_type {
+        machine.total = machine_type.total();
     }
     if matches!(machine.state, MachineState::Booting | MachineState::AwaitingHeartbeat) {
         machine.state = MachineState::Up;
@@ -99,11 +100,11 @@
     }
     machine.lease_expired = false;
     machine.has_our_token |= has_our_token;
-    note_reclaim(machine, heartbeat.reclaim_s, now);
+    update_reclaim_time(machine, heartbeat.reclaim_s, now);
 }
 
 /// Updates when the cloud reclaims the machine, if the heartbeat passes on such a notice.
-fn note_reclaim(machine: &mut Machine, reclaim_s: Option<f64>, now: u64) {
+fn update_reclaim_time(machine: &mut Machine, reclaim_s: Option<f64>, now: u64) {
     let was_known = machine.reclaim_at.is_some();
     let notice_ms = |s: f64| (s.clamp(0.0, RECLAIM_NOTICE_MAX_S) * MS_PER_S) as u64;
     machine.reclaim_at = reclaim_s.map(|s| now + notice_ms(s));
@@ -143,9 +144,9 @@
 impl Evidence {
     /// Compares the placements on a machine with the reported tasks, and updates each with its reported
     /// status.
-    pub(super) fn of(
+    pub(super) fn collect(
         machine: &mut Machine,
-        shown: &ReportedTasks<'_>,
+        reported: &ReportedTasks<'_>,
         heartbeat: HeartbeatId,
         has_our_token: bool,
         now: u64,
@@ -153,7 +154,7 @@
         let mut evidence = Evidence::default();
         let open = machine.placements.iter_mut().filter(|(_, p)| p.settled.is_none());
         for (id, placement) in open {
-            match shown.get(id, placement.attempt) {
+            match reported.get(id, placement.attempt) {
                 Some(task) if task.status.is_on_machine() => {
                     evidence.add_present(id, placement, task, has_our_token, now);
                 }
@@ -180,8 +181,9 @@
         has_our_token: bool,
         now: u64,
     ) {
-        let shown_first = placement.reported_status.is_none();
-        self.start_arrived |= has_our_token && shown_first && placement.start_sent_after.is_some();
+        let reported_first = placement.reported_status.is_none();
+        self.start_arrived |=
+            has_our_token && reported_first && placement.start_sent_after.is_some();
         placement.reported_status = Some(task.status);
         if task.status.has_begun() && placement.running_since.is_none() {
             placement.running_since = Some(now);
@@ -196,7 +198,7 @@
             return self.add_end(id, EndCause::Lost);
         }
         let start_sent_after = placement.start_sent_after;
-        let can_still_arrive = start_sent_after.is_some_and(|ordered| heartbeat <= ordered);
+        let can_still_arrive = start_sent_after.is_some_and(|sent_after| heartbeat <= sent_after);
         if placement.stop_reason.is_some() && !can_still_arrive {
             // The start command never arrived, and the task is to be stopped anyway.
             return self.add_end(id, EndCause::Lost);
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -1,6 +1,6 @@
 //! Applying a heartbeat to the leader's state of its machine and of the tasks on it.
 
-use super::evidence::{note_machine, Evidence, ReportedTasks, ResponseDelivery, StartedTask};
+use super::evidence::{update_machine, Evidence, ReportedTasks, ResponseDelivery, StartedTask};
 use super::response::{DeferredHeartbeat, TaskAttempt};
 use crate::constants::{MS_PER_S, UNREACHABLE_RESET_LEASES};
 use crate::coordination::{ConnectionId, Controller, Leader};
@@ -35,7 +35,7 @@
             return self.redirect(connection);
         }
         self.apply_evidence(&name, heartbeat);
-        let untracked_tasks = match self.account_for_untracked_tasks(&name, heartbeat) {
+        let untracked_tasks = match self.reconcile_untracked_tasks(&name, heartbeat) {
             Ok(untracked_tasks) => untracked_tasks,
             Err(unrecorded) => {
                 self.redirect(connection);
@@ -64,19 +64,19 @@
         let now = self.now.monotonic_ms;
         let catalog = self.cloud.catalog().map(|catalog| &**catalog);
         let lease_ms = self.settings.params.workers.lease_s * MS_PER_S;
-        let calm_ms = (lease_ms * UNREACHABLE_RESET_LEASES) as u64;
+        let reset_after_ms = (lease_ms * UNREACHABLE_RESET_LEASES) as u64;
         let Some(leader) = self.leader.as_mut() else { return };
         let has_our_token = heartbeat.fencing_token == leader.term;
         let keys = leader.cluster.hash_keys();
         let machine = leader.cluster.machine_entry(name, now);
         let id = HeartbeatId::of(heartbeat);
-        let delivery = ResponseDelivery::of(machine, id, has_our_token, now);
-        note_machine(machine, heartbeat, catalog, has_our_token, now);
-        let shown = ReportedTasks::of(heartbeat, keys);
-        let evidence = Evidence::of(machine, &shown, id, has_our_token, now);
-        note_delivery(machine, &delivery, &evidence, now, calm_ms);
+        let delivery = ResponseDelivery::evaluate(machine, id, has_our_token, now);
+        update_machine(machine, heartbeat, catalog, has_our_token, now);
+        let reported = ReportedTasks::from_heartbeat(heartbeat, keys);
+        let evidence = Evidence::collect(machine, &reported, id, has_our_token, now);
+        update_reachability(machine, &delivery, &evidence, now, reset_after_ms);
         for started in evidence.started {
-            if leader.note_task_started(name, &started, catalog) {
+            if leader.record_task_started(name, &started, catalog) {
                 let start_ms = now - started.placed_at;
                 let _ = self.metrics.start_ms.record(start_ms);
                 log::debug!(
@@ -94,14 +94,14 @@
 
     /// Handles reported tasks that have no placement on the machine: some are adopted or left running, the others
     /// are returned and have to be stopped.
-    fn account_for_untracked_tasks(
+    fn reconcile_untracked_tasks(
         &mut self,
         name: &MachineName,
         heartbeat: &Heartbeat,
     ) -> Result<Vec<TaskAttempt>, UnrecordedTask> {
         let now = self.now.monotonic_ms;
         let was_rebuilt = self.store.replica().rebuild.is_some();
-        let history_is_doubtful = was_rebuilt || self.starts_are_blocked();
+        let history_may_be_incomplete = was_rebuilt || self.starts_are_blocked();
         let Some(leader) = self.leader.as_mut() else { return Ok(Vec::new()) };
         let has_our_token = heartbeat.fencing_token == leader.term;
         let mut tasks_of_unknown_jobs = BTreeSet::new();
@@ -113,7 +113,7 @@
                 continue;
             }
             // The heartbeat may be a delayed copy. One with this term's token shows what really runs there.
-            if history_is_doubtful && !has_our_token {
+            if history_may_be_incomplete && !has_our_token {
                 continue;
             }
             if was_rebuilt && !self.store.replica().jobs.contains_key(&id.task.job) {
@@ -157,16 +157,16 @@
 
 /// Updates whether responses reach the machine. While none does, tasks that were never reported there are
 /// stopped, so that the next heartbeat settles them and they start elsewhere.
-fn note_delivery(
+fn update_reachability(
     machine: &mut Machine,
     delivery: &ResponseDelivery,
     evidence: &Evidence,
     now: u64,
-    calm_ms: u64,
+    reset_after_ms: u64,
 ) {
     let undelivered_signs = delivery.undelivered_signs + u32::from(evidence.start_missed);
     let delivered = delivery.delivered || evidence.start_arrived;
-    if machine.note_response_delivery(undelivered_signs, delivered, now, calm_ms) {
+    if machine.note_response_delivery(undelivered_signs, delivered, now, reset_after_ms) {
         log::info!(
             "machine unreachable: {} sends heartbeats but gets no response, so it gets no new tasks",
             machine.name
@@ -185,7 +185,7 @@
 impl Leader {
     /// Records that a task is running and that its machine holds its image. Returns whether the job and the
     /// machine are known.
-    fn note_task_started(
+    fn record_task_started(
         &mut self,
         machine_name: &MachineName,
         started: &StartedTask,
--- a/src/coordination/heartbeats/reclaim.rs
+++ b/src/coordination/heartbeats/reclaim.rs
@@ -19,13 +19,13 @@
             return;
         };
         let Some(reclaim_at) = machine.reclaim_at else { return };
-        let left_ms = reclaim_at.saturating_sub(now);
+        let remaining_ms = reclaim_at.saturating_sub(now);
         let mut gangs: BTreeSet<JobId> = BTreeSet::new();
         for (id, placement) in &mut machine.placements {
             let spec = jobs.get(&id.job).and_then(|job| job.spec.as_ref());
             let is_open = placement.settled.is_none() && placement.stop_reason.is_none();
             let Some(spec) = spec.filter(|_| is_open) else { continue };
-            if !must_be_evicted(spec, placement, left_ms, now, workers) {
+            if !must_be_evicted(spec, placement, remaining_ms, now, workers) {
                 continue;
             }
             if spec.is_gang() {
@@ -34,17 +34,17 @@
                 placement.stop_reason = Some(StopReason::Eviction);
             }
         }
-        for uid in gangs {
-            self.stop_gang(&uid, StopReason::Eviction, now);
+        for job_id in gangs {
+            self.stop_gang(&job_id, StopReason::Eviction, now);
         }
     }
 }
 
-/// Whether a task must be evicted now from a machine that is reclaimed in `left_ms`.
+/// Whether a task must be evicted now from a machine that is reclaimed in `remaining_ms`.
 fn must_be_evicted(
     spec: &JobSpec,
     placement: &Placement,
-    left_ms: u64,
+    remaining_ms: u64,
     now: u64,
     workers: &Workers,
 ) -> bool {
@@ -55,8 +55,8 @@
     if saves_when_stopped(spec, workers) {
         let heartbeat_ms = (workers.report_s * MS_PER_S) as u64;
         let save_ms = ((spec.checkpoint_cost_s + RECLAIM_MARGIN_S) * MS_PER_S) as u64;
-        return left_ms <= save_ms + heartbeat_ms * 2;
+        return remaining_ms <= save_ms + heartbeat_ms * 2;
     }
     let estimate_ms = (spec.run_estimate_s * MS_PER_S) as u64;
-    estimate_ms.saturating_sub(now - running_since) > left_ms
+    estimate_ms.saturating_sub(now - running_since) > remaining_ms
 }
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -68,7 +68,7 @@
     }
 
     /// When the response is sent at the latest.
-    pub(in crate::coordination) fn answer_by(&self) -> u64 {
+    pub(in crate::coordination) fn response_deadline(&self) -> u64 {
         self.received_at + HEARTBEAT_HOLD_MAX_MS
     }
 
@@ -100,7 +100,7 @@
 /// What a response does about a placement.
 enum Decision {
     /// No command.
-    Nothing,
+    NoCommand,
     /// Stop the task.
     Stop {
         /// Seconds that the task gets to save its progress.
@@ -140,7 +140,7 @@
     ) {
         let (task_id, attempt) = (id.to_string(), placement.attempt);
         match decision {
-            Decision::Nothing => {}
+            Decision::NoCommand => {}
             Decision::Stop { grace_s } => {
                 self.commands.push(WorkerCommand::Stop { task_id, attempt, grace_s });
             }
@@ -173,16 +173,17 @@
 }
 
 impl ResponseContext {
-    /// Decides on a committed placement that is not settled. `ended` tells that peers report the end of the job.
+    /// Decides on a committed placement that is not settled; `peers_report_end` tells whether a peer has reported
+    /// the end of its job.
     fn decide(
         &self,
         placement: &Placement,
         job: Option<&Job>,
         index: u32,
-        ended: bool,
+        peers_report_end: bool,
     ) -> Decision {
         let is_needed = job.is_some_and(|job| job.is_unfinished(index));
-        let stop_reason = match is_needed && !ended {
+        let stop_reason = match is_needed && !peers_report_end {
             true => placement.stop_reason,
             false => Some(StopReason::NotNeeded),
         };
@@ -204,13 +205,13 @@
         stop_reason: StopReason,
         is_needed: bool,
     ) -> Decision {
-        let was_ordered =
+        let start_was_sent =
             placement.reported_status.is_some() || placement.start_sent_after.is_some();
-        if !was_ordered && !self.is_inherited(placement) {
+        if !start_was_sent && !self.is_inherited(placement) {
             // A peer's report of the job's end is no evidence that settles a task: see `store_isolation`.
             return match !is_needed || placement.stop_reason.is_some() {
                 true => Decision::SettleAsLost,
-                false => Decision::Nothing,
+                false => Decision::NoCommand,
             };
         }
         let spec = job.and_then(|job| job.spec.as_ref()).filter(|spec| spec.saves());
@@ -227,17 +228,17 @@
             && placement.reported_status.is_none()
             && (!is_inherited || self.has_our_token);
         if !may_start {
-            return Decision::Nothing;
+            return Decision::NoCommand;
         }
         // A rebuild of the store may have restored a placement that had been settled. Its task is not started
         // from that placement, which could exceed the team's limit, but is placed anew.
-        let is_brought_back = placement.term() < self.rebuilt_in_term;
+        let is_from_before_rebuild = placement.term() < self.rebuilt_in_term;
         let gang = job.and_then(|job| job.gang.as_ref());
         let may_have_run = gang.is_some_and(|gang| self.gang_may_have_run(gang, placement));
-        match (is_brought_back || may_have_run, self.has_our_token) {
+        match (is_from_before_rebuild || may_have_run, self.has_our_token) {
             (false, _) => Decision::Start,
             (true, true) => Decision::SettleAsLost,
-            (true, false) => Decision::Nothing,
+            (true, false) => Decision::NoCommand,
         }
     }
 
@@ -245,8 +246,8 @@
     /// task; such an attempt is not completed again. This is so if the placement is of an earlier term, if the
     /// worker has begun another incarnation since the start command was sent, or if the gang was running.
     fn gang_may_have_run(&self, gang: &GangState, placement: &Placement) -> bool {
-        let ordered_in = placement.start_sent_after.map(|ordered| ordered.incarnation);
-        let incarnation_ended = ordered_in.is_some_and(|known| known < self.heartbeat.incarnation);
+        let sent_in = placement.start_sent_after.map(|sent_after| sent_after.incarnation);
+        let incarnation_ended = sent_in.is_some_and(|sent_in| sent_in < self.heartbeat.incarnation);
         self.is_inherited(placement) || incarnation_ended || gang.running
     }
 }
@@ -258,12 +259,12 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let is_deciding = leader.ready && leader.deciding(now);
+        let commands_may_follow = leader.ready && leader.may_commit_commands_soon(now);
         let deferred = std::mem::take(&mut leader.deferred_heartbeats);
         let (waiting, due): (Vec<_>, Vec<_>) = deferred.into_iter().partition(|heartbeat| {
-            is_deciding
+            commands_may_follow
                 && leader.may_get_commands(&heartbeat.machine)
-                && now < heartbeat.answer_by()
+                && now < heartbeat.response_deadline()
         });
         leader.deferred_heartbeats = waiting;
         due.into_iter().for_each(|heartbeat| self.answer_heartbeat(&heartbeat));
@@ -302,7 +303,7 @@
             has_our_token: heartbeat.has_our_token,
             may_start: may_order_starts && takes_starts,
         };
-        let is_over_by_peers = |uid: &str| self.membership.has_heard_end_of(uid);
+        let peers_report_end_of = |job_id: &str| self.membership.has_heard_end_of(job_id);
         let mut decided = DecidedCommands::new(heartbeat.stop_and_clear_commands(machine));
         for (id, placement) in &mut machine.placements {
             if placement.settled.is_some() || placement.phase != PlacementPhase::Committed {
@@ -312,8 +313,8 @@
                 break;
             }
             // A peer's report of the job's end stops a task, but does not settle it.
-            let ended = is_over_by_peers(&id.job);
-            let decision = context.decide(placement, jobs.get(&id.job), id.index, ended);
+            let peers_report_end = peers_report_end_of(&id.job);
+            let decision = context.decide(placement, jobs.get(&id.job), id.index, peers_report_end);
             decided.add(decision, id, placement, heartbeat.id);
         }
         machine.last_response_at = Some(self.now.monotonic_ms);
--- a/src/coordination/heartbeats/task_outcomes.rs
+++ b/src/coordination/heartbeats/task_outcomes.rs
@@ -19,45 +19,47 @@
         now: u64,
     ) {
         match cause {
-            EndCause::Done => self.record_success(machine, id, now),
-            EndCause::Error => self.record_failure(machine, id, now),
+            EndCause::Done => self.record_task_success(machine, id, now),
+            EndCause::Error => self.record_task_failure(machine, id, now),
             _ => {}
         }
     }
 
-    fn record_success(&mut self, machine_name: &MachineName, id: &TaskId, now: u64) {
+    fn record_task_success(&mut self, machine_name: &MachineName, id: &TaskId, now: u64) {
         let Some(job) = self.cluster.jobs.get_mut(&id.job) else { return };
         let Some(machine) = self.cluster.machines.get_mut(machine_name) else { return };
         let running_since = machine.placements.get(id).and_then(|p| p.running_since);
         // The job succeeds here, so its earlier failures are the fault of the machines that it failed on.
-        let blamed: Vec<MachineName> = job.failed_on.drain().collect();
+        let failed_on: Vec<MachineName> = job.failed_on.drain().collect();
         let spec = job.spec.clone();
         machine.failures.clear();
-        for other in blamed {
-            self.cordon_if_failed_lately(&other, machine_name, &id.job, now);
+        for other in failed_on {
+            self.cordon_if_failed_recently(&other, machine_name, &id.job, now);
         }
         let ran_ms = running_since.map_or(0, |since| now - since);
         if let Some(spec) = spec.filter(|_| ran_ms > 0) {
-            self.learn_run(&spec, ran_ms);
+            self.record_run_time(&spec, ran_ms);
         }
     }
 
     /// Cordons a machine on which a job failed recently, now that the job has succeeded on another one.
-    fn cordon_if_failed_lately(
+    fn cordon_if_failed_recently(
         &mut self,
         name: &MachineName,
-        worked_on: &MachineName,
+        succeeded_on: &MachineName,
         job: &JobId,
         now: u64,
     ) {
         let Some(machine) = self.cluster.machines.get_mut(name) else { return };
         if machine.failures.iter().any(|(at, _)| now - at < FAULTY_WINDOW_MS) {
-            log::info!("machine cordoned: {name}, {job} failed there and succeeded on {worked_on}");
+            log::info!(
+                "machine cordoned: {name}, {job} failed there and succeeded on {succeeded_on}"
+            );
             machine.cordoned = true;
         }
     }
 
-    fn record_failure(&mut self, machine_name: &MachineName, id: &TaskId, now: u64) {
+    fn record_task_failure(&mut self, machine_name: &MachineName, id: &TaskId, now: u64) {
         let Some(job) = self.cluster.jobs.get_mut(&id.job) else { return };
         let Some(machine) = self.cluster.machines.get_mut(machine_name) else { return };
         job.failed_on.insert(machine_name.clone());
@@ -71,10 +73,10 @@
                 id.job
             );
         }
-        let jobs = note_failure(machine, &id.job, now);
+        let jobs = record_machine_failure(machine, &id.job, now);
         let failures = machine.failures.len() as u32;
-        let works_elsewhere = job.successes > 0 && failures >= FAULTY_FAILURES;
-        if (jobs >= FAULTY_FAILURES || works_elsewhere) && !machine.cordoned {
+        let succeeds_elsewhere = job.successes > 0 && failures >= FAULTY_FAILURES;
+        if (jobs >= FAULTY_FAILURES || succeeds_elsewhere) && !machine.cordoned {
             log::info!("machine cordoned: {machine_name}, tasks of {jobs} jobs failed there");
             machine.cordoned = true;
         }
@@ -83,7 +85,7 @@
 
 /// Records that a task of a job failed on a machine, and returns the number of jobs that failed there
 /// recently.
-fn note_failure(machine: &mut Machine, job: &JobId, now: u64) -> u32 {
+fn record_machine_failure(machine: &mut Machine, job: &JobId, now: u64) -> u32 {
     machine.failures.retain(|(at, _)| now - at < FAULTY_WINDOW_MS);
     machine.failures.push((now, job.clone()));
     let jobs: BTreeSet<&JobId> = machine.failures.iter().map(|(_, job)| job).collect();
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -1,6 +1,6 @@
 //! Gang scheduling in the leader: stopping a gang as a whole, and stopping attempts that can't complete.
 
-use super::{was_never_ordered, Leader};
+use super::{start_was_never_sent, Leader};
 use crate::constants::{
     GANG_SCAN_MS, MS_PER_S, SILENT_AFTER_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S,
 };
@@ -15,28 +15,33 @@
 /// Milliseconds without a heartbeat after which a machine is not waited for: longer than a worker takes to send
 /// the next heartbeat when it has missed one response.
 fn silent_ms(workers: &Workers) -> u64 {
-    let missed_answer_s = WORKER_TIMEOUT_S + WORKER_RETRY_S + workers.report_s;
-    (missed_answer_s.max(workers.report_s * SILENT_AFTER_PERIODS) * MS_PER_S) as u64
+    let missed_response_s = WORKER_TIMEOUT_S + WORKER_RETRY_S + workers.report_s;
+    (missed_response_s.max(workers.report_s * SILENT_AFTER_PERIODS) * MS_PER_S) as u64
 }
 
 impl Leader {
     /// Stops all tasks of a gang. Tasks for which no start command was sent are settled at once.
-    pub(in crate::coordination) fn stop_gang(&mut self, uid: &JobId, reason: StopReason, now: u64) {
-        self.cluster.stop_gang(uid, reason);
-        for (machine, id) in self.never_ordered_tasks(uid) {
+    pub(in crate::coordination) fn stop_gang(
+        &mut self,
+        job_id: &JobId,
+        reason: StopReason,
+        now: u64,
+    ) {
+        self.cluster.stop_gang(job_id, reason);
+        for (machine, id) in self.tasks_without_start(job_id) {
             self.cluster.settle(&machine, &id, EndCause::Lost);
         }
         self.plan_soon(now);
     }
 
     /// Placed tasks of a job for which no start command was sent, so that they are on no machine.
-    fn never_ordered_tasks(&self, uid: &JobId) -> Vec<(MachineName, TaskId)> {
-        let Some(job) = self.cluster.jobs.get(uid) else { return Vec::new() };
+    fn tasks_without_start(&self, job_id: &JobId) -> Vec<(MachineName, TaskId)> {
+        let Some(job) = self.cluster.jobs.get(job_id) else { return Vec::new() };
         let tasks =
-            job.placed_on.iter().map(|(index, name)| (name, TaskId::new(uid.clone(), *index)));
+            job.placed_on.iter().map(|(index, name)| (name, TaskId::new(job_id.clone(), *index)));
         let is_on_no_machine = |name: &MachineName, id: &TaskId| {
             let placement = self.cluster.placement(name, id);
-            placement.is_some_and(|p| p.settled.is_none() && was_never_ordered(p, self.term))
+            placement.is_some_and(|p| p.settled.is_none() && start_was_never_sent(p, self.term))
         };
         tasks
             .filter(|(name, id)| is_on_no_machine(name, id))
@@ -46,20 +51,22 @@
 
     /// Stops gang attempts that can't complete: a task has yet to start on a machine that can't be reached,
     /// and no worker has reported a task of the gang as running.
-    fn stop_hopeless_gangs(&mut self, workers: &Workers, now: u64) {
+    fn stop_gangs_that_cannot_complete(&mut self, workers: &Workers, now: u64) {
         let silent_ms = silent_ms(workers);
-        let jobs = self.cluster.queue.values().filter_map(|uid| self.cluster.jobs.get(uid));
-        let hopeless: BTreeSet<JobId> = jobs
-            .filter(|job| self.is_hopeless(job, silent_ms, now))
+        let jobs = self.cluster.queue.values().filter_map(|job_id| self.cluster.jobs.get(job_id));
+        let unstartable: BTreeSet<JobId> = jobs
+            .filter(|job| self.gang_cannot_complete(job, silent_ms, now))
             .map(|job| job.id.clone())
             .collect();
-        for uid in hopeless {
-            log::info!("gang attempt stopped: {uid} can't complete, the machine of a task can't be reached");
-            self.stop_gang(&uid, StopReason::NotNeeded, now);
+        for job_id in unstartable {
+            log::info!(
+                "gang attempt stopped: {job_id} can't complete, a task's machine can't be reached"
+            );
+            self.stop_gang(&job_id, StopReason::NotNeeded, now);
         }
     }
 
-    fn is_hopeless(&self, job: &Job, silent_ms: u64, now: u64) -> bool {
+    fn gang_cannot_complete(&self, job: &Job, silent_ms: u64, now: u64) -> bool {
         // A gang that has run continues if the machine is only cut off; if the machine is gone, the end of
         // its task ends the attempt.
         if job.gang.as_ref().is_none_or(|gang| gang.running) {
@@ -71,14 +78,14 @@
             let is_to_start =
                 placement.is_some_and(|p| p.reported_status.is_none() && p.stop_reason.is_none());
             // Until its worker reports in this term, a task that an earlier leader placed may run there.
-            let is_known = machine.has_our_token || now > self.began_at + silent_ms * 2;
-            is_to_start && is_known && is_out_of_reach(machine, silent_ms, now)
+            let is_known = machine.has_our_token || now > self.term_began_at + silent_ms * 2;
+            is_to_start && is_known && cannot_start_tasks_soon(machine, silent_ms, now)
         })
     }
 }
 
 /// Whether a machine can't be expected to start a task soon.
-fn is_out_of_reach(machine: &Machine, silent_ms: u64, now: u64) -> bool {
+fn cannot_start_tasks_soon(machine: &Machine, silent_ms: u64, now: u64) -> bool {
     machine.state != MachineState::Up
         || machine.lease_expired
         || machine.unreachable_since.is_some()
@@ -87,12 +94,13 @@
 
 impl Controller {
     /// Stops gang attempts that can't complete, if the next scan is due.
-    pub(super) fn gangs_due(&mut self) {
+    pub(super) fn gang_scan_due(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.gang_scan_at) else {
+        let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.next_gang_scan_at)
+        else {
             return;
         };
-        leader.gang_scan_at = now + GANG_SCAN_MS;
-        leader.stop_hopeless_gangs(&self.settings.params.workers, now);
+        leader.next_gang_scan_at = now + GANG_SCAN_MS;
+        leader.stop_gangs_that_cannot_complete(&self.settings.params.workers, now);
     }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -39,7 +39,7 @@
     /// Whether the takeover is done: `cluster` is built from the store.
     pub ready: bool,
     /// After a rebuild of the store: whether this term knows what runs on every machine.
-    pub(super) machines_accounted: bool,
+    pub(super) machines_reconciled: bool,
     /// When the takeover was done. Before it, responses to workers only renewed their leases.
     pub(super) ready_at: u64,
     /// Jobs, machines and placements as known in this term.
@@ -48,22 +48,22 @@
     /// Heartbeats that wait for their response.
     pub(super) deferred_heartbeats: Vec<DeferredHeartbeat>,
     /// When this controller became the leader.
-    pub(super) began_at: u64,
+    pub(super) term_began_at: u64,
     /// When the last heartbeat of any worker arrived.
     pub(super) last_heartbeat_at: u64,
     /// When each peer was last told that this controller leads, which permits the peer to extend worker leases
     /// in its place for a while.
     pub(super) lease_extension_permits: Vec<Option<u64>>,
     /// When the next scan for gang attempts that can't complete is due.
-    gang_scan_at: u64,
+    next_gang_scan_at: u64,
     /// When the next scan for expired worker leases is due.
-    lease_scan_at: u64,
+    next_lease_scan_at: u64,
     /// When the next summary line is logged.
-    summary_at: u64,
-    /// The last counter value used by [`Leader::unique`].
-    unique_numbers: u64,
+    next_summary_at: u64,
+    /// The last counter value used by [`Leader::next_unique_number`].
+    unique_numbers_used: u64,
     pub(super) transactions: Transactions,
-    passes: PassSchedule,
+    pass_schedule: PassSchedule,
     run_times: RunTimes,
     /// The oldest waiting job and the machine that is reserved for it.
     pub(super) reservation: Option<(JobId, MachineName)>,
@@ -86,20 +86,20 @@
             mod_revision,
             lease: LeaderLease::new(lease_id, now),
             ready: false,
-            machines_accounted: false,
+            machines_reconciled: false,
             ready_at: now,
             cluster: ClusterState::new(keys),
             fleet: Fleet::new(now, keys),
             deferred_heartbeats: Vec::new(),
-            began_at: now,
+            term_began_at: now,
             last_heartbeat_at: now,
             lease_extension_permits: vec![None; peers],
-            gang_scan_at: now,
-            lease_scan_at: now,
-            summary_at: now + SUMMARY_LOG_PERIOD_MS,
-            unique_numbers: 0,
+            next_gang_scan_at: now,
+            next_lease_scan_at: now,
+            next_summary_at: now + SUMMARY_LOG_PERIOD_MS,
+            unique_numbers_used: 0,
             transactions: Transactions::new(now),
-            passes: PassSchedule::new(now),
+            pass_schedule: PassSchedule::new(now),
             run_times: RunTimes::default(),
             reservation: None,
             shares: Vec::new(),
@@ -107,9 +107,9 @@
     }
 
     /// A number that is unique across all terms: the term in the high bits, a counter in the low ones.
-    pub(super) fn unique(&mut self) -> u64 {
-        self.unique_numbers += 1;
-        (self.term << ATTEMPT_BITS) + self.unique_numbers
+    pub(super) fn next_unique_number(&mut self) -> u64 {
+        self.unique_numbers_used += 1;
+        (self.term << ATTEMPT_BITS) + self.unique_numbers_used
     }
 
     /// When the leader has work to do even if no command arrives before: a write that its rate limit then
@@ -121,23 +121,23 @@
         // Any command also triggers the responses that are due, and in a large fleet a heartbeat arrives every
         // few milliseconds. So this timer only has to fire somewhat after the deadline.
         let deferred = self.deferred_heartbeats.iter();
-        let response = deferred.map(|heartbeat| heartbeat.answer_by() + POLL_SOON_MS).min();
+        let response = deferred.map(|heartbeat| heartbeat.response_deadline() + POLL_SOON_MS).min();
         // No pass runs until the proposals of the last one are committed.
         let waits_for_pass = response.is_some() && !has_proposals;
-        let pass = waits_for_pass.then(|| self.passes.next_at().max(now + 1));
+        let pass = waits_for_pass.then(|| self.pass_schedule.next_at().max(now + 1));
         [write, response, pass].into_iter().flatten().min()
     }
 
     /// Whether a transaction whose commit may add commands for a worker is in flight or due soon.
-    pub(super) fn deciding(&self, now: u64) -> bool {
+    pub(super) fn may_commit_commands_soon(&self, now: u64) -> bool {
         self.transactions.is_pending()
             || !self.cluster.proposals.is_empty()
-            || self.passes.next_at() <= now + self.min_pass_gap_ms()
+            || self.pass_schedule.next_at() <= now + self.min_pass_gap_ms()
     }
 }
 
 /// Whether a committed placement of the term is on no machine for sure: no start command was sent for it.
-fn was_never_ordered(placement: &Placement, term: u64) -> bool {
+fn start_was_never_sent(placement: &Placement, term: u64) -> bool {
     placement.term() == term
         && placement.phase == PlacementPhase::Committed
         && placement.start_sent_after.is_none()
@@ -164,7 +164,7 @@
         if self.leader.is_none() {
             return;
         }
-        self.gangs_due();
+        self.gang_scan_due();
         self.fleet_due();
         self.log_summary_due();
         self.planning_due();
@@ -204,7 +204,7 @@
             let teams = self.settings.params.teams.iter();
             leader.shares = teams.map(|team| share_of(&team.name)).collect();
         }
-        leader.passes.pass_at(now);
+        leader.pass_schedule.schedule_at(now);
         log::info!(
             "takeover done: term {}, {} live jobs, {} machines with placements",
             leader.term,
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -3,7 +3,7 @@
 //! Placements are write-ahead: a pass only proposes them, [`super::super::transactions`] commits them to the
 //! store, and no start command is sent before that commit.
 
-use super::{was_never_ordered, Leader};
+use super::{start_was_never_sent, Leader};
 use crate::constants::{
     FLEET_PERIOD_MS, FLEET_PERIOD_PER_MACHINE_MS, PASS_GAP_MS, PASS_GAP_PER_MACHINE_MS,
 };
@@ -34,7 +34,7 @@
     }
 
     /// Sets when the next pass is due.
-    pub(super) fn pass_at(&mut self, at: u64) {
+    pub(super) fn schedule_at(&mut self, at: u64) {
         self.next_at = at;
     }
 
@@ -43,7 +43,7 @@
         self.next_at = self.next_at.min(now.max(self.last_at + min_gap_ms));
     }
 
-    fn note_pass(&mut self, period_ms: u64, now: u64) {
+    fn record_pass(&mut self, period_ms: u64, now: u64) {
         self.last_at = now;
         self.next_at = now + period_ms;
     }
@@ -52,7 +52,7 @@
 impl Leader {
     /// Requests a planning pass before the period is over.
     pub(in crate::coordination) fn plan_soon(&mut self, now: u64) {
-        self.passes.bring_forward(self.min_pass_gap_ms(), now);
+        self.pass_schedule.bring_forward(self.min_pass_gap_ms(), now);
     }
 
     /// Least milliseconds between two passes: the cost of a pass grows with the fleet.
@@ -61,14 +61,14 @@
     }
 
     /// Milliseconds between two evaluations of the fleet's size, whose cost grows with the fleet too.
-    pub(in crate::coordination) fn fleet_period(&self) -> u64 {
+    pub(in crate::coordination) fn fleet_scan_period_ms(&self) -> u64 {
         FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * FLEET_PERIOD_PER_MACHINE_MS) as u64
     }
 
     /// Whether a pass is due. The proposals of the last pass are committed first: further ones would only
     /// queue up.
     fn is_pass_due(&self, now: u64) -> bool {
-        self.passes.next_at() <= now && self.cluster.proposals.is_empty()
+        self.pass_schedule.next_at() <= now && self.cluster.proposals.is_empty()
     }
 }
 
@@ -90,7 +90,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        leader.passes.note_pass(self.operator.pass_period_ms, now);
+        leader.pass_schedule.record_pass(self.operator.pass_period_ms, now);
         let shares_are_known = leader.shares.len() == self.settings.params.teams.len();
         if !leader.cluster.has_waiting_tasks() && shares_are_known {
             // No waiting task: nothing to place, to preempt for or to reserve.
@@ -106,7 +106,7 @@
         leader.move_shares(&mut input);
         let plan = planner::plan(&input.snapshot);
         work.planner_places += plan.candidates_examined;
-        leader.adopt_plan(&plan, &input, catalog, now);
+        leader.apply_plan(&plan, &input, catalog, now);
     }
 }
 
@@ -124,7 +124,7 @@
     }
 
     /// Applies a plan: proposes its placements and stops the tasks that it preempts.
-    fn adopt_plan(&mut self, plan: &Plan, input: &PlannerInput, catalog: &Catalog, now: u64) {
+    fn apply_plan(&mut self, plan: &Plan, input: &PlannerInput, catalog: &Catalog, now: u64) {
         self.reservation = plan.reservation.map(|reserved| {
             (input.jobs[reserved.job].clone(), input.machines[reserved.machine].clone())
         });
@@ -138,7 +138,7 @@
             }
         }
         for (job, machines) in gangs {
-            self.propose_attempt_of_gang(&input.jobs[job], &machines, now);
+            self.propose_gang_attempt(&input.jobs[job], &machines, now);
         }
         for &Preemption { machine, handle } in &plan.preemptions {
             self.preempt(&input.machines[machine], &input.handles[machine][handle], now);
@@ -146,21 +146,21 @@
         self.fleet.note_unplaced(input, plan, catalog);
     }
 
-    fn propose_task(&mut self, uid: &JobId, machine: &MachineName, now: u64) {
-        let job = self.cluster.jobs.get(uid);
+    fn propose_task(&mut self, job_id: &JobId, machine: &MachineName, now: u64) {
+        let job = self.cluster.jobs.get(job_id);
         let Some(task) = job.and_then(|job| job.next_waiting()) else { return };
-        let attempt = self.unique();
-        self.cluster.propose(uid, task, machine, attempt, now);
-        log::debug!("task placed: {uid}/{task} on {machine}, attempt {attempt}");
+        let attempt = self.next_unique_number();
+        self.cluster.propose(job_id, task, machine, attempt, now);
+        log::debug!("task placed: {job_id}/{task} on {machine}, attempt {attempt}");
     }
 
-    fn propose_attempt_of_gang(&mut self, uid: &JobId, machines: &[MachineName], now: u64) {
-        let attempt = self.unique();
-        if self.cluster.propose_gang(uid, machines, attempt, now) {
-            log::debug!("gang placed: {uid} on {}, attempt {attempt}", machines.join(", "));
+    fn propose_gang_attempt(&mut self, job_id: &JobId, machines: &[MachineName], now: u64) {
+        let attempt = self.next_unique_number();
+        if self.cluster.propose_gang(job_id, machines, attempt, now) {
+            log::debug!("gang placed: {job_id} on {}, attempt {attempt}", machines.join(", "));
         } else {
             log::error!(
-                "gang placement discarded: {uid}, the plan doesn't cover each of its tasks"
+                "gang placement discarded: {job_id}, the plan doesn't cover each of its tasks"
             );
         }
     }
@@ -174,7 +174,7 @@
         let Some(placement) = self.cluster.placement_mut(machine_name, id) else { return };
         log::debug!("task preempted: {id} on {machine_name}");
         placement.stop_reason = placement.stop_reason.max(Some(StopReason::Eviction));
-        if was_never_ordered(placement, self.term) {
+        if start_was_never_sent(placement, self.term) {
             // The task can't be on the machine, so its resources are free at once.
             self.cluster.settle(machine_name, id, EndCause::Lost);
         }
--- a/src/coordination/leader/summary.rs
+++ b/src/coordination/leader/summary.rs
@@ -9,10 +9,11 @@
 impl Controller {
     pub(super) fn log_summary_due(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.summary_at) else {
+        let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.next_summary_at)
+        else {
             return;
         };
-        leader.summary_at = now + SUMMARY_LOG_PERIOD_MS;
+        leader.next_summary_at = now + SUMMARY_LOG_PERIOD_MS;
         leader.log_summary();
     }
 }
@@ -39,14 +40,14 @@
         );
     }
 
-    fn count_machines(&self, counts: impl Fn(&Machine) -> bool) -> usize {
-        self.cluster.machines.values().filter(|machine| counts(machine)).count()
+    fn count_machines(&self, is_counted: impl Fn(&Machine) -> bool) -> usize {
+        self.cluster.machines.values().filter(|machine| is_counted(machine)).count()
     }
 
-    fn count_open_placements(&self, counts: impl Fn(&Placement) -> bool) -> usize {
+    fn count_open_placements(&self, is_counted: impl Fn(&Placement) -> bool) -> usize {
         let placements =
             self.cluster.machines.values().flat_map(|machine| machine.placements.values());
-        placements.filter(|placement| placement.settled.is_none() && counts(placement)).count()
+        placements.filter(|placement| placement.settled.is_none() && is_counted(placement)).count()
     }
 
     fn free_resources(&self) -> Resources {
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -16,16 +16,16 @@
     /// since; the last response is longer ago than the lease; and no peer has extended it since then.
     pub(super) fn expire_worker_leases(&mut self) {
         let now = self.now.monotonic_ms;
-        if self.leader.as_ref().is_none_or(|leader| now < leader.lease_scan_at) {
+        if self.leader.as_ref().is_none_or(|leader| now < leader.next_lease_scan_at) {
             return;
         }
         self.metrics.work.lease_scans += 1;
-        let lease_ms = self.lease_ms();
+        let lease_ms = self.worker_lease_max_ms();
         let not_extended_before = self.leases_not_extended_before();
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        for name in leader.find_expired_leases(lease_ms, not_extended_before, now) {
+        for name in leader.mark_expired_leases(lease_ms, not_extended_before, now) {
             log::info!("worker lease expired: {name} is silent, its tasks are settled as lost");
             leader.cluster.settle_machine(&name);
             leader.plan_soon(now);
@@ -34,7 +34,7 @@
 
     /// Milliseconds after a response for which its worker may run tasks at the most: its lease, with clock
     /// drift and a margin added.
-    pub(in crate::coordination) fn lease_ms(&self) -> u64 {
+    pub(in crate::coordination) fn worker_lease_max_ms(&self) -> u64 {
         let lease_s = self.settings.params.workers.lease_s * (1.0 + CLOCK_DRIFT_SHARE);
         (lease_s * MS_PER_S) as u64 + WORKER_LEASE_MARGIN_MS
     }
@@ -45,7 +45,7 @@
         let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return };
         let is_quiet = now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS
-            && now > leader.began_at + WORKERS_UNREACHABLE_HANDOVER_MS;
+            && now > leader.term_began_at + WORKERS_UNREACHABLE_HANDOVER_MS;
         let hears_workers =
             |gossip: &Gossip| gossip.workers_seen > 0 && gossip.served_ago_ms.is_some();
         if is_quiet && self.membership.fresh_gossip(now).any(hears_workers) {
@@ -56,7 +56,7 @@
 
 impl Leader {
     /// Finds machines whose lease has expired, marks them so, and schedules the next scan.
-    fn find_expired_leases(
+    fn mark_expired_leases(
         &mut self,
         lease_ms: u64,
         not_extended_before: u64,
@@ -64,18 +64,19 @@
     ) -> Vec<MachineName> {
         // Of the leases that are running, the one with the oldest activity expires first. A scan before that
         // would find nothing.
-        let mut oldest_sign = now;
+        let mut oldest_activity_at = now;
         let mut expired = Vec::new();
         for machine in self.cluster.machines.values_mut() {
-            let Some(last_sign) = last_sign_of_lease(machine) else { continue };
-            if now > last_sign + lease_ms && last_sign <= not_extended_before {
+            let Some(last_activity_at) = last_lease_activity_at(machine) else { continue };
+            if now > last_activity_at + lease_ms && last_activity_at <= not_extended_before {
                 machine.lease_expired = true;
                 expired.push(machine.name.clone());
             } else {
-                oldest_sign = oldest_sign.min(last_sign);
+                oldest_activity_at = oldest_activity_at.min(last_activity_at);
             }
         }
-        self.lease_scan_at = (oldest_sign + lease_ms + 1).max(now + WORKER_LEASE_SCAN_MS);
+        self.next_lease_scan_at =
+            (oldest_activity_at + lease_ms + 1).max(now + WORKER_LEASE_SCAN_MS);
         expired
     }
 }
@@ -85,7 +86,7 @@
 ///
 /// Heartbeats count too: a machine that has come back and whose heartbeat still waits for its response is not
 /// silent. To expire its lease again while a start command is on the way to it makes that task run twice.
-fn last_sign_of_lease(machine: &Machine) -> Option<u64> {
+fn last_lease_activity_at(machine: &Machine) -> Option<u64> {
     let last_response_at = machine.last_response_at?;
     let is_ours =
         machine.has_our_token && !machine.lease_expired && machine.state == MachineState::Up;
--- a/src/coordination/membership/lease_extension.rs
+++ b/src/coordination/membership/lease_extension.rs
@@ -97,7 +97,7 @@
         let commands = stop_commands_of_ended_jobs(heartbeat, has_ended);
         let now = self.now.monotonic_ms;
         let term = self.membership.highest_term;
-        if now > self.membership.lease_extension.last_at + self.lease_ms() {
+        if now > self.membership.lease_extension.last_at + self.worker_lease_max_ms() {
             log::info!("left with nothing but workers, keeps their leases in term {term}");
         }
         self.membership.lease_extension.last_at = now;
@@ -121,7 +121,7 @@
     /// last permitted to so long ago that any lease it renewed has expired.
     pub(in crate::coordination) fn leases_not_extended_before(&self) -> u64 {
         let now = self.now.monotonic_ms;
-        let lease_ms = self.lease_ms();
+        let lease_ms = self.worker_lease_max_ms();
         let Some(leader) = &self.leader else { return 0 };
         let permitted_ms = self.isolation_budget_ms() + lease_ms;
         let not_extended_before = |(peer, permitted_at): (&Peer, &Option<u64>)| {
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -43,7 +43,7 @@
     ) -> Option<JobView> {
         let zones = self.zone_constraints(job, spec)?;
         let waited_ms = self.clock.wall_ms.saturating_sub(job.accepted_at_wall_ms);
-        let run_ms = self.leader.run_ms(spec);
+        let run_ms = self.leader.expected_run_ms(spec);
         Some(JobView {
             priority: spec.priority,
             team,
--- a/src/coordination/planner_input/placements.rs
+++ b/src/coordination/planner_input/placements.rs
@@ -80,7 +80,7 @@
                 team: indices.team(&spec.team),
                 need: job.need,
                 bandwidth: spec.cores * operator.bandwidth(&spec.class),
-                run_ms: leader.run_ms(spec),
+                run_ms: leader.expected_run_ms(spec),
                 is_service: spec.kind == JobKind::Service,
                 keeps_progress: saves_when_stopped(spec, &settings.params.workers),
                 tasks_stopped: if spec.is_gang() { spec.tasks } else { 1 },
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -121,7 +121,7 @@
         let unproven = self.recovery.notices_losses() && !self.recovery.is_continuity_proven();
         let unknown_tasks_may_run = self.has_history_gap() || unproven;
         unknown_tasks_may_run
-            && self.leader.as_ref().is_some_and(|leader| !leader.machines_accounted)
+            && self.leader.as_ref().is_some_and(|leader| !leader.machines_reconciled)
     }
 
     /// Whether a rebuild could not draw on the memory of every controller, and no operator has closed
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -29,7 +29,7 @@
             return;
         }
         if let Some(leader) = &mut self.leader {
-            leader.machines_accounted = true;
+            leader.machines_reconciled = true;
         }
         self.recovery.prove_continuity();
         if self.store.replica().rebuild_phase() == Some(RebuildPhase::Complete) {
@@ -42,7 +42,7 @@
         let Some(leader) = &self.leader else { return false };
         // Whoever answered workers before our term may have done so for so long, as it could not
         // read the store; every lease that it renewed is over by then, and those that we did in the rebuild.
-        let leases_over = leader.ready_at + self.isolation_budget_ms() + self.lease_ms();
+        let leases_over = leader.ready_at + self.isolation_budget_ms() + self.worker_lease_max_ms();
         if now > leases_over {
             return true;
         }
@@ -51,7 +51,7 @@
         let listed = leader
             .fleet
             .complete_list_started_at()
-            .is_some_and(|started_at| started_at > leader.began_at + lag_ms);
+            .is_some_and(|started_at| started_at > leader.term_began_at + lag_ms);
         listed && leader.cluster.machines.values().all(is_reconciled)
     }
 
