--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -90,7 +90,12 @@
     if matches!(machine.state, MachineState::Booting | MachineState::AwaitingHeartbeat) {
         machine.state = MachineState::Up;
         let spot = if machine.spot { ", spot" } else { "" };
-        log::info!("machine up: {}, {} in {}{spot}", machine.name, machine.type_name, machine.zone);
+        log::info!(
+            "machine up: {}, type {} in zone {}{spot}",
+            machine.name,
+            machine.type_name,
+            machine.zone
+        );
     }
     machine.up_at.get_or_insert(now);
     // A heartbeat without this term's token, though an earlier one was answered in this term, may be a delayed
--- a/src/coordination/heartbeats/mod.rs
+++ b/src/coordination/heartbeats/mod.rs
@@ -1,13 +1,13 @@
 //! Workers' heartbeats, and the commands in the responses to them.
 //!
-//! A heartbeat is evidence about placements only if it shows this term's fencing token and is the newest of its
-//! machine by incarnation and sequence. A worker has one heartbeat in flight and drops late responses, so a start
+//! A heartbeat settles placements only if it shows this term's fencing token and is the newest of its machine
+//! by incarnation and sequence. A worker has one heartbeat in flight and drops late responses, so a start
 //! command whose task the next heartbeat does not report was not executed, and is sent again.
 //!
-//! [`evidence`] evaluates what a heartbeat proves, [`processing`] applies that to the leader's state, [`response`]
-//! builds the response with its commands, [`task_outcomes`] draws conclusions from how tasks ended, [`reclaim`]
-//! evicts tasks from machines that the cloud reclaims. No task is started or settled here without a committed
-//! placement.
+//! [`evidence`] evaluates what a heartbeat proves, [`processing`] applies that to the leader's state,
+//! [`response`] builds the response with its commands, [`task_outcomes`] draws conclusions from how tasks
+//! ended, [`reclaim`] evicts tasks from machines that the cloud reclaims. No task is started or settled here
+//! without a committed placement.
 
 mod evidence;
 mod processing;
@@ -38,7 +38,7 @@
         self.check_worker_token(&heartbeat);
         self.observe_fencing_token(heartbeat.fencing_token);
         if heartbeat.fencing_token > self.membership.highest_term() {
-            // The worker would drop a response with a lower token, and it has that token from another leader than
+            // The worker would drop a response with a lower token, and the leader that gave it this token is not
             // the one known here.
             return self.redirect_to_term(connection, heartbeat.fencing_token);
         }
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Handles reported tasks that have no placement on the machine: some are adopted or left running, the others
-    /// are returned and have to be stopped.
+    /// Handles reported tasks that have no placement on the machine: some are adopted or left running, the
+    /// others are returned and have to be stopped.
     fn reconcile_untracked_tasks(
         &mut self,
         name: &MachineName,
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -108,13 +108,13 @@
     },
     /// Start the task.
     Start,
-    /// Settle the task as lost without a command: it is not on the machine for sure.
+    /// Settle the task as lost without a command: it is certainly not on the machine.
     SettleAsLost,
 }
 
 /// The decisions on a machine's placements for one response.
 struct DecidedCommands {
-    /// Stop and clear commands, which come before the starts.
+    /// Stop and clear commands, which come before the start commands.
     commands: Vec<WorkerCommand>,
     starts: Vec<WorkerCommand>,
     /// Tasks to settle as lost.
@@ -173,8 +173,8 @@
 }
 
 impl ResponseContext {
-    /// Decides on a committed placement that is not settled; `peers_report_end` tells whether a peer has reported
-    /// the end of its job.
+    /// Decides on a committed placement that is not settled; `peers_report_end` tells whether a peer has
+    /// reported the end of its job.
     fn decide(
         &self,
         placement: &Placement,
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -136,7 +136,7 @@
     }
 }
 
-/// Whether a committed placement of the term is on no machine for sure: no start command was sent for it.
+/// Whether no start command was sent for a committed placement of the term, so that its task is on no machine.
 fn start_was_never_sent(placement: &Placement, term: u64) -> bool {
     placement.term() == term
         && placement.phase == PlacementPhase::Committed
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -11,7 +11,7 @@
 use crate::storage::records::MachineName;
 
 impl Controller {
-    /// Settles the tasks of machines whose worker lease has expired for sure. The evidence for that: the
+    /// Settles the tasks of machines whose worker lease has certainly expired. The evidence for that: the
     /// worker has shown this term's fencing token, so no leader of a lower term can have renewed the lease
     /// since; the last response is longer ago than the lease; and no peer has extended it since then.
     pub(super) fn expire_worker_leases(&mut self) {
@@ -44,12 +44,12 @@
     pub(super) fn hand_over_if_no_worker_reports(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return };
-        let is_quiet = now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS
+        let no_worker_is_heard = now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS
             && now > leader.term_began_at + WORKERS_UNREACHABLE_HANDOVER_MS;
-        let hears_workers =
+        let is_reached_by_workers =
             |gossip: &Gossip| gossip.workers_seen > 0 && gossip.served_ago_ms.is_some();
-        if is_quiet && self.membership.fresh_gossip(now).any(hears_workers) {
-            self.hand_over("no worker reports here, but to others they do");
+        if no_worker_is_heard && self.membership.fresh_gossip(now).any(is_reached_by_workers) {
+            self.hand_over("no worker reaches this controller, but workers reach others");
         }
     }
 }
