--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -83,8 +83,8 @@
     machine.type_name.clone_from(&heartbeat.machine_type);
     machine.zone.clone_from(&heartbeat.zone);
     machine.spot = heartbeat.spot;
-    let machine_type = catalog.and_then(|catalog| catalog.machine_type(&machine.type_name));
-    if let Some(machine_type) = machine_type {
+    if let Some(machine_type) = catalog.and_then(|catalog| catalog.machine_type(&machine.type_name))
+    {
         machine.total = machine_type.total();
     }
     if matches!(machine.state, MachineState::Booting | MachineState::AwaitingHeartbeat) {
