--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,13 +1,13 @@
-//! The leader: the state of one term, its takeover, and what it does when nothing comes in.
+//! The leader: the state of one term, the takeover that builds it, and the leader's periodic work.
 //!
-//! [`Leader`] owns what a term knows of jobs, machines and placements, and is dropped with the term. It
-//! must not change anything in the store but by a transaction that depends on the leader key's revision.
+//! [`Leader`] owns the jobs, machines and placements known in a term, and is dropped when the term ends. It
+//! writes to the store only by transactions whose condition is the revision of the leader key.
 //!
-//! * [`gangs`]: attempts of gangs that can't become complete;
-//! * [`planning`]: planning passes, from the planner's input to proposals and stops;
-//! * [`worker_leases`]: evidence that time gives, and handing over when no worker is heard;
-//! * [`run_times`]: what a class of jobs was seen to take;
-//! * [`summary`]: the line on how things stand.
+//! * [`gangs`]: stopping gangs, and gang attempts that can't complete;
+//! * [`planning`]: planning passes, from the planner's input to proposed placements and preemptions;
+//! * [`worker_leases`]: expiry of worker leases, and handover when no worker reaches this leader;
+//! * [`run_times`]: run times observed for each class of jobs;
+//! * [`summary`]: the periodic log line on machines and tasks.
 
 mod gangs;
 mod planning;
@@ -20,7 +20,7 @@
 use super::leadership::LeaderLease;
 use super::transactions::Transactions;
 use super::Controller;
-use crate::constants::{ATTEMPT_COUNTER_BITS, POLL_SOON_MS, STATUS_LOG_PERIOD_MS};
+use crate::constants::{ATTEMPT_COUNTER_BITS, POLL_SOON_MS, SUMMARY_LOG_PERIOD_MS};
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Placement, PlacementPhase};
@@ -29,47 +29,50 @@
 use planning::PassSchedule;
 use run_times::RunTimes;
 
-/// A leader's state.
+/// The state of a leader in its term.
 pub struct Leader {
-    /// The term in which it leads, which is also the fencing token shown to workers.
+    /// The term in which it leads. The same number is the fencing token in responses to workers.
     pub term: u64,
-    /// Revision of the leader key: condition of every transaction.
+    /// Revision of the leader key: the condition of every transaction.
     pub mod_revision: u64,
     pub(super) lease: LeaderLease,
-    /// The state of the cluster is built.
+    /// Whether the takeover is done: `cluster` is built from the store.
     pub ready: bool,
-    /// After a rebuild of the store: what runs on every machine is known to this term.
-    pub(super) machines_accounted: bool,
-    /// When that state was built: until then workers were answered to keep their leases at the most.
+    /// After a rebuild of the store: whether this term knows what runs on every machine.
+    pub(super) machines_reconciled: bool,
+    /// When the takeover was done. Before it, responses to workers only renewed their leases.
     pub(super) ready_at: u64,
-    /// Jobs, machines and placements as this term knows them.
+    /// Jobs, machines and placements as known in this term.
     pub cluster: ClusterState,
     pub(super) fleet: Fleet,
+    /// Heartbeats that wait for their response.
     pub(super) deferred_heartbeats: Vec<DeferredHeartbeat>,
-    pub(super) began_at: u64,
-    /// Last heartbeat of any worker.
+    /// When this controller became the leader.
+    pub(super) term_began_at: u64,
+    /// When the last heartbeat of any worker arrived.
     pub(super) last_heartbeat_at: u64,
-    /// When each peer was last told that we lead: what permits it to extend leases in our place.
+    /// When each peer was last told that this controller leads, which permits the peer to extend worker leases
+    /// in its place for a while.
     pub(super) lease_extension_permits: Vec<Option<u64>>,
-    /// When gangs that can't become complete are looked for next.
-    gang_scan_at: u64,
-    /// When worker leases are looked at next.
-    lease_scan_at: u64,
-    /// When the next summary is logged.
-    summary_at: u64,
-    /// Numbers given out by [`Leader::unique`].
-    unique_numbers: u64,
+    /// When the next scan for gang attempts that can't complete is due.
+    next_gang_scan_at: u64,
+    /// When the next scan for expired worker leases is due.
+    next_lease_scan_at: u64,
+    /// When the next summary line is logged.
+    next_summary_at: u64,
+    /// The last counter value used by [`Leader::next_unique_number`].
+    unique_numbers_used: u64,
     pub(super) transactions: Transactions,
-    passes: PassSchedule,
+    pass_schedule: PassSchedule,
     run_times: RunTimes,
     /// The oldest waiting job and the machine that is reserved for it.
     pub(super) reservation: Option<(JobId, MachineName)>,
-    /// The teams' shares, in thousandths of the fleet.
+    /// Each team's share of the fleet, in thousandths.
     pub(super) shares: Vec<i64>,
 }
 
 impl Leader {
-    /// The leader of a term that has just begun; `mod_revision` is that of its leader key.
+    /// The leader of a term that has just begun; `mod_revision` is the revision of its leader key.
     pub(super) fn new(
         term: u64,
         mod_revision: u64,
@@ -83,57 +86,58 @@
             mod_revision,
             lease: LeaderLease::new(lease_id, now),
             ready: false,
-            machines_accounted: false,
+            machines_reconciled: false,
             ready_at: now,
             cluster: ClusterState::new(keys),
             fleet: Fleet::new(now, keys),
             deferred_heartbeats: Vec::new(),
-            began_at: now,
+            term_began_at: now,
             last_heartbeat_at: now,
             lease_extension_permits: vec![None; peers],
-            gang_scan_at: now,
-            lease_scan_at: now,
-            summary_at: now + STATUS_LOG_PERIOD_MS,
-            unique_numbers: 0,
+            next_gang_scan_at: now,
+            next_lease_scan_at: now,
+            next_summary_at: now + SUMMARY_LOG_PERIOD_MS,
+            unique_numbers_used: 0,
             transactions: Transactions::new(now),
-            passes: PassSchedule::new(now),
+            pass_schedule: PassSchedule::new(now),
             run_times: RunTimes::default(),
             reservation: None,
             shares: Vec::new(),
         }
     }
 
-    /// A number never used before or after: the term and a counter.
-    pub(super) fn unique(&mut self) -> u64 {
-        self.unique_numbers += 1;
-        (self.term << ATTEMPT_COUNTER_BITS) + self.unique_numbers
+    /// A number that is unique across all terms: the term in the high bits, a counter in the low ones.
+    pub(super) fn next_unique_number(&mut self) -> u64 {
+        self.unique_numbers_used += 1;
+        (self.term << ATTEMPT_COUNTER_BITS) + self.unique_numbers_used
     }
 
-    /// When it has to look again if nothing comes in before. Answers to transactions come in; what
-    /// waits for a pass, for a write to spare or for its longest time does not.
+    /// When the leader has work to do even if no command arrives before: a write that its rate limit then
+    /// permits, a deferred response at its deadline, a planning pass. Replies to transactions arrive as commands
+    /// and need no timer.
     pub(super) fn next_wake(&self, now: u64, writes: &TokenBucket) -> Option<u64> {
         let has_proposals = !self.cluster.proposals.is_empty();
         let write = self.transactions.next_wake(has_proposals, writes);
-        // Whatever comes in answers those that have waited long enough too: in a large fleet a heartbeat
-        // comes every few milliseconds, and to wake for each of them alone is mostly for nothing.
+        // Any command also triggers the responses that are due, and in a large fleet a heartbeat arrives every
+        // few milliseconds. So this timer only has to fire somewhat after the deadline.
         let deferred = self.deferred_heartbeats.iter();
-        let response = deferred.map(|heartbeat| heartbeat.answer_by() + POLL_SOON_MS).min();
-        // A pass waits until what the last one decided is stored.
+        let response = deferred.map(|heartbeat| heartbeat.response_deadline() + POLL_SOON_MS).min();
+        // No pass runs until the proposals of the last one are committed.
         let waits_for_pass = response.is_some() && !has_proposals;
-        let pass = waits_for_pass.then(|| self.passes.next_at().max(now + 1));
+        let pass = waits_for_pass.then(|| self.pass_schedule.next_at().max(now + 1));
         [write, response, pass].into_iter().flatten().min()
     }
 
-    /// Whether a transaction that may bring commands for a worker is under way or due.
-    pub(super) fn deciding(&self, now: u64) -> bool {
+    /// Whether a transaction whose commit may add commands for a worker is in flight or due soon.
+    pub(super) fn may_commit_commands_soon(&self, now: u64) -> bool {
         self.transactions.is_pending()
             || !self.cluster.proposals.is_empty()
-            || self.passes.next_at() <= now + self.min_pass_gap_ms()
+            || self.pass_schedule.next_at() <= now + self.min_pass_gap_ms()
     }
 }
 
-/// Whether a stored placement of a term was never ordered: its task is on no machine.
-fn was_never_ordered(placement: &Placement, term: u64) -> bool {
+/// Whether no start command was sent for a committed placement of the term, so that its task is on no machine.
+fn start_was_never_sent(placement: &Placement, term: u64) -> bool {
     placement.term() == term
         && placement.phase == PlacementPhase::Committed
         && placement.start_sent_after.is_none()
@@ -141,7 +145,7 @@
 }
 
 impl Controller {
-    /// Does what is due of the leader's work.
+    /// Does the leader's work that is due; nothing if this controller doesn't lead.
     pub(super) fn leader_due(&mut self) {
         self.check_term();
         if self.leader.is_none() {
@@ -160,7 +164,7 @@
         if self.leader.is_none() {
             return;
         }
-        self.gangs_due();
+        self.gang_scan_due();
         self.fleet_due();
         self.log_summary_due();
         self.planning_due();
@@ -168,12 +172,13 @@
         self.answer_deferred_heartbeats();
     }
 
-    /// A read that was begun after the election, or after a transaction of unknown outcome, is in.
+    /// Handles the result of a read that was begun after the election, or after a transaction of unknown
+    /// outcome.
     pub(super) fn on_leader_read(&mut self, begun: u64) {
         match &self.leader {
             None => {}
             Some(leader) if leader.ready => self.resolve_unknown_outcome(begun),
-            // The store is written back first.
+            // Takeover waits until recovery has restored the store.
             Some(_) if self.recovery.is_suspended() => {}
             Some(leader) if self.store.replica().revision < leader.mod_revision => {
                 self.request_leader_read();
@@ -182,7 +187,8 @@
         }
     }
 
-    /// Builds the state of the cluster from the store. Every placement counts as possibly running.
+    /// Builds the state of the cluster from the store. Every stored placement is assumed to be possibly
+    /// running.
     fn take_over(&mut self) {
         let now = self.now.monotonic_ms;
         let replica = self.store.replica();
@@ -198,9 +204,9 @@
             let teams = self.settings.params.teams.iter();
             leader.shares = teams.map(|team| share_of(&team.name)).collect();
         }
-        leader.passes.pass_at(now);
+        leader.pass_schedule.schedule_at(now);
         log::info!(
-            "term {}: {} live jobs, {} machines with placements",
+            "takeover done: term {}, {} live jobs, {} machines with placements",
             leader.term,
             leader.cluster.queue.len(),
             leader.cluster.machines.len()
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -1,9 +1,9 @@
 //! Planning passes: from the state of the cluster to proposed placements and tasks to stop.
 //!
-//! Nothing that a pass decides is ordered before it is stored: placements are proposed, and
-//! [`super::super::transactions`] writes them ahead.
+//! Placements are write-ahead: a pass only proposes them, [`super::super::transactions`] commits them to the
+//! store, and no start command is sent before that commit.
 
-use super::{was_never_ordered, Leader};
+use super::{start_was_never_sent, Leader};
 use crate::constants::{
     FLEET_PERIOD_MS, FLEET_PERIOD_PER_MACHINE_MS, PASS_GAP_MS, PASS_GAP_PER_MACHINE_MS,
 };
@@ -16,7 +16,7 @@
 use crate::storage::records::{JobId, MachineName};
 use std::collections::BTreeMap;
 
-/// When planning passes are due.
+/// Times of the last and the next planning pass.
 #[derive(Debug)]
 pub(super) struct PassSchedule {
     next_at: u64,
@@ -33,42 +33,42 @@
         self.next_at
     }
 
-    /// The next pass is due at this time.
-    pub(super) fn pass_at(&mut self, at: u64) {
+    /// Sets when the next pass is due.
+    pub(super) fn schedule_at(&mut self, at: u64) {
         self.next_at = at;
     }
 
-    /// A pass is wanted before its period is over, but not within `min_gap_ms` of the last one.
+    /// Makes the next pass due now, but not within `min_gap_ms` after the last one.
     fn bring_forward(&mut self, min_gap_ms: u64, now: u64) {
         self.next_at = self.next_at.min(now.max(self.last_at + min_gap_ms));
     }
 
-    fn note_pass(&mut self, period_ms: u64, now: u64) {
+    fn record_pass(&mut self, period_ms: u64, now: u64) {
         self.last_at = now;
         self.next_at = now + period_ms;
     }
 }
 
 impl Leader {
-    /// A pass is wanted before its period is over.
+    /// Requests a planning pass before the period is over.
     pub(in crate::coordination) fn plan_soon(&mut self, now: u64) {
-        self.passes.bring_forward(self.min_pass_gap_ms(), now);
+        self.pass_schedule.bring_forward(self.min_pass_gap_ms(), now);
     }
 
-    /// Least milliseconds between two passes: what a pass costs grows with the fleet.
+    /// Least milliseconds between two passes: the cost of a pass grows with the fleet.
     pub(super) fn min_pass_gap_ms(&self) -> u64 {
         PASS_GAP_MS + (self.cluster.machines.len() as f64 * PASS_GAP_PER_MACHINE_MS) as u64
     }
 
-    /// Milliseconds between two looks at the size of the fleet, for the same reason.
-    pub(in crate::coordination) fn fleet_period(&self) -> u64 {
+    /// Milliseconds between two evaluations of the fleet's size, whose cost grows with the fleet too.
+    pub(in crate::coordination) fn fleet_scan_period_ms(&self) -> u64 {
         FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * FLEET_PERIOD_PER_MACHINE_MS) as u64
     }
 
-    /// Whether a pass is due. What the last pass decided is stored first: to decide more would
-    /// only queue it.
+    /// Whether a pass is due. The proposals of the last pass are committed first: further ones would only
+    /// queue up.
     fn is_pass_due(&self, now: u64) -> bool {
-        self.passes.next_at() <= now && self.cluster.proposals.is_empty()
+        self.pass_schedule.next_at() <= now && self.cluster.proposals.is_empty()
     }
 }
 
@@ -90,10 +90,10 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        leader.passes.note_pass(self.operator.pass_period_ms, now);
+        leader.pass_schedule.record_pass(self.operator.pass_period_ms, now);
         let shares_are_known = leader.shares.len() == self.settings.params.teams.len();
         if !leader.cluster.has_waiting_tasks() && shares_are_known {
-            // There is nothing to place, to make room for or to reserve.
+            // No waiting task: nothing to place, to preempt for or to reserve.
             leader.reservation = None;
             leader.fleet.clear_unplaced();
             return;
@@ -106,12 +106,12 @@
         leader.move_shares(&mut input);
         let plan = planner::plan(&input.snapshot);
         work.planner_places += plan.candidates_examined;
-        leader.adopt_plan(&plan, &input, catalog, now);
+        leader.apply_plan(&plan, &input, catalog, now);
     }
 }
 
 impl Leader {
-    /// Moves shares to the team of the oldest waiting job, and puts them into the planner's input.
+    /// Moves shares to the team of the oldest waiting job, and sets the result in the planner's input.
     fn move_shares(&mut self, input: &mut PlannerInput) {
         let shares = planner::move_shares(&input.snapshot, self.shares.clone());
         if shares != self.shares {
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Proposes and stops what a pass has decided.
-    fn adopt_plan(&mut self, plan: &Plan, input: &PlannerInput, catalog: &Catalog, now: u64) {
+    /// Applies a plan: proposes its placements and stops the tasks that it preempts.
+    fn apply_plan(&mut self, plan: &Plan, input: &PlannerInput, catalog: &Catalog, now: u64) {
         self.reservation = plan.reservation.map(|reserved| {
             (input.jobs[reserved.job].clone(), input.machines[reserved.machine].clone())
         });
@@ -138,7 +138,7 @@
             }
         }
         for (job, machines) in gangs {
-            self.propose_attempt_of_gang(&input.jobs[job], &machines, now);
+            self.propose_gang_attempt(&input.jobs[job], &machines, now);
         }
         for &Preemption { machine, handle } in &plan.preemptions {
             self.preempt(&input.machines[machine], &input.handles[machine][handle], now);
@@ -146,34 +146,36 @@
         self.fleet.note_unplaced(input, plan, catalog);
     }
 
-    fn propose_task(&mut self, uid: &JobId, machine: &MachineName, now: u64) {
-        let job = self.cluster.jobs.get(uid);
+    fn propose_task(&mut self, job_id: &JobId, machine: &MachineName, now: u64) {
+        let job = self.cluster.jobs.get(job_id);
         let Some(task) = job.and_then(|job| job.next_waiting()) else { return };
-        let attempt = self.unique();
-        self.cluster.propose(uid, task, machine, attempt, now);
-        log::debug!("{uid}/{task}: placed on {machine}, attempt {attempt}");
+        let attempt = self.next_unique_number();
+        self.cluster.propose(job_id, task, machine, attempt, now);
+        log::debug!("task placed: {job_id}/{task} on {machine}, attempt {attempt}");
     }
 
-    fn propose_attempt_of_gang(&mut self, uid: &JobId, machines: &[MachineName], now: u64) {
-        let attempt = self.unique();
-        if self.cluster.propose_gang(uid, machines, attempt, now) {
-            log::debug!("{uid}: gang placed on {}, attempt {attempt}", machines.join(", "));
+    fn propose_gang_attempt(&mut self, job_id: &JobId, machines: &[MachineName], now: u64) {
+        let attempt = self.next_unique_number();
+        if self.cluster.propose_gang(job_id, machines, attempt, now) {
+            log::debug!("gang placed: {job_id} on {}, attempt {attempt}", machines.join(", "));
         } else {
-            log::error!("{uid}: a part of a gang is not placed");
+            log::error!(
+                "gang placement discarded: {job_id}, the plan doesn't cover each of its tasks"
+            );
         }
     }
 
-    /// Stops a task, or the whole gang that it belongs to, to make room.
+    /// Stops a task, or the whole gang that it belongs to, to free resources for a job that goes first.
     fn preempt(&mut self, machine_name: &MachineName, id: &TaskId, now: u64) {
         if self.cluster.jobs.get(&id.job).is_some_and(|job| job.is_gang()) {
-            log::debug!("{}: gang stopped to make room", id.job);
+            log::debug!("gang preempted: {}", id.job);
             return self.stop_gang(&id.job, StopReason::Eviction, now);
         }
         let Some(placement) = self.cluster.placement_mut(machine_name, id) else { return };
-        log::debug!("{id}: stopped on {machine_name} to make room");
+        log::debug!("task preempted: {id} on {machine_name}");
         placement.stop_reason = placement.stop_reason.max(Some(StopReason::Eviction));
-        if was_never_ordered(placement, self.term) {
-            // It can't be there, so its place is free at once.
+        if start_was_never_sent(placement, self.term) {
+            // The task can't be on the machine, so its resources are free at once.
             self.cluster.settle(machine_name, id, EndCause::Lost);
         }
     }
