--- a/src/constants/fleet.rs
+++ b/src/constants/fleet.rs
@@ -1,81 +1,84 @@
-//! Renting and returning machines: calls to the cloud, boot times, headroom and consolidation.
+//! Scaling the fleet: calls to the cloud, boot times, headroom, scale-in and defragmentation.
 
 /// Milliseconds between two reads of the machine list.
 pub const LIST_PERIOD_MS: u64 = 3_000;
-/// Milliseconds between two reads of the catalogue (prices move).
+/// Milliseconds between two reads of the catalog, whose prices change.
 pub const CATALOG_PERIOD_MS: u64 = 30_000;
-/// Milliseconds to wait for the cloud; it answers in some hundred.
+/// Milliseconds after which a request to the cloud times out; answers take a few hundred.
 pub const CLOUD_TIMEOUT_MS: u64 = 5_000;
-/// Milliseconds before the cloud is asked again after a failure.
+/// Milliseconds until the next request of the same sort after one that failed.
 pub const CLOUD_RETRY_BACKOFF_MS: u64 = 1_000;
-/// Milliseconds for which "no capacity" for a type, zone and kind is remembered.
+/// Milliseconds for which nothing is rented of a machine type, zone and market (spot or not) that the
+/// cloud had no capacity for.
 pub const CAPACITY_BACKOFF_MS: u64 = 20_000;
-/// Machines in one page of the list; the protocol's maximum.
+/// Machines on one page of the machine list; the protocol's maximum.
 pub const LIST_LIMIT: usize = 500;
 /// Machines in one rental; the protocol's maximum.
 pub const RENTAL_MACHINES_MAX: usize = 50;
 /// Machines in one deletion; the protocol's maximum.
 pub const DELETION_MACHINES_MAX: usize = 100;
-/// Times its `boot_s` after which a booting machine no longer counts as coming soon.
+/// Multiple of its type's `boot_s` after which a booting machine no longer counts as capacity that
+/// will soon be available.
 pub const BOOT_LATE: f64 = 1.8;
-/// Machines of a kind on their way from which on tasks may wait for one rather than queue their
-/// image on another: of so many one is up every few seconds, while the boot of a single one
-/// may take half as long again as expected.
+/// Booting machines, spot and other ones counted apart, from which on a task may wait for one rather
+/// than for an image that is queued behind others: of so many one is up every few seconds, while a
+/// single one may take 1.5 times its `boot_s`.
 pub const BOOTING_MACHINES_MANY: u64 = 32;
-/// A booting machine past its `boot_s` is expected within this part of it.
+/// A booting machine past its `boot_s` is expected to be up after `boot_s` divided by this.
 pub const BOOT_OVERDUE_DIVISOR: u64 = 8;
-/// Times its `boot_s` after which a booting machine is deleted.
+/// Multiple of its type's `boot_s` after which a booting machine is deleted.
 pub const BOOT_LOST: f64 = 2.8;
-/// Times its `boot_s` that an idle machine is kept: to rent it again costs a boot and the
-/// fetch of its images, so that returning it pays only after about as long.
+/// Default idle timeout as a multiple of `boot_s`: a replacement costs a boot and the fetch of its
+/// images, so that returning a machine saves money only if it would stay idle for about that long.
 pub const IDLE_RETURN_BOOTS: f64 = 1.0;
-/// Times `boot_s` that a task may have to wait for a machine we have before another one is
-/// rented for it.
+/// Multiple of `boot_s` that a task may wait for capacity on present machines before another machine
+/// is rented for it.
 pub const RENT_PATIENCE_BOOTS: f64 = 0.5;
-/// Seconds paid for at least (protocol: a deleted machine costs at least 60 s): returning
-/// sooner saves nothing.
+/// Seconds that the cloud bills for each machine at least (protocol): deleting it sooner saves nothing.
 pub const CHARGE_MIN_S: f64 = 60.0;
-/// Share of the machines in use that is kept free for work to come.
+/// Share of the machines in use that is kept free as headroom.
 pub const HEADROOM_SHARE: f64 = 0.08;
-/// Machines' worth of room kept free beside the share, so that small fleets keep some too.
+/// Headroom in machines beyond that share, so that a small fleet has some too.
 pub const HEADROOM_MACHINES: f64 = 0.5;
-/// Milliseconds for which there must be too much room before a machine is emptied.
+/// Milliseconds for which there must be excess capacity before machines are drained.
 pub const EXCESS_ROOM_MS: u64 = 8_000;
-/// Share of the machines that may be closed, or opened again, at a time.
+/// Share of the usable machines that one evaluation drains or returns to use at most; one at the least.
 pub const CLOSE_SHARE: f64 = 0.06;
-/// Machines' worth of tasks without a place, as a share of the machines, beyond which none is
-/// closed: in a small fleet any such task, in a large one not just a few.
+/// Size of the unplaced tasks, as a share of the usable machines, above which no machine is drained:
+/// in a small fleet a single task prevents it, in a large one a few don't.
 pub const UNPLACED_SHARE: f64 = 0.002;
-/// Load up to which a machine with services is emptied by moving them.
+/// Highest load at which a machine with services is drained by moving them.
 pub const LOW_LOAD_SHARE: f64 = 0.5;
-/// Services moved at a time, as a share of the machines; one at the least.
+/// Service tasks that are moved at a time, as a share of the machines; one at the least.
 pub const MOVE_SHARE: f64 = 0.01;
-/// Milliseconds between two moves of services: each is a short gap for its users.
+/// Milliseconds between two moves of service tasks: each interrupts a service for a moment.
 pub const MOVE_GAP_MS: u64 = 3_000;
 /// Milliseconds between two evaluations of the size of the fleet.
 pub const FLEET_PERIOD_MS: u64 = 300;
-/// Milliseconds that each machine adds to that: an evaluation counts what every machine holds.
+/// Milliseconds that each machine adds to that: an evaluation visits all placements.
 pub const FLEET_PERIOD_PER_MACHINE_MS: f64 = 0.4;
-/// Milliseconds a machine may be silent, once its tasks are settled, before it is deleted.
+/// Milliseconds until an empty machine that is unreachable is deleted, and, beyond the lease, one that
+/// has never reported.
 pub const SILENT_DELETE_MS: u64 = 45_000;
-/// Seconds in which the queue of batch work should be worked off, at the least.
+/// Seconds within which the backlog of batch work should be processed: what is rented for tasks that
+/// run for less is shared by several of them.
 pub const DRAIN_TARGET_S: f64 = 45.0;
-/// Longest notice in seconds that is believed: clouds give seconds or minutes, and a nonsense figure
-/// must not overflow a time.
+/// Longest reclaim notice in seconds that is accepted: clouds give seconds or minutes, and an absurd
+/// value must not overflow a time.
 pub const RECLAIM_NOTICE_MAX_S: f64 = 86_400.0;
-/// Milliseconds after its time at which a silent spot machine that was to be reclaimed is deleted.
+/// Milliseconds after its reclaim time at which a silent spot machine is deleted.
 pub const RECLAIM_PAST_MS: u64 = 500;
-/// Seconds before a spot machine is reclaimed at which tasks are told to save a checkpoint, beyond
-/// their own `checkpoint_cost_s`.
+/// Seconds before the reclaim of a spot machine at which its tasks are told to save a checkpoint, in
+/// addition to their own `checkpoint_cost_s`.
 pub const RECLAIM_MARGIN_S: f64 = 4.0;
-/// Milliseconds added to how long the machine list may lag before a machine missing from it counts as gone.
+/// Milliseconds added to the lag of the machine list before a machine missing from it counts as gone.
 pub const LIST_MARGIN_MS: u64 = 2_000;
-/// Slots below which a demand is met: rounding.
+/// Slots that may be missing without another machine being rented: rounding errors.
 pub const SLOT_EPSILON: f64 = 0.05;
 /// Milliseconds over which arrivals of services are counted.
 pub const ARRIVAL_WINDOW_MS: u64 = 120_000;
-/// Milliseconds over which arrivals of batch work are counted: as long as it pays to keep a
-/// machine for what may come.
+/// Milliseconds over which arrivals of batch work are counted: about as long as keeping a machine for
+/// the next work costs less than renting another one.
 pub const WORK_WINDOW_MS: u64 = 60_000;
-/// Slots kept for services beyond the arrivals expected while a machine boots.
+/// Slots kept free for services beyond the arrivals expected while a machine boots.
 pub const SPARE_SERVICE_SLOTS: f64 = 1.0;
