--- a/src/coordination/planner_input.rs
+++ b/src/coordination/planner_input.rs
@@ -1,7 +1,7 @@
-//! The planner's input: a [`Snapshot`] of the cluster, with the names behind its indices.
+//! Builds the planner's input: a [`Snapshot`] of the cluster, with the names that its indices stand for.
 //!
-//! Machines, jobs, teams, zones, machine types and images become indices here, so that the planner
-//! does not depend on the leader's state. Nothing here changes that state or decides anything.
+//! The snapshot refers to machines, jobs, teams, zones, machine types and images by index, so that the
+//! planner does not depend on the leader's state. This module only reads that state.
 
 mod indices;
 mod jobs;
@@ -20,22 +20,22 @@
 use indices::Indices;
 use placements::PlacedJob;
 
-/// A snapshot with the names behind its indices.
+/// A snapshot with the names that its indices stand for.
 pub(crate) struct PlannerInput {
-    /// What the planner looks at.
+    /// The planner's view of the cluster.
     pub snapshot: Snapshot,
-    /// Names of the snapshot's jobs.
+    /// Ids of the snapshot's jobs, by index.
     pub jobs: Vec<JobId>,
-    /// Names of the snapshot's machines.
+    /// Names of the snapshot's machines, by index.
     pub machines: Vec<MachineName>,
-    /// The tasks behind the handles of the running tasks, by machine.
+    /// For each machine, the tasks that the handles of its running tasks stand for.
     pub handles: Vec<Vec<TaskId>>,
-    /// Names of the zones.
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
 }
 
 impl PlannerInput {
-    /// Describes the cluster as the leader knows it now.
+    /// Builds the input from the leader's present state.
     pub(super) fn of_cluster(
         leader: &Leader,
         settings: &Platform,
@@ -77,7 +77,7 @@
     }
 }
 
-/// An input under construction, with what all its parts are made from.
+/// A planner input under construction, with the data that it is built from.
 struct InputBuilder<'a> {
     leader: &'a Leader,
     cluster: &'a ClusterState,
@@ -86,17 +86,18 @@
     catalog: &'a Catalog,
     clock: Clock,
     now_ms: u64,
-    /// Milliseconds without a sign of life after which a machine counts as silent.
+    /// Milliseconds without a report after which a machine counts as silent.
     silent_ms: u64,
     indices: Indices<'a>,
-    /// Indices of the machines that may get tasks.
+    /// Indices of the schedulable machines.
     machine_indices: HashMap<&'a MachineName, usize>,
-    /// What all placements of a job share: worked out once a job, not once a placement.
+    /// Data common to all placements of a job, computed once for each job.
     placed_jobs: HashMap<&'a JobId, Option<PlacedJob>>,
     input: PlannerInput,
 }
 
 impl InputBuilder<'_> {
+    /// Adds the reservation of the last pass, if its job and machine are still in the snapshot.
     fn add_previous_reservation(&mut self) {
         let input = &mut self.input;
         input.snapshot.previous_reservation =
--- a/src/coordination/planner_input/indices.rs
+++ b/src/coordination/planner_input/indices.rs
@@ -1,4 +1,4 @@
-//! Names as indices.
+//! Maps names to indices.
 
 use crate::protocol::cloud::Catalog;
 use crate::settings::{Platform, Team};
@@ -9,7 +9,7 @@
     zones: Vec<&'a str>,
     machine_types: Vec<&'a str>,
     teams: &'a [Team],
-    /// Images get an index when they are first asked for.
+    /// Filled as images are looked up.
     images: HashMap<&'a str, usize>,
 }
 
@@ -57,7 +57,7 @@
         self.teams.iter().position(|team| team.name == name)
     }
 
-    /// Index of an image.
+    /// Index of an image, assigned on its first lookup.
     pub(super) fn image(&mut self, name: &'a str) -> usize {
         let next = self.images.len();
         *self.images.entry(name).or_insert(next)
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -14,7 +14,7 @@
 impl<'a> InputBuilder<'a> {
     /// Adds the jobs with waiting tasks, in the order of their arrival.
     pub(super) fn add_waiting_jobs(&mut self) {
-        // What each team's unfinished jobs take together, up to the one looked at.
+        // Resources of each team's unfinished jobs, up to and including the present one.
         let mut claimed = vec![Resources::default(); self.settings.params.teams.len()];
         let cluster = self.cluster;
         for uid in cluster.queue.values() {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Describes a job; `None` if it can't be placed for now.
+    /// The planner's view of a job; `None` if the job can't be placed at present.
     fn job_view(
         &mut self,
         job: &'a Job,
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Where the zones come into a job's placement; `None` if it can't be placed for now.
+    /// Zone constraints of a job; `None` if the job can't be placed at present.
     fn zone_constraints(&self, job: &Job, spec: &JobSpec) -> Option<ZoneConstraints> {
         let tasks_per_zone = self.tasks_per_zone(job, spec)?;
         let required_zone = match &spec.zone {
@@ -80,8 +80,8 @@
         Some(ZoneConstraints { tasks_per_zone, required_zone })
     }
 
-    /// Unsettled tasks of a job per zone, where its placement depends on them. `None` if it depends on a
-    /// machine whose zone is not known yet: the job can neither be spread nor kept in one zone.
+    /// Unsettled tasks of a job per zone, or zeros if its placement doesn't depend on them. `None` if the
+    /// job must be spread over zones or stay in one, and the zone of a machine it is on is not known yet.
     fn tasks_per_zone(&self, job: &Job, spec: &JobSpec) -> Option<Vec<u32>> {
         let mut tasks_per_zone = vec![0; self.indices.zone_count()];
         let must_know_all = spec.spread || spec.one_zone;
@@ -99,7 +99,7 @@
         Some(tasks_per_zone)
     }
 
-    /// Adds all teams.
+    /// Adds all teams. Resources used by tasks of unknown jobs count against every team.
     pub(super) fn add_teams(&mut self) {
         let unknown = self.cluster.used_by_unknown_tasks();
         for team in &self.settings.params.teams {
@@ -115,7 +115,7 @@
     }
 }
 
-/// What zones mean for a job.
+/// Zone constraints of a job.
 struct ZoneConstraints {
     /// Unsettled tasks per zone.
     tasks_per_zone: Vec<u32>,
@@ -125,14 +125,14 @@
 
 /// Tasks of a job that are offered to the planner.
 pub(super) fn waiting_tasks(job: &Job) -> u32 {
-    // A job that fails everywhere is tried one task at a time.
+    // A job that failed on several machines in a row is retried one task at a time.
     match job.fails_everywhere() && !job.is_gang() {
         true => job.waiting().min(1),
         false => job.waiting(),
     }
 }
 
-/// Whether a job pauses after failures of its tasks or of its gang.
+/// Whether a job is in backoff after failures of its tasks or of its gang's attempts.
 fn is_paused(job: &Job, now_ms: u64) -> bool {
     let gang_retry_at = job.gang.as_ref().map_or(0, |gang| gang.retry_at);
     job.paused_until.max(gang_retry_at) > now_ms
@@ -144,7 +144,7 @@
     types.map(|machine_type| spec.allows_type(&machine_type.type_name)).collect()
 }
 
-/// Machines on which a job failed; none once it has failed on so many that it is tried everywhere.
+/// Machines on which a job failed. None if it failed on so many that the job itself is suspected.
 fn avoided_machines(job: &Job, machine_indices: &HashMap<&MachineName, usize>) -> Vec<usize> {
     let tries_everywhere = match job.is_gang() {
         true => job.failed_on.len() > GANG_AVOID_MAX,
@@ -156,7 +156,7 @@
     job.failed_on.iter().filter_map(|machine| machine_indices.get(machine).copied()).collect()
 }
 
-/// Milliseconds until each of the times by which a job should be complete, the soonest first.
+/// Milliseconds until each of a job's deadlines, by the objectives for its class and its own; sorted.
 pub(super) fn due_in_ms(
     objectives: &[Objective],
     spec: &JobSpec,
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -1,4 +1,4 @@
-//! Machines: which may get tasks, and which are on their way.
+//! Machines for the planner: the schedulable ones, and those that boot.
 
 use super::placements::MachineTasks;
 use super::InputBuilder;
@@ -12,11 +12,11 @@
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::MachineName;
 
-/// Most tasks that a machine's report can name.
+/// Most tasks that a machine's heartbeat can name.
 const TASKS_PER_REPORT: usize = HTTP_BODY_MAX / HEARTBEAT_TASK_BYTES;
 
 impl InputBuilder<'_> {
-    /// Adds the machines on their way: ordinary ones, then spot ones.
+    /// Adds the booting machines: on-demand ones, then spot ones.
     pub(super) fn add_booting_machines(&mut self) {
         let ordinary = self.booting_machines(false);
         let spot = self.booting_machines(true);
@@ -37,7 +37,7 @@
             .collect()
     }
 
-    /// Adds the machines that may get tasks.
+    /// Adds the schedulable machines.
     pub(super) fn add_open_machines(&mut self) {
         let mut deferred_heartbeats: HashSet<&MachineName> = self.cluster.hash_keys().set();
         deferred_heartbeats
@@ -76,7 +76,8 @@
     }
 }
 
-/// A machine on its way; `None` for one that is late, which may come at any time.
+/// The planner's view of a booting machine; `None` if it is late, since the time at which it will be up
+/// can't be predicted.
 pub(super) fn booting_machine(
     machine: &Machine,
     machine_type: &MachineType,
@@ -91,7 +92,7 @@
     })
 }
 
-/// Mean milliseconds until machines are up, where many are on their way.
+/// Mean milliseconds until booting machines are up; `None` if there are too few for a prediction.
 pub(super) fn mean_wait_ms(booting: &[BootingMachine]) -> Option<u64> {
     let count = booting.len() as u64;
     (count >= BOOTING_MACHINES_MANY)
@@ -100,13 +101,13 @@
 
 /// Whether a machine may get new tasks.
 pub(super) fn may_get_tasks(machine: &Machine, now_ms: u64, silent_ms: u64) -> bool {
-    // What is to be reclaimed is not usable: it would not be stored, and the same tasks
-    // were placed there pass after pass while others had room for them.
+    // A machine with a reclaim notice must not be usable here: placements on it are refused before
+    // they are stored, so that every pass would repeat them while other machines have capacity.
     machine.is_usable()
-        // Nothing goes to a machine before it has shown our token: what reports may be
-        // a late copy of one that is gone, or a machine that hears nobody.
+        // A report without this leader's fencing token may be a late duplicate from a machine that
+        // is gone, or come from one that receives no responses.
         && machine.has_our_token
-        // What a task of an unknown job takes of its machine is not known either.
+        // The resources that a task of an unknown job takes are not known.
         && machine.unknown_tasks.is_empty()
         && machine.last_alive_at.is_some_and(|at| now_ms - at <= silent_ms)
 }
@@ -120,7 +121,7 @@
     }
 }
 
-/// Milliseconds until a machine's next report is to be expected.
+/// Expected milliseconds until a machine's next heartbeat.
 pub(super) fn next_report_ms(machine: &Machine, report_s: f64, now_ms: u64) -> u64 {
     let period = report_s * MS_PER_S;
     let since = machine.last_heartbeat_at.map_or(0, |at| now_ms - at) as f64;
--- a/src/coordination/planner_input/placements.rs
+++ b/src/coordination/planner_input/placements.rs
@@ -1,4 +1,4 @@
-//! Tasks on machines: what they take and when they are expected to end.
+//! Tasks on machines: their resources and expected ends, and the images there.
 
 use super::InputBuilder;
 use crate::constants::{MS_PER_S, OVERDUE_SHARE, SERVICE_RUN_S};
@@ -9,7 +9,7 @@
 use crate::storage::machine::{Machine, Placement, TaskId};
 use crate::storage::records::JobId;
 
-/// What a pass needs to know of a job for each of its placements.
+/// Data common to all placements of a job.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlacedJob {
     pub(super) priority: Priority,
@@ -18,22 +18,26 @@
     pub(super) bandwidth: f64,
     pub(super) run_ms: u64,
     pub(super) is_service: bool,
+    /// Whether a stopped task resumes from a checkpoint.
     pub(super) keeps_progress: bool,
+    /// Tasks that end if one of them is stopped: all of a gang.
     pub(super) tasks_stopped: u32,
     pub(super) image: usize,
     pub(super) image_gb: f64,
+    /// Expected milliseconds from the decision to stop a task until it has ended.
     pub(super) stop_ms: u64,
 }
 
 /// The unsettled tasks of a machine, and the images that it holds or fetches for them.
 pub(super) struct MachineTasks {
     pub(super) running: Vec<RunningTask>,
+    /// The tasks, in the order of `running`.
     pub(super) handles: Vec<TaskId>,
     pub(super) images: Vec<CachedImage>,
 }
 
 impl<'a> InputBuilder<'a> {
-    /// Describes the tasks on a machine, and with them the images on it.
+    /// The planner's view of the tasks and images on a machine.
     pub(super) fn tasks_on(&mut self, machine: &'a Machine, fetch_ms_per_gb: f64) -> MachineTasks {
         let held = machine.images.iter();
         let held = held.map(|(name, _)| CachedImage::ready(self.indices.image(name)));
@@ -68,7 +72,7 @@
         tasks
     }
 
-    /// What all placements of a job share; `None` if the job or its specification is not known.
+    /// Data common to all placements of a job; `None` if the job or its specification is not known.
     fn placed_job(&mut self, uid: &'a JobId) -> Option<PlacedJob> {
         let InputBuilder { leader, settings, operator, silent_ms, indices, .. } = self;
         let cluster = self.cluster;
@@ -92,7 +96,7 @@
     }
 }
 
-/// Notes an image that is on its way to a machine.
+/// Adds an image that a machine is fetching, unless it is already listed.
 fn note_fetched_image(images: &mut Vec<CachedImage>, image: usize, fetched_at: u64, now_ms: u64) {
     if !images.iter().any(|known| known.image == image) {
         images.push(CachedImage { image, ready_in_ms: fetched_at.saturating_sub(now_ms) });
@@ -118,6 +122,6 @@
     if end_ms > now_ms {
         return end_ms;
     }
-    // It is overdue: the longer it has run, the longer it is expected to go on.
+    // An overdue task is expected to run on for a share of the time that it has run so far.
     now_ms + ((now_ms - started_at) as f64 * OVERDUE_SHARE) as u64
 }
--- a/src/coordination/planner_input/tests.rs
+++ b/src/coordination/planner_input/tests.rs
@@ -14,7 +14,7 @@
 
 const NOW_MS: u64 = 1_000_000;
 
-/// A machine that may get tasks and was just heard.
+/// A schedulable machine that has just reported.
 fn open_machine() -> Machine {
     Machine {
         state: MachineState::Up,
@@ -56,7 +56,7 @@
     }
 }
 
-/// A placement that was decided and shown running so long ago.
+/// A placement that was decided and reported running so many milliseconds ago.
 fn placement(placed_ago_ms: u64, running_ago_ms: Option<u64>) -> Placement {
     let placed_at = NOW_MS - placed_ago_ms;
     let running_since = running_ago_ms.map(|ago_ms| NOW_MS - ago_ms);
@@ -92,7 +92,10 @@
     };
     assert_eq!(ready_in_ms(0), Some(100_000));
     assert_eq!(ready_in_ms(30_000), Some(70_000));
-    assert!(ready_in_ms(100_000).is_some_and(|ms| ms > 0), "it may be up soon, but not at once");
+    assert!(
+        ready_in_ms(100_000).is_some_and(|ms| ms > 0),
+        "it is overdue, but not expected at once"
+    );
     assert_eq!(ready_in_ms(900_000), None);
 }
 
@@ -112,7 +115,7 @@
     machine.last_heartbeat_at = Some(NOW_MS - 2_000);
     assert_eq!(next_report_ms(&machine, 4.0, NOW_MS), 2_000);
     machine.last_heartbeat_at = Some(NOW_MS - 60_000);
-    assert!(next_report_ms(&machine, 4.0, NOW_MS) > 0, "overdue, but not there yet");
+    assert!(next_report_ms(&machine, 4.0, NOW_MS) > 0, "overdue, but not expected at once");
 }
 
 #[test]
@@ -122,8 +125,12 @@
         expected_end_ms(placement, job, 8_000, NOW_MS) - NOW_MS
     };
     assert_eq!(end_in_ms(&placement(30_000, Some(20_000)), &job), 40_000);
-    assert_eq!(end_in_ms(&placement(2_000, None), &job), 66_000, "it still fetches for 6 s");
-    assert_eq!(end_in_ms(&placement(20_000, None), &job), 60_000, "fetched, and about to start");
+    assert_eq!(end_in_ms(&placement(2_000, None), &job), 66_000, "the image fetch takes 6 s more");
+    assert_eq!(
+        end_in_ms(&placement(20_000, None), &job),
+        60_000,
+        "the image is fetched, the task is about to start"
+    );
     assert_eq!(end_in_ms(&placement(90_000, Some(80_000)), &job), 20_000, "overdue");
     let mut stopping = placement(90_000, Some(80_000));
     stopping.stop_reason = Some(StopReason::Eviction);
@@ -148,7 +155,7 @@
         objective("finished", Some("another class"), Some(5.0)),
         objective("deadline", None, None),
     ];
-    // The job's own deadline stands for itself and for the last objective.
+    // The job's own deadline counts by itself and through the last objective.
     assert_eq!(due_in_ms(&objectives, &spec, 10_000, 0), vec![30_000, 100_000, 300_000]);
     assert_eq!(due_in_ms(&objectives, &spec, 10_000, 40_000), vec![0, 60_000, 260_000]);
     assert!(due_in_ms(&[], &JobSpec { deadline_s: None, ..spec }, 10_000, 0).is_empty());
