--- a/src/coordination/gang_rules/tests.rs
+++ b/src/coordination/gang_rules/tests.rs
@@ -16,9 +16,9 @@
 #[test]
 fn a_gang_saves_only_if_all_of_it_can_be_told_in_time() {
     let gang = spec(JobKind::Gang, 20.0);
-    assert!(saves_when_stopped(&gang, &workers(4.0, 5.0)), "the last report comes after 5 s");
+    assert!(saves_when_stopped(&gang, &workers(4.0, 5.0)), "the last heartbeat comes after 5 s");
     assert!(!saves_when_stopped(&gang, &workers(4.0, 4.9)));
-    assert!(saves_when_stopped(&gang, &workers(4.0, 0.0)), "nothing is known of a limit");
+    assert!(saves_when_stopped(&gang, &workers(4.0, 0.0)), "there is no limit");
     assert!(saves_when_stopped(&spec(JobKind::Batch, 20.0), &workers(4.0, 4.9)));
     assert!(!saves_when_stopped(&spec(JobKind::Gang, 0.0), &workers(4.0, 5.0)));
 }
@@ -29,11 +29,11 @@
         StoreLimits::new(&StateLimits { rps: 200.0, write_rps, value_kb, txn_ops, next: None })
     };
     assert_eq!(gang_tasks_max(&limits(2.0, 4, 15.0), 3), 4 * 31);
-    // 48 KiB of values.
+    // Limited by the bytes of a commit: 48 KiB of values.
     assert_eq!(gang_tasks_max(&limits(8.0, 16, 200.0), 3), 6 * 127);
-    // Six tenths of the writes are a leader's, less two.
+    // Limited by the leader's writes: six tenths of the rate, less a reserve of two.
     assert_eq!(gang_tasks_max(&limits(2.0, 16, 10.0), 3), 4 * 31);
-    assert_eq!(gang_tasks_max(&limits(2.0, 16, 1.0), 3), 31, "one group at the least");
+    assert_eq!(gang_tasks_max(&limits(2.0, 16, 1.0), 3), 31, "at least one placement group");
 }
 
 #[test]
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -1,4 +1,4 @@
-//! What a job that does not run waits for, in words for users and operators.
+//! Why a job waits, in words for users and operators.
 
 use super::gang_rules::gang_tasks_max;
 use super::{Controller, Leader};
@@ -10,36 +10,36 @@
 use crate::storage::records::MachineName;
 use std::fmt;
 
-/// What a job waits for.
+/// Why a job waits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum WaitReason {
-    /// A place that is reserved for it.
+    /// A machine is reserved for it but not free yet.
     Reserved(MachineName),
-    /// The end of a pause after failures.
+    /// It is in backoff after failures.
     Paused,
-    /// Its team uses as much as it may.
+    /// Its team is at its resource limit.
     TeamLimit,
-    /// Room on machines that it may use.
+    /// No machine that it may use has free resources for it.
     Room,
-    /// Gang: one commit can't hold the placements of all its tasks.
+    /// Gang: the placements of its tasks exceed one commit.
     TooLargeToStore {
         /// Tasks that one commit can hold.
         most: usize,
     },
-    /// Gang: the commit of its placements.
+    /// Gang: its placements are being committed.
     Storing,
-    /// Gang: images and the start of its other tasks.
+    /// Gang: its placed tasks are not all running yet.
     Assembling {
-        /// Tasks that wait for an image.
+        /// Tasks that fetch their image.
         fetching: usize,
-        /// Tasks that wait for the others.
+        /// Tasks that wait for the other tasks of the gang.
         waiting: usize,
-        /// Tasks that no report has shown yet.
+        /// Tasks that no heartbeat has shown yet.
         missing: usize,
     },
-    /// Gang: tasks of its last attempt that are not proved gone.
+    /// Gang: tasks of its last attempt are not proved gone.
     LastAttempt {
-        /// How many.
+        /// Number of such tasks.
         tasks: usize,
     },
 }
@@ -67,7 +67,7 @@
 }
 
 impl Controller {
-    /// What a job waits for; none if nothing of it waits.
+    /// Why a job waits; `None` if none of its tasks does.
     pub(super) fn wait_reason(&self, leader: &Leader, job: &Job) -> Option<WaitReason> {
         if let Some(reason) = self.gang_wait_reason(leader, job) {
             return Some(reason);
@@ -84,7 +84,7 @@
         })
     }
 
-    /// What only a gang waits for.
+    /// The reasons that only gangs have.
     fn gang_wait_reason(&self, leader: &Leader, job: &Job) -> Option<WaitReason> {
         if !job.is_gang() {
             return None;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Whether what the job needs at least to go on would put its team over its limit.
+    /// Whether one more task of the job, or all tasks of a gang, would put its team over its limit.
     fn at_team_limit(&self, leader: &Leader, job: &Job) -> bool {
         let Some(spec) = &job.spec else { return false };
         let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
