--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -1,4 +1,4 @@
-//! Requests for the cloud's catalog of machine types; the cloud's client owns what is known of it.
+//! Requests for the cloud's catalog of machine types, which the cloud client keeps.
 
 use crate::constants::CLOUD_TIMEOUT_MS;
 use crate::coordination::outbox::CallPurpose;
@@ -7,7 +7,7 @@
 use crate::protocol::http::Response;
 
 impl Controller {
-    /// Asks for the catalog when that is due.
+    /// Requests the catalog when that is due.
     pub(in crate::coordination) fn catalog_due(&mut self) {
         let now = self.now.monotonic_ms;
         if self.cloud.begin_catalog_request(self.leader.is_some(), now) {
@@ -16,13 +16,13 @@
         }
     }
 
-    /// Takes a catalog in. One that can't be read leaves the last one in place.
+    /// Handles the response with the catalog. If it can't be parsed, the last catalog stays in use.
     pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<Response>) {
         self.cloud.end_catalog_request();
         let Some(Response { status: 200, body }) = reply else { return };
         match serde_json::from_slice::<Catalog>(&body) {
             Ok(catalog) => self.cloud.set_catalog(catalog),
-            Err(error) => log::error!("catalogue can't be read: {error}"),
+            Err(error) => log::error!("catalog is malformed, the last one stays in use: {error}"),
         }
     }
 }
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -1,5 +1,5 @@
-//! Defragmentation: thinly used machines are emptied so that they can be returned, and services
-//! move off them.
+//! Defragmentation: drains underutilized machines so that they can be returned, and moves services
+//! off them.
 
 use super::boot_ms;
 use super::forecast::ServiceHeadroom;
@@ -15,31 +15,32 @@
 use crate::storage::machine::{Machine, MachineState, Placement, StopReason, TaskId};
 use crate::storage::records::MachineName;
 
-/// A machine and the share of it that is in use.
+/// A machine with its load.
 struct LoadedMachine<'a> {
     machine: &'a Machine,
+    /// The share of it that is in use.
     load: f64,
 }
 
-/// Room of the machines that are open, in machines.
+/// Capacity of the usable machines, in machines.
 struct FleetRoom {
     free: f64,
-    /// What has to stay free.
+    /// Free capacity to keep.
     headroom: f64,
 }
 
-/// A machine that could be emptied.
+/// A machine that could be drained.
 struct DrainCandidate<'a> {
     machine: &'a Machine,
     load: f64,
-    /// Tasks of services, which would have to move.
+    /// Number of service tasks, which would have to be moved.
     services: f64,
 }
 
 impl Controller {
-    /// Drains the dearest thinly used machines when the others have room for their work and
-    /// for work to come; opens such machines again when that is no longer so. How many at a
-    /// time grows with the fleet.
+    /// Drains the most expensive underutilized machines while the others have capacity for their tasks
+    /// and the headroom; puts draining machines back into use when capacity is short. How many at a
+    /// time is a share of the fleet.
     pub(super) fn consolidate(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
@@ -61,7 +62,10 @@
             return;
         }
         leader.fleet.excess_since = None;
-        log::debug!("closes {}, the others have room for their work", chosen.join(", "));
+        log::debug!(
+            "draining machines: {}; the others have capacity for their tasks",
+            chosen.join(", ")
+        );
         for name in chosen {
             if let Some(machine) = leader.cluster.machines.get_mut(&name) {
                 machine.draining = true;
@@ -69,8 +73,8 @@
         }
     }
 
-    /// Moves services off machines that are being emptied to where their image is, a few at a
-    /// time, those first that leave their machine soonest empty.
+    /// Evicts services from draining machines if another machine with their image has capacity, a few
+    /// at a time, beginning with the machines that have the fewest.
     pub(super) fn move_services(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -88,14 +92,14 @@
             else {
                 continue;
             };
-            log::debug!("{id}: moves off {name}");
+            log::debug!("evicting service: {id} moves off draining machine {name}");
             placement.stop_reason = Some(StopReason::Eviction);
         }
     }
 }
 
 impl Leader {
-    /// Machines that count as room for work, with their load.
+    /// Usable machines with their load.
     fn open_machines(&self) -> Vec<LoadedMachine<'_>> {
         let machines = self.cluster.machines.values().filter(|machine| machine.is_usable());
         machines
@@ -103,6 +107,7 @@
             .collect()
     }
 
+    /// Free capacity of the usable machines, and how much of it to keep.
     fn fleet_room(&self, open: &[LoadedMachine<'_>], headroom_share: f64, now: u64) -> FleetRoom {
         let free: f64 = open.iter().map(|loaded| 1.0 - loaded.load).sum();
         let busy: f64 = open.iter().map(|loaded| loaded.load).sum();
@@ -110,15 +115,15 @@
             .iter()
             .map(|loaded| loaded.load * (1.0 - service_share(&self.cluster, loaded.machine)))
             .sum();
-        // What comes at the usual rate may be more than what runs at this moment.
+        // The batch load expected from recent arrivals, as far as it exceeds the present one.
         let lull = (self.batch_machines(now) - batch_now).max(0.0);
         FleetRoom { free, headroom: (busy + lull) * headroom_share + lull + HEADROOM_MACHINES }
     }
 
-    /// Whether all machines are needed, or too little is known yet to tell.
+    /// Whether all machines are needed, or it is too early in the term to forecast the demand.
     fn is_short_of_room(&self, open: &[LoadedMachine<'_>], room: &FleetRoom, now: u64) -> bool {
-        // A few tasks that find no place for reasons of their own (a zone, a kind of machine) must
-        // not keep hundreds of machines open.
+        // A few tasks that can't be placed because of their constraints (a zone, a machine type) must
+        // not keep a large fleet from scaling in.
         let whole = open.first().map_or(Resources::default(), |loaded| loaded.machine.total);
         let unplaced = self.fleet.unplaced.iter();
         let unplaced: f64 = unplaced.map(|tasks| tasks.slots * tasks.need.share_of(&whole)).sum();
@@ -127,8 +132,7 @@
         many_unplaced || room.free < room.headroom || is_early
     }
 
-    /// Opens machines again that are being emptied, the fullest first: they have the most work that
-    /// need not move.
+    /// Puts draining machines back into use, the one with the highest load first.
     fn reopen_machines(&mut self, most: usize, now: u64) {
         self.fleet.excess_since = None;
         let cluster = &self.cluster;
@@ -143,14 +147,14 @@
         drained.sort_by(|(load, _), (other_load, _)| other_load.total_cmp(load));
         for (_, name) in drained.into_iter().take(most) {
             if let Some(machine) = self.cluster.machines.get_mut(&name) {
-                log::debug!("{name}: opened again");
+                log::debug!("drain cancelled: {name} is back in use, capacity is short");
                 machine.draining = false;
                 self.plan_soon(now);
             }
         }
     }
 
-    /// Machines to empty: as many as leave the headroom and the room for services to come.
+    /// Machines to drain: as many as leave the headroom and the slots for new services.
     fn machines_to_drain(
         &self,
         open: &[LoadedMachine<'_>],
@@ -174,7 +178,7 @@
             if chosen.len() >= most || room.free - 1.0 < room.headroom {
                 break;
             }
-            // Its room is gone, and what it holds takes room elsewhere.
+            // Its free slots are lost, and its services take slots on other machines.
             let slots_left = free_slots - service_slots(candidate.machine) - candidate.services;
             if candidate.machine.spot || headroom.is_none() || slots_left >= wanted_slots {
                 free_slots = slots_left;
@@ -185,8 +189,8 @@
         chosen
     }
 
-    /// Machines worth emptying: the dearest kind first, then those with the least to move, then the
-    /// emptiest.
+    /// Machines worth draining: on-demand ones before spot ones, which cost less, then those with the
+    /// fewest service tasks, then those with the lowest load.
     fn drain_candidates<'a>(
         &self,
         open: &[LoadedMachine<'a>],
@@ -216,7 +220,7 @@
         candidates
     }
 
-    /// Running services on machines that are being emptied for which another machine has room.
+    /// Running service tasks on draining machines that fit on another machine.
     fn services_to_move(&self) -> Vec<(MachineName, TaskId)> {
         let cluster = &self.cluster;
         let mut drained: Vec<(f64, &Machine)> = cluster
@@ -245,7 +249,7 @@
     }
 }
 
-/// Machines to which services may move, with what is free on them.
+/// Machines to which services may move, with their free resources.
 struct MoveTargets<'a> {
     machines: Vec<(&'a Machine, Resources)>,
 }
@@ -256,8 +260,8 @@
         MoveTargets { machines: machines.map(|machine| (machine, cluster.free(machine))).collect() }
     }
 
-    /// Takes room for a running service on a machine like its own that holds its image. Returns
-    /// whether there is one.
+    /// Claims resources for a running service task on a machine of the same type and zone that holds its
+    /// image. Returns whether there is one.
     fn try_take_room(
         &mut self,
         cluster: &ClusterState,
@@ -286,14 +290,14 @@
     }
 }
 
-/// The share of a machine that is in use.
+/// The share of a machine that is in use, between 0 and 1.
 fn load(cluster: &ClusterState, machine: &Machine) -> f64 {
     let mut used = machine.total;
     used -= cluster.free(machine);
     used.share_of(&machine.total)
 }
 
-/// Tasks of services on a machine.
+/// Number of unsettled service tasks on a machine.
 fn service_count(cluster: &ClusterState, machine: &Machine) -> f64 {
     let placements = machine.placements.iter();
     let services = placements
@@ -301,7 +305,7 @@
     services.count() as f64
 }
 
-/// The part of a machine's load that services make up.
+/// The share of services in a machine's load.
 fn service_share(cluster: &ClusterState, machine: &Machine) -> f64 {
     let (mut service_load, mut whole_load) = (0.0, 0.0);
     for (id, placement) in &machine.placements {
--- a/src/coordination/fleet/forecast.rs
+++ b/src/coordination/fleet/forecast.rs
@@ -1,4 +1,4 @@
-//! Room that work to come will need, from the work that came lately.
+//! Demand forecast: the capacity that services and batch work will need, from recent arrivals.
 
 use crate::constants::{ARRIVAL_WINDOW_MS, MS_PER_S, SPARE_SERVICE_SLOTS, WORK_WINDOW_MS};
 use crate::coordination::{Clock, Leader};
@@ -6,33 +6,35 @@
 use crate::protocol::users::JobKind;
 use crate::protocol::Resources;
 
-/// Tasks of a service that arrived together.
+/// The arrival of a service.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServiceArrival {
+    /// On the monotonic clock, in milliseconds.
     pub(super) at: u64,
     pub(super) tasks: u32,
 }
 
-/// Batch work that arrived together.
+/// The arrival of a batch or gang job.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BatchArrival {
+    /// On the monotonic clock, in milliseconds.
     pub(super) at: u64,
-    /// Milliseconds for which it keeps a whole machine busy.
+    /// Milliseconds for which it would keep a machine of the largest type busy.
     pub(super) machine_ms: f64,
 }
 
-/// Room that is kept free for services to come.
+/// Capacity that is kept free for new services.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServiceHeadroom {
-    /// What one task is taken to need.
+    /// Assumed resources of one task.
     pub(super) need: Resources,
-    /// Tasks that should find room.
+    /// Tasks that there should be capacity for.
     pub(super) slots: f64,
 }
 
 impl Leader {
-    /// Takes note of jobs that came since the last look. What a new leader finds counts at
-    /// the time of day that it was accepted.
+    /// Records the jobs that arrived since the last call. On the first call of a term, jobs from
+    /// before it count as having arrived at the wall-clock time at which they were accepted.
     pub(super) fn note_arrivals(&mut self, now: Clock, catalog: &Catalog) {
         let types = catalog.machine_types.iter().map(MachineType::total);
         let Some(largest) = types.max_by_key(|total| (total.gpu, total.cpu)) else { return };
@@ -69,21 +71,22 @@
         fleet.batch_arrivals.retain(|arrival| now_ms <= arrival.at + WORK_WINDOW_MS);
     }
 
-    /// Over how long arrivals have been watched, in milliseconds.
+    /// Milliseconds over which the arrivals within a window were observed: less than the window early
+    /// in a term, but at least half of [`ARRIVAL_WINDOW_MS`] unless the window is shorter.
     fn watched_ms(&self, now: u64, window_ms: u64) -> f64 {
         let watched_ms = now - self.began_at;
         watched_ms.clamp(ARRIVAL_WINDOW_MS / 2, ARRIVAL_WINDOW_MS).min(window_ms) as f64
     }
 
-    /// Machines that batch work keeps busy at the rate at which it has been coming.
+    /// Machines that batch work keeps busy at its recent arrival rate.
     pub(super) fn batch_machines(&self, now: u64) -> f64 {
         let machine_ms: f64 =
             self.fleet.batch_arrivals.iter().map(|arrival| arrival.machine_ms).sum();
         machine_ms / self.watched_ms(now, WORK_WINDOW_MS)
     }
 
-    /// Room to keep for services: what a task of the newest one takes, and how many are expected
-    /// to arrive while a machine boots. `None` if there are no services.
+    /// Headroom for new services: as many tasks like those of the newest service as are expected to
+    /// arrive while a machine boots, and a spare one. `None` if there are no services.
     pub(super) fn service_headroom(&self, now: u64, catalog: &Catalog) -> Option<ServiceHeadroom> {
         let cluster = &self.cluster;
         let newest = cluster.queue.values().rev().find(|uid| cluster.is_service(uid))?;
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machines: which are there, failed or gone.
+//! Reconciles the state with the cloud's list of machines: which exist, have failed or are gone.
 
 use crate::constants::{
     CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, LIST_LIMIT, LIST_PERIOD_MS, MS_PER_S,
@@ -13,7 +13,7 @@
 use crate::storage::records::MachineName;
 
 impl Controller {
-    /// Asks for the first page of the list when that is due.
+    /// Requests the first page of the machine list when that is due.
     pub(super) fn start_list(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -29,14 +29,14 @@
         self.ask_for_page(None, now);
     }
 
-    /// Asks for the page of the list that follows a machine; `None`: the first one.
+    /// Requests the page after the named machine, or the first one.
     fn ask_for_page(&mut self, after: Option<&str>, list_started_at: u64) {
         let path = machine_list_path(after, LIST_LIMIT);
         let purpose = CallPurpose::Hosts { begun: list_started_at };
         self.call(Service::Cloud, "GET", path, vec![], CLOUD_TIMEOUT_MS, purpose);
     }
 
-    /// Takes in a page of the list that was started then.
+    /// Handles a page of the list that was started at the given time.
     pub(in crate::coordination) fn on_machine_list_response(
         &mut self,
         list_started_at: u64,
@@ -60,7 +60,7 @@
         let last = hosts.machines.last().map(|host| host.uid.clone());
         fleet.listed_machines.extend(hosts.machines);
         if let (true, Some(last)) = (hosts.has_next, last) {
-            // A list that was begun is finished, whatever the cloud's rate is.
+            // A list in progress is completed even over the rate limit.
             self.cloud.take_request(f64::MIN, now);
             return self.ask_for_page(Some(&last), list_started_at);
         }
@@ -68,8 +68,8 @@
         self.on_complete_list(list_started_at);
     }
 
-    /// Compares a whole list with the state. A list that was started then describes a moment
-    /// no more than twice the lag earlier.
+    /// Updates the state from a complete list. The list shows the machines as they were at most twice
+    /// the list lag before it was started.
     fn on_complete_list(&mut self, list_started_at: u64) {
         let now = self.now.monotonic_ms;
         let lag_ms = self.settings.params.cloud.list_lag_ms();
@@ -78,16 +78,16 @@
         leader.fleet.has_complete_list = true;
         leader.fleet.complete_list_started_at = Some(list_started_at);
         for name in leader.note_listed_machines(&hosts, list_started_at, now) {
-            log::info!("{name}: listed as failed");
+            log::info!("machine failed: {name}, as listed by the cloud; its tasks are lost");
             leader.note_failed_machine(&name, now);
         }
         for name in leader.machines_gone(&hosts, list_started_at, lag_ms) {
-            log::info!("{name}: gone");
+            log::info!("machine gone: {name} is missing from the cloud's list; its tasks are lost");
             self.machine_gone(&name);
         }
     }
 
-    /// A machine and everything on it has surely ceased to be.
+    /// Marks a machine that is proved gone as terminated and settles its placements.
     pub(super) fn machine_gone(&mut self, name: &MachineName) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -100,12 +100,12 @@
         leader.plan_soon(now);
     }
 
-    /// Settles what was never ordered on machines that are gone or silent, and takes the machines
-    /// that are gone out of the state once nothing is left on them.
+    /// Settles placements whose start was never sent to a terminated or expired machine, and removes
+    /// terminated machines from the state once no placement is left on them.
     pub(super) fn forget_terminated(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
-        // A placement whose commit was under way when its machine was found gone or silent was
-        // never ordered; it once stayed for ever, and its task with it.
+        // Settling a machine leaves out placements that are still being committed. Their start is
+        // never sent, so that without this they would block their tasks for ever.
         let mut never_ordered: Vec<(MachineName, TaskId)> = Vec::new();
         for machine in leader.cluster.machines.values() {
             let placements = machine.placements.iter();
@@ -121,8 +121,8 @@
     }
 }
 
-/// Whether a placement on a machine that is gone or silent was surely never ordered there; on a
-/// silent one that is only sure of what was not ordered since its lease expired.
+/// Whether the start of a placement was certainly never sent to its terminated or expired machine.
+/// An expired one may have received a start that was sent before its lease ran out.
 fn is_never_ordered(machine: &Machine, placement: &Placement) -> bool {
     let is_open = placement.settled.is_none() && placement.phase == PlacementPhase::Committed;
     let is_terminated = machine.state == MachineState::Terminated;
@@ -130,7 +130,7 @@
 }
 
 impl Leader {
-    /// Takes listed machines into the state. Returns those that have newly failed.
+    /// Adds listed machines to the state or updates them. Returns those that have newly failed.
     fn note_listed_machines(
         &mut self,
         hosts: &[ListedMachine],
@@ -156,7 +156,7 @@
         failed
     }
 
-    /// Nothing runs any more on a machine that the cloud lists as failed.
+    /// Marks a machine that the cloud lists as failed, on which nothing runs any more.
     fn note_failed_machine(&mut self, name: &MachineName, now: u64) {
         self.cluster.settle_machine(name);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
@@ -167,7 +167,7 @@
         self.plan_soon(now);
     }
 
-    /// Machines that a list does not name although they were there for longer than it lags.
+    /// Machines missing from a list although they were known for longer than it lags.
     fn machines_gone(
         &self,
         hosts: &[ListedMachine],
@@ -182,7 +182,7 @@
             machine.state != MachineState::Terminated
                 && !listed.contains(&*machine.name)
                 && list_started_at > confirmed_at + lag_ms
-                // A worker that reported after that moment is surely there.
+                // A worker that reported after the moment that the list shows proves its machine alive.
                 && machine.last_alive_at.is_none_or(|at| list_started_at > at + lag_ms)
         };
         let machines = self.cluster.machines.values();
@@ -190,7 +190,7 @@
     }
 }
 
-/// Takes over what the list says of a machine.
+/// Updates a machine from its entry in the list.
 fn note_listed_host(
     machine: &mut Machine,
     host: &ListedMachine,
@@ -208,8 +208,8 @@
         machine.rented_at = list_started_at.saturating_sub(age_ms).max(1);
     }
     machine.listed_at.get_or_insert(now);
-    // An old machine that has not reported in this term is not one that fails to
-    // boot: a new leader once returned healthy machines for that.
+    // A running machine that has not reported in this term must not count as one that failed to
+    // boot: a new leader would return healthy machines.
     if machine.state == MachineState::Booting && host.status == ListedMachineStatus::Running {
         machine.state = MachineState::AwaitingHeartbeat;
         machine.first_known_at = now;
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,14 +1,14 @@
-//! The fleet: which machines there are, and when it scales out and in.
+//! The fleet: the machines that the cloud has rented to us, and autoscaling.
 //!
 //! - [`catalog`]: the machine types that can be rented.
-//! - [`inventory`]: the cloud's list of machines, compared with the state.
-//! - [`unplaced`]: tasks that found no room in the last planning pass.
-//! - [`forecast`]: room that work to come will need.
-//! - [`scale_out`]: renting machines.
-//! - [`scale_in`]: returning machines.
-//! - [`defragmentation`]: emptying thinly used machines.
+//! - [`inventory`]: reconciles the state with the cloud's list of machines.
+//! - [`unplaced`]: tasks that the last planning pass found no capacity for.
+//! - [`forecast`]: expected demand, from recent arrivals.
+//! - [`scale_out`]: rents machines.
+//! - [`scale_in`]: returns machines.
+//! - [`defragmentation`]: drains underutilized machines.
 //!
-//! Nothing here places a task; it only changes which machines there are for the planner.
+//! Nothing here places tasks: that is the planner's, on the machines that this module provides.
 
 mod catalog;
 mod defragmentation;
@@ -29,10 +29,10 @@
 use std::collections::VecDeque;
 use unplaced::UnplacedTasks;
 
-/// Seconds that a machine of an unknown type is taken to boot.
+/// Boot time in seconds that is assumed for a machine type missing from the catalog.
 const UNKNOWN_TYPE_BOOT_S: f64 = 60.0;
 
-/// A kind of machine that can be rented.
+/// What the cloud may run out of: a machine type in a zone, spot or not.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct MachineKind {
     type_name: String,
@@ -40,37 +40,42 @@
     spot: bool,
 }
 
-/// The leader's view of the fleet. Times are on the steady clock, in milliseconds.
+/// The leader's state for autoscaling. Times are milliseconds of the monotonic clock.
 #[derive(Debug)]
 pub(super) struct Fleet {
-    /// When the cloud's list is asked for next.
+    /// When the machine list is requested next.
     next_list_at: u64,
     list_in_progress: bool,
-    /// When the list in progress was asked for: answers to an earlier one are ignored.
+    /// When the list in progress, or else the last one, was requested; pages of an earlier list are
+    /// ignored.
     list_started_at: u64,
-    /// Machines on the pages of the list that have come in.
+    /// Machines on the pages received so far of the list in progress.
     listed_machines: Vec<ListedMachine>,
+    /// Whether this term has received a complete list.
     has_complete_list: bool,
-    /// When the last complete list was asked for.
+    /// When the last complete list was requested.
     complete_list_started_at: Option<u64>,
-    /// When the size of the fleet is looked at next.
+    /// When the size of the fleet is evaluated next.
     next_scan_at: u64,
     /// Rentals that the cloud has not answered yet.
     pending_rentals: Vec<Rental>,
-    /// Kinds of machines that the cloud had none of, and until when it is not asked for them.
+    /// What the cloud had no capacity for, and until when nothing of it is rented.
     no_capacity: HashMap<MachineKind, u64>,
-    /// Machines that have surely ceased to be: their names are never used again.
+    /// Machines that are proved gone; the cloud never reuses their names.
     terminated_machines: HashSet<MachineName>,
+    /// Tasks that the last planning pass found no capacity for.
     unplaced: Vec<UnplacedTasks>,
+    /// Recent arrivals of services.
     service_arrivals: VecDeque<ServiceArrival>,
+    /// Recent arrivals of batch work.
     batch_arrivals: VecDeque<BatchArrival>,
-    /// Arrival number of the last job that was counted among the arrivals.
+    /// Arrival number of the last job that the recent arrivals include.
     last_seen_arrival: u64,
-    /// Since when there has been more room than is wanted.
+    /// Since when there has been excess capacity.
     excess_since: Option<u64>,
-    /// When the next service may be moved.
+    /// When services may be moved next.
     next_move_at: u64,
-    /// When machines may be rented again after a failed request.
+    /// When machines may be rented next; delayed after a failed request.
     next_rental_at: u64,
 }
 
@@ -97,19 +102,19 @@
         }
     }
 
-    /// Whether a machine has surely ceased to be.
+    /// Whether a machine is proved gone.
     pub(super) fn is_terminated(&self, name: &str) -> bool {
         self.terminated_machines.contains(name)
     }
 
-    /// When the last complete list of machines was asked for.
+    /// When the last complete machine list was requested.
     pub(super) fn complete_list_started_at(&self) -> Option<u64> {
         self.complete_list_started_at
     }
 }
 
 impl Controller {
-    /// Asks for the cloud's list and looks at the size of the fleet, each when it is due.
+    /// Requests the machine list and evaluates the size of the fleet, each when it is due.
     pub(super) fn fleet_due(&mut self) {
         self.start_list();
         let now = self.now.monotonic_ms;
@@ -128,8 +133,8 @@
         self.forget_terminated();
         self.consolidate();
         self.move_services();
-        // One that the state service does not serve may not lead any more: it must not
-        // take machines away.
+        // Without the state service this controller may have lost the leadership: it must not
+        // delete machines.
         if self.store_is_usable() && !self.starts_are_blocked() {
             self.return_machines();
             self.rent_machines();
@@ -137,7 +142,7 @@
     }
 }
 
-/// Milliseconds that a machine of a type boots, as a rule.
+/// Typical boot time in milliseconds of a machine type.
 fn boot_ms(catalog: &Catalog, type_name: &str) -> u64 {
     let boot_s = catalog
         .machine_type(type_name)
@@ -146,7 +151,7 @@
 }
 
 impl Leader {
-    /// Ordinary machines that count as room for work.
+    /// Usable machines that are not spot machines.
     fn usable_ordinary_machines(&self) -> impl Iterator<Item = &Machine> {
         self.cluster.machines.values().filter(|machine| machine.is_usable() && !machine.spot)
     }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling in: idle, failed, silent or unreachable machines are returned.
+//! Scaling in: returns machines that are idle, failed, silent or unreachable.
 
 use super::boot_ms;
 use super::forecast::ServiceHeadroom;
@@ -17,16 +17,16 @@
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::MachineName;
 
-/// Report periods in which a worker that can't reach us has surely had its next try.
+/// Report periods within which a worker has certainly retried a report that didn't reach the leader.
 const MISSED_ROUND_PERIODS: f64 = 2.5;
 
 impl Controller {
-    /// Returns machines that are not needed or of no use any more.
+    /// Returns machines that are not needed or can't be used any more.
     pub(super) fn return_machines(&mut self) {
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
-        // Leases may be kept in our place for so long after we were last heard.
+        // For so long another controller may extend leases in place of an isolated leader.
         let isolated_ms = self.isolation_budget_ms() + self.lease_ms();
         let Some(leader) = self.leader.as_mut() else { return };
         let workers = &self.settings.params.workers;
@@ -42,13 +42,13 @@
         let mut room = ServiceRoom::new(leader, now, &catalog);
         let mut names = Vec::new();
         for machine in leader.cluster.machines.values() {
-            // Each machine that is not needed takes room from those after it.
+            // Evaluated for every machine: each idle one that is returned takes from the spare capacity.
             let is_surplus = rules.is_surplus(machine, &mut room);
             if is_surplus || rules.is_lost(machine) || silent.contains(&machine.name) {
                 names.push(machine.name.clone());
             }
         }
-        // A leader that hears nobody must not take that for the death of all.
+        // If no worker reports at all, the leader itself is probably cut off: nothing is deleted.
         if names.is_empty() || now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS {
             return;
         }
@@ -65,14 +65,14 @@
                 machine.state = MachineState::Deleting;
             }
         }
-        log::info!("returns {}", names.join(", "));
+        log::info!("returning machines: {}", names.join(", "));
         let body = MachineNames { machines: names.iter().map(|name| name.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = CallPurpose::Delete(names);
         self.call(Service::Cloud, "POST", "/hosts/delete".into(), body, CLOUD_TIMEOUT_MS, purpose);
     }
 
-    /// Takes in what the cloud answered to a deletion.
+    /// Handles the cloud's response to a deletion.
     pub(in crate::coordination) fn on_deletion_response(
         &mut self,
         names: Vec<MachineName>,
@@ -91,7 +91,7 @@
             else {
                 continue;
             };
-            // Perhaps carried out, perhaps later: asked for again.
+            // The deletion may still take effect, now or later. It is requested again meanwhile.
             machine.state = match machine.up_at {
                 Some(_) => MachineState::Up,
                 None => MachineState::AwaitingHeartbeat,
@@ -101,10 +101,10 @@
     }
 }
 
-/// Room for services to come, on ordinary machines.
+/// The capacity for new services on on-demand machines, while machines are chosen for return.
 struct ServiceRoom {
     headroom: Option<ServiceHeadroom>,
-    /// Tasks that find room on what is not returned.
+    /// Tasks of the size of the headroom that fit on the machines that are kept.
     free_slots: f64,
 }
 
@@ -120,7 +120,7 @@
         ServiceRoom { headroom, free_slots }
     }
 
-    /// Gives up an empty machine's room if there is enough without it. Returns whether there is.
+    /// Subtracts an empty machine's capacity if the headroom remains without it. Returns whether it does.
     fn try_give_up(&mut self, machine: &Machine) -> bool {
         let Some(headroom) = self.headroom.as_ref().filter(|_| !machine.spot) else { return true };
         let here = machine.total.times(&headroom.need) as f64;
@@ -132,21 +132,22 @@
     }
 }
 
-/// When a machine is returned.
+/// The rules by which machines are returned.
 struct ReturnRules<'a> {
     now: u64,
     catalog: &'a Catalog,
-    /// Seconds after which an idle machine is returned; `None`: by its boot time.
+    /// Idle timeout in seconds; `None`: it depends on the boot time.
     idle_return_s: Option<f64>,
     lease_ms: u64,
-    /// Milliseconds without a sign of life after which a machine counts as silent.
+    /// Milliseconds without a report after which a machine counts as silent.
     silent_ms: u64,
-    /// Milliseconds for which a lease may be kept by others after we were last heard.
+    /// Milliseconds after a worker's last report to the leader for which another controller may have
+    /// kept its lease alive.
     isolated_ms: u64,
 }
 
 impl ReturnRules<'_> {
-    /// Whether a machine has failed, was never up, is given up or is not needed.
+    /// Whether a machine has failed, failed to boot, is past its lease or is not needed.
     fn is_surplus(&self, machine: &Machine, room: &mut ServiceRoom) -> bool {
         match machine.state {
             MachineState::Booting | MachineState::AwaitingHeartbeat | MachineState::Up
@@ -173,8 +174,8 @@
             return machine.last_response_at.is_none_or(|at| now > at + give_up_ms)
                 || machine.cordoned;
         }
-        // Empty, or past its time and silent: to wait for the list would hold its
-        // tasks for twice its lag.
+        // A silent machine past its reclaim time isn't left until the list shows it gone: that would
+        // delay the restart of its tasks by twice the list lag.
         if let Some(reclaim_at) = machine.reclaim_at {
             let is_past = now > reclaim_at + RECLAIM_PAST_MS;
             let is_silent = machine.last_alive_at.is_none_or(|at| now > at + self.silent_ms);
@@ -195,7 +196,7 @@
         is_idle && is_paid_for && room.try_give_up(machine)
     }
 
-    /// Whether nothing can be told or ordered about a machine any more.
+    /// Whether a machine no longer reports or no longer receives commands.
     fn is_lost(&self, machine: &Machine) -> bool {
         match machine.state {
             MachineState::AwaitingHeartbeat => self.never_reported(machine),
@@ -204,7 +205,8 @@
         }
     }
 
-    /// Silent since before this term: nobody may tell any more what runs there.
+    /// Silent for so long that its lease, which was not renewed in this term, has expired wherever it
+    /// was last renewed.
     fn is_silent(&self, machine: &Machine) -> bool {
         let silent_ms = self.give_up_ms(machine).max(self.isolated_ms);
         !machine.lease_expired && machine.last_alive_at.is_some_and(|at| self.now > at + silent_ms)
@@ -214,8 +216,8 @@
         self.now > machine.first_known_at + self.lease_ms + SILENT_DELETE_MS
     }
 
-    /// What nobody can order about any more is replaced: with tasks on it once its lease
-    /// must be over, so that they start elsewhere.
+    /// Whether a machine that receives no commands is to be replaced. If tasks are on it, that is once
+    /// its lease must have expired, so that they can restart elsewhere.
     fn is_unreachable(&self, machine: &Machine) -> bool {
         let patience_ms = match machine.is_empty() {
             true => SILENT_DELETE_MS,
@@ -228,13 +230,13 @@
         self.now.saturating_sub(machine.rented_at)
     }
 
-    /// Milliseconds for which a machine that is cut off is kept. It may come back, and another one in
-    /// its place takes a boot before it is of use. A zone that was cut off was once returned whole.
+    /// Milliseconds for which a machine without contact is kept: a lease and a boot. It may reconnect
+    /// before a replacement would be up, and a network partition of a zone must not return all of it.
     fn give_up_ms(&self, machine: &Machine) -> u64 {
         self.lease_ms + boot_ms(self.catalog, &machine.type_name)
     }
 
-    /// Milliseconds after which an idle machine is returned.
+    /// Idle timeout of a machine in milliseconds.
     fn idle_return_ms(&self, machine: &Machine) -> u64 {
         match self.idle_return_s {
             Some(seconds) => (seconds * MS_PER_S) as u64,
@@ -247,13 +249,13 @@
 }
 
 impl Leader {
-    /// Machines with services that have missed a whole round of reports while nearly all
-    /// others report, and whose services have a place elsewhere: deleting them is evidence
-    /// at once, where a lease or the list take twice as long. If they were only cut off, their
-    /// tasks would have ended with the lease all the same.
+    /// Machines with services that have missed a whole cycle of reports and retries, if they are few,
+    /// all others report and the services fit there. Deleting such a machine proves at once that its
+    /// tasks have ended; waiting for the lease or the list takes twice as long. If it was only cut off,
+    /// its tasks would end with the lease anyway.
     fn silent_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
         let workers = &settings.params.workers;
-        // A report that fails, the worker's wait for it, one at a wrong controller, and back.
+        // A report that fails, its timeout, a retry at a controller that doesn't lead, and a retry here.
         let round_s =
             workers.report_s * MISSED_ROUND_PERIODS + WORKER_TIMEOUT_S + WORKER_RETRY_S * 2.0;
         let round_ms = (round_s * MS_PER_S) as u64;
@@ -287,7 +289,7 @@
     }
 }
 
-/// Whether a machine has services, and other machines have room for all of them.
+/// Whether a machine has services and all of them fit on the other machines.
 fn services_fit_elsewhere(cluster: &ClusterState, machine: &Machine, targets: &[&Machine]) -> bool {
     let services: Vec<Resources> = machine
         .placements
--- a/src/coordination/fleet/scale_in/tests.rs
+++ b/src/coordination/fleet/scale_in/tests.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// An empty machine that is up, was just heard and is paid for.
+/// An empty machine that is up, has just reported and is past the minimum charge.
 fn idle_machine(idle_ms: u64) -> Machine {
     Machine {
         type_name: "small".into(),
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: machines are rented for tasks without a place and for services to come.
+//! Scaling out: rents machines for unplaced tasks and as headroom for new services.
 
 mod rental_plan;
 
@@ -17,15 +17,15 @@
 use crate::storage::records::MachineName;
 use rental_plan::{ComingMachine, RentalPlan};
 
-/// Machines of one kind that are wanted.
+/// Machines of one kind that are to be rented.
 struct WantedMachines {
     kind: CatalogKind,
     count: usize,
 }
 
 impl Controller {
-    /// Rents what the work that waits and the services to come need beyond what is there and on its
-    /// way.
+    /// Rents the machines that unplaced tasks and new services need beyond present, booting and already
+    /// requested ones.
     pub(super) fn rent_machines(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
@@ -43,7 +43,8 @@
         }
     }
 
-    /// As many requests as it takes, a kind each in turn, as long as the cloud's rate allows.
+    /// Splits the wanted machines into rental requests, taking the kinds in turn, as far as the cloud's
+    /// rate limit allows.
     fn rentals_within_budget(&mut self, mut wanted: Vec<WantedMachines>) -> Vec<Rental> {
         let now = self.now.monotonic_ms;
         let mut rentals = Vec::new();
@@ -69,7 +70,7 @@
     fn send_rental(&mut self, rental: Rental, catalog: &Catalog) {
         let type_name = &catalog.machine_types[rental.kind.type_index].type_name;
         log::info!(
-            "rents {} {} in {}{}",
+            "renting machines: {} {} in {}{}",
             rental.count,
             type_name,
             rental.kind.zone,
@@ -90,7 +91,7 @@
         self.call(Service::Cloud, "POST", "/hosts".into(), body, CLOUD_TIMEOUT_MS, purpose);
     }
 
-    /// Takes in what the cloud answered to a rental.
+    /// Handles the cloud's response to a rental.
     pub(in crate::coordination) fn on_rental_response(
         &mut self,
         rental: Rental,
@@ -117,17 +118,17 @@
                 if String::from_utf8_lossy(&body).contains("capacity") =>
             {
                 let MachineKind { type_name, zone, spot } = &kind;
-                log::info!("no capacity for {type_name} in {zone}, spot {spot}");
+                log::info!("no capacity: {type_name} in {zone}, spot {spot}; next try in {CAPACITY_BACKOFF_MS} ms");
                 leader.fleet.no_capacity.insert(kind, now + CAPACITY_BACKOFF_MS);
             }
-            // Perhaps carried out, perhaps later: what comes of it shows up in the list.
+            // The rental may still take effect, now or later; its machines then appear in the list.
             _ => leader.fleet.next_rental_at = now + CLOUD_RETRY_BACKOFF_MS,
         }
     }
 }
 
 impl Leader {
-    /// Takes machines that were just rented into the state.
+    /// Adds machines that were just rented to the state.
     fn note_rented(&mut self, names: &MachineNames, kind: &MachineKind, now: u64) {
         for listed in &names.machines {
             if self.fleet.is_terminated(listed) {
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Tasks that should find room on machines on their way or rented now, services first: they may
-    /// not be able to use what the others get.
+    /// Tasks that need capacity on incoming machines, the least flexible first: services, then tasks
+    /// that may not use spot machines.
     fn scale_out_demand(&self, now: u64, catalog: &Catalog) -> Vec<UnplacedTasks> {
         let mut demand = self.fleet.unplaced.clone();
         demand.extend(self.missing_service_headroom(now, catalog));
@@ -153,8 +154,8 @@
         demand
     }
 
-    /// What is missing of the room for services to come, on ordinary machines: room counts that is
-    /// free now, or held by tasks that may be stopped for them.
+    /// The headroom for new services that is missing on on-demand machines. Resources count as free if
+    /// they are, or if they are held by tasks that can be preempted.
     fn missing_service_headroom(&self, now: u64, catalog: &Catalog) -> Option<UnplacedTasks> {
         let headroom = self.service_headroom(now, catalog)?;
         let mut slots = 0.0;
@@ -176,7 +177,7 @@
         })
     }
 
-    /// Machines that boot and are not late, then those of rentals that are not answered yet.
+    /// Booting machines that are not late, then those of pending rentals.
     fn coming_machines(&self, now: u64, catalog: &Catalog) -> Vec<ComingMachine> {
         let mut coming = Vec::new();
         let type_index =
--- a/src/coordination/fleet/scale_out/rental_plan.rs
+++ b/src/coordination/fleet/scale_out/rental_plan.rs
@@ -1,5 +1,5 @@
-//! Which kinds of machines to rent: the cheapest that a task can use, zones with fewer machines
-//! first.
+//! Decides which kinds of machines to rent: the cheapest that a task can use, and among these the zone
+//! with the fewest machines.
 
 use super::{CatalogKind, MachineKind, UnplacedTasks, WantedMachines};
 use crate::constants::SLOT_EPSILON;
@@ -9,14 +9,14 @@
 use crate::storage::hashing::{HashKeys, HashMap};
 use crate::storage::machine::MachineState;
 
-/// Prices per task that differ by less count as alike.
+/// Prices per task that differ by less count as equal.
 const PRICE_EPSILON: f64 = 1e-9;
 
-/// A machine on its way.
+/// A machine that boots, is being rented or is to be rented.
 #[derive(Debug, Clone)]
 pub(super) struct ComingMachine {
     kind: CatalogKind,
-    /// What is left of it for further tasks.
+    /// Resources not yet assigned to tasks.
     free: Resources,
 }
 
@@ -27,30 +27,32 @@
     }
 }
 
-/// Machines to rent, as far as they have been worked out.
+/// The machines to rent, built up demand by demand.
 pub(super) struct RentalPlan<'a> {
     catalog: &'a Catalog,
     no_capacity: &'a HashMap<MachineKind, u64>,
     rent_spot: bool,
     now: u64,
     keys: HashKeys,
-    /// Machines that there are, by zone and whether they are spot machines.
+    /// Present machines by zone and whether they are spot machines.
     machine_counts: HashMap<(&'a str, bool), usize>,
     coming: Vec<ComingMachine>,
+    /// Machines to rent, by kind.
     wanted: HashMap<CatalogKind, usize>,
 }
 
-/// The tasks of one job for which room is looked for, and what was found so far.
+/// The search for capacity for the tasks of one job.
 struct Search<'a> {
     tasks: &'a UnplacedTasks,
+    /// Slots for which there is no capacity yet.
     slots_left: f64,
     tasks_per_zone: HashMap<String, u32>,
-    /// The zone of a gang that must be in one: that of its first place.
+    /// For a gang that must be in one zone: the zone of its first slot.
     only_zone: Option<String>,
 }
 
 impl Search<'_> {
-    /// Whether one more of the tasks may be in a zone.
+    /// Whether one more of the tasks may be placed in a zone.
     fn zone_is_open(&self, zone: &str) -> bool {
         let placed = self.tasks_per_zone.get(zone).copied().unwrap_or(0);
         self.tasks.zone.as_ref().is_none_or(|required| required == zone)
@@ -58,7 +60,7 @@
             && placed < self.tasks.max_tasks_per_zone
     }
 
-    /// Whether one of the tasks finds room on a machine that is on its way.
+    /// Whether one of the tasks can use an incoming machine and fits on it.
     fn fits_on(&self, machine: &ComingMachine) -> bool {
         (self.tasks.spot_allowed || !machine.kind.spot)
             && self.tasks.allowed_types[machine.kind.type_index]
@@ -66,6 +68,7 @@
             && machine.free.fits(&self.tasks.need)
     }
 
+    /// Restricts a gang that must be in one zone to the given one.
     fn keep_to_zone(&mut self, zone: &str) {
         if self.tasks.whole_in_one_zone {
             self.only_zone = Some(zone.to_string());
@@ -73,11 +76,11 @@
     }
 }
 
-/// A kind of machine that could be rented, with what it is compared by.
+/// A kind of machine that could be rented, with the figures for its comparison.
 struct Candidate {
     kind: CatalogKind,
     price_per_task: f64,
-    /// Machines like it that there are or that are wanted.
+    /// Present machines of the zone and market (spot or not), and machines to rent of the kind.
     same_kind: usize,
 }
 
@@ -114,13 +117,13 @@
         }
     }
 
-    /// Finds room for tasks on machines on their way, and adds machines to rent for the rest.
+    /// Assigns tasks to incoming machines and adds machines to rent for the rest.
     pub(super) fn provide_for(&mut self, tasks: &UnplacedTasks) {
         let mut tasks_per_zone: HashMap<String, u32> = self.keys.map();
         tasks_per_zone.extend(tasks.tasks_per_zone.iter().cloned());
         let slots_left = tasks.slots;
         let mut search = Search { tasks, slots_left, tasks_per_zone, only_zone: None };
-        // Those before this one have no room for such a task any more.
+        // Incoming machines before this index can't take such a task any more.
         let mut from = 0;
         while search.slots_left > SLOT_EPSILON {
             let found = self.coming[from..].iter().position(|machine| search.fits_on(machine));
@@ -142,7 +145,8 @@
         }
     }
 
-    /// The cheapest kind of machine for one of the tasks; zones with fewer machines first.
+    /// The kind of machine with the lowest price per task; for equal prices, the one with the fewest
+    /// machines in its zone.
     fn cheapest_kind(&self, search: &Search<'_>) -> Option<CatalogKind> {
         let tasks = search.tasks;
         let mut best: Option<Candidate> = None;
@@ -166,12 +170,12 @@
         best.map(|candidate| candidate.kind)
     }
 
-    /// Whether a machine of this kind may be rented for the next of the tasks.
+    /// Whether a machine of this kind may be rented for the next slot.
     fn may_rent(&self, kind: &CatalogKind, search: &Search<'_>) -> bool {
         let tasks = search.tasks;
         let is_wanted = match kind.spot {
             true => tasks.spot_allowed && self.rent_spot,
-            // Only a part of what may use spot machines is worth an ordinary one.
+            // Of tasks that may use spot machines, only a part may have on-demand ones rented for it.
             false => !tasks.spot_allowed || search.slots_left > tasks.slots - tasks.ordinary_slots,
         };
         if !is_wanted {
@@ -192,7 +196,7 @@
         Candidate { price_per_task: price / tasks_per_machine, same_kind, kind }
     }
 
-    /// The machines to rent, in the order of the catalog, then of zones.
+    /// The machines to rent, in the order of the catalog, then by zone.
     pub(super) fn into_wanted(self) -> Vec<WantedMachines> {
         let mut wanted: Vec<(CatalogKind, usize)> = self.wanted.into_iter().collect();
         wanted.sort();
--- a/src/coordination/fleet/unplaced.rs
+++ b/src/coordination/fleet/unplaced.rs
@@ -1,4 +1,4 @@
-//! Tasks that found no room in the last planning pass: what the fleet scales out for.
+//! Tasks that the last planning pass found no capacity for: the demand that the fleet scales out for.
 
 use super::Fleet;
 use crate::constants::{DRAIN_TARGET_S, MS_PER_S, RENT_PATIENCE_BOOTS};
@@ -7,34 +7,35 @@
 use crate::protocol::cloud::Catalog;
 use crate::protocol::Resources;
 
-/// Tasks of a job that found no room in the last pass.
+/// Tasks of a job that the last planning pass found no capacity for.
 #[derive(Debug, Clone)]
 pub(super) struct UnplacedTasks {
-    /// What each takes.
+    /// Resources of each task.
     pub(super) need: Resources,
     pub(super) spot_allowed: bool,
     pub(super) is_service: bool,
-    /// By index in the catalog.
+    /// Whether the job may use a machine type, by the type's index in the catalog.
     pub(super) allowed_types: Vec<bool>,
-    /// The only allowed zone.
+    /// The only zone that the job allows, if it names one.
     pub(super) zone: Option<String>,
-    /// Slots that are wanted for the tasks.
+    /// Wanted slots: a slot has the resources of one task.
     pub(super) slots: f64,
-    /// Of these, the slots worth an ordinary machine.
+    /// Those of the slots for which an on-demand machine may be rented.
     pub(super) ordinary_slots: f64,
+    /// Tasks of the job that already have a place, by zone.
     pub(super) tasks_per_zone: Vec<(String, u32)>,
     pub(super) max_tasks_per_zone: u32,
-    /// A gang whose tasks have to be in one zone: what is rented for it is too.
+    /// Whether this is a gang whose tasks must all be in one zone, and so the machines rented for it.
     pub(super) whole_in_one_zone: bool,
 }
 
 impl Fleet {
-    /// A pass found nothing waiting.
+    /// Forgets the unplaced tasks: no tasks wait.
     pub(in crate::coordination) fn clear_unplaced(&mut self) {
         self.unplaced.clear();
     }
 
-    /// Remembers what a pass found no room for.
+    /// Records the tasks that a planning pass found no capacity for.
     pub(in crate::coordination) fn note_unplaced(
         &mut self,
         input: &PlannerInput,
@@ -48,7 +49,7 @@
             let expected_wait_ms = &plan.expected_wait_ms[index];
             let placed_within =
                 |ms: f64| expected_wait_ms.iter().filter(|wait| **wait as f64 <= ms).count() as u32;
-            // What will soon find a place on what we have needs no new machine.
+            // Tasks that present machines will soon have capacity for need no new machine.
             let tasks = unplaced.saturating_sub(placed_within(patience.any_machine_ms));
             let worth_ordinary = unplaced.saturating_sub(placed_within(patience.ordinary_ms));
             if tasks == 0 {
@@ -76,11 +77,11 @@
     }
 }
 
-/// How long tasks wait for a place on the machines that there are before another one is rented.
+/// How long tasks wait for capacity on present machines before another machine is rented.
 struct Patience {
+    /// For any machine.
     any_machine_ms: f64,
-    /// Work that may use spot machines waits the longer for ordinary ones, the more those cost
-    /// beyond them.
+    /// For an on-demand machine, if the task may use spot machines: longer by the ratio of the prices.
     ordinary_ms: f64,
 }
 
@@ -97,7 +98,7 @@
     }
 }
 
-/// How many of a job's tasks its team's limit allows.
+/// How many of the tasks the team's limit allows; negative if the team is over it.
 fn tasks_within_limit(tasks: u32, job: &JobView, team: &TeamView) -> i64 {
     let mut allowed = i64::from(tasks);
     if team.limit.gpu > 0 && job.need.gpu > 0 {
@@ -109,7 +110,7 @@
     allowed
 }
 
-/// Slots wanted for each task of a job: one slot serves short tasks one after the other.
+/// Slots wanted for each task of a job: short batch tasks share a slot, one after the other.
 fn slots_per_task(job: &JobView) -> f64 {
     if job.is_service || job.is_gang {
         return 1.0;
--- a/src/coordination/rental.rs
+++ b/src/coordination/rental.rs
@@ -1,6 +1,6 @@
-//! Rentals that the cloud has not answered yet.
+//! Rental requests that the cloud has not answered yet.
 
-/// A kind of machine, by its type's index in the catalog.
+/// What can be rented: a machine type, by its index in the catalog, in a zone, spot or not.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct CatalogKind {
     pub(super) type_index: usize,
@@ -8,12 +8,12 @@
     pub(super) spot: bool,
 }
 
-/// A rental under way.
+/// A rental request under way.
 #[derive(Debug, Clone)]
 pub(super) struct Rental {
-    /// Its name, which is never used for another one.
+    /// Idempotency key, unique to this request.
     pub(super) request_id: String,
     pub(super) kind: CatalogKind,
-    /// Machines asked for.
+    /// Number of machines requested.
     pub(super) count: usize,
 }
