--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -118,7 +118,7 @@
                 if String::from_utf8_lossy(&body).contains("capacity") =>
             {
                 let MachineKind { type_name, zone, spot } = &kind;
-                log::info!("no capacity: {type_name} in {zone}, spot {spot}; next try in {CAPACITY_BACKOFF_MS} ms");
+                log::info!("no capacity: {type_name} in {zone}, spot {spot}; backing off");
                 leader.fleet.no_capacity.insert(kind, now + CAPACITY_BACKOFF_MS);
             }
             // The rental may still take effect, now or later; its machines then appear in the list.
