--- a/src/constants/gangs.rs
+++ b/src/constants/gangs.rs
@@ -5,12 +5,12 @@
 pub const GANG_START_DELAY_PER_MACHINE_MS: u64 = 150;
 /// Milliseconds after the earliest possible start that are tried for a gang, since a later start may
 /// need fewer machines.
-pub const GANG_PATIENCE_MS: [u64; 4] = [0, 500, 1_000, 2_000];
+pub const GANG_START_DELAYS_MS: [u64; 4] = [0, 500, 1_000, 2_000];
 /// Largest difference between the expected starts of a gang's tasks, as a share of the time for which
 /// they wait for each other: estimated image fetch times are off by a third.
-pub const GANG_SPREAD_SHARE: f64 = 0.6;
+pub const GANG_START_SPREAD_SHARE_MAX: f64 = 0.6;
 /// Milliseconds between two scans for gangs that can't become complete.
-pub const GANG_SCAN_MS: u64 = 500;
+pub const GANG_SCAN_PERIOD_MS: u64 = 500;
 /// Base in milliseconds of the exponential backoff between the starts of a gang's attempts that fail
 /// before all tasks run. It applies from the second attempt on; the first is retried at once.
 pub const GANG_RETRY_BACKOFF_MS: u64 = 1_000;
@@ -18,4 +18,4 @@
 pub const GANG_RETRY_BACKOFF_MAX_MS: u64 = 30_000;
 /// Machines avoided by a gang because it failed there; after failures on more than these the gang
 /// itself is suspected and may use every machine again.
-pub const GANG_AVOID_MAX: usize = 6;
+pub const GANG_AVOIDED_MACHINES_MAX: usize = 6;
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -4,8 +4,8 @@
 use super::boot_ms;
 use super::forecast::ServiceHeadroom;
 use crate::constants::{
-    ARRIVAL_WINDOW_MS, CLOSE_SHARE, EXCESS_ROOM_MS, HEADROOM_MACHINES, LOW_LOAD_SHARE, MOVE_GAP_MS,
-    MOVE_SHARE, UNPLACED_SHARE,
+    DRAIN_SERVICES_LOAD_MAX, DRAIN_SHARE_MAX, DRAIN_UNPLACED_SHARE_MAX, EXCESS_CAPACITY_MS,
+    HEADROOM_MACHINES, SERVICE_ARRIVAL_WINDOW_MS, SERVICE_MOVE_PERIOD_MS, SERVICE_MOVE_SHARE,
 };
 use crate::coordination::{Controller, Leader};
 use crate::protocol::cloud::Catalog;
@@ -46,7 +46,7 @@
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
         let Some(leader) = self.leader.as_mut() else { return };
         let open = leader.open_machines();
-        let most = ((open.len() as f64 * CLOSE_SHARE) as usize).max(1);
+        let most = ((open.len() as f64 * DRAIN_SHARE_MAX) as usize).max(1);
         let room = leader.fleet_room(&open, self.operator.headroom_share, now);
         if leader.is_short_of_room(&open, &room, now) {
             leader.reopen_machines(most, now);
@@ -58,7 +58,7 @@
             return;
         }
         let excess_since = *leader.fleet.excess_since.get_or_insert(now);
-        if now < excess_since + EXCESS_ROOM_MS {
+        if now < excess_since + EXCESS_CAPACITY_MS {
             return;
         }
         leader.fleet.excess_since = None;
@@ -85,7 +85,7 @@
         if chosen.is_empty() {
             return;
         }
-        leader.fleet.next_move_at = now + MOVE_GAP_MS;
+        leader.fleet.next_move_at = now + SERVICE_MOVE_PERIOD_MS;
         for (name, id) in chosen {
             let machine = leader.cluster.machines.get_mut(&name);
             let Some(placement) = machine.and_then(|machine| machine.placements.get_mut(&id))
@@ -127,8 +127,8 @@
         let whole = open.first().map_or(Resources::default(), |loaded| loaded.machine.total);
         let unplaced = self.fleet.unplaced.iter();
         let unplaced: f64 = unplaced.map(|tasks| tasks.slots * tasks.need.share_of(&whole)).sum();
-        let many_unplaced = unplaced > open.len() as f64 * UNPLACED_SHARE;
-        let is_early = now < self.began_at + ARRIVAL_WINDOW_MS / 2;
+        let many_unplaced = unplaced > open.len() as f64 * DRAIN_UNPLACED_SHARE_MAX;
+        let is_early = now < self.began_at + SERVICE_ARRIVAL_WINDOW_MS / 2;
         many_unplaced || room.free < room.headroom || is_early
     }
 
@@ -198,7 +198,7 @@
         now: u64,
     ) -> Vec<DrainCandidate<'a>> {
         let is_thinly_used = |candidate: &DrainCandidate<'_>| {
-            candidate.services == 0.0 || candidate.load <= LOW_LOAD_SHARE
+            candidate.services == 0.0 || candidate.load <= DRAIN_SERVICES_LOAD_MAX
         };
         let is_past_boot = |machine: &Machine| {
             machine.up_at.is_some_and(|up_at| now > up_at + boot_ms(catalog, &machine.type_name))
@@ -231,7 +231,7 @@
             .filter(|(services, _)| *services > 0.0)
             .collect();
         drained.sort_by(|(services, _), (others, _)| services.total_cmp(others));
-        let most = ((cluster.machines.len() as f64 * MOVE_SHARE) as usize).max(1);
+        let most = ((cluster.machines.len() as f64 * SERVICE_MOVE_SHARE) as usize).max(1);
         let mut targets = MoveTargets::new(cluster);
         let mut chosen = Vec::new();
         let tasks = drained.iter().flat_map(|(_, machine)| {
--- a/src/coordination/fleet/forecast.rs
+++ b/src/coordination/fleet/forecast.rs
@@ -1,6 +1,8 @@
 //! Demand forecast: the capacity that services and batch work will need, from recent arrivals.
 
-use crate::constants::{ARRIVAL_WINDOW_MS, MS_PER_S, SPARE_SERVICE_SLOTS, WORK_WINDOW_MS};
+use crate::constants::{
+    BATCH_ARRIVAL_WINDOW_MS, MS_PER_S, SERVICE_ARRIVAL_WINDOW_MS, SPARE_SERVICE_SLOTS,
+};
 use crate::coordination::{Clock, Leader};
 use crate::protocol::cloud::{Catalog, MachineType};
 use crate::protocol::users::JobKind;
@@ -50,7 +52,7 @@
                 0 => now.wall_ms.saturating_sub(job.accepted_at_wall_ms),
                 _ => 0,
             };
-            if age_ms > ARRIVAL_WINDOW_MS {
+            if age_ms > SERVICE_ARRIVAL_WINDOW_MS {
                 continue;
             }
             let at = now.monotonic_ms.saturating_sub(age_ms);
@@ -67,22 +69,23 @@
         fleet.last_seen_arrival = last_seen;
         fleet.service_arrivals.extend(services);
         fleet.batch_arrivals.extend(batches);
-        fleet.service_arrivals.retain(|arrival| now_ms <= arrival.at + ARRIVAL_WINDOW_MS);
-        fleet.batch_arrivals.retain(|arrival| now_ms <= arrival.at + WORK_WINDOW_MS);
+        fleet.service_arrivals.retain(|arrival| now_ms <= arrival.at + SERVICE_ARRIVAL_WINDOW_MS);
+        fleet.batch_arrivals.retain(|arrival| now_ms <= arrival.at + BATCH_ARRIVAL_WINDOW_MS);
     }
 
     /// Milliseconds over which the arrivals within a window were observed: less than the window early
-    /// in a term, but at least half of [`ARRIVAL_WINDOW_MS`] unless the window is shorter.
+    /// in a term, but at least half of [`SERVICE_ARRIVAL_WINDOW_MS`] unless the window is shorter.
     fn watched_ms(&self, now: u64, window_ms: u64) -> f64 {
         let watched_ms = now - self.began_at;
-        watched_ms.clamp(ARRIVAL_WINDOW_MS / 2, ARRIVAL_WINDOW_MS).min(window_ms) as f64
+        watched_ms.clamp(SERVICE_ARRIVAL_WINDOW_MS / 2, SERVICE_ARRIVAL_WINDOW_MS).min(window_ms)
+            as f64
     }
 
     /// Machines that batch work keeps busy at its recent arrival rate.
     pub(super) fn batch_machines(&self, now: u64) -> f64 {
         let machine_ms: f64 =
             self.fleet.batch_arrivals.iter().map(|arrival| arrival.machine_ms).sum();
-        machine_ms / self.watched_ms(now, WORK_WINDOW_MS)
+        machine_ms / self.watched_ms(now, BATCH_ARRIVAL_WINDOW_MS)
     }
 
     /// Headroom for new services: as many tasks like those of the newest service as are expected to
@@ -94,7 +97,7 @@
         let tasks: u32 = self.fleet.service_arrivals.iter().map(|arrival| arrival.tasks).sum();
         let boot_ms = catalog.longest_boot_s() * MS_PER_S;
         let expected =
-            (f64::from(tasks) / self.watched_ms(now, ARRIVAL_WINDOW_MS) * boot_ms).ceil();
+            (f64::from(tasks) / self.watched_ms(now, SERVICE_ARRIVAL_WINDOW_MS) * boot_ms).ceil();
         Some(ServiceHeadroom { need, slots: expected + SPARE_SERVICE_SLOTS })
     }
 }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,7 +1,8 @@
 //! Reconciles the state with the cloud's list of machines: which exist, have failed or are gone.
 
 use crate::constants::{
-    CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, LIST_LIMIT, LIST_PERIOD_MS, MS_PER_S,
+    CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MACHINE_LIST_PAGE_MAX, MACHINE_LIST_PERIOD_MS,
+    MS_PER_S,
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
@@ -25,13 +26,13 @@
         fleet.list_in_progress = true;
         fleet.list_started_at = now;
         fleet.listed_machines.clear();
-        fleet.next_list_at = now + LIST_PERIOD_MS;
+        fleet.next_list_at = now + MACHINE_LIST_PERIOD_MS;
         self.ask_for_page(None, now);
     }
 
     /// Requests the page after the named machine, or the first one.
     fn ask_for_page(&mut self, after: Option<&str>, list_started_at: u64) {
-        let path = machine_list_path(after, LIST_LIMIT);
+        let path = machine_list_path(after, MACHINE_LIST_PAGE_MAX);
         let purpose = CallPurpose::Hosts { begun: list_started_at };
         self.call(Service::Cloud, "GET", path, vec![], CLOUD_TIMEOUT_MS, purpose);
     }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -3,9 +3,9 @@
 use super::boot_ms;
 use super::forecast::ServiceHeadroom;
 use crate::constants::{
-    BOOT_LOST, CHARGE_MIN_S, CLOUD_TIMEOUT_MS, DELETION_MACHINES_MAX, IDLE_RETURN_BOOTS, MS_PER_S,
-    RECLAIM_PAST_MS, SILENT_DELETE_MS, SILENT_MINORITY_DIVISOR, WORKERS_UNREACHABLE_HANDOVER_MS,
-    WORKER_RETRY_S, WORKER_TIMEOUT_S,
+    BILLING_MIN_S, BOOT_TIMEOUT_FACTOR, CLOUD_TIMEOUT_MS, DELETION_MACHINES_MAX,
+    IDLE_TIMEOUT_BOOT_FACTOR, MS_PER_S, RECLAIM_DELETE_DELAY_MS, SILENT_MINORITY_DIVISOR,
+    UNREACHABLE_DELETE_MS, WORKERS_UNREACHABLE_HANDOVER_MS, WORKER_RETRY_S, WORKER_TIMEOUT_S,
 };
 use crate::coordination::outbox::CallPurpose;
 use crate::coordination::{Controller, Leader, Service};
@@ -160,7 +160,7 @@
             }
             MachineState::Booting => {
                 let boot_ms = boot_ms(self.catalog, &machine.type_name);
-                self.age_ms(machine) as f64 > boot_ms as f64 * BOOT_LOST
+                self.age_ms(machine) as f64 > boot_ms as f64 * BOOT_TIMEOUT_FACTOR
             }
             MachineState::Up => self.is_surplus_while_up(machine, room),
         }
@@ -177,7 +177,7 @@
         // A silent machine past its reclaim time isn't left until the list shows it gone: that would
         // delay the restart of its tasks by twice the list lag.
         if let Some(reclaim_at) = machine.reclaim_at {
-            let is_past = now > reclaim_at + RECLAIM_PAST_MS;
+            let is_past = now > reclaim_at + RECLAIM_DELETE_DELAY_MS;
             let is_silent = machine.last_alive_at.is_none_or(|at| now > at + self.silent_ms);
             return is_empty || (is_past && is_silent);
         }
@@ -187,7 +187,7 @@
         if !is_empty {
             return false;
         }
-        let is_paid_for = self.age_ms(machine) as f64 >= CHARGE_MIN_S * MS_PER_S;
+        let is_paid_for = self.age_ms(machine) as f64 >= BILLING_MIN_S * MS_PER_S;
         if machine.draining {
             return is_paid_for;
         }
@@ -213,14 +213,14 @@
     }
 
     fn never_reported(&self, machine: &Machine) -> bool {
-        self.now > machine.first_known_at + self.lease_ms + SILENT_DELETE_MS
+        self.now > machine.first_known_at + self.lease_ms + UNREACHABLE_DELETE_MS
     }
 
     /// Whether a machine that receives no commands is to be replaced. If tasks are on it, that is once
     /// its lease must have expired, so that they can restart elsewhere.
     fn is_unreachable(&self, machine: &Machine) -> bool {
         let patience_ms = match machine.is_empty() {
-            true => SILENT_DELETE_MS,
+            true => UNREACHABLE_DELETE_MS,
             false => self.lease_ms,
         };
         machine.unreachable_since.is_some_and(|since| self.now > since + patience_ms)
@@ -242,7 +242,7 @@
             Some(seconds) => (seconds * MS_PER_S) as u64,
             None => {
                 let boot_ms = boot_ms(self.catalog, &machine.type_name);
-                (boot_ms as f64 * IDLE_RETURN_BOOTS) as u64
+                (boot_ms as f64 * IDLE_TIMEOUT_BOOT_FACTOR) as u64
             }
         }
     }
--- a/src/coordination/fleet/scale_in/tests.rs
+++ b/src/coordination/fleet/scale_in/tests.rs
@@ -78,7 +78,7 @@
 fn a_machine_that_never_comes_up_or_has_failed_is_returned() {
     let catalog = catalog();
     let rules = rules(&catalog);
-    let lost_ms = (BOOT_MS as f64 * BOOT_LOST) as u64;
+    let lost_ms = (BOOT_MS as f64 * BOOT_TIMEOUT_FACTOR) as u64;
     let booting = |age_ms: u64| Machine {
         state: MachineState::Booting,
         rented_at: NOW - age_ms,
@@ -115,13 +115,13 @@
     assert!(!rules.is_lost(&silent(20_000 + BOOT_MS)));
     assert!(rules.is_lost(&silent(20_000 + BOOT_MS + 1)));
     let unreachable = |ms: u64| Machine { unreachable_since: Some(NOW - ms), ..idle_machine(0) };
-    assert!(!rules.is_lost(&unreachable(SILENT_DELETE_MS)));
-    assert!(rules.is_lost(&unreachable(SILENT_DELETE_MS + 1)));
+    assert!(!rules.is_lost(&unreachable(UNREACHABLE_DELETE_MS)));
+    assert!(rules.is_lost(&unreachable(UNREACHABLE_DELETE_MS + 1)));
     let unheard = |ms: u64| Machine {
         state: MachineState::AwaitingHeartbeat,
         first_known_at: NOW - ms,
         ..idle_machine(0)
     };
-    assert!(!rules.is_lost(&unheard(20_000 + SILENT_DELETE_MS)));
-    assert!(rules.is_lost(&unheard(20_000 + SILENT_DELETE_MS + 1)));
+    assert!(!rules.is_lost(&unheard(20_000 + UNREACHABLE_DELETE_MS)));
+    assert!(rules.is_lost(&unheard(20_000 + UNREACHABLE_DELETE_MS + 1)));
 }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -5,7 +5,7 @@
 use super::unplaced::UnplacedTasks;
 use super::MachineKind;
 use crate::constants::{
-    BOOT_LATE, CAPACITY_BACKOFF_MS, CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MS_PER_S,
+    BOOT_LATE_FACTOR, CAPACITY_BACKOFF_MS, CLOUD_RETRY_BACKOFF_MS, CLOUD_TIMEOUT_MS, MS_PER_S,
     RENTAL_MACHINES_MAX,
 };
 use crate::coordination::outbox::CallPurpose;
@@ -186,7 +186,7 @@
         for machine in machines.filter(|machine| machine.state == MachineState::Booting) {
             let Some(type_index) = type_index(&machine.type_name) else { continue };
             let age_s = now.saturating_sub(machine.rented_at) as f64 / MS_PER_S;
-            if age_s <= catalog.machine_types[type_index].boot_s * BOOT_LATE {
+            if age_s <= catalog.machine_types[type_index].boot_s * BOOT_LATE_FACTOR {
                 let (zone, spot) = (machine.zone.clone(), machine.spot);
                 coming.push(ComingMachine::new(CatalogKind { type_index, zone, spot }, catalog));
             }
--- a/src/coordination/fleet/unplaced.rs
+++ b/src/coordination/fleet/unplaced.rs
@@ -1,7 +1,7 @@
 //! Tasks that the last planning pass found no capacity for: the demand that the fleet scales out for.
 
 use super::Fleet;
-use crate::constants::{DRAIN_TARGET_S, MS_PER_S, RENT_PATIENCE_BOOTS};
+use crate::constants::{BATCH_BACKLOG_TARGET_S, MS_PER_S, SCALE_OUT_WAIT_BOOT_FACTOR};
 use crate::coordination::planner::{JobView, Plan, TeamView};
 use crate::coordination::planner_input::PlannerInput;
 use crate::protocol::cloud::Catalog;
@@ -87,7 +87,7 @@
 
 impl Patience {
     fn from_catalog(catalog: &Catalog) -> Patience {
-        let any_machine_ms = catalog.longest_boot_s() * MS_PER_S * RENT_PATIENCE_BOOTS;
+        let any_machine_ms = catalog.longest_boot_s() * MS_PER_S * SCALE_OUT_WAIT_BOOT_FACTOR;
         let ordinary_to_spot = catalog
             .machine_types
             .iter()
@@ -116,5 +116,5 @@
         return 1.0;
     }
     let run_s = job.run_ms as f64 / MS_PER_S;
-    (run_s / DRAIN_TARGET_S).min(1.0)
+    (run_s / BATCH_BACKLOG_TARGET_S).min(1.0)
 }
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -1,7 +1,9 @@
 //! Gangs of the leader's term: attempts that can't become complete, and stops that take all tasks.
 
 use super::{was_never_ordered, Leader};
-use crate::constants::{GANG_SCAN_MS, MS_PER_S, SILENT_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S};
+use crate::constants::{
+    GANG_SCAN_PERIOD_MS, MS_PER_S, SILENT_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S,
+};
 use crate::coordination::Controller;
 use crate::protocol::workers::EndCause;
 use crate::settings::Workers;
@@ -89,7 +91,7 @@
         let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.gang_scan_at) else {
             return;
         };
-        leader.gang_scan_at = now + GANG_SCAN_MS;
+        leader.gang_scan_at = now + GANG_SCAN_PERIOD_MS;
         leader.stop_hopeless_gangs(&self.settings.params.workers, now);
     }
 }
--- a/src/coordination/planner/gang.rs
+++ b/src/coordination/planner/gang.rs
@@ -8,7 +8,9 @@
 use super::allocation::{penalty_factor, Preference};
 use super::pass::{Pass, ReservedRoom};
 use super::plan::Reservation;
-use crate::constants::{GANG_PATIENCE_MS, GANG_SPREAD_SHARE, GANG_START_DELAY_PER_MACHINE_MS};
+use crate::constants::{
+    GANG_START_DELAYS_MS, GANG_START_DELAY_PER_MACHINE_MS, GANG_START_SPREAD_SHARE_MAX,
+};
 use std::cmp::Reverse;
 
 /// Tasks of a gang on one machine.
@@ -239,7 +241,7 @@
     fn gang_on(&self, job: usize, offers: &[Offer]) -> Option<GangAllocation> {
         let soonest = self.machines_needed(job, offers)?;
         let mut best: Option<(u64, Vec<TakenOffer>)> = None;
-        for patience_ms in GANG_PATIENCE_MS {
+        for patience_ms in GANG_START_DELAYS_MS {
             let until_ms = offers[soonest - 1].ready_ms + patience_ms;
             let among = &offers[..offers.partition_point(|offer| offer.ready_ms <= until_ms)];
             let Some(taken) = self.fewest_machines(job, among) else { continue };
@@ -266,7 +268,7 @@
         let (first_ms, last_ms) = (ready_ms().min()?, ready_ms().max()?);
         let spread_ms = (last_ms - first_ms) as f64;
         let wait_ms = self.snapshot.gang_wait_ms;
-        if wait_ms > 0 && spread_ms > wait_ms as f64 * GANG_SPREAD_SHARE {
+        if wait_ms > 0 && spread_ms > wait_ms as f64 * GANG_START_SPREAD_SHARE_MAX {
             return None;
         }
         Some(last_ms + (taken.len() as u64 - 1) * GANG_START_DELAY_PER_MACHINE_MS)
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -1,7 +1,7 @@
 //! Jobs with waiting tasks, and the teams that they belong to.
 
 use super::InputBuilder;
-use crate::constants::{GANG_AVOID_MAX, MS_PER_S};
+use crate::constants::{GANG_AVOIDED_MACHINES_MAX, MS_PER_S};
 use crate::coordination::planner::{is_within_guarantee, JobView, TeamView};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::users::{JobKind, JobSpec};
@@ -147,7 +147,7 @@
 /// Machines on which a job failed. None if it failed on so many that the job itself is suspected.
 fn avoided_machines(job: &Job, machine_indices: &HashMap<&MachineName, usize>) -> Vec<usize> {
     let tries_everywhere = match job.is_gang() {
-        true => job.failed_on.len() > GANG_AVOID_MAX,
+        true => job.failed_on.len() > GANG_AVOIDED_MACHINES_MAX,
         false => job.fails_everywhere(),
     };
     if tries_everywhere {
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -3,8 +3,8 @@
 use super::placements::MachineTasks;
 use super::InputBuilder;
 use crate::constants::{
-    BOOTING_MACHINES_MANY, BOOT_LATE, BOOT_OVERDUE_DIVISOR, HEARTBEAT_JITTER, HEARTBEAT_TASK_BYTES,
-    HTTP_BODY_MAX, MS_PER_S,
+    BOOT_LATE_FACTOR, BOOT_OVERDUE_DIVISOR, HEARTBEAT_JITTER, HEARTBEAT_TASK_BYTES, HTTP_BODY_MAX,
+    MEAN_BOOT_WAIT_MACHINES_MIN, MS_PER_S,
 };
 use crate::coordination::planner::{BootingMachine, MachineView, MeanBootWait};
 use crate::protocol::cloud::MachineType;
@@ -85,7 +85,7 @@
 ) -> Option<BootingMachine> {
     let boot_ms = (machine_type.boot_s * MS_PER_S) as u64;
     let left_ms = (machine.rented_at + boot_ms).saturating_sub(now_ms);
-    let is_late = now_ms > machine.rented_at + (boot_ms as f64 * BOOT_LATE) as u64;
+    let is_late = now_ms > machine.rented_at + (boot_ms as f64 * BOOT_LATE_FACTOR) as u64;
     (!is_late).then_some(BootingMachine {
         ready_in_ms: left_ms.max(boot_ms / BOOT_OVERDUE_DIVISOR),
         total: machine_type.total(),
@@ -95,7 +95,7 @@
 /// Mean milliseconds until booting machines are up; `None` if there are too few for a prediction.
 pub(super) fn mean_wait_ms(booting: &[BootingMachine]) -> Option<u64> {
     let count = booting.len() as u64;
-    (count >= BOOTING_MACHINES_MANY)
+    (count >= MEAN_BOOT_WAIT_MACHINES_MIN)
         .then(|| booting.iter().map(|machine| machine.ready_in_ms).sum::<u64>() / count)
 }
 
--- a/src/coordination/planner_input/tests.rs
+++ b/src/coordination/planner_input/tests.rs
@@ -3,7 +3,7 @@
 use super::jobs::due_in_ms;
 use super::machines::{booting_machine, may_get_tasks, mean_wait_ms, next_report_ms};
 use super::placements::{expected_end_ms, PlacedJob};
-use crate::constants::BOOTING_MACHINES_MANY;
+use crate::constants::MEAN_BOOT_WAIT_MACHINES_MIN;
 use crate::coordination::planner::BootingMachine;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, Priority};
@@ -102,8 +102,8 @@
 #[test]
 fn the_mean_wait_counts_only_where_many_machines_boot() {
     let booting = |ready_in_ms| BootingMachine { ready_in_ms, total: Resources::default() };
-    let mut many = vec![booting(1_000); BOOTING_MACHINES_MANY as usize];
-    many[0] = booting(1_000 + BOOTING_MACHINES_MANY);
+    let mut many = vec![booting(1_000); MEAN_BOOT_WAIT_MACHINES_MIN as usize];
+    many[0] = booting(1_000 + MEAN_BOOT_WAIT_MACHINES_MIN);
     assert_eq!(mean_wait_ms(&many), Some(1_001));
     assert_eq!(mean_wait_ms(&many[1..]), None);
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -2,7 +2,7 @@
 
 use super::SettingsProblem;
 use crate::constants::{
-    BYTES_PER_KB, LIST_MARGIN_MS, MS_PER_S, SILENT_PERIODS, STORE_VALUE_BYTES_MIN,
+    BYTES_PER_KB, MACHINE_LIST_LAG_MARGIN_MS, MS_PER_S, SILENT_PERIODS, STORE_VALUE_BYTES_MIN,
     TRANSACTION_OPS_MIN,
 };
 use crate::protocol::Resources;
@@ -237,7 +237,7 @@
 impl CloudLimits {
     /// Milliseconds by which the machine list may lag before a machine missing from it counts as gone.
     pub fn list_lag_ms(&self) -> u64 {
-        (self.list_lag_s * 2.0 * MS_PER_S) as u64 + LIST_MARGIN_MS
+        (self.list_lag_s * 2.0 * MS_PER_S) as u64 + MACHINE_LIST_LAG_MARGIN_MS
     }
 }
 
