--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -20,11 +20,11 @@
     /// Its team is at its resource limit.
     TeamLimit,
     /// No machine that it may use has free resources for it.
-    Room,
+    NoCapacity,
     /// Gang: the placements of its tasks exceed one commit.
     TooLargeToStore {
         /// Tasks that one commit can hold.
-        most: usize,
+        max_tasks: usize,
     },
     /// Gang: its placements are being committed.
     Storing,
@@ -50,9 +50,9 @@
             WaitReason::Reserved(machine) => write!(f, "reserved on {machine}"),
             WaitReason::Paused => write!(f, "failed on several machines, paused"),
             WaitReason::TeamLimit => write!(f, "its team is at its limit"),
-            WaitReason::Room => write!(f, "no room that allows it"),
-            WaitReason::TooLargeToStore { most } => {
-                write!(f, "too large: the store takes {most} tasks of a gang at once")
+            WaitReason::NoCapacity => write!(f, "no room that allows it"),
+            WaitReason::TooLargeToStore { max_tasks } => {
+                write!(f, "too large: the store takes {max_tasks} tasks of a gang at once")
             }
             WaitReason::Storing => write!(f, "its placements are being stored"),
             WaitReason::Assembling { fetching, waiting, missing } => write!(
@@ -80,7 +80,7 @@
             Some((_, machine)) => WaitReason::Reserved(machine.clone()),
             None if job.paused_until > self.now.monotonic_ms => WaitReason::Paused,
             None if self.at_team_limit(leader, job) => WaitReason::TeamLimit,
-            None => WaitReason::Room,
+            None => WaitReason::NoCapacity,
         })
     }
 
@@ -92,20 +92,21 @@
         match leader.cluster.gang_phase(job) {
             GangPhase::Running => None,
             GangPhase::Unplaced => {
-                let most = gang_tasks_max(self.store.limits(), self.settings.controllers());
-                (job.tasks as usize > most).then_some(WaitReason::TooLargeToStore { most })
+                let max_tasks = gang_tasks_max(self.store.limits(), self.settings.controllers());
+                (job.tasks as usize > max_tasks)
+                    .then_some(WaitReason::TooLargeToStore { max_tasks })
             }
             GangPhase::Storing => Some(WaitReason::Storing),
             GangPhase::Stopping => Some(WaitReason::LastAttempt { tasks: job.placed_on.len() }),
             GangPhase::Assembling => {
-                let shown = |status| {
+                let tasks_reported = |status| {
                     let placements = leader.cluster.placements_of(job);
                     placements.filter(|placement| placement.reported_status == status).count()
                 };
                 Some(WaitReason::Assembling {
-                    fetching: shown(Some(TaskStatus::Pulling)),
-                    waiting: shown(Some(TaskStatus::Waiting)),
-                    missing: shown(None),
+                    fetching: tasks_reported(Some(TaskStatus::Pulling)),
+                    waiting: tasks_reported(Some(TaskStatus::Waiting)),
+                    missing: tasks_reported(None),
                 })
             }
         }
@@ -116,9 +117,9 @@
         let Some(spec) = &job.spec else { return false };
         let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
         let limit = team.map_or(Resources::default(), Team::limit);
-        let tasks_at_least = if job.is_gang() { i64::from(job.tasks) } else { 1 };
+        let min_tasks = if job.is_gang() { i64::from(job.tasks) } else { 1 };
         let mut usage = leader.cluster.usage.get(&spec.team).copied().unwrap_or_default();
-        usage += job.need * tasks_at_least;
+        usage += job.need * min_tasks;
         !usage.under(&limit)
     }
 }
