--- a/src/coordination/gang_rules/tests.rs
+++ b/src/coordination/gang_rules/tests.rs
@@ -14,17 +14,20 @@
 }
 
 #[test]
-fn a_gang_saves_only_if_all_of_it_can_be_told_in_time() {
+fn a_gang_keeps_progress_only_if_all_tasks_are_told_to_stop_in_time() {
     let gang = spec(JobKind::Gang, 20.0);
-    assert!(saves_when_stopped(&gang, &workers(4.0, 5.0)), "the last heartbeat comes after 5 s");
-    assert!(!saves_when_stopped(&gang, &workers(4.0, 4.9)));
-    assert!(saves_when_stopped(&gang, &workers(4.0, 0.0)), "there is no limit");
-    assert!(saves_when_stopped(&spec(JobKind::Batch, 20.0), &workers(4.0, 4.9)));
-    assert!(!saves_when_stopped(&spec(JobKind::Gang, 0.0), &workers(4.0, 5.0)));
+    assert!(
+        keeps_progress_when_stopped(&gang, &workers(4.0, 5.0)),
+        "the last heartbeat comes after 5 s"
+    );
+    assert!(!keeps_progress_when_stopped(&gang, &workers(4.0, 4.9)));
+    assert!(keeps_progress_when_stopped(&gang, &workers(4.0, 0.0)), "there is no limit");
+    assert!(keeps_progress_when_stopped(&spec(JobKind::Batch, 20.0), &workers(4.0, 4.9)));
+    assert!(!keeps_progress_when_stopped(&spec(JobKind::Gang, 0.0), &workers(4.0, 5.0)));
 }
 
 #[test]
-fn the_largest_gang_is_what_one_commit_of_a_leader_holds() {
+fn the_largest_gang_fits_one_commit() {
     let limits = |value_kb, txn_ops, write_rps| {
         StoreLimits::new(&StateLimits { rps: 200.0, write_rps, value_kb, txn_ops, next: None })
     };
--- a/src/coordination/heartbeats/reclaim.rs
+++ b/src/coordination/heartbeats/reclaim.rs
@@ -1,7 +1,7 @@
 //! Spot machines that the cloud is about to take back.
 
 use crate::constants::{MS_PER_S, RECLAIM_CHECKPOINT_MARGIN_S};
-use crate::coordination::gang_rules::saves_when_stopped;
+use crate::coordination::gang_rules::keeps_progress_when_stopped;
 use crate::coordination::Leader;
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::settings::Workers;
@@ -51,7 +51,7 @@
     if spec.kind == JobKind::Service {
         return true;
     }
-    if saves_when_stopped(spec, workers) {
+    if keeps_progress_when_stopped(spec, workers) {
         let heartbeat_ms = (workers.report_s * MS_PER_S) as u64;
         let save_ms = ((spec.checkpoint_cost_s + RECLAIM_CHECKPOINT_MARGIN_S) * MS_PER_S) as u64;
         return left_ms <= save_ms + heartbeat_ms * 2;
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -102,7 +102,7 @@
         work.planner_passes += 1;
         work.planner_machines += leader.cluster.machines.len() as u64;
         let mut input =
-            PlannerInput::of_cluster(leader, &self.settings, &self.operator, catalog, clock);
+            PlannerInput::from_leader(leader, &self.settings, &self.operator, catalog, clock);
         leader.move_shares(&mut input);
         let plan = planner::plan(&input.snapshot);
         work.planner_places += plan.candidates_examined;
--- a/src/coordination/planner_input.rs
+++ b/src/coordination/planner_input.rs
@@ -36,7 +36,7 @@
 
 impl PlannerInput {
     /// Builds the input from the leader's present state.
-    pub(super) fn of_cluster(
+    pub(super) fn from_leader(
         leader: &Leader,
         settings: &Platform,
         operator: &Operator,
@@ -69,7 +69,7 @@
         builder.input.snapshot.gang_wait_ms =
             (settings.params.workers.gang_wait_s * MS_PER_S) as u64;
         builder.add_booting_machines();
-        builder.add_open_machines();
+        builder.add_schedulable_machines();
         builder.add_waiting_jobs();
         builder.add_teams();
         builder.add_previous_reservation();
--- a/src/coordination/planner_input/indices.rs
+++ b/src/coordination/planner_input/indices.rs
@@ -17,8 +17,9 @@
     /// Indices of the zones, machine types and teams that the settings and the catalog name.
     pub(super) fn new(settings: &'a Platform, catalog: &'a Catalog, keys: HashKeys) -> Indices<'a> {
         let mut zones: Vec<&str> = Vec::new();
-        let of_types = catalog.machine_types.iter().flat_map(|machine_type| &machine_type.zones);
-        for zone in of_types.chain(&settings.params.zones) {
+        let catalog_zones =
+            catalog.machine_types.iter().flat_map(|machine_type| &machine_type.zones);
+        for zone in catalog_zones.chain(&settings.params.zones) {
             if !zones.contains(&zone.as_str()) {
                 zones.push(zone);
             }
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -15,18 +15,18 @@
     /// Adds the jobs with waiting tasks, in the order of their arrival.
     pub(super) fn add_waiting_jobs(&mut self) {
         // Resources of each team's unfinished jobs, up to and including the present one.
-        let mut claimed = vec![Resources::default(); self.settings.params.teams.len()];
+        let mut team_needs = vec![Resources::default(); self.settings.params.teams.len()];
         let cluster = self.cluster;
         for uid in cluster.queue.values() {
             let Some(job) = cluster.jobs.get(uid) else { continue };
             let Some(spec) = &job.spec else { continue };
             let Some(team) = self.indices.team(&spec.team) else { continue };
-            claimed[team] += job.need * i64::from(job.tasks - job.done_count.min(job.tasks));
+            team_needs[team] += job.need * i64::from(job.tasks - job.done_count.min(job.tasks));
             if waiting_tasks(job) == 0 || is_paused(job, self.now_ms) {
                 continue;
             }
             let guarantee = self.settings.params.teams[team].guarantee();
-            let within_guarantee = is_within_guarantee(&claimed[team], &guarantee);
+            let within_guarantee = is_within_guarantee(&team_needs[team], &guarantee);
             let Some(view) = self.job_view(job, spec, team, within_guarantee) else { continue };
             self.input.snapshot.jobs.push(view);
             self.input.jobs.push(uid.clone());
@@ -163,12 +163,12 @@
     run_ms: u64,
     waited_ms: u64,
 ) -> Vec<u64> {
-    let of_class =
+    let applies_to_class =
         |objective: &&Objective| objective.class.as_deref().is_none_or(|class| class == spec.class);
     let run_s = run_ms as f64 / MS_PER_S;
     let mut due_in_ms: Vec<u64> = objectives
         .iter()
-        .filter(of_class)
+        .filter(applies_to_class)
         .filter_map(|objective| objective.complete_within(spec.deadline_s, run_s))
         .chain(spec.deadline_s)
         .map(|seconds| ((seconds * MS_PER_S) as u64).saturating_sub(waited_ms))
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -18,11 +18,13 @@
 impl InputBuilder<'_> {
     /// Adds the booting machines: on-demand ones, then spot ones.
     pub(super) fn add_booting_machines(&mut self) {
-        let ordinary = self.booting_machines(false);
+        let on_demand = self.booting_machines(false);
         let spot = self.booting_machines(true);
-        self.input.snapshot.mean_boot_wait =
-            MeanBootWait { ordinary_ms: mean_wait_ms(&ordinary), spot_ms: mean_wait_ms(&spot) };
-        self.input.snapshot.booting.extend(ordinary);
+        self.input.snapshot.mean_boot_wait = MeanBootWait {
+            ordinary_ms: mean_boot_wait_ms(&on_demand),
+            spot_ms: mean_boot_wait_ms(&spot),
+        };
+        self.input.snapshot.booting.extend(on_demand);
         self.input.snapshot.booting.extend(spot);
     }
 
@@ -38,7 +40,7 @@
     }
 
     /// Adds the schedulable machines.
-    pub(super) fn add_open_machines(&mut self) {
+    pub(super) fn add_schedulable_machines(&mut self) {
         let mut deferred_heartbeats: HashSet<&MachineName> = self.cluster.hash_keys().set();
         deferred_heartbeats
             .extend(self.leader.deferred_heartbeats.iter().map(|deferred| deferred.machine()));
@@ -47,7 +49,7 @@
             let zone = self.indices.zone(&machine.zone);
             let type_index = self.indices.machine_type(&machine.type_name);
             let (Some(zone), Some(type_index)) = (zone, type_index) else { continue };
-            if !may_get_tasks(machine, self.now_ms, self.silent_ms) {
+            if !is_schedulable(machine, self.now_ms, self.silent_ms) {
                 continue;
             }
             let fetch_ms_per_gb = fetch_ms_per_gb(&self.catalog.machine_types[type_index]);
@@ -93,14 +95,14 @@
 }
 
 /// Mean milliseconds until booting machines are up; `None` if there are too few for a prediction.
-pub(super) fn mean_wait_ms(booting: &[BootingMachine]) -> Option<u64> {
+pub(super) fn mean_boot_wait_ms(booting: &[BootingMachine]) -> Option<u64> {
     let count = booting.len() as u64;
     (count >= MEAN_BOOT_WAIT_MACHINES_MIN)
         .then(|| booting.iter().map(|machine| machine.ready_in_ms).sum::<u64>() / count)
 }
 
 /// Whether a machine may get new tasks.
-pub(super) fn may_get_tasks(machine: &Machine, now_ms: u64, silent_ms: u64) -> bool {
+pub(super) fn is_schedulable(machine: &Machine, now_ms: u64, silent_ms: u64) -> bool {
     // A machine with a reclaim notice must not be usable here: placements on it are refused before
     // they are stored, so that every pass would repeat them while other machines have capacity.
     machine.is_usable()
--- a/src/coordination/planner_input/placements.rs
+++ b/src/coordination/planner_input/placements.rs
@@ -2,7 +2,7 @@
 
 use super::InputBuilder;
 use crate::constants::{MS_PER_S, OVERDUE_SHARE, SERVICE_RUN_S};
-use crate::coordination::gang_rules::saves_when_stopped;
+use crate::coordination::gang_rules::keeps_progress_when_stopped;
 use crate::coordination::planner::{CachedImage, RunningTask};
 use crate::protocol::users::{JobKind, Priority};
 use crate::protocol::Resources;
@@ -51,7 +51,7 @@
             let fetch_ms = (job.image_gb * fetch_ms_per_gb) as u64;
             if placement.running_since.is_none() {
                 let fetched_at = placement.placed_at + fetch_ms;
-                note_fetched_image(&mut tasks.images, job.image, fetched_at, self.now_ms);
+                add_image_being_fetched(&mut tasks.images, job.image, fetched_at, self.now_ms);
             }
             tasks.running.push(RunningTask {
                 priority: job.priority,
@@ -86,7 +86,7 @@
                 bandwidth: spec.cores * operator.bandwidth(&spec.class),
                 run_ms: leader.run_ms(spec),
                 is_service: spec.kind == JobKind::Service,
-                keeps_progress: saves_when_stopped(spec, &settings.params.workers),
+                keeps_progress: keeps_progress_when_stopped(spec, &settings.params.workers),
                 tasks_stopped: if spec.is_gang() { spec.tasks } else { 1 },
                 image: indices.image(&spec.image),
                 image_gb: spec.size_gb,
@@ -97,7 +97,12 @@
 }
 
 /// Adds an image that a machine is fetching, unless it is already listed.
-fn note_fetched_image(images: &mut Vec<CachedImage>, image: usize, fetched_at: u64, now_ms: u64) {
+fn add_image_being_fetched(
+    images: &mut Vec<CachedImage>,
+    image: usize,
+    fetched_at: u64,
+    now_ms: u64,
+) {
     if !images.iter().any(|known| known.image == image) {
         images.push(CachedImage { image, ready_in_ms: fetched_at.saturating_sub(now_ms) });
     }
--- a/src/coordination/planner_input/tests.rs
+++ b/src/coordination/planner_input/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`], the module `planner_input`.
 
 use super::jobs::due_in_ms;
-use super::machines::{booting_machine, may_get_tasks, mean_wait_ms, next_report_ms};
+use super::machines::{booting_machine, is_schedulable, mean_boot_wait_ms, next_report_ms};
 use super::placements::{expected_end_ms, PlacedJob};
 use crate::constants::MEAN_BOOT_WAIT_MACHINES_MIN;
 use crate::coordination::planner::BootingMachine;
@@ -15,7 +15,7 @@
 const NOW_MS: u64 = 1_000_000;
 
 /// A schedulable machine that has just reported.
-fn open_machine() -> Machine {
+fn schedulable_machine() -> Machine {
     Machine {
         state: MachineState::Up,
         has_our_token: true,
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn a_machine_gets_tasks_only_if_it_is_heard_and_kept() {
-    assert!(may_get_tasks(&open_machine(), NOW_MS, 10_000));
+fn only_a_usable_machine_that_reports_is_schedulable() {
+    assert!(is_schedulable(&schedulable_machine(), NOW_MS, 10_000));
     let refused: [fn(&mut Machine); 8] = [
         |machine| machine.state = MachineState::AwaitingHeartbeat,
         |machine| machine.cordoned = true,
@@ -77,14 +77,14 @@
         |machine| machine.last_alive_at = Some(NOW_MS - 10_001),
     ];
     for (index, change) in refused.iter().enumerate() {
-        let mut machine = open_machine();
+        let mut machine = schedulable_machine();
         change(&mut machine);
-        assert!(!may_get_tasks(&machine, NOW_MS, 10_000), "change {index}");
+        assert!(!is_schedulable(&machine, NOW_MS, 10_000), "change {index}");
     }
 }
 
 #[test]
-fn a_machine_that_boots_late_is_not_counted_on() {
+fn a_machine_that_boots_late_is_not_expected() {
     let rented_ago = |ago_ms: u64| Machine::new("m-1".into(), NOW_MS - ago_ms);
     let ready_in_ms = |ago_ms: u64| {
         booting_machine(&rented_ago(ago_ms), &machine_type(100.0), NOW_MS)
@@ -100,17 +100,17 @@
 }
 
 #[test]
-fn the_mean_wait_counts_only_where_many_machines_boot() {
+fn the_mean_boot_wait_needs_many_booting_machines() {
     let booting = |ready_in_ms| BootingMachine { ready_in_ms, total: Resources::default() };
     let mut many = vec![booting(1_000); MEAN_BOOT_WAIT_MACHINES_MIN as usize];
     many[0] = booting(1_000 + MEAN_BOOT_WAIT_MACHINES_MIN);
-    assert_eq!(mean_wait_ms(&many), Some(1_001));
-    assert_eq!(mean_wait_ms(&many[1..]), None);
+    assert_eq!(mean_boot_wait_ms(&many), Some(1_001));
+    assert_eq!(mean_boot_wait_ms(&many[1..]), None);
 }
 
 #[test]
 fn the_next_report_is_expected_a_period_after_the_last() {
-    let mut machine = open_machine();
+    let mut machine = schedulable_machine();
     assert_eq!(next_report_ms(&machine, 4.0, NOW_MS), 4_000);
     machine.last_heartbeat_at = Some(NOW_MS - 2_000);
     assert_eq!(next_report_ms(&machine, 4.0, NOW_MS), 2_000);
