--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -23,13 +23,13 @@
 }
 
 /// Capacity of the usable machines, in machines.
-struct FleetRoom {
+struct FleetCapacity {
     free: f64,
     /// Free capacity to keep.
     headroom: f64,
 }
 
-/// A machine that could be drained.
+/// A machine that could be draining.
 struct DrainCandidate<'a> {
     machine: &'a Machine,
     load: f64,
@@ -38,30 +38,30 @@
 }
 
 impl Controller {
-    /// Drains the most expensive underutilized machines while the others have capacity for their tasks
-    /// and the headroom; puts draining machines back into use when capacity is short. How many at a
-    /// time is a share of the fleet.
-    pub(super) fn consolidate(&mut self) {
+    /// Drains underutilized machines, the most expensive first, while the others have capacity for their
+    /// tasks and the headroom; puts draining machines back into use when capacity is short. How many at
+    /// a time is a share of the fleet.
+    pub(super) fn defragment(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
         let Some(leader) = self.leader.as_mut() else { return };
-        let open = leader.open_machines();
-        let most = ((open.len() as f64 * DRAIN_SHARE_MAX) as usize).max(1);
-        let room = leader.fleet_room(&open, self.operator.headroom_share, now);
-        if leader.is_short_of_room(&open, &room, now) {
-            leader.reopen_machines(most, now);
+        let usable = leader.usable_machines();
+        let max_machines = ((usable.len() as f64 * DRAIN_SHARE_MAX) as usize).max(1);
+        let capacity = leader.fleet_capacity(&usable, self.operator.headroom_share, now);
+        if leader.is_short_of_capacity(&usable, &capacity, now) {
+            leader.undrain_machines(max_machines, now);
             return;
         }
-        let chosen = leader.machines_to_drain(&open, room, most, &catalog, now);
+        let chosen = leader.machines_to_drain(&usable, capacity, max_machines, &catalog, now);
         if chosen.is_empty() {
-            leader.fleet.excess_since = None;
+            leader.fleet.excess_capacity_since = None;
             return;
         }
-        let excess_since = *leader.fleet.excess_since.get_or_insert(now);
-        if now < excess_since + EXCESS_CAPACITY_MS {
+        let excess_capacity_since = *leader.fleet.excess_capacity_since.get_or_insert(now);
+        if now < excess_capacity_since + EXCESS_CAPACITY_MS {
             return;
         }
-        leader.fleet.excess_since = None;
+        leader.fleet.excess_capacity_since = None;
         log::debug!(
             "draining machines: {}; the others have capacity for their tasks",
             chosen.join(", ")
@@ -100,7 +100,7 @@
 
 impl Leader {
     /// Usable machines with their load.
-    fn open_machines(&self) -> Vec<LoadedMachine<'_>> {
+    fn usable_machines(&self) -> Vec<LoadedMachine<'_>> {
         let machines = self.cluster.machines.values().filter(|machine| machine.is_usable());
         machines
             .map(|machine| LoadedMachine { machine, load: load(&self.cluster, machine) })
@@ -108,35 +108,52 @@
     }
 
     /// Free capacity of the usable machines, and how much of it to keep.
-    fn fleet_room(&self, open: &[LoadedMachine<'_>], headroom_share: f64, now: u64) -> FleetRoom {
-        let free: f64 = open.iter().map(|loaded| 1.0 - loaded.load).sum();
-        let busy: f64 = open.iter().map(|loaded| loaded.load).sum();
-        let batch_now: f64 = open
+    fn fleet_capacity(
+        &self,
+        usable: &[LoadedMachine<'_>],
+        headroom_share: f64,
+        now: u64,
+    ) -> FleetCapacity {
+        let free: f64 = usable.iter().map(|loaded| 1.0 - loaded.load).sum();
+        let busy: f64 = usable.iter().map(|loaded| loaded.load).sum();
+        let batch_now: f64 = usable
             .iter()
             .map(|loaded| loaded.load * (1.0 - service_share(&self.cluster, loaded.machine)))
             .sum();
         // The batch load expected from recent arrivals, as far as it exceeds the present one.
-        let lull = (self.batch_machines(now) - batch_now).max(0.0);
-        FleetRoom { free, headroom: (busy + lull) * headroom_share + lull + HEADROOM_MACHINES }
+        let expected_increase = (self.expected_batch_machines(now) - batch_now).max(0.0);
+        FleetCapacity {
+            free,
+            headroom: (busy + expected_increase) * headroom_share
+                + expected_increase
+                + HEADROOM_MACHINES,
+        }
     }
 
     /// Whether all machines are needed, or it is too early in the term to forecast the demand.
-    fn is_short_of_room(&self, open: &[LoadedMachine<'_>], room: &FleetRoom, now: u64) -> bool {
+    fn is_short_of_capacity(
+        &self,
+        usable: &[LoadedMachine<'_>],
+        capacity: &FleetCapacity,
+        now: u64,
+    ) -> bool {
         // A few tasks that can't be placed because of their constraints (a zone, a machine type) must
         // not keep a large fleet from scaling in.
-        let whole = open.first().map_or(Resources::default(), |loaded| loaded.machine.total);
+        let machine_size =
+            usable.first().map_or(Resources::default(), |loaded| loaded.machine.total);
         let unplaced = self.fleet.unplaced.iter();
-        let unplaced: f64 = unplaced.map(|tasks| tasks.slots * tasks.need.share_of(&whole)).sum();
-        let many_unplaced = unplaced > open.len() as f64 * DRAIN_UNPLACED_SHARE_MAX;
+        let unplaced: f64 =
+            unplaced.map(|tasks| tasks.slots * tasks.need.share_of(&machine_size)).sum();
+        let many_unplaced = unplaced > usable.len() as f64 * DRAIN_UNPLACED_SHARE_MAX;
         let is_early = now < self.began_at + SERVICE_ARRIVAL_WINDOW_MS / 2;
-        many_unplaced || room.free < room.headroom || is_early
+        many_unplaced || capacity.free < capacity.headroom || is_early
     }
 
     /// Puts draining machines back into use, the one with the highest load first.
-    fn reopen_machines(&mut self, most: usize, now: u64) {
-        self.fleet.excess_since = None;
+    fn undrain_machines(&mut self, max_machines: usize, now: u64) {
+        self.fleet.excess_capacity_since = None;
         let cluster = &self.cluster;
-        let mut drained: Vec<(f64, MachineName)> = cluster
+        let mut draining: Vec<(f64, MachineName)> = cluster
             .machines
             .values()
             .filter(|machine| {
@@ -144,8 +161,8 @@
             })
             .map(|machine| (load(cluster, machine), machine.name.clone()))
             .collect();
-        drained.sort_by(|(load, _), (other_load, _)| other_load.total_cmp(load));
-        for (_, name) in drained.into_iter().take(most) {
+        draining.sort_by(|(load, _), (other_load, _)| other_load.total_cmp(load));
+        for (_, name) in draining.into_iter().take(max_machines) {
             if let Some(machine) = self.cluster.machines.get_mut(&name) {
                 log::debug!("drain cancelled: {name} is back in use, capacity is short");
                 machine.draining = false;
@@ -157,9 +174,9 @@
     /// Machines to drain: as many as leave the headroom and the slots for new services.
     fn machines_to_drain(
         &self,
-        open: &[LoadedMachine<'_>],
-        mut room: FleetRoom,
-        most: usize,
+        usable: &[LoadedMachine<'_>],
+        mut capacity: FleetCapacity,
+        max_machines: usize,
         catalog: &Catalog,
         now: u64,
     ) -> Vec<MachineName> {
@@ -170,19 +187,19 @@
             }
             _ => 0.0,
         };
-        let wanted_slots =
+        let headroom_slots =
             headroom.as_ref().map_or(0.0, |headroom: &ServiceHeadroom| headroom.slots);
-        let mut free_slots: f64 = open.iter().map(|loaded| service_slots(loaded.machine)).sum();
+        let mut free_slots: f64 = usable.iter().map(|loaded| service_slots(loaded.machine)).sum();
         let mut chosen = Vec::new();
-        for candidate in self.drain_candidates(open, catalog, now) {
-            if chosen.len() >= most || room.free - 1.0 < room.headroom {
+        for candidate in self.drain_candidates(usable, catalog, now) {
+            if chosen.len() >= max_machines || capacity.free - 1.0 < capacity.headroom {
                 break;
             }
             // Its free slots are lost, and its services take slots on other machines.
             let slots_left = free_slots - service_slots(candidate.machine) - candidate.services;
-            if candidate.machine.spot || headroom.is_none() || slots_left >= wanted_slots {
+            if candidate.machine.spot || headroom.is_none() || slots_left >= headroom_slots {
                 free_slots = slots_left;
-                room.free -= 1.0;
+                capacity.free -= 1.0;
                 chosen.push(candidate.machine.name.clone());
             }
         }
@@ -193,23 +210,25 @@
     /// fewest service tasks, then those with the lowest load.
     fn drain_candidates<'a>(
         &self,
-        open: &[LoadedMachine<'a>],
+        usable: &[LoadedMachine<'a>],
         catalog: &Catalog,
         now: u64,
     ) -> Vec<DrainCandidate<'a>> {
-        let is_thinly_used = |candidate: &DrainCandidate<'_>| {
+        let is_underutilized = |candidate: &DrainCandidate<'_>| {
             candidate.services == 0.0 || candidate.load <= DRAIN_SERVICES_LOAD_MAX
         };
-        let is_past_boot = |machine: &Machine| {
+        let is_past_min_uptime = |machine: &Machine| {
             machine.up_at.is_some_and(|up_at| now > up_at + boot_ms(catalog, &machine.type_name))
         };
-        let mut candidates: Vec<DrainCandidate<'_>> = open
+        let mut candidates: Vec<DrainCandidate<'_>> = usable
             .iter()
             .map(|&LoadedMachine { machine, load }| {
                 let services = service_count(&self.cluster, machine);
                 DrainCandidate { machine, load, services }
             })
-            .filter(|candidate| is_thinly_used(candidate) && is_past_boot(candidate.machine))
+            .filter(|candidate| {
+                is_underutilized(candidate) && is_past_min_uptime(candidate.machine)
+            })
             .collect();
         candidates.sort_by(|left, right| {
             let by_price = left.machine.spot.cmp(&right.machine.spot);
@@ -223,25 +242,25 @@
     /// Running service tasks on draining machines that fit on another machine.
     fn services_to_move(&self) -> Vec<(MachineName, TaskId)> {
         let cluster = &self.cluster;
-        let mut drained: Vec<(f64, &Machine)> = cluster
+        let mut draining: Vec<(f64, &Machine)> = cluster
             .machines
             .values()
             .filter(|machine| machine.draining && machine.state == MachineState::Up)
             .map(|machine| (service_count(cluster, machine), machine))
             .filter(|(services, _)| *services > 0.0)
             .collect();
-        drained.sort_by(|(services, _), (others, _)| services.total_cmp(others));
-        let most = ((cluster.machines.len() as f64 * SERVICE_MOVE_SHARE) as usize).max(1);
+        draining.sort_by(|(services, _), (others, _)| services.total_cmp(others));
+        let max_moves = ((cluster.machines.len() as f64 * SERVICE_MOVE_SHARE) as usize).max(1);
         let mut targets = MoveTargets::new(cluster);
         let mut chosen = Vec::new();
-        let tasks = drained.iter().flat_map(|(_, machine)| {
+        let tasks = draining.iter().flat_map(|(_, machine)| {
             machine.placements.iter().map(move |(id, placement)| (machine, id, placement))
         });
         for (machine, id, placement) in tasks {
-            if chosen.len() >= most {
+            if chosen.len() >= max_moves {
                 break;
             }
-            if targets.try_take_room(cluster, machine, id, placement) {
+            if targets.try_claim(cluster, machine, id, placement) {
                 chosen.push((machine.name.clone(), id.clone()));
             }
         }
@@ -261,8 +280,8 @@
     }
 
     /// Claims resources for a running service task on a machine of the same type and zone that holds its
-    /// image. Returns whether there is one.
-    fn try_take_room(
+    /// image. Returns false if there is none or the task is already stopping or settled.
+    fn try_claim(
         &mut self,
         cluster: &ClusterState,
         from: &Machine,
@@ -290,7 +309,7 @@
     }
 }
 
-/// The share of a machine that is in use, between 0 and 1.
+/// The share of a machine that is in use: 0 if it is empty, 1 if it is full.
 fn load(cluster: &ClusterState, machine: &Machine) -> f64 {
     let mut used = machine.total;
     used -= cluster.free(machine);
--- a/src/coordination/fleet/forecast.rs
+++ b/src/coordination/fleet/forecast.rs
@@ -37,7 +37,7 @@
 impl Leader {
     /// Records the jobs that arrived since the last call. On the first call of a term, jobs from
     /// before it count as having arrived at the wall-clock time at which they were accepted.
-    pub(super) fn note_arrivals(&mut self, now: Clock, catalog: &Catalog) {
+    pub(super) fn record_arrivals(&mut self, now: Clock, catalog: &Catalog) {
         let types = catalog.machine_types.iter().map(MachineType::total);
         let Some(largest) = types.max_by_key(|total| (total.gpu, total.cpu)) else { return };
         let seen_before = self.fleet.last_seen_arrival;
@@ -75,17 +75,17 @@
 
     /// Milliseconds over which the arrivals within a window were observed: less than the window early
     /// in a term, but at least half of [`SERVICE_ARRIVAL_WINDOW_MS`] unless the window is shorter.
-    fn watched_ms(&self, now: u64, window_ms: u64) -> f64 {
-        let watched_ms = now - self.began_at;
-        watched_ms.clamp(SERVICE_ARRIVAL_WINDOW_MS / 2, SERVICE_ARRIVAL_WINDOW_MS).min(window_ms)
+    fn observed_ms(&self, now: u64, window_ms: u64) -> f64 {
+        let observed_ms = now - self.began_at;
+        observed_ms.clamp(SERVICE_ARRIVAL_WINDOW_MS / 2, SERVICE_ARRIVAL_WINDOW_MS).min(window_ms)
             as f64
     }
 
     /// Machines that batch work keeps busy at its recent arrival rate.
-    pub(super) fn batch_machines(&self, now: u64) -> f64 {
+    pub(super) fn expected_batch_machines(&self, now: u64) -> f64 {
         let machine_ms: f64 =
             self.fleet.batch_arrivals.iter().map(|arrival| arrival.machine_ms).sum();
-        machine_ms / self.watched_ms(now, BATCH_ARRIVAL_WINDOW_MS)
+        machine_ms / self.observed_ms(now, BATCH_ARRIVAL_WINDOW_MS)
     }
 
     /// Headroom for new services: as many tasks like those of the newest service as are expected to
@@ -97,7 +97,7 @@
         let tasks: u32 = self.fleet.service_arrivals.iter().map(|arrival| arrival.tasks).sum();
         let boot_ms = catalog.longest_boot_s() * MS_PER_S;
         let expected =
-            (f64::from(tasks) / self.watched_ms(now, SERVICE_ARRIVAL_WINDOW_MS) * boot_ms).ceil();
+            (f64::from(tasks) / self.observed_ms(now, SERVICE_ARRIVAL_WINDOW_MS) * boot_ms).ceil();
         Some(ServiceHeadroom { need, slots: expected + SPARE_SERVICE_SLOTS })
     }
 }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -15,7 +15,7 @@
 
 impl Controller {
     /// Requests the first page of the machine list when that is due.
-    pub(super) fn start_list(&mut self) {
+    pub(super) fn request_machine_list(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         let fleet = &mut leader.fleet;
@@ -27,11 +27,11 @@
         fleet.list_started_at = now;
         fleet.listed_machines.clear();
         fleet.next_list_at = now + MACHINE_LIST_PERIOD_MS;
-        self.ask_for_page(None, now);
+        self.request_list_page(None, now);
     }
 
     /// Requests the page after the named machine, or the first one.
-    fn ask_for_page(&mut self, after: Option<&str>, list_started_at: u64) {
+    fn request_list_page(&mut self, after: Option<&str>, list_started_at: u64) {
         let path = machine_list_path(after, MACHINE_LIST_PAGE_MAX);
         let purpose = CallPurpose::Hosts { begun: list_started_at };
         self.call(Service::Cloud, "GET", path, vec![], CLOUD_TIMEOUT_MS, purpose);
@@ -49,21 +49,21 @@
         if fleet.list_started_at != list_started_at {
             return;
         }
-        let hosts: Option<MachineList> = match reply {
+        let list: Option<MachineList> = match reply {
             Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
-        let Some(hosts) = hosts else {
+        let Some(list) = list else {
             fleet.list_in_progress = false;
             fleet.next_list_at = now + CLOUD_RETRY_BACKOFF_MS;
             return;
         };
-        let last = hosts.machines.last().map(|host| host.uid.clone());
-        fleet.listed_machines.extend(hosts.machines);
-        if let (true, Some(last)) = (hosts.has_next, last) {
+        let last = list.machines.last().map(|listed| listed.uid.clone());
+        fleet.listed_machines.extend(list.machines);
+        if let (true, Some(last)) = (list.has_next, last) {
             // A list in progress is completed even over the rate limit.
             self.cloud.take_request(f64::MIN, now);
-            return self.ask_for_page(Some(&last), list_started_at);
+            return self.request_list_page(Some(&last), list_started_at);
         }
         fleet.list_in_progress = false;
         self.on_complete_list(list_started_at);
@@ -75,21 +75,21 @@
         let now = self.now.monotonic_ms;
         let lag_ms = self.settings.params.cloud.list_lag_ms();
         let Some(leader) = self.leader.as_mut() else { return };
-        let hosts = std::mem::take(&mut leader.fleet.listed_machines);
+        let list = std::mem::take(&mut leader.fleet.listed_machines);
         leader.fleet.has_complete_list = true;
         leader.fleet.complete_list_started_at = Some(list_started_at);
-        for name in leader.note_listed_machines(&hosts, list_started_at, now) {
+        for name in leader.update_listed_machines(&list, list_started_at, now) {
             log::info!("machine failed: {name}, as listed by the cloud; its tasks are lost");
-            leader.note_failed_machine(&name, now);
+            leader.mark_machine_failed(&name, now);
         }
-        for name in leader.machines_gone(&hosts, list_started_at, lag_ms) {
+        for name in leader.machines_missing_from_list(&list, list_started_at, lag_ms) {
             log::info!("machine gone: {name} is missing from the cloud's list; its tasks are lost");
-            self.machine_gone(&name);
+            self.mark_machine_terminated(&name);
         }
     }
 
     /// Marks a machine that is proved gone as terminated and settles its placements.
-    pub(super) fn machine_gone(&mut self, name: &MachineName) {
+    pub(super) fn mark_machine_terminated(&mut self, name: &MachineName) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         leader.fleet.terminated_machines.insert(name.clone());
@@ -103,17 +103,17 @@
 
     /// Settles placements whose start was never sent to a terminated or expired machine, and removes
     /// terminated machines from the state once no placement is left on them.
-    pub(super) fn forget_terminated(&mut self) {
+    pub(super) fn remove_terminated_machines(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
         // Settling a machine leaves out placements that are still being committed. Their start is
         // never sent, so that without this they would block their tasks for ever.
-        let mut never_ordered: Vec<(MachineName, TaskId)> = Vec::new();
+        let mut never_started: Vec<(MachineName, TaskId)> = Vec::new();
         for machine in leader.cluster.machines.values() {
             let placements = machine.placements.iter();
-            let ids = placements.filter(|(_, placement)| is_never_ordered(machine, placement));
-            never_ordered.extend(ids.map(|(id, _)| (machine.name.clone(), id.clone())));
+            let ids = placements.filter(|(_, placement)| start_was_never_sent(machine, placement));
+            never_started.extend(ids.map(|(id, _)| (machine.name.clone(), id.clone())));
         }
-        for (name, id) in never_ordered {
+        for (name, id) in never_started {
             leader.cluster.settle(&name, &id, EndCause::Lost);
         }
         leader.cluster.machines.retain(|_, machine| {
@@ -124,30 +124,30 @@
 
 /// Whether the start of a placement was certainly never sent to its terminated or expired machine.
 /// An expired one may have received a start that was sent before its lease ran out.
-fn is_never_ordered(machine: &Machine, placement: &Placement) -> bool {
-    let is_open = placement.settled.is_none() && placement.phase == PlacementPhase::Committed;
+fn start_was_never_sent(machine: &Machine, placement: &Placement) -> bool {
+    let is_unsettled = placement.settled.is_none() && placement.phase == PlacementPhase::Committed;
     let is_terminated = machine.state == MachineState::Terminated;
-    is_open && (is_terminated || machine.lease_expired && placement.start_sent_after.is_none())
+    is_unsettled && (is_terminated || machine.lease_expired && placement.start_sent_after.is_none())
 }
 
 impl Leader {
     /// Adds listed machines to the state or updates them. Returns those that have newly failed.
-    fn note_listed_machines(
+    fn update_listed_machines(
         &mut self,
-        hosts: &[ListedMachine],
+        list: &[ListedMachine],
         list_started_at: u64,
         now: u64,
     ) -> Vec<MachineName> {
         let mut failed = Vec::new();
-        for host in hosts {
-            if self.fleet.is_terminated(&host.uid) {
+        for listed in list {
+            if self.fleet.is_terminated(&listed.uid) {
                 continue;
             }
-            let name: MachineName = host.uid.as_str().into();
+            let name: MachineName = listed.uid.as_str().into();
             let is_new = !self.cluster.machines.contains_key(&name);
             let machine = self.cluster.machine_entry(&name, now);
-            note_listed_host(machine, host, is_new, list_started_at, now);
-            if host.status == ListedMachineStatus::Failed
+            update_from_list(machine, listed, is_new, list_started_at, now);
+            if listed.status == ListedMachineStatus::Failed
                 && !machine.failed
                 && machine.state != MachineState::Terminated
             {
@@ -158,7 +158,7 @@
     }
 
     /// Marks a machine that the cloud lists as failed, on which nothing runs any more.
-    fn note_failed_machine(&mut self, name: &MachineName, now: u64) {
+    fn mark_machine_failed(&mut self, name: &MachineName, now: u64) {
         self.cluster.settle_machine(name);
         if let Some(machine) = self.cluster.machines.get_mut(name) {
             machine.cordoned = true;
@@ -169,19 +169,19 @@
     }
 
     /// Machines missing from a list although they were known for longer than it lags.
-    fn machines_gone(
+    fn machines_missing_from_list(
         &self,
-        hosts: &[ListedMachine],
+        list: &[ListedMachine],
         list_started_at: u64,
         lag_ms: u64,
     ) -> Vec<MachineName> {
-        let mut listed: HashSet<&str> = self.cluster.hash_keys().set();
-        listed.extend(hosts.iter().map(|host| host.uid.as_str()));
+        let mut listed_names: HashSet<&str> = self.cluster.hash_keys().set();
+        listed_names.extend(list.iter().map(|listed| listed.uid.as_str()));
         let is_gone = |machine: &&Machine| {
             let confirmed_at =
                 machine.listed_at.or(machine.up_at).unwrap_or(machine.first_known_at);
             machine.state != MachineState::Terminated
-                && !listed.contains(&*machine.name)
+                && !listed_names.contains(&*machine.name)
                 && list_started_at > confirmed_at + lag_ms
                 // A worker that reported after the moment that the list shows proves its machine alive.
                 && machine.last_alive_at.is_none_or(|at| list_started_at > at + lag_ms)
@@ -192,26 +192,26 @@
 }
 
 /// Updates a machine from its entry in the list.
-fn note_listed_host(
+fn update_from_list(
     machine: &mut Machine,
-    host: &ListedMachine,
+    listed: &ListedMachine,
     is_new: bool,
     list_started_at: u64,
     now: u64,
 ) {
     if machine.type_name.is_empty() {
-        machine.type_name = host.machine_type.clone();
-        machine.zone = host.zone.clone();
-        machine.spot = host.spot;
+        machine.type_name = listed.machine_type.clone();
+        machine.zone = listed.zone.clone();
+        machine.spot = listed.spot;
     }
     if is_new || machine.listed_at.is_none() {
-        let age_ms = (host.age_s.max(0.0) * MS_PER_S) as u64;
+        let age_ms = (listed.age_s.max(0.0) * MS_PER_S) as u64;
         machine.rented_at = list_started_at.saturating_sub(age_ms).max(1);
     }
     machine.listed_at.get_or_insert(now);
     // A running machine that has not reported in this term must not count as one that failed to
     // boot: a new leader would return healthy machines.
-    if machine.state == MachineState::Booting && host.status == ListedMachineStatus::Running {
+    if machine.state == MachineState::Booting && listed.status == ListedMachineStatus::Running {
         machine.state = MachineState::AwaitingHeartbeat;
         machine.first_known_at = now;
     }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -8,7 +8,7 @@
 //! - [`scale_in`]: returns machines.
 //! - [`defragmentation`]: drains underutilized machines.
 //!
-//! Nothing here places tasks: that is the planner's, on the machines that this module provides.
+//! This module places no tasks: the planner does, on the machines provided here.
 
 mod catalog;
 mod defragmentation;
@@ -60,7 +60,7 @@
     /// Rentals that the cloud has not answered yet.
     pending_rentals: Vec<Rental>,
     /// What the cloud had no capacity for, and until when nothing of it is rented.
-    no_capacity: HashMap<MachineKind, u64>,
+    no_capacity_until: HashMap<MachineKind, u64>,
     /// Machines that are proved gone; the cloud never reuses their names.
     terminated_machines: HashSet<MachineName>,
     /// Tasks that the last planning pass found no capacity for.
@@ -72,7 +72,7 @@
     /// Arrival number of the last job that the recent arrivals include.
     last_seen_arrival: u64,
     /// Since when there has been excess capacity.
-    excess_since: Option<u64>,
+    excess_capacity_since: Option<u64>,
     /// When services may be moved next.
     next_move_at: u64,
     /// When machines may be rented next; delayed after a failed request.
@@ -90,13 +90,13 @@
             complete_list_started_at: None,
             next_scan_at: now,
             pending_rentals: Vec::new(),
-            no_capacity: keys.map(),
+            no_capacity_until: keys.map(),
             terminated_machines: keys.set(),
             unplaced: Vec::new(),
             service_arrivals: VecDeque::new(),
             batch_arrivals: VecDeque::new(),
             last_seen_arrival: 0,
-            excess_since: None,
+            excess_capacity_since: None,
             next_move_at: 0,
             next_rental_at: now,
         }
@@ -116,7 +116,7 @@
 impl Controller {
     /// Requests the machine list and evaluates the size of the fleet, each when it is due.
     pub(super) fn fleet_due(&mut self) {
-        self.start_list();
+        self.request_machine_list();
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         if now >= leader.fleet.next_scan_at {
@@ -128,10 +128,10 @@
 
     fn scan_fleet(&mut self) {
         if let (Some(leader), Some(catalog)) = (self.leader.as_mut(), self.cloud.catalog()) {
-            leader.note_arrivals(self.now, catalog);
+            leader.record_arrivals(self.now, catalog);
         }
-        self.forget_terminated();
-        self.consolidate();
+        self.remove_terminated_machines();
+        self.defragment();
         self.move_services();
         // Without the state service this controller may have lost the leadership: it must not
         // delete machines.
@@ -152,7 +152,7 @@
 
 impl Leader {
     /// Usable machines that are not spot machines.
-    fn usable_ordinary_machines(&self) -> impl Iterator<Item = &Machine> {
+    fn usable_on_demand_machines(&self) -> impl Iterator<Item = &Machine> {
         self.cluster.machines.values().filter(|machine| machine.is_usable() && !machine.spot)
     }
 }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -18,7 +18,7 @@
 use crate::storage::records::MachineName;
 
 /// Report periods within which a worker has certainly retried a report that didn't reach the leader.
-const MISSED_ROUND_PERIODS: f64 = 2.5;
+const RETRY_CYCLE_PERIODS: f64 = 2.5;
 
 impl Controller {
     /// Returns machines that are not needed or can't be used any more.
@@ -27,7 +27,7 @@
         let operator = self.operator.clone();
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
         // For so long another controller may extend leases in place of an isolated leader.
-        let isolated_ms = self.isolation_budget_ms() + self.lease_ms();
+        let extended_lease_ms = self.isolation_budget_ms() + self.lease_ms();
         let Some(leader) = self.leader.as_mut() else { return };
         let workers = &self.settings.params.workers;
         let rules = ReturnRules {
@@ -36,15 +36,15 @@
             idle_return_s: operator.idle_return_s,
             lease_ms: (workers.lease_s * MS_PER_S) as u64,
             silent_ms: workers.silent_ms(),
-            isolated_ms,
+            extended_lease_ms,
         };
-        let silent = leader.silent_services(now, &self.settings);
-        let mut room = ServiceRoom::new(leader, now, &catalog);
+        let silent = leader.machines_with_silent_services(now, &self.settings);
+        let mut capacity = ServiceCapacity::new(leader, now, &catalog);
         let mut names = Vec::new();
         for machine in leader.cluster.machines.values() {
-            // Evaluated for every machine: each idle one that is returned takes from the spare capacity.
-            let is_surplus = rules.is_surplus(machine, &mut room);
-            if is_surplus || rules.is_lost(machine) || silent.contains(&machine.name) {
+            // Each idle machine that is returned reduces the spare capacity for the machines after it.
+            let is_returnable = rules.is_returnable(machine, &mut capacity);
+            if is_returnable || rules.is_unresponsive(machine) || silent.contains(&machine.name) {
                 names.push(machine.name.clone());
             }
         }
@@ -80,7 +80,7 @@
     ) {
         if matches!(reply, Some(Response { status: 200, .. })) {
             for name in names {
-                self.machine_gone(&name);
+                self.mark_machine_terminated(&name);
             }
             return;
         }
@@ -102,31 +102,31 @@
 }
 
 /// The capacity for new services on on-demand machines, while machines are chosen for return.
-struct ServiceRoom {
+struct ServiceCapacity {
     headroom: Option<ServiceHeadroom>,
     /// Tasks of the size of the headroom that fit on the machines that are kept.
     free_slots: f64,
 }
 
-impl ServiceRoom {
-    fn new(leader: &Leader, now: u64, catalog: &Catalog) -> ServiceRoom {
+impl ServiceCapacity {
+    fn new(leader: &Leader, now: u64, catalog: &Catalog) -> ServiceCapacity {
         let headroom = leader.service_headroom(now, catalog);
         let mut free_slots = 0.0;
-        for machine in leader.usable_ordinary_machines() {
+        for machine in leader.usable_on_demand_machines() {
             free_slots += headroom
                 .as_ref()
                 .map_or(0.0, |headroom| leader.cluster.free(machine).times(&headroom.need) as f64);
         }
-        ServiceRoom { headroom, free_slots }
+        ServiceCapacity { headroom, free_slots }
     }
 
-    /// Subtracts an empty machine's capacity if the headroom remains without it. Returns whether it does.
-    fn try_give_up(&mut self, machine: &Machine) -> bool {
+    /// Subtracts an empty machine's capacity if the rest is enough for the headroom. Returns whether it is.
+    fn try_release(&mut self, machine: &Machine) -> bool {
         let Some(headroom) = self.headroom.as_ref().filter(|_| !machine.spot) else { return true };
-        let here = machine.total.times(&headroom.need) as f64;
-        let is_enough = self.free_slots - here >= headroom.slots;
+        let machine_slots = machine.total.times(&headroom.need) as f64;
+        let is_enough = self.free_slots - machine_slots >= headroom.slots;
         if is_enough {
-            self.free_slots -= here;
+            self.free_slots -= machine_slots;
         }
         is_enough
     }
@@ -143,12 +143,12 @@
     silent_ms: u64,
     /// Milliseconds after a worker's last report to the leader for which another controller may have
     /// kept its lease alive.
-    isolated_ms: u64,
+    extended_lease_ms: u64,
 }
 
 impl ReturnRules<'_> {
     /// Whether a machine has failed, failed to boot, is past its lease or is not needed.
-    fn is_surplus(&self, machine: &Machine, room: &mut ServiceRoom) -> bool {
+    fn is_returnable(&self, machine: &Machine, capacity: &mut ServiceCapacity) -> bool {
         match machine.state {
             MachineState::Booting | MachineState::AwaitingHeartbeat | MachineState::Up
                 if machine.failed =>
@@ -162,20 +162,20 @@
                 let boot_ms = boot_ms(self.catalog, &machine.type_name);
                 self.age_ms(machine) as f64 > boot_ms as f64 * BOOT_TIMEOUT_FACTOR
             }
-            MachineState::Up => self.is_surplus_while_up(machine, room),
+            MachineState::Up => self.is_returnable_while_up(machine, capacity),
         }
     }
 
-    fn is_surplus_while_up(&self, machine: &Machine, room: &mut ServiceRoom) -> bool {
+    fn is_returnable_while_up(&self, machine: &Machine, capacity: &mut ServiceCapacity) -> bool {
         let now = self.now;
         let is_empty = machine.is_empty();
         if machine.lease_expired {
-            let give_up_ms = self.give_up_ms(machine);
-            return machine.last_response_at.is_none_or(|at| now > at + give_up_ms)
+            let contact_timeout_ms = self.contact_timeout_ms(machine);
+            return machine.last_response_at.is_none_or(|at| now > at + contact_timeout_ms)
                 || machine.cordoned;
         }
-        // A silent machine past its reclaim time isn't left until the list shows it gone: that would
-        // delay the restart of its tasks by twice the list lag.
+        // A silent machine past its reclaim time is deleted at once: to wait until it is missing from the
+        // list would delay the restart of its tasks by twice the list lag.
         if let Some(reclaim_at) = machine.reclaim_at {
             let is_past = now > reclaim_at + RECLAIM_DELETE_DELAY_MS;
             let is_silent = machine.last_alive_at.is_none_or(|at| now > at + self.silent_ms);
@@ -187,17 +187,17 @@
         if !is_empty {
             return false;
         }
-        let is_paid_for = self.age_ms(machine) as f64 >= BILLING_MIN_S * MS_PER_S;
+        let is_past_min_charge = self.age_ms(machine) as f64 >= BILLING_MIN_S * MS_PER_S;
         if machine.draining {
-            return is_paid_for;
+            return is_past_min_charge;
         }
-        let idle_ms = self.idle_return_ms(machine);
+        let idle_ms = self.idle_timeout_ms(machine);
         let is_idle = machine.idle_since.is_some_and(|since| now >= since + idle_ms);
-        is_idle && is_paid_for && room.try_give_up(machine)
+        is_idle && is_past_min_charge && capacity.try_release(machine)
     }
 
     /// Whether a machine no longer reports or no longer receives commands.
-    fn is_lost(&self, machine: &Machine) -> bool {
+    fn is_unresponsive(&self, machine: &Machine) -> bool {
         match machine.state {
             MachineState::AwaitingHeartbeat => self.never_reported(machine),
             MachineState::Up => self.is_silent(machine) || self.is_unreachable(machine),
@@ -205,10 +205,10 @@
         }
     }
 
-    /// Silent for so long that its lease, which was not renewed in this term, has expired wherever it
-    /// was last renewed.
+    /// Whether a machine has been silent since before this term, and for so long that its lease has
+    /// expired whichever controller renewed it last.
     fn is_silent(&self, machine: &Machine) -> bool {
-        let silent_ms = self.give_up_ms(machine).max(self.isolated_ms);
+        let silent_ms = self.contact_timeout_ms(machine).max(self.extended_lease_ms);
         !machine.lease_expired && machine.last_alive_at.is_some_and(|at| self.now > at + silent_ms)
     }
 
@@ -219,11 +219,11 @@
     /// Whether a machine that receives no commands is to be replaced. If tasks are on it, that is once
     /// its lease must have expired, so that they can restart elsewhere.
     fn is_unreachable(&self, machine: &Machine) -> bool {
-        let patience_ms = match machine.is_empty() {
+        let timeout_ms = match machine.is_empty() {
             true => UNREACHABLE_DELETE_MS,
             false => self.lease_ms,
         };
-        machine.unreachable_since.is_some_and(|since| self.now > since + patience_ms)
+        machine.unreachable_since.is_some_and(|since| self.now > since + timeout_ms)
     }
 
     fn age_ms(&self, machine: &Machine) -> u64 {
@@ -232,12 +232,12 @@
 
     /// Milliseconds for which a machine without contact is kept: a lease and a boot. It may reconnect
     /// before a replacement would be up, and a network partition of a zone must not return all of it.
-    fn give_up_ms(&self, machine: &Machine) -> u64 {
+    fn contact_timeout_ms(&self, machine: &Machine) -> u64 {
         self.lease_ms + boot_ms(self.catalog, &machine.type_name)
     }
 
     /// Idle timeout of a machine in milliseconds.
-    fn idle_return_ms(&self, machine: &Machine) -> u64 {
+    fn idle_timeout_ms(&self, machine: &Machine) -> u64 {
         match self.idle_return_s {
             Some(seconds) => (seconds * MS_PER_S) as u64,
             None => {
@@ -253,28 +253,29 @@
     /// all others report and the services fit there. Deleting such a machine proves at once that its
     /// tasks have ended; waiting for the lease or the list takes twice as long. If it was only cut off,
     /// its tasks would end with the lease anyway.
-    fn silent_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
+    fn machines_with_silent_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
         let workers = &settings.params.workers;
         // A report that fails, its timeout, a retry at a controller that doesn't lead, and a retry here.
-        let round_s =
-            workers.report_s * MISSED_ROUND_PERIODS + WORKER_TIMEOUT_S + WORKER_RETRY_S * 2.0;
-        let round_ms = (round_s * MS_PER_S) as u64;
+        let retry_cycle_s =
+            workers.report_s * RETRY_CYCLE_PERIODS + WORKER_TIMEOUT_S + WORKER_RETRY_S * 2.0;
+        let retry_cycle_ms = (retry_cycle_s * MS_PER_S) as u64;
         let recent_ms = workers.silent_ms();
         let cluster = &self.cluster;
         let is_known = |machine: &&Machine| {
             matches!(machine.state, MachineState::Up | MachineState::AwaitingHeartbeat)
                 && !machine.failed
         };
-        let missed_round = |machine: &Machine| {
+        let missed_retry_cycle = |machine: &Machine| {
             let last_alive_at = machine.last_alive_at.unwrap_or(0).max(self.began_at);
-            !machine.lease_expired && now > last_alive_at.max(machine.first_known_at) + round_ms
+            !machine.lease_expired
+                && now > last_alive_at.max(machine.first_known_at) + retry_cycle_ms
         };
-        let reported_lately =
+        let reported_recently =
             |machine: &Machine| machine.last_alive_at.is_some_and(|at| now <= at + recent_ms);
         let known: Vec<&Machine> = cluster.machines.values().filter(is_known).collect();
         let (silent, others): (Vec<&Machine>, Vec<&Machine>) =
-            known.iter().copied().partition(|machine| missed_round(machine));
-        let reporting = known.iter().filter(|machine| reported_lately(machine)).count();
+            known.iter().copied().partition(|machine| missed_retry_cycle(machine));
+        let reporting = known.iter().filter(|machine| reported_recently(machine)).count();
         let are_few = silent.len() * SILENT_MINORITY_DIVISOR <= known.len();
         if !are_few || reporting + silent.len() < known.len() {
             return Vec::new();
--- a/src/coordination/fleet/scale_in/tests.rs
+++ b/src/coordination/fleet/scale_in/tests.rs
@@ -29,7 +29,7 @@
         idle_return_s: Some(30.0),
         lease_ms: 20_000,
         silent_ms: 12_000,
-        isolated_ms: 50_000,
+        extended_lease_ms: 50_000,
     }
 }
 
@@ -47,48 +47,51 @@
     }
 }
 
-fn no_services() -> ServiceRoom {
-    ServiceRoom { headroom: None, free_slots: 0.0 }
+fn no_services() -> ServiceCapacity {
+    ServiceCapacity { headroom: None, free_slots: 0.0 }
 }
 
 #[test]
-fn an_idle_machine_is_returned_after_its_time_and_once_it_is_paid_for() {
+fn an_idle_machine_is_returned_after_its_timeout_and_the_minimum_charge() {
     let catalog = catalog();
     let rules = rules(&catalog);
-    assert!(!rules.is_surplus(&idle_machine(29_999), &mut no_services()));
-    assert!(rules.is_surplus(&idle_machine(30_000), &mut no_services()));
+    assert!(!rules.is_returnable(&idle_machine(29_999), &mut no_services()));
+    assert!(rules.is_returnable(&idle_machine(30_000), &mut no_services()));
     let young = Machine { rented_at: NOW - 1_000, ..idle_machine(30_000) };
-    assert!(!rules.is_surplus(&young, &mut no_services()));
+    assert!(!rules.is_returnable(&young, &mut no_services()));
 }
 
 #[test]
-fn idle_machines_are_kept_as_long_as_services_to_come_need_their_room() {
+fn idle_machines_are_kept_while_new_services_need_their_capacity() {
     let catalog = catalog();
     let rules = rules(&catalog);
     let headroom = ServiceHeadroom { need: Resources::new(1.0, 0.0, 1.0), slots: 6.0 };
-    let mut room = ServiceRoom { headroom: Some(headroom), free_slots: 10.0 };
-    assert!(rules.is_surplus(&idle_machine(30_000), &mut room), "six of ten slots are enough");
-    assert!(!rules.is_surplus(&idle_machine(30_000), &mut room), "two would be too few");
+    let mut capacity = ServiceCapacity { headroom: Some(headroom), free_slots: 10.0 };
+    assert!(
+        rules.is_returnable(&idle_machine(30_000), &mut capacity),
+        "six of ten slots are enough"
+    );
+    assert!(!rules.is_returnable(&idle_machine(30_000), &mut capacity), "two would be too few");
     let spot = Machine { spot: true, ..idle_machine(30_000) };
-    assert!(rules.is_surplus(&spot, &mut room), "services don't wait for spot machines");
-    assert_eq!(room.free_slots, 6.0);
+    assert!(rules.is_returnable(&spot, &mut capacity), "services don't wait for spot machines");
+    assert_eq!(capacity.free_slots, 6.0);
 }
 
 #[test]
-fn a_machine_that_never_comes_up_or_has_failed_is_returned() {
+fn a_machine_that_fails_or_does_not_boot_in_time_is_returned() {
     let catalog = catalog();
     let rules = rules(&catalog);
-    let lost_ms = (BOOT_MS as f64 * BOOT_TIMEOUT_FACTOR) as u64;
+    let boot_timeout_ms = (BOOT_MS as f64 * BOOT_TIMEOUT_FACTOR) as u64;
     let booting = |age_ms: u64| Machine {
         state: MachineState::Booting,
         rented_at: NOW - age_ms,
         ..idle_machine(0)
     };
-    assert!(!rules.is_surplus(&booting(lost_ms), &mut no_services()));
-    assert!(rules.is_surplus(&booting(lost_ms + 1), &mut no_services()));
+    assert!(!rules.is_returnable(&booting(boot_timeout_ms), &mut no_services()));
+    assert!(rules.is_returnable(&booting(boot_timeout_ms + 1), &mut no_services()));
     let failed = |state| Machine { failed: true, state, ..idle_machine(0) };
-    assert!(rules.is_surplus(&failed(MachineState::Up), &mut no_services()));
-    assert!(!rules.is_surplus(&failed(MachineState::Deleting), &mut no_services()));
+    assert!(rules.is_returnable(&failed(MachineState::Up), &mut no_services()));
+    assert!(!rules.is_returnable(&failed(MachineState::Deleting), &mut no_services()));
 }
 
 #[test]
@@ -100,28 +103,28 @@
         last_response_at: Some(NOW - silent_ms),
         ..idle_machine(0)
     };
-    assert!(!rules.is_surplus(&expired(20_000 + BOOT_MS), &mut no_services()));
-    assert!(rules.is_surplus(&expired(20_000 + BOOT_MS + 1), &mut no_services()));
+    assert!(!rules.is_returnable(&expired(20_000 + BOOT_MS), &mut no_services()));
+    assert!(rules.is_returnable(&expired(20_000 + BOOT_MS + 1), &mut no_services()));
     let cordoned = Machine { cordoned: true, ..expired(0) };
-    assert!(rules.is_surplus(&cordoned, &mut no_services()));
+    assert!(rules.is_returnable(&cordoned, &mut no_services()));
 }
 
 #[test]
-fn a_machine_that_nobody_hears_or_reaches_is_lost() {
+fn a_silent_or_unreachable_machine_is_unresponsive() {
     let catalog = catalog();
     let rules = rules(&catalog);
-    assert!(!rules.is_lost(&idle_machine(0)));
+    assert!(!rules.is_unresponsive(&idle_machine(0)));
     let silent = |ms: u64| Machine { last_alive_at: Some(NOW - ms), ..idle_machine(0) };
-    assert!(!rules.is_lost(&silent(20_000 + BOOT_MS)));
-    assert!(rules.is_lost(&silent(20_000 + BOOT_MS + 1)));
+    assert!(!rules.is_unresponsive(&silent(20_000 + BOOT_MS)));
+    assert!(rules.is_unresponsive(&silent(20_000 + BOOT_MS + 1)));
     let unreachable = |ms: u64| Machine { unreachable_since: Some(NOW - ms), ..idle_machine(0) };
-    assert!(!rules.is_lost(&unreachable(UNREACHABLE_DELETE_MS)));
-    assert!(rules.is_lost(&unreachable(UNREACHABLE_DELETE_MS + 1)));
+    assert!(!rules.is_unresponsive(&unreachable(UNREACHABLE_DELETE_MS)));
+    assert!(rules.is_unresponsive(&unreachable(UNREACHABLE_DELETE_MS + 1)));
     let unheard = |ms: u64| Machine {
         state: MachineState::AwaitingHeartbeat,
         first_known_at: NOW - ms,
         ..idle_machine(0)
     };
-    assert!(!rules.is_lost(&unheard(20_000 + UNREACHABLE_DELETE_MS)));
-    assert!(rules.is_lost(&unheard(20_000 + UNREACHABLE_DELETE_MS + 1)));
+    assert!(!rules.is_unresponsive(&unheard(20_000 + UNREACHABLE_DELETE_MS)));
+    assert!(rules.is_unresponsive(&unheard(20_000 + UNREACHABLE_DELETE_MS + 1)));
 }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -15,7 +15,7 @@
 use crate::protocol::http::Response;
 use crate::storage::machine::MachineState;
 use crate::storage::records::MachineName;
-use rental_plan::{ComingMachine, RentalPlan};
+use rental_plan::{IncomingMachine, RentalPlan};
 
 /// Machines of one kind that are to be rented.
 struct WantedMachines {
@@ -35,7 +35,7 @@
         }
         let mut plan = RentalPlan::new(leader, &catalog, self.operator.rent_spot, now);
         for tasks in &leader.scale_out_demand(now, &catalog) {
-            plan.provide_for(tasks);
+            plan.add_demand(tasks);
         }
         let wanted = plan.into_wanted();
         for rental in self.rentals_within_budget(wanted) {
@@ -50,16 +50,16 @@
         let mut rentals = Vec::new();
         let Some(leader) = self.leader.as_mut() else { return rentals };
         while let Some(first) = wanted.iter().position(|kind| kind.count > 0) {
-            for WantedMachines { kind, count: left } in &mut wanted[first..] {
-                let count = (*left).min(RENTAL_MACHINES_MAX);
+            for WantedMachines { kind, count: remaining } in &mut wanted[first..] {
+                let count = (*remaining).min(RENTAL_MACHINES_MAX);
                 if count == 0 {
                     continue;
                 }
                 if !self.cloud.take_request(1.0, now) {
-                    *left = 0;
+                    *remaining = 0;
                     continue;
                 }
-                *left -= count;
+                *remaining -= count;
                 let request_id = format!("mg-{}", leader.unique());
                 rentals.push(Rental { request_id, kind: kind.clone(), count });
             }
@@ -110,16 +110,16 @@
             Some(Response { status: 200, body }) => {
                 let Ok(names) = serde_json::from_slice::<MachineNames>(&body) else { return };
                 if names.machines.len() < rental.count {
-                    leader.fleet.no_capacity.insert(kind.clone(), now + CAPACITY_BACKOFF_MS);
+                    leader.fleet.no_capacity_until.insert(kind.clone(), now + CAPACITY_BACKOFF_MS);
                 }
-                leader.note_rented(&names, &kind, now);
+                leader.add_rented_machines(&names, &kind, now);
             }
             Some(Response { status: 503, body })
                 if String::from_utf8_lossy(&body).contains("capacity") =>
             {
                 let MachineKind { type_name, zone, spot } = &kind;
                 log::info!("no capacity: {type_name} in {zone}, spot {spot}; backing off");
-                leader.fleet.no_capacity.insert(kind, now + CAPACITY_BACKOFF_MS);
+                leader.fleet.no_capacity_until.insert(kind, now + CAPACITY_BACKOFF_MS);
             }
             // The rental may still take effect, now or later; its machines then appear in the list.
             _ => leader.fleet.next_rental_at = now + CLOUD_RETRY_BACKOFF_MS,
@@ -129,7 +129,7 @@
 
 impl Leader {
     /// Adds machines that were just rented to the state.
-    fn note_rented(&mut self, names: &MachineNames, kind: &MachineKind, now: u64) {
+    fn add_rented_machines(&mut self, names: &MachineNames, kind: &MachineKind, now: u64) {
         for listed in &names.machines {
             if self.fleet.is_terminated(listed) {
                 continue;
@@ -159,7 +159,7 @@
     fn missing_service_headroom(&self, now: u64, catalog: &Catalog) -> Option<UnplacedTasks> {
         let headroom = self.service_headroom(now, catalog)?;
         let mut slots = 0.0;
-        for machine in self.usable_ordinary_machines() {
+        for machine in self.usable_on_demand_machines() {
             slots += self.cluster.room_for_services(machine).times(&headroom.need) as f64;
         }
         let missing = headroom.slots - slots;
@@ -170,16 +170,16 @@
             allowed_types: vec![true; catalog.machine_types.len()],
             zone: None,
             slots: missing,
-            ordinary_slots: missing,
+            on_demand_slots: missing,
             tasks_per_zone: vec![],
             max_tasks_per_zone: u32::MAX,
-            whole_in_one_zone: false,
+            one_zone: false,
         })
     }
 
     /// Booting machines that are not late, then those of pending rentals.
-    fn coming_machines(&self, now: u64, catalog: &Catalog) -> Vec<ComingMachine> {
-        let mut coming = Vec::new();
+    fn incoming_machines(&self, now: u64, catalog: &Catalog) -> Vec<IncomingMachine> {
+        let mut incoming = Vec::new();
         let type_index =
             |name: &str| catalog.machine_types.iter().position(|listed| listed.type_name == name);
         let machines = self.cluster.machines.values();
@@ -188,13 +188,14 @@
             let age_s = now.saturating_sub(machine.rented_at) as f64 / MS_PER_S;
             if age_s <= catalog.machine_types[type_index].boot_s * BOOT_LATE_FACTOR {
                 let (zone, spot) = (machine.zone.clone(), machine.spot);
-                coming.push(ComingMachine::new(CatalogKind { type_index, zone, spot }, catalog));
+                incoming
+                    .push(IncomingMachine::new(CatalogKind { type_index, zone, spot }, catalog));
             }
         }
         for rental in &self.fleet.pending_rentals {
-            let machine = ComingMachine::new(rental.kind.clone(), catalog);
-            coming.extend(std::iter::repeat_n(machine, rental.count));
+            let machine = IncomingMachine::new(rental.kind.clone(), catalog);
+            incoming.extend(std::iter::repeat_n(machine, rental.count));
         }
-        coming
+        incoming
     }
 }
--- a/src/coordination/fleet/scale_out/rental_plan.rs
+++ b/src/coordination/fleet/scale_out/rental_plan.rs
@@ -14,29 +14,29 @@
 
 /// A machine that boots, is being rented or is to be rented.
 #[derive(Debug, Clone)]
-pub(super) struct ComingMachine {
+pub(super) struct IncomingMachine {
     kind: CatalogKind,
     /// Resources not yet assigned to tasks.
     free: Resources,
 }
 
-impl ComingMachine {
-    pub(super) fn new(kind: CatalogKind, catalog: &Catalog) -> ComingMachine {
+impl IncomingMachine {
+    pub(super) fn new(kind: CatalogKind, catalog: &Catalog) -> IncomingMachine {
         let free = catalog.machine_types[kind.type_index].total();
-        ComingMachine { kind, free }
+        IncomingMachine { kind, free }
     }
 }
 
 /// The machines to rent, built up demand by demand.
 pub(super) struct RentalPlan<'a> {
     catalog: &'a Catalog,
-    no_capacity: &'a HashMap<MachineKind, u64>,
+    no_capacity_until: &'a HashMap<MachineKind, u64>,
     rent_spot: bool,
     now: u64,
     keys: HashKeys,
     /// Present machines by zone and whether they are spot machines.
     machine_counts: HashMap<(&'a str, bool), usize>,
-    coming: Vec<ComingMachine>,
+    incoming: Vec<IncomingMachine>,
     /// Machines to rent, by kind.
     wanted: HashMap<CatalogKind, usize>,
 }
@@ -53,7 +53,7 @@
 
 impl Search<'_> {
     /// Whether one more of the tasks may be placed in a zone.
-    fn zone_is_open(&self, zone: &str) -> bool {
+    fn allows_zone(&self, zone: &str) -> bool {
         let placed = self.tasks_per_zone.get(zone).copied().unwrap_or(0);
         self.tasks.zone.as_ref().is_none_or(|required| required == zone)
             && self.only_zone.as_ref().is_none_or(|only| only == zone)
@@ -61,16 +61,16 @@
     }
 
     /// Whether one of the tasks can use an incoming machine and fits on it.
-    fn fits_on(&self, machine: &ComingMachine) -> bool {
+    fn fits_on(&self, machine: &IncomingMachine) -> bool {
         (self.tasks.spot_allowed || !machine.kind.spot)
             && self.tasks.allowed_types[machine.kind.type_index]
-            && self.zone_is_open(&machine.kind.zone)
+            && self.allows_zone(&machine.kind.zone)
             && machine.free.fits(&self.tasks.need)
     }
 
     /// Restricts a gang that must be in one zone to the given one.
-    fn keep_to_zone(&mut self, zone: &str) {
-        if self.tasks.whole_in_one_zone {
+    fn restrict_to_zone(&mut self, zone: &str) {
+        if self.tasks.one_zone {
             self.only_zone = Some(zone.to_string());
         }
     }
@@ -81,14 +81,14 @@
     kind: CatalogKind,
     price_per_task: f64,
     /// Present machines of the zone and market (spot or not), and machines to rent of the kind.
-    same_kind: usize,
+    similar_machines: usize,
 }
 
 impl Candidate {
     fn is_better_than(&self, other: &Candidate) -> bool {
         self.price_per_task < other.price_per_task - PRICE_EPSILON
             || (self.price_per_task < other.price_per_task + PRICE_EPSILON
-                && self.same_kind < other.same_kind)
+                && self.similar_machines < other.similar_machines)
     }
 }
 
@@ -107,41 +107,42 @@
         }
         RentalPlan {
             catalog,
-            no_capacity: &leader.fleet.no_capacity,
+            no_capacity_until: &leader.fleet.no_capacity_until,
             rent_spot,
             now,
             keys,
             machine_counts,
-            coming: leader.coming_machines(now, catalog),
+            incoming: leader.incoming_machines(now, catalog),
             wanted: keys.map(),
         }
     }
 
     /// Assigns tasks to incoming machines and adds machines to rent for the rest.
-    pub(super) fn provide_for(&mut self, tasks: &UnplacedTasks) {
+    pub(super) fn add_demand(&mut self, tasks: &UnplacedTasks) {
         let mut tasks_per_zone: HashMap<String, u32> = self.keys.map();
         tasks_per_zone.extend(tasks.tasks_per_zone.iter().cloned());
         let slots_left = tasks.slots;
         let mut search = Search { tasks, slots_left, tasks_per_zone, only_zone: None };
         // Incoming machines before this index can't take such a task any more.
-        let mut from = 0;
+        let mut search_from = 0;
         while search.slots_left > SLOT_EPSILON {
-            let found = self.coming[from..].iter().position(|machine| search.fits_on(machine));
-            from = found.map_or(self.coming.len(), |offset| from + offset);
-            if let Some(machine) = self.coming.get_mut(from) {
+            let found =
+                self.incoming[search_from..].iter().position(|machine| search.fits_on(machine));
+            search_from = found.map_or(self.incoming.len(), |offset| search_from + offset);
+            if let Some(machine) = self.incoming.get_mut(search_from) {
                 machine.free -= tasks.need;
-                search.keep_to_zone(&machine.kind.zone);
+                search.restrict_to_zone(&machine.kind.zone);
                 *search.tasks_per_zone.entry(machine.kind.zone.clone()).or_default() += 1;
                 search.slots_left -= 1.0;
                 continue;
             }
             let Some(kind) = self.cheapest_kind(&search) else { break };
             *self.wanted.entry(kind.clone()).or_default() += 1;
-            search.keep_to_zone(&kind.zone);
-            if tasks.whole_in_one_zone {
-                from = 0;
+            search.restrict_to_zone(&kind.zone);
+            if tasks.one_zone {
+                search_from = 0;
             }
-            self.coming.push(ComingMachine::new(kind, self.catalog));
+            self.incoming.push(IncomingMachine::new(kind, self.catalog));
         }
     }
 
@@ -154,7 +155,7 @@
             if !tasks.allowed_types[type_index] || !machine_type.total().fits(&tasks.need) {
                 continue;
             }
-            for zone in machine_type.zones.iter().filter(|zone| search.zone_is_open(zone)) {
+            for zone in machine_type.zones.iter().filter(|zone| search.allows_zone(zone)) {
                 for spot in [true, false] {
                     let kind = CatalogKind { type_index, zone: zone.clone(), spot };
                     if !self.may_rent(&kind, search) {
@@ -173,17 +174,17 @@
     /// Whether a machine of this kind may be rented for the next slot.
     fn may_rent(&self, kind: &CatalogKind, search: &Search<'_>) -> bool {
         let tasks = search.tasks;
-        let is_wanted = match kind.spot {
+        let market_is_allowed = match kind.spot {
             true => tasks.spot_allowed && self.rent_spot,
             // Of tasks that may use spot machines, only a part may have on-demand ones rented for it.
-            false => !tasks.spot_allowed || search.slots_left > tasks.slots - tasks.ordinary_slots,
+            false => !tasks.spot_allowed || search.slots_left > tasks.slots - tasks.on_demand_slots,
         };
-        if !is_wanted {
+        if !market_is_allowed {
             return false;
         }
         let type_name = self.catalog.machine_types[kind.type_index].type_name.clone();
         let kind = MachineKind { type_name, zone: kind.zone.clone(), spot: kind.spot };
-        self.no_capacity.get(&kind).is_none_or(|until| self.now >= *until)
+        self.no_capacity_until.get(&kind).is_none_or(|until| self.now >= *until)
     }
 
     fn candidate(&self, kind: CatalogKind, tasks: &UnplacedTasks) -> Candidate {
@@ -191,9 +192,9 @@
         let tasks_per_machine = machine_type.total().times(&tasks.need).max(1) as f64;
         let price = if kind.spot { machine_type.spot_price } else { machine_type.rate };
         let zone_key = (kind.zone.as_str(), kind.spot);
-        let same_kind = self.machine_counts.get(&zone_key).copied().unwrap_or(0)
+        let similar_machines = self.machine_counts.get(&zone_key).copied().unwrap_or(0)
             + self.wanted.get(&kind).copied().unwrap_or(0);
-        Candidate { price_per_task: price / tasks_per_machine, same_kind, kind }
+        Candidate { price_per_task: price / tasks_per_machine, similar_machines, kind }
     }
 
     /// The machines to rent, in the order of the catalog, then by zone.
--- a/src/coordination/fleet/unplaced.rs
+++ b/src/coordination/fleet/unplaced.rs
@@ -21,12 +21,12 @@
     /// Wanted slots: a slot has the resources of one task.
     pub(super) slots: f64,
     /// Those of the slots for which an on-demand machine may be rented.
-    pub(super) ordinary_slots: f64,
+    pub(super) on_demand_slots: f64,
     /// Tasks of the job that already have a place, by zone.
     pub(super) tasks_per_zone: Vec<(String, u32)>,
     pub(super) max_tasks_per_zone: u32,
     /// Whether this is a gang whose tasks must all be in one zone, and so the machines rented for it.
-    pub(super) whole_in_one_zone: bool,
+    pub(super) one_zone: bool,
 }
 
 impl Fleet {
@@ -36,22 +36,22 @@
     }
 
     /// Records the tasks that a planning pass found no capacity for.
-    pub(in crate::coordination) fn note_unplaced(
+    pub(in crate::coordination) fn record_unplaced(
         &mut self,
         input: &PlannerInput,
         plan: &Plan,
         catalog: &Catalog,
     ) {
         self.unplaced.clear();
-        let patience = Patience::from_catalog(catalog);
+        let max_wait = MaxWait::from_catalog(catalog);
         for (index, job) in input.snapshot.jobs.iter().enumerate() {
             let unplaced = plan.unplaced[index];
             let expected_wait_ms = &plan.expected_wait_ms[index];
             let placed_within =
                 |ms: f64| expected_wait_ms.iter().filter(|wait| **wait as f64 <= ms).count() as u32;
             // Tasks that present machines will soon have capacity for need no new machine.
-            let tasks = unplaced.saturating_sub(placed_within(patience.any_machine_ms));
-            let worth_ordinary = unplaced.saturating_sub(placed_within(patience.ordinary_ms));
+            let tasks = unplaced.saturating_sub(placed_within(max_wait.any_machine_ms));
+            let on_demand_tasks = unplaced.saturating_sub(placed_within(max_wait.on_demand_ms));
             if tasks == 0 {
                 continue;
             }
@@ -68,33 +68,33 @@
                 allowed_types: job.allowed_types.clone(),
                 zone: job.zone.map(|zone| input.zones[zone].clone()),
                 slots: allowed as f64 * slots_per_task,
-                ordinary_slots: allowed.min(i64::from(worth_ordinary)) as f64 * slots_per_task,
+                on_demand_slots: allowed.min(i64::from(on_demand_tasks)) as f64 * slots_per_task,
                 tasks_per_zone: zones.zip(job.tasks_per_zone.iter().copied()).collect(),
                 max_tasks_per_zone: job.max_tasks_per_zone,
-                whole_in_one_zone: job.is_gang && job.one_zone,
+                one_zone: job.is_gang && job.one_zone,
             });
         }
     }
 }
 
 /// How long tasks wait for capacity on present machines before another machine is rented.
-struct Patience {
+struct MaxWait {
     /// For any machine.
     any_machine_ms: f64,
     /// For an on-demand machine, if the task may use spot machines: longer by the ratio of the prices.
-    ordinary_ms: f64,
+    on_demand_ms: f64,
 }
 
-impl Patience {
-    fn from_catalog(catalog: &Catalog) -> Patience {
+impl MaxWait {
+    fn from_catalog(catalog: &Catalog) -> MaxWait {
         let any_machine_ms = catalog.longest_boot_s() * MS_PER_S * SCALE_OUT_WAIT_BOOT_FACTOR;
-        let ordinary_to_spot = catalog
+        let price_ratio = catalog
             .machine_types
             .iter()
             .filter(|machine_type| machine_type.spot_price > 0.0)
             .map(|machine_type| machine_type.rate / machine_type.spot_price)
             .fold(1.0, f64::max);
-        Patience { any_machine_ms, ordinary_ms: any_machine_ms * ordinary_to_spot }
+        MaxWait { any_machine_ms, on_demand_ms: any_machine_ms * price_ratio }
     }
 }
 
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -143,7 +143,7 @@
         for &Preemption { machine, handle } in &plan.preemptions {
             self.preempt(&input.machines[machine], &input.handles[machine][handle], now);
         }
-        self.fleet.note_unplaced(input, plan, catalog);
+        self.fleet.record_unplaced(input, plan, catalog);
     }
 
     fn propose_task(&mut self, uid: &JobId, machine: &MachineName, now: u64) {
