--- a/src/coordination/fleet/unplaced.rs
+++ b/src/coordination/fleet/unplaced.rs
@@ -1,56 +1,57 @@
-//! Tasks that found no room in the last planning pass: what the fleet scales out for.
+//! Tasks that the last planning pass found no capacity for: the demand that the fleet scales out for.
 
 use super::Fleet;
-use crate::constants::{DRAIN_TARGET_S, MS_PER_S, RENT_PATIENCE_BOOTS};
+use crate::constants::{BATCH_BACKLOG_TARGET_S, MS_PER_S, SCALE_OUT_WAIT_BOOT_FACTOR};
 use crate::coordination::planner::{JobView, Plan, TeamView};
 use crate::coordination::planner_input::PlannerInput;
 use crate::protocol::cloud::Catalog;
 use crate::protocol::Resources;
 
-/// Tasks of a job that found no room in the last pass.
+/// Tasks of a job that the last planning pass found no capacity for.
 #[derive(Debug, Clone)]
 pub(super) struct UnplacedTasks {
-    /// What each takes.
+    /// Resources of each task.
     pub(super) need: Resources,
     pub(super) spot_allowed: bool,
     pub(super) is_service: bool,
-    /// By index in the catalog.
+    /// Whether the job may use a machine type, by the type's index in the catalog.
     pub(super) allowed_types: Vec<bool>,
-    /// The only allowed zone.
+    /// The only zone that the job allows, if it names one.
     pub(super) zone: Option<String>,
-    /// Slots that are wanted for the tasks.
+    /// Wanted slots: a slot has the resources of one task.
     pub(super) slots: f64,
-    /// Of these, the slots worth an ordinary machine.
-    pub(super) ordinary_slots: f64,
+    /// Those of the slots for which an on-demand machine may be rented.
+    pub(super) on_demand_slots: f64,
+    /// Tasks of the job that already have a place, by zone.
     pub(super) tasks_per_zone: Vec<(String, u32)>,
     pub(super) max_tasks_per_zone: u32,
-    /// A gang whose tasks have to be in one zone: what is rented for it is too.
-    pub(super) whole_in_one_zone: bool,
+    /// Whether this is a gang whose tasks must all be in one zone, and so the machines rented for it.
+    pub(super) one_zone: bool,
 }
 
 impl Fleet {
-    /// A pass found nothing waiting.
+    /// Forgets the unplaced tasks: no tasks wait.
     pub(in crate::coordination) fn clear_unplaced(&mut self) {
         self.unplaced.clear();
     }
 
-    /// Remembers what a pass found no room for.
-    pub(in crate::coordination) fn note_unplaced(
+    /// Records the tasks that a planning pass found no capacity for.
+    pub(in crate::coordination) fn record_unplaced(
         &mut self,
         input: &PlannerInput,
         plan: &Plan,
         catalog: &Catalog,
     ) {
         self.unplaced.clear();
-        let patience = Patience::from_catalog(catalog);
+        let max_wait = MaxWait::from_catalog(catalog);
         for (index, job) in input.snapshot.jobs.iter().enumerate() {
             let unplaced = plan.unplaced[index];
             let expected_wait_ms = &plan.expected_wait_ms[index];
             let placed_within =
                 |ms: f64| expected_wait_ms.iter().filter(|wait| **wait as f64 <= ms).count() as u32;
-            // What will soon find a place on what we have needs no new machine.
-            let tasks = unplaced.saturating_sub(placed_within(patience.any_machine_ms));
-            let worth_ordinary = unplaced.saturating_sub(placed_within(patience.ordinary_ms));
+            // Tasks that present machines will soon have capacity for need no new machine.
+            let tasks = unplaced.saturating_sub(placed_within(max_wait.any_machine_ms));
+            let on_demand_tasks = unplaced.saturating_sub(placed_within(max_wait.on_demand_ms));
             if tasks == 0 {
                 continue;
             }
@@ -67,37 +68,37 @@
                 allowed_types: job.allowed_types.clone(),
                 zone: job.zone.map(|zone| input.zones[zone].clone()),
                 slots: allowed as f64 * slots_per_task,
-                ordinary_slots: allowed.min(i64::from(worth_ordinary)) as f64 * slots_per_task,
+                on_demand_slots: allowed.min(i64::from(on_demand_tasks)) as f64 * slots_per_task,
                 tasks_per_zone: zones.zip(job.tasks_per_zone.iter().copied()).collect(),
                 max_tasks_per_zone: job.max_tasks_per_zone,
-                whole_in_one_zone: job.is_gang && job.one_zone,
+                one_zone: job.is_gang && job.one_zone,
             });
         }
     }
 }
 
-/// How long tasks wait for a place on the machines that there are before another one is rented.
-struct Patience {
+/// How long tasks wait for capacity on present machines before another machine is rented.
+struct MaxWait {
+    /// For any machine.
     any_machine_ms: f64,
-    /// Work that may use spot machines waits the longer for ordinary ones, the more those cost
-    /// beyond them.
-    ordinary_ms: f64,
+    /// For an on-demand machine, if the task may use spot machines: longer by the ratio of the prices.
+    on_demand_ms: f64,
 }
 
-impl Patience {
-    fn from_catalog(catalog: &Catalog) -> Patience {
-        let any_machine_ms = catalog.longest_boot_s() * MS_PER_S * RENT_PATIENCE_BOOTS;
-        let ordinary_to_spot = catalog
+impl MaxWait {
+    fn from_catalog(catalog: &Catalog) -> MaxWait {
+        let any_machine_ms = catalog.longest_boot_s() * MS_PER_S * SCALE_OUT_WAIT_BOOT_FACTOR;
+        let price_ratio = catalog
             .machine_types
             .iter()
             .filter(|machine_type| machine_type.spot_price > 0.0)
             .map(|machine_type| machine_type.rate / machine_type.spot_price)
             .fold(1.0, f64::max);
-        Patience { any_machine_ms, ordinary_ms: any_machine_ms * ordinary_to_spot }
+        MaxWait { any_machine_ms, on_demand_ms: any_machine_ms * price_ratio }
     }
 }
 
-/// How many of a job's tasks its team's limit allows.
+/// How many of the tasks the team's limit allows; negative if the team is over it.
 fn tasks_within_limit(tasks: u32, job: &JobView, team: &TeamView) -> i64 {
     let mut allowed = i64::from(tasks);
     if team.limit.gpu > 0 && job.need.gpu > 0 {
@@ -109,11 +110,11 @@
     allowed
 }
 
-/// Slots wanted for each task of a job: one slot serves short tasks one after the other.
+/// Slots wanted for each task of a job: short batch tasks share a slot, one after the other.
 fn slots_per_task(job: &JobView) -> f64 {
     if job.is_service || job.is_gang {
         return 1.0;
     }
     let run_s = job.run_ms as f64 / MS_PER_S;
-    (run_s / DRAIN_TARGET_S).min(1.0)
+    (run_s / BATCH_BACKLOG_TARGET_S).min(1.0)
 }
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -2,7 +2,7 @@
 
 use super::{start_was_never_sent, Leader};
 use crate::constants::{
-    GANG_SCAN_MS, MS_PER_S, SILENT_AFTER_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S,
+    GANG_SCAN_PERIOD_MS, MS_PER_S, SILENT_AFTER_PERIODS, WORKER_RETRY_S, WORKER_TIMEOUT_S,
 };
 use crate::coordination::Controller;
 use crate::protocol::workers::EndCause;
@@ -100,7 +100,7 @@
         else {
             return;
         };
-        leader.next_gang_scan_at = now + GANG_SCAN_MS;
+        leader.next_gang_scan_at = now + GANG_SCAN_PERIOD_MS;
         leader.stop_gangs_that_cannot_complete(&self.settings.params.workers, now);
     }
 }
--- a/src/coordination/planner/gang.rs
+++ b/src/coordination/planner/gang.rs
@@ -9,7 +9,9 @@
 use super::allocation::{penalty_factor, Preference};
 use super::pass::{Pass, ReservedCapacity};
 use super::plan::Reservation;
-use crate::constants::{GANG_PATIENCE_MS, GANG_SPREAD_SHARE, GANG_START_DELAY_PER_MACHINE_MS};
+use crate::constants::{
+    GANG_START_DELAYS_MS, GANG_START_DELAY_PER_MACHINE_MS, GANG_START_SPREAD_SHARE_MAX,
+};
 use std::cmp::Reverse;
 
 /// Tasks of a gang on one machine.
@@ -259,7 +261,7 @@
     ) -> Option<GangAllocation> {
         let machines_needed = self.machines_needed(job, candidates)?;
         let mut best: Option<(u64, Vec<ChosenMachine>)> = None;
-        for patience_ms in GANG_PATIENCE_MS {
+        for patience_ms in GANG_START_DELAYS_MS {
             let until_ms = candidates[machines_needed - 1].ready_ms + patience_ms;
             let ready_in_time = &candidates
                 [..candidates.partition_point(|candidate| candidate.ready_ms <= until_ms)];
@@ -290,7 +292,7 @@
         let (first_ms, last_ms) = (ready_ms().min()?, ready_ms().max()?);
         let spread_ms = (last_ms - first_ms) as f64;
         let wait_ms = self.snapshot.gang_wait_ms;
-        if wait_ms > 0 && spread_ms > wait_ms as f64 * GANG_SPREAD_SHARE {
+        if wait_ms > 0 && spread_ms > wait_ms as f64 * GANG_START_SPREAD_SHARE_MAX {
             return None;
         }
         Some(last_ms + (chosen.len() as u64 - 1) * GANG_START_DELAY_PER_MACHINE_MS)
--- a/src/coordination/planner_input/indices.rs
+++ b/src/coordination/planner_input/indices.rs
@@ -1,4 +1,4 @@
-//! Names as indices.
+//! Maps names to indices.
 
 use crate::protocol::cloud::Catalog;
 use crate::settings::{Platform, Team};
@@ -9,7 +9,7 @@
     zones: Vec<&'a str>,
     machine_types: Vec<&'a str>,
     teams: &'a [Team],
-    /// Images get an index when they are first asked for.
+    /// Filled as images are looked up.
     images: HashMap<&'a str, usize>,
 }
 
@@ -17,8 +17,9 @@
     /// Indices of the zones, machine types and teams that the settings and the catalog name.
     pub(super) fn new(settings: &'a Platform, catalog: &'a Catalog, keys: HashKeys) -> Indices<'a> {
         let mut zones: Vec<&str> = Vec::new();
-        let of_types = catalog.machine_types.iter().flat_map(|machine_type| &machine_type.zones);
-        for zone in of_types.chain(&settings.params.zones) {
+        let catalog_zones =
+            catalog.machine_types.iter().flat_map(|machine_type| &machine_type.zones);
+        for zone in catalog_zones.chain(&settings.params.zones) {
             if !zones.contains(&zone.as_str()) {
                 zones.push(zone);
             }
@@ -57,7 +58,7 @@
         self.teams.iter().position(|team| team.name == name)
     }
 
-    /// Index of an image.
+    /// Index of an image, assigned on its first lookup.
     pub(super) fn image(&mut self, name: &'a str) -> usize {
         let next = self.images.len();
         *self.images.entry(name).or_insert(next)
