--- a/src/coordination/membership/ended_jobs.rs
+++ b/src/coordination/membership/ended_jobs.rs
@@ -1,9 +1,10 @@
-//! What controllers tell each other of jobs that have ended.
+//! Exchange of ended jobs between controllers.
 //!
-//! A controller tells users of ends only out of its copy of the store, or passes on the answer of
-//! another one that does. So a peer whose copy is whole, and that names every end in it after the
-//! revision that we have, has told nobody of any other end before it was asked: neither has an
-//! earlier life of it, whose commits were all there when this life read the store.
+//! A controller tells a user that a job has ended only from its own replica of the store, or by
+//! relaying the answer of a peer that does. So when a peer with a complete replica lists every job
+//! that ended after our revision, it had told no user of any other ended job before we asked. The
+//! same holds for earlier processes of that peer: everything they had committed was in the store
+//! when the current process loaded it.
 
 use crate::constants::{ENDED_JOBS_NAMED_MAX, ISOLATION_QUERY_AFTER_MS};
 use crate::coordination::Controller;
@@ -11,14 +12,15 @@
 use crate::protocol::users::{JobStatus, JobStatusResponse};
 
 impl Controller {
-    /// The revision after which peers are asked for ends: none while we read the store ourselves.
+    /// The revision after which gossip asks peers for ended jobs. Only a leader that can't read the
+    /// store asks.
     pub(super) fn ended_jobs_query(&self) -> Option<u64> {
         let is_late = |read_at| self.now.monotonic_ms > read_at + ISOLATION_QUERY_AFTER_MS;
         let isolated = self.store.is_refused() || self.store.last_read_at().is_none_or(is_late);
         (isolated && self.leader.is_some()).then_some(self.store.replica().revision)
     }
 
-    /// Names the ends after a revision in the answer to a peer that asks for them.
+    /// Adds the jobs that ended after the revision `since` to a gossip answer.
     pub(super) fn list_ended_jobs(&self, since: u64, answer: &mut Gossip) {
         let jobs = &self.store.replica().jobs;
         let mut names: Vec<String> = jobs
@@ -32,7 +34,7 @@
         answer.ended = names;
     }
 
-    /// Takes note of the ends that a peer names in answer to a question asked at `asked_at`.
+    /// Records the ended jobs listed in a peer's answer to gossip sent at `asked_at`.
     pub(super) fn record_ended_jobs(&mut self, peer: usize, asked_at: u64) {
         let Some(gossip) = self.membership.peers[peer].gossip.as_mut() else { return };
         let are_all = gossip.ended_all;
@@ -45,16 +47,16 @@
         }
     }
 
-    /// A job is over according to another controller. That is enough to stop its tasks and
-    /// to start none; nothing is stored, settled or told to users for it.
+    /// Records that a job has ended according to another controller. That is enough to stop its
+    /// tasks and to start none of them; nothing is stored, settled or told to users because of it.
     fn record_ended_job(&mut self, uid: &str) {
         let is_live = self.store.replica().is_live(uid);
         if is_live && self.membership.ended_jobs.insert(uid.into()) {
-            log::debug!("{uid}: over, as a peer says");
+            log::debug!("job ended according to a peer: {uid}; its tasks are stopped");
         }
     }
 
-    /// What a relayed answer says of a job counts like what a peer says of it.
+    /// Records the end of a job that the answer to a relayed request reports.
     pub(in crate::coordination) fn record_relayed_status(&mut self, body: &[u8]) {
         let Ok(answer) = serde_json::from_slice::<JobStatusResponse<'_>>(body) else { return };
         if matches!(answer.status, JobStatus::Done | JobStatus::Cancelled) {
@@ -62,7 +64,7 @@
         }
     }
 
-    /// The copy has come further: what it holds by now need not be known from peers any more.
+    /// Drops the ended jobs reported by peers that the replica knows by now.
     pub(in crate::coordination) fn forget_ended_by_peers(&mut self) {
         let replica = self.store.replica();
         self.membership.ended_jobs.retain(|uid| replica.is_live(uid));
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip: what controllers tell each other about themselves, twice a second.
+//! Gossip: the periodic exchange of state between controllers.
 
 use super::NoExtensionSince;
 use crate::constants::{GOSSIP_PERIOD_MS, GOSSIP_TIMEOUT_MS, MS_PER_S, PEER_VERSION};
@@ -7,10 +7,11 @@
 use crate::protocol::peers::{decode, encode, Gossip};
 use crate::protocol::routes::GOSSIP_PATH;
 
-/// Heartbeat periods within which a worker counts as seen.
+/// Heartbeat periods for which a worker counts as seen after a heartbeat.
 const SEEN_PERIODS: f64 = 2.0;
 
 impl Controller {
+    /// This controller's own state as a gossip message.
     fn gossip(&self) -> Gossip {
         let now = self.now.monotonic_ms;
         let seen_ms = (self.settings.params.workers.report_s * MS_PER_S * SEEN_PERIODS) as u64;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Sends gossip to the peers whose turn it is.
+    /// Sends gossip to every peer whose period has passed and that has answered the last message.
     pub(in crate::coordination) fn gossip_due(&mut self) {
         let now = self.now.monotonic_ms;
         for index in 0..self.membership.peers.len() {
@@ -77,17 +78,17 @@
         self.record_ended_jobs(peer, asked_at);
     }
 
-    /// Takes note of what a peer says; tells which one it is.
+    /// Records a peer's gossip and returns the peer's index; none if the message can't be used.
     fn receive_gossip(&mut self, body: &[u8]) -> Option<usize> {
         let gossip: Gossip = match decode(body) {
             Ok(gossip) => gossip,
             Err(error) => {
-                log::info!("message of a peer can't be read: {error}");
+                log::info!("gossip ignored: the message could not be decoded: {error}");
                 return None;
             }
         };
         if gossip.version != PEER_VERSION {
-            log::info!("message of {} has version {}", gossip.label, gossip.version);
+            log::info!("gossip ignored: {} sent version {}", gossip.label, gossip.version);
             return None;
         }
         let index = self.settings.peers.iter().position(|peer| peer.label == gossip.label)?;
@@ -100,24 +101,26 @@
         Some(index)
     }
 
-    /// Answers gossip with our own, and with the ends that the peer asks for.
+    /// Answers a peer's gossip with our own, and with the ended jobs that the peer asks for.
     pub(in crate::coordination) fn answer_gossip(&mut self, connection: ConnectionId, body: &[u8]) {
         let Some(peer) = self.receive_gossip(body) else {
             return self.respond(connection, 400, None, vec![]);
         };
         let answer = encode(&self.gossip_for(peer));
         if let Some(leader) = self.leader.as_mut() {
-            // Hearing that we lead permits the peer to extend workers' leases for a while.
+            // An answer that says we lead permits the peer to extend workers' leases for a while.
             leader.lease_extension_permits[peer] = Some(self.now.monotonic_ms);
         }
         self.respond(connection, 200, None, answer);
     }
 
+    /// The answer to a peer's gossip, with the ended jobs that it asks for.
     fn gossip_for(&self, peer: usize) -> Gossip {
         let mut answer = self.gossip();
         let asked = self.membership.peers[peer].gossip.as_ref();
         if let Some(since) = asked.and_then(|gossip| gossip.since) {
-            // Revisions of another store than ours say nothing about what it lacks.
+            // A revision of another store than ours doesn't tell which ended jobs the peer lacks, so
+            // the list can't be called complete.
             let asked_in = asked.and_then(|gossip| gossip.store);
             let same_store = asked_in == answer.store && !self.recovery.is_suspended();
             self.list_ended_jobs(since, &mut answer);
--- a/src/coordination/membership/lease_extension.rs
+++ b/src/coordination/membership/lease_extension.rs
@@ -1,11 +1,11 @@
-//! Extending workers' leases in the leader's place: a controller that is left with nothing but workers, in a
-//! zone that is cut off, say, keeps their leases for a while.
+//! Extending workers' leases on behalf of the leader: a follower that reaches only workers, for example in a
+//! partitioned zone, keeps their leases alive for a limited time.
 //!
-//! It has no commands to give, only stops of tasks whose jobs it knows to be over. What permits it is
-//! the leader's own answer to a question of ours: for as long after the question as leases may be renewed
-//! without the state service (see [`Controller::may_renew_worker_leases`]). The leader knows when it last
-//! gave that answer. So it takes no lease for expired until every peer has said, after the lease, that
-//! it did not extend it, or can't have been permitted any more when the lease began.
+//! It starts nothing and stops only tasks of jobs that it knows to have ended. The permission is the leader's
+//! own answer to our gossip, and lasts as long after our message as leases may be renewed without the state
+//! service (see [`Controller::may_renew_worker_leases`]). The leader records when it last gave that answer.
+//! It treats a lease as expired only once every peer either has said, after the end of the lease, that it did
+//! not extend it, or could no longer have been permitted to when the lease began.
 
 use super::{is_served, Peer};
 use crate::constants::COMMANDS_MAX;
@@ -13,20 +13,20 @@
 use crate::protocol::parse_task;
 use crate::protocol::workers::{Heartbeat, HeartbeatResponse, ReportedTask, WorkerCommand};
 
-/// The leader's permission to extend workers' leases.
+/// The leader's permission to extend workers' leases. The latest is the one that compares greatest.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct Permit {
     /// The leader's term.
     term: u64,
-    /// When we asked the question that it answered.
+    /// When we sent the gossip that the leader answered.
     asked_at: u64,
 }
 
-/// What a controller knows of its own lease extensions.
+/// The state of this controller's own lease extensions.
 #[derive(Debug)]
 pub(super) struct LeaseExtension {
     permit: Option<Permit>,
-    /// When we last answered a worker in the leader's place, or began.
+    /// When we last extended a lease; the start of the process if we never did.
     last_at: u64,
 }
 
@@ -35,7 +35,7 @@
         LeaseExtension { permit: None, last_at: now }
     }
 
-    /// The leader of a term has answered a question asked at `asked_at`.
+    /// Records that the leader of a term has answered gossip sent at `asked_at`.
     pub(super) fn permit(&mut self, term: u64, asked_at: u64) {
         let permit = Permit { term, asked_at };
         if self.permit.is_none_or(|known| permit > known) {
@@ -43,13 +43,13 @@
         }
     }
 
-    /// When we last answered a worker in the leader's place, or began.
+    /// When we last extended a lease; the start of the process if we never did.
     pub(super) fn last_at(&self) -> u64 {
         self.last_at
     }
 }
 
-/// Stops of the tasks that a heartbeat shows of jobs that are over.
+/// Commands that stop the tasks in a heartbeat whose jobs have ended.
 pub(in crate::coordination) fn stop_commands_of_ended_jobs(
     heartbeat: &Heartbeat,
     has_ended: impl Fn(&str) -> bool,
@@ -67,8 +67,8 @@
 }
 
 impl Controller {
-    /// Whether a worker that shows this token may be answered in the leader's place: nobody else
-    /// is to be had for it, as far as we can tell.
+    /// Whether the lease of a worker that shows this token may be extended on behalf of the leader: as
+    /// far as we know, the worker has no other controller to turn to, and our permission still holds.
     pub(in crate::coordination) fn may_extend_lease(&self, fencing_token: u64) -> bool {
         let now = self.now.monotonic_ms;
         let permit = self.membership.lease_extension.permit;
@@ -84,7 +84,7 @@
             && now <= permit.asked_at.min(read_at) + self.isolation_budget_ms()
     }
 
-    /// Answers a heartbeat in the leader's place.
+    /// Answers a heartbeat on behalf of the leader, which extends the worker's lease.
     pub(in crate::coordination) fn extend_lease(
         &mut self,
         connection: ConnectionId,
@@ -93,18 +93,20 @@
         let has_ended = |uid: &str| {
             self.store.replica().has_ended(uid) || self.membership.has_heard_end_of(uid)
         };
-        // What was cancelled before we were left alone must not outlive its time for that.
+        // Tasks of jobs cancelled before we were isolated must still end within `cancel_s`.
         let commands = stop_commands_of_ended_jobs(heartbeat, has_ended);
         let now = self.now.monotonic_ms;
         let term = self.membership.highest_term;
         if now > self.membership.lease_extension.last_at + self.lease_ms() {
-            log::info!("left with nothing but workers, keeps their leases in term {term}");
+            log::info!(
+                "lease extension begins: no leader in reach, worker leases renewed in term {term}"
+            );
         }
         self.membership.lease_extension.last_at = now;
         self.answer_without_starts(connection, term, commands);
     }
 
-    /// Answers a heartbeat so that the worker's lease goes on, with nothing to start.
+    /// Answers a heartbeat with these commands, none of which is a start; the lease is renewed.
     pub(in crate::coordination) fn answer_without_starts(
         &mut self,
         connection: ConnectionId,
@@ -116,9 +118,9 @@
         self.respond(connection, 200, None, body);
     }
 
-    /// The time of our last answer up to which no peer can keep a worker's lease that we have
-    /// not renewed since: each has said, after the lease, that it did not extend it, or was
-    /// last permitted to so long ago that any lease it renewed has expired.
+    /// A lease that we last renewed at or before this time has not been extended by any peer: each
+    /// has said, after the end of that lease, that it did not extend it, or was last permitted to so
+    /// long ago that any lease it extended has expired.
     pub(in crate::coordination) fn leases_not_extended_before(&self) -> u64 {
         let now = self.now.monotonic_ms;
         let lease_ms = self.lease_ms();
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -1,8 +1,8 @@
-//! The other controllers: what each last said of itself, the highest term heard of, and what a controller
-//! may conclude from that while it can't read the store.
+//! The peers of a controller: the last gossip of each, the highest term seen, and what this controller may
+//! conclude from them while it can't read the store.
 //!
-//! [`Membership`] owns all of it. [`gossip`] sends and receives the messages, [`ended_jobs`] exchanges which jobs
-//! have ended, [`lease_extension`] keeps workers' leases in the place of a leader that can't be reached.
+//! [`Membership`] owns this state. [`gossip`] sends and receives the messages, [`ended_jobs`] exchanges which
+//! jobs have ended, [`lease_extension`] extends workers' leases on behalf of a leader that can't be reached.
 
 mod ended_jobs;
 mod gossip;
@@ -19,35 +19,36 @@
 /// A peer's statement that it has not extended workers' leases in the leader's place.
 #[derive(Debug, Clone, Copy)]
 struct NoExtensionSince {
-    /// When the question was asked that the peer answered with it.
+    /// When we sent the gossip that the peer answered with this statement.
     asked_at: u64,
-    /// The time after which it has not answered any worker.
+    /// The peer has extended no lease after this time.
     since: u64,
 }
 
-/// What is known of a peer.
+/// What is known about a peer.
 #[derive(Debug, Default)]
 struct Peer {
+    /// Its last gossip.
     gossip: Option<Gossip>,
     last_heard_at: u64,
-    /// What it last said of leases that it extended.
+    /// Its last statement about leases that it extended.
     no_extension: Option<NoExtensionSince>,
-    /// When the last question was asked in answer to which it named every end that it knows.
+    /// When we sent the last gossip that it answered with a complete list of ended jobs.
     ends_complete_at: Option<u64>,
     gossip_in_flight: bool,
     next_gossip_at: u64,
 }
 
-/// What a controller knows of the others.
+/// What a controller knows about its peers.
 #[derive(Debug)]
 pub(super) struct Membership {
     peers: Vec<Peer>,
-    /// Highest term heard of from anyone.
+    /// Highest term seen from any peer, any worker or the store.
     highest_term: u64,
-    /// When each worker last reported here.
+    /// When each worker last sent a heartbeat to this controller.
     worker_heartbeats: HashMap<String, u64>,
     lease_extension: LeaseExtension,
-    /// Jobs that have ended according to peers, ahead of our copy of the store.
+    /// Jobs that have ended according to peers while our replica still has them as live.
     ended_jobs: HashSet<JobId>,
 }
 
@@ -62,32 +63,32 @@
         }
     }
 
-    /// Number of the other controllers.
+    /// Number of peers.
     pub(super) fn peer_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Highest term heard of from anyone.
+    /// Highest term seen from any peer, any worker or the store.
     pub(super) fn highest_term(&self) -> u64 {
         self.highest_term
     }
 
-    /// Somebody has shown this term.
+    /// Records a term that a peer, a worker or the store has shown.
     pub(super) fn note_term(&mut self, term: u64) {
         self.highest_term = self.highest_term.max(term);
     }
 
-    /// A worker has reported here.
+    /// Records the time of a worker's heartbeat to this controller.
     pub(super) fn note_worker_heartbeat(&mut self, machine: &str, now: u64) {
         self.worker_heartbeats.insert(machine.to_string(), now);
     }
 
-    /// Workers that have reported here within so many milliseconds.
+    /// Workers that have sent a heartbeat to this controller within `within_ms`.
     fn workers_seen(&self, within_ms: u64, now: u64) -> u32 {
         self.worker_heartbeats.values().filter(|t| now - **t <= within_ms).count() as u32
     }
 
-    /// What peers said lately.
+    /// The gossip of the peers that have been heard recently.
     pub(super) fn fresh_gossip(&self, now: u64) -> impl Iterator<Item = &Gossip> {
         self.peers
             .iter()
@@ -95,7 +96,7 @@
             .filter_map(|peer| peer.gossip.as_ref())
     }
 
-    /// A peer that the state service serves: the one that it served last.
+    /// The recently heard peer that the state service has answered last, if any can reach it.
     pub(super) fn served_peer(&self, now: u64) -> Option<usize> {
         let served_ago = |peer: &Peer| peer.gossip.as_ref().and_then(|gossip| gossip.served_ago_ms);
         (0..self.peers.len())
@@ -107,24 +108,26 @@
             .min_by_key(|index| served_ago(&self.peers[*index]))
     }
 
-    /// The copy of the store is read anew: what peers named need not be all that it lacks.
+    /// The replica is loaded again, and may lack more ended jobs than peers were asked for: their
+    /// lists no longer count as complete.
     pub(super) fn forget_complete_ends(&mut self) {
         self.peers.iter_mut().for_each(|peer| peer.ends_complete_at = None);
     }
 
-    /// Whether a peer has said that a job is over, ahead of our copy of the store.
+    /// Whether a peer has reported the end of a job that our replica still has as live.
     pub(super) fn has_heard_end_of(&self, uid: &str) -> bool {
         self.ended_jobs.contains(uid)
     }
 
-    /// The earliest of the last questions that each peer has answered with every end that it
-    /// knows; none if one of them has answered none so.
+    /// The time up to which the lists of ended jobs from all peers are complete: the earliest over all
+    /// peers of when we sent the gossip that the peer last answered with a complete list. None if a
+    /// peer has never sent one.
     pub(super) fn ends_complete_at(&self) -> Option<u64> {
         self.peers.iter().map(|peer| peer.ends_complete_at).min().flatten()
     }
 }
 
-/// Whether a peer says that the state service serves it.
+/// Whether a peer says that the state service has answered it recently.
 pub(super) fn is_served(gossip: &Gossip) -> bool {
     gossip.served_ago_ms.is_some_and(|ms| ms < STATE_LOST_MS)
 }
--- a/src/coordination/store_isolation.rs
+++ b/src/coordination/store_isolation.rs
@@ -1,16 +1,17 @@
-//! Leading without the state service: which leases are renewed, and what is started.
+//! Leading without the state service: which worker leases are renewed, and whether tasks are started.
 //!
-//! All of it rests on one time, [`Controller::ends_known_at`]. Before it nobody was told of an end that we
-//! don't know. A task of a job that was cancelled after it, on a worker that we answer no later
-//! than [`Controller::isolation_budget_ms`] after it, is gone by its lease within `cancel_s`.
+//! Both depend on [`Controller::ends_known_at`]: no user was told before that time of an ended job that we
+//! don't know. If a job is cancelled later, and we answer its worker no later than
+//! [`Controller::isolation_budget_ms`] after that time, the worker's lease expires, and with it the task,
+//! within `cancel_s` of the cancellation.
 
 use super::Controller;
 use crate::constants::{CANCEL_MARGIN_MS, CLOCK_DRIFT, MS_PER_S, START_READ_AGE_MAX_MS};
 
 impl Controller {
-    /// The latest time before which no user can have been told of an end that we don't know of:
-    /// the begin of our last read, or of the earliest of the last questions that every peer
-    /// has answered with all ends that it knows.
+    /// The latest time before which no user can have been told of an ended job that we don't know:
+    /// when our last read of the store was sent, or the time up to which the lists of ended jobs from
+    /// all peers are complete, whichever is later.
     pub(super) fn ends_known_at(&self) -> Option<u64> {
         if self.recovery.is_suspended() {
             return self.confirmed_read_while_suspended();
@@ -20,26 +21,27 @@
         Some(read_at.max(named_by_peers_at.unwrap_or(0)))
     }
 
-    /// Whether workers may be answered: a worker that we answer runs its tasks for one more
-    /// lease, and those of a job cancelled since must be gone within `cancel_s` of that.
+    /// Whether workers' leases may be renewed: a worker whose lease is renewed runs its tasks for one
+    /// more lease, and tasks of a job cancelled meanwhile must end within `cancel_s`.
     pub(super) fn may_renew_worker_leases(&self) -> bool {
         self.knowledge_age_ms().is_some_and(|age_ms| age_ms <= self.isolation_budget_ms())
     }
 
-    /// Whether what we know is recent enough to order a start. Nothing may start once a
-    /// cancellation is confirmed, so an order rests on no older knowledge than one read takes at the
-    /// most; one that is given in that time is as late as any that is on its way.
+    /// Whether our knowledge of ended jobs is recent enough to send start commands. No task may start
+    /// after a cancellation is confirmed, so the knowledge may be no older than the longest time
+    /// between two reads; within it, a start command is no later than one that is in flight anyway.
     pub(super) fn may_order_starts(&self) -> bool {
         let age_ms = self.knowledge_age_ms();
         !self.starts_are_blocked() && age_ms.is_some_and(|age_ms| age_ms <= START_READ_AGE_MAX_MS)
     }
 
+    /// Milliseconds since [`Controller::ends_known_at`].
     fn knowledge_age_ms(&self) -> Option<u64> {
         self.ends_known_at().map(|known_at| self.now.monotonic_ms - known_at)
     }
 
-    /// Milliseconds after the time of our knowledge for which workers may still be answered:
-    /// every lease renewed by then has expired when tasks cancelled since must be gone.
+    /// Milliseconds after [`Controller::ends_known_at`] for which worker leases may still be renewed.
+    /// Every lease renewed by then expires before tasks of a job cancelled after that time must end.
     pub(super) fn isolation_budget_ms(&self) -> u64 {
         let workers = &self.settings.params.workers;
         let lease_ms = (workers.lease_s * (1.0 + CLOCK_DRIFT) * MS_PER_S) as u64;
