--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -1,9 +1,10 @@
-//! The client of the state service: a controller's copy of the store, how it is kept up, and the request
-//! rates and sizes that the service allows.
+//! The client of the state service: the replica of the store, the reads that keep it up to date, and the
+//! request rates and sizes that the service allows.
 //!
-//! [`StoreClient`] owns the copy and everything that tells how far it can be trusted. No other module
-//! changes them: they ask here, and give what they know (a revision, a committed transaction) to a method.
-//! [`reads`] drives the first listing, the watch and the zero-wait reads.
+//! [`StoreClient`] owns the replica and the state that tells how current it is. Other modules read both
+//! through its methods and pass in what they learn, such as a revision or a committed transaction.
+//! [`reads`] drives the initial listing, the watch and the fresh reads. A fresh read is a request for changes
+//! that returns at once; it shows everything that was committed before it began.
 
 mod reads;
 mod waiters;
@@ -22,34 +23,34 @@
 use crate::storage::replica::Replica;
 use crate::storage::token_bucket::TokenBucket;
 
-/// How far the store had been read when a request went out. Its answer counts only in the same
-/// epoch, and must show a later revision if it names a commit.
+/// The state of the replica when a request was sent. The answer counts only in the same epoch, and a
+/// commit that it reports must have a higher revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReadPoint {
-    /// The read of the whole store that it belongs to, see [`StoreClient::epoch`].
+    /// The epoch of the replica, see [`StoreClient::epoch`].
     pub(super) epoch: u32,
-    /// The revision up to which all changes were in.
+    /// The revision up to which the replica held all changes.
     pub(super) revision: u64,
 }
 
-/// The progress of reading the whole store, page by page.
+/// The progress of the initial listing, which reads the whole store page by page.
 #[derive(Debug, Default)]
 struct Listing {
     in_flight: bool,
-    /// Revision of the first page: changes since then follow by reads.
+    /// Revision of the first page, from which the watch then follows changes.
     first_revision: Option<u64>,
-    /// The key that the last page has come to.
+    /// The last key of the last page received.
     last_key: Option<String>,
 }
 
-/// The zero-wait reads, and who waits for them.
+/// The fresh reads, and the requests that wait for them.
 #[derive(Debug, Default)]
 struct FreshReads {
-    /// Waiters of the read that is under way; none if there is none.
+    /// Waiters of the read in flight; none if no read is in flight.
     running: Option<Vec<FreshReadWaiter>>,
-    /// Waiters of the next one.
+    /// Waiters of the next read.
     waiting: Vec<FreshReadWaiter>,
-    /// When the last one began.
+    /// When the last read was sent.
     begun_at: u64,
 }
 
@@ -60,28 +61,28 @@
     limits: StoreLimits,
     read_budget: TokenBucket,
     write_budget: TokenBucket,
-    /// The whole store has been read, and changes are followed.
+    /// The initial listing is complete, and changes are followed.
     loaded: bool,
     listing: Listing,
-    /// A watch is open.
+    /// A watch request is in flight.
     watching: bool,
     fresh_reads: FreshReads,
-    /// No read is sent before this time.
+    /// No read is sent before this time: backoff after a failed one.
     retry_at: u64,
-    /// Begin of the last request that the state service answered.
+    /// When the state service last answered a request.
     last_served_at: Option<u64>,
     /// The state service refused or did not answer the last request.
     refused: bool,
-    /// Begin of the last read that brought the replica up to date.
+    /// When the last successful fresh read was sent.
     last_read_at: Option<u64>,
-    /// Highest revision in any answer.
+    /// Highest revision in any answer of the store.
     max_revision: u64,
-    /// How often the store was read anew: answers to questions of before count for nothing.
+    /// How many times the replica was dropped; answers to requests of earlier epochs are ignored.
     epoch: u32,
 }
 
 impl StoreClient {
-    /// A client that has read nothing yet, with a follower's share of the write rate.
+    /// A client with an empty replica. `write_share` is this controller's share of the write rate.
     pub(super) fn new(
         settings: &StateLimits,
         controllers: usize,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The copy of the store.
+    /// The replica of the store.
     pub(super) fn replica(&self) -> &Replica {
         &self.replica
     }
@@ -119,39 +120,40 @@
         &self.limits
     }
 
-    /// The service has refused a transaction as malformed: its size limits must be lower.
+    /// Halves the size limits: the service has refused a transaction as malformed, so its limits must
+    /// be lower than the settings say.
     pub(super) fn halve_size_limits(&mut self) {
         self.limits.halve_sizes();
     }
 
-    /// The rate of this controller's writes.
+    /// The token bucket of this controller's writes.
     pub(super) fn write_budget(&self) -> &TokenBucket {
         &self.write_budget
     }
 
-    /// Writes that are left to this controller now.
+    /// Writes that this controller may make now.
     pub(super) fn writes_left(&mut self, now: u64) -> f64 {
         self.write_budget.left(now)
     }
 
-    /// Whether few of the writes of a burst are left: what can wait should.
+    /// Whether so little of the write budget is left that writes which can wait should.
     pub(super) fn writes_are_short(&mut self, now: u64) -> bool {
         self.write_budget.left(now) < self.write_budget.burst() * SHORT_OF_WRITES_SHARE
     }
 
-    /// Takes writes out of the budget if that leaves `keep`; false if it does not.
+    /// Takes writes out of the budget if at least `keep` remain; returns whether it did.
     pub(super) fn take_writes(&mut self, writes: f64, keep: f64, now: u64) -> bool {
         self.write_budget.take(writes, keep, now)
     }
 
-    /// Sets this controller's part of what the state service allows all of them.
+    /// Sets this controller's rates to its share of what the state service allows all controllers.
     pub(super) fn set_rates(&mut self, controllers: usize, write_share: f64, now: u64) {
         self.write_budget.set_rate(self.limits.writes_per_s * write_share, now);
         let reads_per_s = self.limits.requests_per_s * STATE_RPS_SHARE / controllers as f64;
         self.read_budget.set_rate(reads_per_s, now);
     }
 
-    /// Whether the whole store has been read.
+    /// Whether the initial listing is complete.
     pub(super) fn is_loaded(&self) -> bool {
         self.loaded
     }
@@ -161,23 +163,23 @@
         self.refused
     }
 
-    /// Whether the state service answers us, whatever it may have lost.
+    /// Whether the state service answers, regardless of data that it may have lost.
     pub(super) fn is_reachable(&self, now: u64) -> bool {
         let answered_lately = self.last_served_at.is_some_and(|t| now - t < STATE_LOST_MS);
         self.loaded && !self.refused && answered_lately
     }
 
-    /// Begin of the last request that the state service answered.
+    /// When the state service last answered a request.
     pub(super) fn last_served_at(&self) -> Option<u64> {
         self.last_served_at
     }
 
-    /// Begin of the last read that brought the replica up to date.
+    /// When the last successful fresh read was sent.
     pub(super) fn last_read_at(&self) -> Option<u64> {
         self.last_read_at
     }
 
-    /// How often the store was read anew.
+    /// How many times the replica was dropped to load the store again.
     pub(super) fn epoch(&self) -> u32 {
         self.epoch
     }
@@ -187,12 +189,12 @@
         self.max_revision
     }
 
-    /// An answer of the store has shown this revision.
+    /// Records a revision that an answer of the store has shown.
     pub(super) fn note_revision(&mut self, revision: u64) {
         self.max_revision = self.max_revision.max(revision);
     }
 
-    /// Puts a transaction of ours that was applied into the replica ahead of the watch; gives the
+    /// Applies a committed transaction of our own to the replica ahead of the watch, and returns the
     /// jobs that changed.
     pub(super) fn apply_own_transaction(
         &mut self,
@@ -212,8 +214,8 @@
         changed_jobs
     }
 
-    /// Forgets the copy; the whole store is read again, and answers to what was asked before count
-    /// for nothing.
+    /// Drops the replica and starts a new epoch: the whole store is listed again, and answers to
+    /// earlier requests are ignored.
     pub(super) fn forget(&mut self) {
         self.replica = Replica::new(self.replica.hash_keys());
         self.epoch += 1;
@@ -224,12 +226,12 @@
         self.max_revision = 0;
     }
 
-    /// Requests that wait for a zero-wait read.
+    /// Number of requests that wait for a fresh read.
     pub(super) fn waiting_requests(&self) -> usize {
         self.fresh_reads.waiting.len() + self.fresh_reads.running.as_ref().map_or(0, Vec::len)
     }
 
-    /// How far the store has been read: what a request that goes out now builds on.
+    /// The present state of the replica, to be kept with a request that is sent now.
     pub(super) fn read_point(&self) -> ReadPoint {
         ReadPoint { epoch: self.epoch, revision: self.replica.revision }
     }
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -1,4 +1,4 @@
-//! Reading the store: the first listing, the watch, and zero-wait reads.
+//! Reads of the store: the initial listing, the watch and fresh reads.
 
 use super::{is_store_call, Listing, ReadPoint};
 use crate::constants::{
@@ -13,18 +13,18 @@
 use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
 
-/// What became of an answer that should hold changes of the store.
+/// The outcome of a watch or a fresh read.
 enum ReadOutcome {
-    /// The changes are in the replica.
+    /// The changes were applied to the replica.
     Applied,
-    /// The store is read anew, or the question belonged to an earlier read of it.
+    /// The store is being listed again, or the request was sent in an earlier epoch.
     Superseded,
-    /// There was no answer that can be used.
+    /// There was no answer, or none that could be used.
     Failed,
 }
 
 impl Controller {
-    /// Takes note of how the state service answered a call; `status` is none without an answer.
+    /// Records the status of the state service's answer to a call; none if it did not answer.
     pub(in crate::coordination) fn note_store_response(
         &mut self,
         purpose: &CallPurpose,
@@ -34,18 +34,18 @@
             return;
         }
         match status {
-            // A watch may stay open for as long as it likes.
+            // A watch that ends without an answer says nothing about the service: it may stay open long.
             Some(503) | None if matches!(purpose, CallPurpose::Watch { .. }) => {}
             Some(429) => self.note_rate_limit(purpose),
             Some(503) | None => {
                 if !self.store.refused {
-                    log::info!("state service does not serve us");
+                    log::info!("state service unavailable: users' requests are relayed to a peer or refused");
                 }
                 self.store.refused = true;
             }
             Some(_) => {
                 if self.store.refused {
-                    log::info!("state service serves us");
+                    log::info!("state service available again");
                 }
                 self.store.refused = false;
                 self.store.last_served_at = Some(self.now.monotonic_ms);
@@ -53,11 +53,11 @@
         }
     }
 
-    /// The state service was asked too often: the budget that the call came from is empty.
+    /// The state service has answered 429: empties the budget that the call was taken from.
     fn note_rate_limit(&mut self, purpose: &CallPurpose) {
-        log::debug!("state service: too many requests");
+        log::debug!("state service rate limit reached (429): request budget emptied");
         if self.store.limits.lower_rates() {
-            log::info!("state service: the lower rates of the settings are in force");
+            log::info!("state service rates lowered to the next limits of the settings");
             self.set_state_rates();
         }
         let is_write = matches!(
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Whether the state service serves us, as far as we know, and its data is to be trusted.
+    /// Whether the state service answers and its data is trusted.
     pub(in crate::coordination) fn store_is_usable(&self) -> bool {
         self.store_is_reachable() && !self.recovery.is_suspended()
     }
 
-    /// Whether the state service answers us, whatever it has lost.
+    /// Whether the state service answers, regardless of data that it may have lost.
     pub(in crate::coordination) fn store_is_reachable(&self) -> bool {
         self.store.is_reachable(self.now.monotonic_ms)
     }
@@ -105,7 +105,7 @@
         self.call(Service::State, method, path, body, timeout_ms, purpose);
     }
 
-    /// Sends a transaction, encoded as `body`, whose writes were taken from the budget.
+    /// Sends a transaction encoded as `body`. Its writes have been taken from the write budget.
     pub(in crate::coordination) fn commit_call(
         &mut self,
         body: Vec<u8>,
@@ -147,7 +147,7 @@
         self.state_call("GET", path, vec![], WATCH_TIMEOUT_MS, purpose);
     }
 
-    /// Begins a zero-wait read if one is wanted, or the last one was long ago.
+    /// Sends a fresh read if a request waits for one, or if the last one was long ago.
     fn fresh_read_due(&mut self) {
         let now = self.now.monotonic_ms;
         let reads = &mut self.store.fresh_reads;
@@ -197,12 +197,13 @@
         self.complete_listing(page.revision);
     }
 
-    /// Another version may still run on this store: neither may touch what the other keeps.
+    /// Drops the listing and checks again later: another version of the program may still use this
+    /// store, and neither may touch the other's keys.
     fn reject_foreign_layout(&mut self) {
         let replica = &mut self.store.replica;
         let key = replica.foreign_key.as_deref().unwrap_or_default();
         log::error!(
-            "the store has keys of another layout than {KEY_ROOT}, like {key}: serving nobody"
+            "store layout not supported: {key} is not under {KEY_ROOT}; no requests are served"
         );
         *replica = Replica::new(replica.hash_keys());
         self.recovery.clear_image();
@@ -210,9 +211,9 @@
         self.store.retry_at = self.now.monotonic_ms + UNREADABLE_LAYOUT_RECHECK_MS;
     }
 
-    /// The last page is in, which showed `revision`.
+    /// Completes the initial listing, whose last page showed `revision`.
     fn complete_listing(&mut self, revision: u64) {
-        // Pages are of different moments: changes since the first one follow by reads.
+        // The pages were read at different revisions: the watch starts from that of the first one.
         let first_revision = self.store.listing.first_revision.take();
         self.store.replica.revision = first_revision.unwrap_or(revision);
         self.store.note_revision(revision);
@@ -225,11 +226,11 @@
         self.cloud.restore_catalog(replica.catalog.as_ref().map(|record| &record.value));
         self.on_listing_complete();
         let replica = &self.store.replica;
-        log::info!("loaded: {} jobs at revision {}", replica.jobs.len(), replica.revision);
+        log::info!("store loaded: {} jobs at revision {}", replica.jobs.len(), replica.revision);
         self.store_reads_due();
     }
 
-    /// Puts an answer into the replica.
+    /// Applies the answer to a watch or a fresh read to the replica.
     fn apply_changes(&mut self, asked: ReadPoint, reply: &Option<Response>) -> ReadOutcome {
         if asked.epoch != self.store.epoch {
             return ReadOutcome::Superseded;
@@ -261,17 +262,17 @@
         ReadOutcome::Applied
     }
 
-    /// The service keeps no changes from so long ago.
+    /// The service has answered 410: it no longer keeps changes as old as the replica's revision.
     fn on_watch_too_old(&mut self) {
-        log::info!("too far behind, reading the store anew");
+        log::info!("watch revision too old (410): the store is listed again");
         if self.recovery.notices_losses() {
             return self.suspect_data_loss(None);
         }
         self.reload_store();
-        self.step_down("lost track of the store");
+        self.step_down("the replica was too far behind the store");
     }
 
-    /// A transaction of ours was applied: puts it into the replica ahead of the watch.
+    /// Applies a committed transaction of our own to the replica ahead of the watch.
     pub(in crate::coordination) fn apply_own_transaction(
         &mut self,
         transaction: &Transaction,
@@ -282,7 +283,7 @@
         self.on_jobs_changed(&changed_jobs);
     }
 
-    /// Jobs have changed in the replica: the leader's state follows.
+    /// Updates the leader's state after jobs have changed in the replica.
     pub(in crate::coordination) fn on_jobs_changed(&mut self, changed_jobs: &[JobId]) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) else { return };
--- a/src/coordination/store_client/waiters.rs
+++ b/src/coordination/store_client/waiters.rs
@@ -1,11 +1,11 @@
-//! What waits for a zero-wait read that began after it came, and how it goes on after the read.
+//! Requests that wait for a fresh read, and what happens to them after it.
 
 use crate::coordination::rejection::Rejection;
 use crate::coordination::requester::Requester;
 use crate::coordination::Controller;
 use crate::protocol::routes::{cancel_path, job_path};
 
-/// What waits for a read begun after it came.
+/// A request that waits for a fresh read which begins after the request came in.
 #[derive(Debug)]
 pub(in crate::coordination) enum FreshReadWaiter {
     /// A poll of a job's state.
@@ -31,18 +31,18 @@
         /// Why it is not accepted if the job turns out to be unknown.
         rejection: Option<Rejection>,
     },
-    /// The leader's takeover, or a transaction whose outcome is not known.
+    /// The leader, during its takeover or after a transaction with an unknown outcome.
     Leader,
 }
 
 impl Controller {
-    /// Has a request wait for a read that has not begun yet.
+    /// Makes a request wait for a fresh read that has not begun yet.
     pub(in crate::coordination) fn request_fresh_read(&mut self, waiter: FreshReadWaiter) {
         self.store.fresh_reads.waiting.push(waiter);
         self.store_reads_due();
     }
 
-    /// The leader needs a read that has not begun yet; one serves all who ask for it.
+    /// Requests a fresh read for the leader, unless the leader waits for the next one already.
     pub(in crate::coordination) fn request_leader_read(&mut self) {
         let waiting = &mut self.store.fresh_reads.waiting;
         let already_waits = waiting.iter().any(|waiter| matches!(waiter, FreshReadWaiter::Leader));
@@ -51,10 +51,10 @@
         }
     }
 
-    /// A read begun at `begun` has brought the replica up to date: what waited for it goes on.
+    /// Continues the requests that waited for the fresh read sent at `begun`, which has succeeded.
     pub(super) fn complete_waiters(&mut self, waiters: Vec<FreshReadWaiter>, begun: u64) {
         for waiter in waiters {
-            // While the store is not trusted nothing of users is judged by what it shows.
+            // While the store is not trusted, no user's request is decided by its data.
             let for_leader = matches!(waiter, FreshReadWaiter::Leader);
             if for_leader || !self.recovery.is_suspended() {
                 self.complete_waiter(waiter, begun);
@@ -75,7 +75,8 @@
         }
     }
 
-    /// The read failed: a peer may be able to answer users, and the leader asks for another one.
+    /// Handles a failed read: polls and cancellations are relayed to a peer, submissions are refused,
+    /// and the leader waits for the next read.
     pub(super) fn fail_waiter(&mut self, waiter: FreshReadWaiter) {
         match waiter {
             FreshReadWaiter::Poll { requester, uid } => {
