--- a/src/coordination/rejection.rs
+++ b/src/coordination/rejection.rs
@@ -1,21 +1,21 @@
-//! Why a submission is not accepted.
+//! The reasons for which a submission is not accepted.
 
-/// Why a submission is not accepted, in the words that its user is answered with.
+/// The reason for which a submission is not accepted; its text is the error that the user gets.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Rejection {
-    /// It is no submission, or a field is missing or invalid.
+    /// The body is not a submission, or a field is missing or invalid.
     #[error("{0}")]
     Malformed(String),
-    /// The settings have no such team.
+    /// The team is not in the settings.
     #[error("unknown team {0}")]
     UnknownTeam(String),
-    /// Whether it can run is not known yet.
+    /// The cloud's machine types, which decide whether it can run, are not known yet.
     #[error("machine types are not known yet")]
     MachineTypesUnknown,
-    /// No allowed machine type has room for a single task.
+    /// No machine type that it allows has room for one task.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// It needs more at once than its team may ever use.
+    /// The tasks that must run at once need more than the team's limit.
     #[error("more than the team's limit")]
     OverTeamLimit,
     /// One transaction can't hold the placements of all tasks of the gang.
@@ -24,7 +24,7 @@
         /// Tasks that one transaction can hold.
         tasks_max: usize,
     },
-    /// The tasks of the gang can't all be in the zones that it allows.
+    /// The gang must be spread over zones, and only one zone is open to it.
     #[error("too few zones for all tasks at once")]
     TooFewZones,
 }
--- a/src/coordination/requester.rs
+++ b/src/coordination/requester.rs
@@ -1,8 +1,8 @@
-//! Who waits for the answer to a request.
+//! The sender of a user's request, who waits for the answer.
 
 use super::interface::ConnectionId;
 
-/// Who waits for the answer to a user's request.
+/// The connection on which a user's request came in, directly or through a peer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Requester {
     connection: ConnectionId,
@@ -11,12 +11,12 @@
 }
 
 impl Requester {
-    /// A client that is connected to this controller, at a time on the steady clock in milliseconds.
+    /// A client connected to this controller. `now` is in milliseconds on the steady clock.
     pub(super) fn direct(connection: ConnectionId, now: u64) -> Requester {
         Requester { connection, relayed: false, since: now }
     }
 
-    /// A client of a peer that has passed the request on.
+    /// A peer that has relayed the request of its client.
     pub(super) fn relayed(connection: ConnectionId, now: u64) -> Requester {
         Requester { connection, relayed: true, since: now }
     }
@@ -26,12 +26,12 @@
         self.connection
     }
 
-    /// A peer passes the answer on.
+    /// Whether the request was relayed by a peer, which passes the answer on to its client.
     pub(super) fn is_relayed(self) -> bool {
         self.relayed
     }
 
-    /// When the request came.
+    /// When this controller received the request.
     pub(super) fn since(self) -> u64 {
         self.since
     }
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -1,6 +1,6 @@
-//! Batches: submissions that come together are accepted with one write.
+//! Batches of submissions: jobs submitted at about the same time are stored with one write.
 //!
-//! [`Submissions`] owns those that gather for a batch and the batches that are being committed.
+//! [`Submissions`] owns the submissions that wait for a batch, and the batches that are being committed.
 
 use crate::constants::{
     ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
@@ -22,17 +22,17 @@
 use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
 
-/// A submission that gathers for a batch, with everyone who asked for it.
+/// A submission that waits for a batch, with every request that asked for it.
 #[derive(Debug)]
 struct PendingSubmission {
     requesters: Vec<Requester>,
     spec: Rc<JobSpec>,
-    /// Bytes that it takes in a stored value.
+    /// Bytes of the job in a stored value, with its framing.
     bytes: usize,
     received_at: u64,
 }
 
-/// Jobs that are stored in one value: all of them gangs, or none.
+/// Jobs that are stored under one key: all of them gangs, or none.
 #[derive(Debug)]
 struct BatchValue {
     gangs: bool,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether a job may stand in this value, of which `bytes_max` are for jobs.
+    /// Whether the job may be added to this value, in which jobs may take `bytes_max`.
     fn has_room_for(&self, submission: &PendingSubmission, bytes_max: usize) -> bool {
         self.gangs == submission.spec.is_gang() && self.bytes + submission.bytes <= bytes_max
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// A copy of a batch that was sent.
+/// A copy of a batch that was sent to the state service.
 #[derive(Debug)]
 struct BatchCopy {
     transaction: Transaction,
@@ -79,16 +79,16 @@
 #[derive(Debug)]
 struct Batch {
     submissions: Vec<PendingSubmission>,
-    /// The jobs as divided into values.
+    /// The jobs, divided into stored values.
     values: Vec<BatchValue>,
     first_sent_at: u64,
     copies: Vec<BatchCopy>,
-    /// Copies that are not answered yet.
+    /// Number of copies without an answer yet.
     unanswered: u32,
 }
 
 impl Batch {
-    /// The transaction that accepts the batch, under keys that no other copy has.
+    /// Completes the transaction that stores the next copy of the batch, under keys of its own.
     fn transaction(
         &self,
         id: u64,
@@ -114,23 +114,22 @@
     }
 }
 
-/// What bounds a batch.
+/// Limits of one batch.
 struct BatchLimits {
     /// Bytes of jobs in one value.
     value_bytes: usize,
-    /// Values, one write each.
+    /// Number of values, each of which is one write.
     values: usize,
-    /// Conditions of the transaction.
+    /// Number of conditions of the transaction.
     conditions: usize,
-    /// Of these, those that are taken already: the values' own, and what else the transaction
-    /// depends on.
+    /// Conditions reserved among these: one for each value, and those of the store's rebuild.
     conditions_taken: usize,
 }
 
-/// Submissions on their way to being accepted.
+/// Submissions that are not accepted yet.
 #[derive(Debug)]
 pub(in crate::coordination) struct Submissions {
-    /// Those that wait for the next batch.
+    /// Submissions that wait for a batch.
     gathering: Vec<PendingSubmission>,
     /// Batches that are being committed, by number.
     in_flight: HashMap<u64, Batch>,
@@ -142,7 +141,7 @@
         Submissions { gathering: Vec::new(), in_flight: keys.map(), batches_made: 0 }
     }
 
-    /// When they have to be looked at again if nothing comes in before.
+    /// When [`Controller::batches_due`] has something to do next if no command comes before.
     pub(in crate::coordination) fn next_wake(&self, writes: &TokenBucket) -> Option<u64> {
         let gathered = self.gathering.first().map(|first| {
             let plenty = writes.available_at(writes.burst() * SHORT_OF_WRITES_SHARE);
@@ -155,27 +154,27 @@
         [gathered, hedge].into_iter().flatten().min()
     }
 
-    /// Submissions that have waited for longer than their users would call quick.
+    /// Takes out the submissions that have waited longer than [`BATCH_WAIT_MS`].
     fn take_overdue(&mut self, now: u64) -> Vec<PendingSubmission> {
         let is_overdue = |s: &mut PendingSubmission| now > s.received_at + BATCH_WAIT_MS;
         self.gathering.extract_if(.., is_overdue).collect()
     }
 
-    /// Batches of which one copy was sent, and has not been answered for long.
+    /// Batches whose only copy has had no answer for longer than [`BATCH_HEDGE_MS`].
     fn slow_batches(&self, now: u64) -> Vec<u64> {
         let is_slow =
             |batch: &Batch| batch.copies.len() == 1 && now > batch.first_sent_at + BATCH_HEDGE_MS;
         self.in_flight.iter().filter(|(_, batch)| is_slow(batch)).map(|(id, _)| *id).collect()
     }
 
-    /// Makes a batch of what has gathered and fits; gives its number.
+    /// Makes a batch of the waiting submissions that fit, and returns its number; none if none fits.
     fn begin_batch(&mut self, limits: &BatchLimits, now: u64) -> Option<u64> {
         let mut values: Vec<BatchValue> = Vec::new();
         let mut taken: Vec<PendingSubmission> = Vec::new();
         let mut left: Vec<PendingSubmission> = Vec::new();
         let mut bytes = 0;
         for submission in std::mem::take(&mut self.gathering) {
-            // A condition a job and one a value.
+            // Each job takes a condition; those of the values are reserved.
             let conditions = taken.len() + limits.conditions_taken;
             let fits = conditions < limits.conditions
                 && bytes + submission.bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES;
@@ -211,7 +210,7 @@
 }
 
 impl Controller {
-    /// Takes a job that is to be accepted into the next batch. A repeat joins the first.
+    /// Adds a valid submission to those that wait for a batch. A repeat is answered with the first.
     pub(super) fn add_to_batch(&mut self, requester: Requester, spec: Rc<JobSpec>) {
         let bytes = raw_json(&spec).get().len() + BATCH_FRAME_BYTES;
         if bytes + BATCH_FRAME_BYTES > self.store.limits().value_bytes {
@@ -233,9 +232,9 @@
         }
     }
 
-    /// Writes submissions that have gathered. While writes are short they gather for longer, so
-    /// that one write accepts more of them; none waits for longer than its user would call
-    /// quick, it is passed on or refused then.
+    /// Sends the waiting submissions as a batch. While the write budget is low they wait longer, so
+    /// that one write stores more of them. A submission that has waited too long is relayed to a
+    /// peer or refused.
     pub(in crate::coordination) fn batches_due(&mut self) {
         let now = self.now.monotonic_ms;
         if self.recovery.is_suspended() {
@@ -245,9 +244,9 @@
         for submission in self.submissions.take_overdue(now) {
             self.relay_submission(submission);
         }
-        // The state service takes a few hundred milliseconds now and then. A second copy, under
-        // keys of its own, is mostly answered at once; whichever comes first counts, as with
-        // any job that stands in two batches.
+        // Hedging: the state service takes a few hundred milliseconds now and then, and a second copy
+        // of the batch is mostly answered at once. It has keys of its own. If both are committed, the
+        // earlier one counts, as for any job that stands in two batches.
         for id in self.submissions.slow_batches(now) {
             self.send_batch(id, 0.0);
         }
@@ -268,7 +267,7 @@
     fn batch_limits(&mut self, now: u64) -> BatchLimits {
         let writes_left = self.store.writes_left(now) - USER_WRITE_RESERVE;
         let StoreLimits { value_bytes, transaction_ops, .. } = *self.store.limits();
-        // As many values as there are writes for.
+        // Each value takes one write.
         let values = (writes_left.max(0.0) as usize).min(transaction_ops);
         BatchLimits {
             value_bytes: value_bytes - BATCH_FRAME_BYTES,
@@ -278,7 +277,7 @@
         }
     }
 
-    /// Sends a copy of a batch, if that leaves `keep` writes.
+    /// Sends a copy of a batch if that leaves at least `keep` writes in the budget.
     fn send_batch(&mut self, id: u64, keep: f64) {
         let now = self.now.monotonic_ms;
         let sent = self.store.read_point();
@@ -299,7 +298,7 @@
         self.commit_call(body, writes, purpose);
     }
 
-    /// A peer may be able to take a submission that we can't.
+    /// Relays a submission that we can't accept to a peer, once for each request.
     fn relay_submission(&mut self, submission: PendingSubmission) {
         let body = serde_json::to_vec(&*submission.spec).unwrap_or_default();
         for requester in submission.requesters {
@@ -313,7 +312,7 @@
         copy: usize,
         reply: Option<Response>,
     ) {
-        // Another copy may have been answered already.
+        // The batch is gone if another copy has decided it.
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         batch.unanswered -= 1;
         let is_decided = matches!(reply, Some(Response { status: 200 | 409, .. }));
@@ -329,15 +328,15 @@
         }
     }
 
-    /// The batch is committed.
+    /// Answers the submissions of a batch that was committed.
     ///
-    /// It is not put into the replica ahead of the watch: of a job that stands in two batches
-    /// the earlier counts, and the watch tells them in their order.
+    /// The batch is not applied to the replica ahead of the watch: if a job stands in two batches the
+    /// earlier one counts, and the watch delivers them in order.
     fn accept_batch(&mut self, batch: Batch, copy: usize, body: &[u8]) {
         if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(body) {
             let BatchCopy { transaction, sent } = &batch.copies[copy];
             if !self.applied_to_trusted_store(*sent, applied.revision) {
-                // In a store that has lost data: nothing is accepted by that.
+                // The commit went into a store that has lost data: it accepts nothing.
                 return batch.submissions.into_iter().for_each(|s| self.relay_submission(s));
             }
             self.record_own_transaction(transaction, applied.revision);
@@ -354,7 +353,8 @@
         self.metrics.work.accepted += 1;
         let _ = self.metrics.submit_ms.record(waited_ms);
         log::debug!(
-            "{}: accepted in {waited_ms} ms, {} tasks of {} for {}, {} of {} GB, due after {:?} s",
+            "job accepted: {} after {waited_ms} ms, tasks {}, class {}, team {}, image {} of {} GB, \
+             deadline_s {:?}",
             spec.uid,
             spec.tasks,
             spec.class,
@@ -369,8 +369,8 @@
         }
     }
 
-    /// One of the jobs has ended in the meantime: that one is answered as it is, the others
-    /// gather again.
+    /// Handles a batch refused because a condition failed. A job that has an end by now is answered
+    /// after a fresh read; the others wait for a batch again.
     fn split_refused_batch(&mut self, batch: Batch, body: &[u8]) {
         let failed_keys = TransactionConflict::failed_keys(body);
         for submission in batch.submissions {
@@ -385,6 +385,7 @@
         }
     }
 
+    /// Refuses the submissions of a batch that hit the state service's rate limit.
     fn refuse_batch(&mut self, batch: Batch) {
         for requester in batch.submissions.into_iter().flat_map(|s| s.requesters) {
             self.refuse(requester, 503, "too many submissions", Some(RETRY_AFTER_S));
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations: a job's end is committed before its user is told of it.
+//! Cancellations. The end of the job is committed before the user gets the answer.
 
 use crate::constants::{RETRY_AFTER_S, USER_WRITE_RESERVE};
 use crate::coordination::requester::Requester;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A cancellation after a fresh read.
+    /// Handles a cancellation after a fresh read.
     pub(in crate::coordination) fn cancel_known(&mut self, requester: Requester, uid: String) {
         match self.known_stage(&uid) {
             Some(JobStage::Live) => self.commit_cancellation(requester, &uid),
@@ -58,8 +58,8 @@
         self.commit_call(body, 1, purpose);
     }
 
-    /// Adds the end of a job as cancelled, which holds if it has no end yet. Of the job nothing need be
-    /// known but that its tasks run.
+    /// Adds the end of a job as cancelled to a transaction, on condition that the job has no end yet.
+    /// The job need not be in the replica.
     pub(in crate::coordination) fn add_cancellation(&self, job: &str, commit: &mut Transaction) {
         let known = self.store.replica().jobs.get(job).map(|known| &known.value);
         let end = JobEndRecord {
@@ -89,11 +89,11 @@
                     return self.unavailable(requester);
                 }
                 self.apply_own_transaction(&commit, applied.revision);
-                log::debug!("{uid}: withdrawn");
+                log::debug!("job cancelled: {uid}");
                 let answer = JobStatusResponse { uid: &uid, status: JobStatus::Cancelled };
                 self.answer_json(requester, 200, &answer);
             }
-            // Done in the meantime, or cancelled already.
+            // The job is done or cancelled already.
             Some(Response { status: 409, .. }) => {
                 self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid });
             }
--- a/src/coordination/requests/health.rs
+++ b/src/coordination/requests/health.rs
@@ -1,4 +1,4 @@
-//! Health checks of the load balancer.
+//! Answers to the load balancer's health checks.
 
 use crate::constants::RETRY_AFTER_S;
 use crate::coordination::interface::ConnectionId;
@@ -6,9 +6,9 @@
 use crate::coordination::Controller;
 
 impl Controller {
-    /// 200 when users are at least as well off here as elsewhere: served by the state
-    /// service, or able to have a served peer answer, or all are refused alike (coming
-    /// back into the balancer is slow, and there is nowhere better to go).
+    /// Answers 200 if no other controller serves users better: this one reaches the state service, or
+    /// can relay to a peer that does, or no controller reaches it. In the last case leaving the load
+    /// balancer would gain nothing, and coming back into it is slow.
     pub(in crate::coordination) fn health_check(&mut self, connection: ConnectionId) {
         self.metrics.work.health_checks += 1;
         let is_healthy = self.store_is_usable() || self.is_no_worse_than_peers();
@@ -19,6 +19,7 @@
         self.respond(connection, status, (!is_healthy).then_some(RETRY_AFTER_S), body.into());
     }
 
+    /// Whether a peer can answer our users, or no peer reaches the state service either.
     fn is_no_worse_than_peers(&self) -> bool {
         let now = self.now.monotonic_ms;
         let fresh: Vec<_> = self.membership.fresh_gossip(now).collect();
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -1,7 +1,8 @@
-//! Users' requests: submissions, polls and cancellations, and whether this controller takes any.
+//! Users' requests: submissions, polls and cancellations, and their admission.
 //!
-//! Every answer that a job is accepted, cancelled or done rests on a commit or on a read
-//! that began after the request came; only final states come from memory.
+//! Every answer about the state of a job is based on a commit, or on a read of the store that began
+//! after the request came in. Only final states are answered from the replica without a read, since
+//! they never change.
 
 mod batches;
 mod cancellations;
@@ -22,6 +23,7 @@
 use crate::storage::replica::Versioned;
 
 impl Controller {
+    /// Answers the client, or wraps the answer for the peer that relayed the request.
     fn answer(
         &mut self,
         requester: Requester,
@@ -47,7 +49,7 @@
         self.answer(requester, status, None, body);
     }
 
-    /// Answers with an error, and the seconds after which the user may come back.
+    /// Answers with an error, and with the seconds after which the user may retry.
     pub(super) fn refuse(
         &mut self,
         requester: Requester,
@@ -62,22 +64,22 @@
         self.answer(requester, status, retry_after_s, body);
     }
 
-    /// Refuses a request because there is too much to do.
+    /// Refuses a request because this controller is overloaded.
     pub(super) fn refuse_overloaded(&mut self, requester: Requester) {
         self.refuse(requester, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
     }
 
-    /// Refuses a request that only the state service could answer.
+    /// Refuses a request that can't be answered without the store.
     pub(super) fn unavailable(&mut self, requester: Requester) {
         self.refuse(requester, 503, "the state service can't be reached", Some(RETRY_AFTER_S));
     }
 
-    /// Refuses a request that has no route.
+    /// Refuses a request whose path or method is unknown.
     pub(super) fn refuse_route(&mut self, requester: Requester, error: RouteError) {
         self.refuse(requester, error.status(), &error.to_string(), None);
     }
 
-    /// Takes a user's request, from the user or from a peer that passes it on.
+    /// Handles a user's request, received from the user or relayed by a peer.
     pub(super) fn user_request(&mut self, requester: Requester, route: UserRoute<'_>, body: &[u8]) {
         match route {
             UserRoute::Submit => self.submit(requester, body),
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Whether a request that needs the store can be taken; answers it otherwise.
+    /// Whether a request that needs the store is admitted. If not, it is refused or relayed to a peer.
     fn admit(
         &mut self,
         requester: Requester,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Answers a submission or cancellation of a job that the replica holds with its state.
+    /// Answers a submission or cancellation with the status of its job, which the replica holds.
     fn answer_known(&mut self, requester: Requester, uid: &str) {
         if self.store.replica().is_flagged(uid) {
             return self.unavailable(requester);
@@ -129,7 +131,8 @@
         }
     }
 
-    /// A job that is not known was never accepted, unless a part of the history is lost.
+    /// Refuses a request for an unknown job. It was never accepted, unless a part of the store's
+    /// history is lost: then the answer is that the job's state can't be told.
     fn unknown_job(&mut self, requester: Requester) {
         match self.has_history_gap() {
             true => self.unavailable(requester),
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -1,4 +1,4 @@
-//! Polls of a job's state.
+//! Polls of a job's status.
 
 use crate::coordination::requester::Requester;
 use crate::coordination::store_client::FreshReadWaiter;
@@ -12,7 +12,8 @@
         if !valid_uid(uid) {
             return self.refuse(requester, 404, "no such job", None);
         }
-        // After a suspected loss a late transaction may have ended the job in a store that is lost.
+        // While data loss is suspected, the end of the job may stand only in the lost store: a
+        // transaction may have been committed there late.
         if self.store.replica().has_ended(uid) && !self.recovery.is_suspended() {
             return self.answer_poll(requester, uid);
         }
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Answers a poll from the replica, which is fresh enough by now.
+    /// Answers a poll from the replica, which shows a final state or has had a fresh read.
     pub(in crate::coordination) fn answer_poll(&mut self, requester: Requester, uid: &str) {
         let _ = self.metrics.poll_ms.record(self.now.monotonic_ms - requester.since());
         let replica = self.store.replica();
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -1,4 +1,4 @@
-//! Users' requests that a peer answers for us, or we for a peer.
+//! Relaying users' requests between controllers.
 
 use crate::constants::{PEER_VERSION, RELAY_TIMEOUT_MS};
 use crate::coordination::interface::{ConnectionId, Service};
@@ -9,7 +9,8 @@
 use crate::protocol::routes::{UserRoute, RELAY_PATH};
 
 impl Controller {
-    /// We can't answer: a served peer does it for us, or the user comes back later.
+    /// Relays a request that we can't answer to a peer that reaches the state service. Without such a
+    /// peer, or if the request was relayed to us, it is refused and the user retries.
     pub(in crate::coordination) fn relay_or_refuse(
         &mut self,
         requester: Requester,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A peer passes a user's request on.
+    /// Handles a user's request that a peer has relayed to us.
     pub(in crate::coordination) fn answer_relayed_request(
         &mut self,
         connection: ConnectionId,
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -1,6 +1,6 @@
-//! Submissions: which can be accepted.
+//! Validation of submissions.
 //!
-//! None is answered before its batch is committed or known from a read.
+//! A valid submission is answered only once its batch is committed, or a read shows its job.
 
 use crate::constants::RETRY_AFTER_S;
 use crate::coordination::gang_rules::{gang_tasks_max, zones_suffice};
@@ -34,12 +34,12 @@
         }
         match self.validate(submission) {
             Ok(spec) => self.add_to_batch(requester, spec),
-            // It may have been accepted elsewhere a moment ago, with another body.
+            // Another controller may have just accepted the job with another body.
             Err(rejection) => self.request_read_for_submission(requester, uid, Some(rejection)),
         }
     }
 
-    /// Has a submission wait for a read that shows whether its job is known.
+    /// Makes a submission wait for a fresh read that shows whether its job is known.
     pub(super) fn request_read_for_submission(
         &mut self,
         requester: Requester,
@@ -50,7 +50,7 @@
         self.request_fresh_read(waiter);
     }
 
-    /// Whether the job can ever run.
+    /// Checks that the job can ever run.
     fn validate(&self, submission: Submission) -> Result<Rc<JobSpec>, Rejection> {
         let spec =
             submission.into_spec().map_err(|error| Rejection::Malformed(error.to_string()))?;
@@ -73,7 +73,7 @@
         Ok(Rc::new(spec))
     }
 
-    /// What only a gang can fail at: all of its tasks have to be placed at once.
+    /// Checks that all tasks of a gang can be placed at once.
     fn validate_gang(&self, spec: &JobSpec, catalog: &Catalog) -> Result<(), Rejection> {
         let tasks_max = gang_tasks_max(self.store.limits(), self.settings.controllers());
         if spec.tasks as usize > tasks_max {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// A submission after a fresh read: of a known job, or of one that is not accepted.
+    /// Answers a submission after a fresh read: its job is known by now, or it is rejected.
     pub(in crate::coordination) fn submit_known(
         &mut self,
         requester: Requester,
@@ -100,7 +100,7 @@
             return self.answer_known(requester, uid);
         }
         match rejection {
-            // It may have been accepted in the lost history, whatever is wrong with it now.
+            // With a gap in the history, the job may have been accepted although it is invalid now.
             Some(rejection) if !self.has_history_gap() => self.reject(requester, &rejection),
             _ => self.unavailable(requester),
         }
@@ -113,7 +113,7 @@
     }
 }
 
-/// Machine types that the job allows and that have room for a task of it.
+/// Machine types that the job allows and that have room for one of its tasks.
 fn usable_types<'a>(
     spec: &'a JobSpec,
     catalog: &'a Catalog,
