--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -1,66 +1,66 @@
-//! Counters and latencies: what a controller has done, for the operators' view and the log.
+//! Counters and latency histograms of a controller, for its status report and the log.
 
 use super::Controller;
 use crate::constants;
 use crate::transport::counts::TransportCounts;
 use serde::Serialize;
 
-/// Milliseconds in two significant digits.
+/// Histogram of latencies in milliseconds, with two significant digits.
 pub(super) type Latencies = hdrhistogram::Histogram<u64>;
 
-/// What the core has done since the process began.
+/// Counts of the controller's work since the process began.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct WorkCounts {
     /// Batches of commands handled.
     pub batches: u64,
-    /// Batches that held no command: a timer was due, or none was.
+    /// Batches without a command, which handle only what is due.
     pub batches_empty: u64,
-    /// Reports of workers.
+    /// Heartbeats of workers.
     pub reports: u64,
-    /// Reports that were answered with a redirect (421).
+    /// Heartbeats answered with a redirect to the leader (421).
     pub reports_redirected: u64,
     /// Requests to submit a job.
     pub submissions: u64,
-    /// Requests for a job's state.
+    /// Requests for a job's status.
     pub polls: u64,
     /// Requests to cancel a job.
     pub cancellations: u64,
-    /// Health checks of the load balancer.
+    /// The load balancer's health checks.
     pub health_checks: u64,
     /// Jobs accepted.
     pub accepted: u64,
-    /// Requests refused with 429 or above.
+    /// Requests refused with a status of 429 or above.
     pub refused: u64,
-    /// Messages sent to other controllers.
+    /// Requests sent to peers.
     pub peer_requests_sent: u64,
-    /// Messages received from other controllers.
+    /// Requests received from peers.
     pub peer_requests_received: u64,
     /// Requests to the state service, of every kind.
     pub state_calls: u64,
-    /// Of these, reads: pages of the whole store, watches, zero-wait reads.
+    /// Reads among them: pages of the listing, watches and fresh reads.
     pub state_reads: u64,
-    /// Of the reads, those that brought no change.
+    /// Reads that returned no change.
     pub state_reads_unchanged: u64,
     /// Bytes of the answers to reads.
     pub state_bytes_read: u64,
     /// Transactions sent.
     pub state_commits: u64,
-    /// Puts and deletes in them.
+    /// Puts and deletes in these transactions.
     pub state_writes: u64,
     /// Planning passes.
     pub planner_passes: u64,
-    /// Machines that these passes looked at.
+    /// Machines examined by these passes.
     pub planner_machines: u64,
-    /// Places for tasks that these passes worked out.
+    /// Candidate places for tasks computed by these passes.
     pub planner_places: u64,
-    /// Looks at the size of the fleet.
+    /// Scans of the fleet for machines to rent or to return.
     pub fleet_scans: u64,
-    /// Searches for leases that have run out.
+    /// Scans for expired worker leases.
     pub lease_scans: u64,
 }
 
 impl WorkCounts {
-    /// What was done between an earlier reading and this one.
+    /// The difference between these counts and earlier ones.
     pub fn since(&self, earlier: &WorkCounts) -> WorkCounts {
         WorkCounts {
             batches: self.batches - earlier.batches,
@@ -90,23 +90,25 @@
     }
 }
 
-/// Counters and latencies for the operators' view.
+/// The counters and latency histograms of a controller.
 pub(crate) struct Metrics {
     /// From a submission to its acceptance.
     pub submit_ms: Latencies,
     /// From a poll to its answer.
     pub poll_ms: Latencies,
-    /// From a report to its answer.
+    /// From a heartbeat to its answer.
     pub report_ms: Latencies,
-    /// From the decision to place a task to the report that shows it running.
+    /// From the decision to place a task to the heartbeat that shows it running.
     pub start_ms: Latencies,
-    /// What the core has done.
+    /// Counts of the controller's work.
     pub work: WorkCounts,
-    /// What the transport has done, as last told.
+    /// Counts of the transport's work, as last set by [`Controller::note_transport`].
     pub transport: TransportCounts,
-    /// Both as of the last line in the log, and when the next one is due.
+    /// `work` as of the last log line.
     logged_work: WorkCounts,
+    /// `transport` as of the last log line.
     logged_transport: TransportCounts,
+    /// When the next log line is due.
     log_at: u64,
 }
 
@@ -128,17 +130,17 @@
 }
 
 impl Controller {
-    /// Takes over the transport's counts, which the core can't know by itself.
+    /// Sets the counts of the transport, which the controller's core can't observe.
     pub fn note_transport(&mut self, counts: TransportCounts) {
         self.metrics.transport = counts;
     }
 
-    /// What this controller has done since it began.
+    /// Counts of this controller's work since its process began.
     pub fn work_counts(&self) -> &WorkCounts {
         &self.metrics.work
     }
 
-    /// Writes a line with what was done since the last one, when it is due.
+    /// Logs the counts since the last such line, when the next one is due.
     pub(super) fn log_metrics_due(&mut self) {
         let now = self.now.monotonic_ms;
         let metrics = &mut self.metrics;
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -1,4 +1,4 @@
-//! The operators' view: sums first, single machines and waiting jobs on request.
+//! The status report for operators: totals, and on request single machines and waiting jobs.
 
 use super::metrics::{Latencies, WorkCounts};
 use super::recovery::RecoveryView;
@@ -10,30 +10,30 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Query of a status request that asks for single machines and jobs too.
+/// Query of a status request that asks for single machines and waiting jobs too.
 pub const DETAILS_QUERY: &str = "details";
 
-/// Waiting jobs listed in full.
+/// Waiting jobs listed at the most.
 const WAITING_SHOWN: usize = 50;
 
-/// What a controller tells its operators.
+/// The status of a controller.
 #[derive(Debug, Serialize)]
 pub struct StatusView {
     controller: String,
     version: &'static str,
     up_s: u64,
     served_by_state_service: bool,
-    /// The leader as the store has it.
+    /// The leader according to the store.
     leader: Option<String>,
     term: u64,
     revision: u64,
     jobs: JobSums,
     /// On the leader only.
     fleet: Option<FleetSums>,
-    /// What is kept in memory, in numbers.
+    /// Numbers of entries in memory.
     held: HeldSums,
     latency_ms: LatencyView,
-    /// Where losses of the store are noticed.
+    /// Only if recovery is enabled.
     #[serde(skip_serializing_if = "Option::is_none")]
     recovery: Option<RecoveryView>,
     work: WorkCounts,
@@ -53,32 +53,33 @@
     cancelled: usize,
 }
 
-/// The leader's fleet in sums.
+/// Totals of the leader's fleet.
 #[derive(Debug, Default, Serialize)]
 struct FleetSums {
     /// Machines by state.
     machines: BTreeMap<&'static str, usize>,
-    /// Of these, spot machines.
+    /// Number of spot machines among them.
     spot: usize,
-    /// Tasks on machines.
+    /// Tasks placed on machines.
     tasks: usize,
-    /// Tasks that wait for a machine, and the jobs that they belong to.
+    /// Tasks that wait for a machine.
     waiting_tasks: u64,
+    /// Jobs that these tasks belong to.
     waiting_jobs: usize,
 }
 
-/// Numbers of entries in the large tables.
+/// Numbers of entries in the large in-memory tables.
 #[derive(Debug, Default, Serialize)]
 struct HeldSums {
-    /// In the copy of the store.
+    /// In the replica, as the next two.
     jobs: usize,
     batches: usize,
     placement_groups: usize,
-    /// On the leader.
+    /// On the leader, as the next three; 0 elsewhere.
     live_jobs: usize,
     machines: usize,
     placements: usize,
-    /// Reports whose answer waits for a commit.
+    /// Heartbeats whose answer waits for a commit.
     reports: usize,
 }
 
@@ -128,7 +129,7 @@
     }
 }
 
-/// State of a machine in the words that scripts of operators know.
+/// Name of a machine's state. Operators' scripts match these names.
 fn state_of(machine: &Machine) -> &'static str {
     match machine.state {
         MachineState::Booting => "booting",
@@ -146,12 +147,12 @@
     /// Answers a status request.
     pub(super) fn status(&mut self, connection: ConnectionId, query: &str) {
         let view = self.status_view(query == DETAILS_QUERY);
-        // On many lines: with hundreds of machines one would be longer than a response may have.
+        // On many lines, since one line for hundreds of machines would be too long for a response.
         let body = serde_json::to_vec_pretty(&view).unwrap_or_default();
         self.respond(connection, 200, None, body);
     }
 
-    /// Leader, term, sums, counters and latencies; with `details` machines and waiting jobs too.
+    /// The status of this controller; with `details`, single machines and waiting jobs too.
     pub fn status_view(&self, details: bool) -> StatusView {
         let leader = self.leader.as_ref().filter(|leader| leader.ready);
         let listed = leader.filter(|_| details);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// The oldest waiting jobs, with what they wait for.
+    /// The oldest waiting jobs, each with the reason why it waits.
     fn waiting_lines(&self, leader: &Leader) -> Vec<WaitingLine> {
         let cluster = &leader.cluster;
         let jobs = cluster.queue.values().filter_map(|uid| cluster.jobs.get(uid));
