--- a/src/constants/admission.rs
+++ b/src/constants/admission.rs
@@ -1,11 +1,11 @@
-//! Bounds on users' requests that wait, and when a refused one may come again.
+//! Limits on pending users' requests, and the delays after which refused ones may be retried.
 
-/// User requests taken from one batch; those beyond are answered 503 at once, so
-/// that heartbeats and decisions keep their turn.
+/// User requests handled from one batch of commands. Others are answered 503 at once, so that
+/// heartbeats and scheduling aren't delayed.
 pub const BATCH_USER_MAX: usize = 256;
-/// User requests waiting for the state service; more are answered 503 at once.
+/// User requests that may wait for the state service; others are answered 503 at once.
 pub const USER_WAIT_MAX: usize = 2_000;
-/// Seconds of `Retry-After` when something the service depends on is missing.
+/// Seconds of `Retry-After` when a dependency such as the state service is unavailable.
 pub const RETRY_AFTER_S: u64 = 1;
-/// Seconds of `Retry-After` when the queue is full: lets a burst pass.
+/// Seconds of `Retry-After` when too many requests wait: long enough for a burst to pass.
 pub const RETRY_AFTER_BUSY_S: u64 = 2;
--- a/src/constants/state_service.rs
+++ b/src/constants/state_service.rs
@@ -1,82 +1,82 @@
-//! Calls to the state service: timeouts, request and write rates, and the sizes of stored values.
+//! Calls to the state service: timeouts, request and write rates, and sizes of stored values.
 
 pub use mountgap_records::constants::{DONE_CHUNK_TASKS, KEY_FAMILY, KEY_ROOT};
-/// Milliseconds to wait for an ordinary answer: answers take 10 ms, at times a few
-/// hundred, and a user's poll gives up after 2 s.
+/// Milliseconds to wait for an ordinary answer. Answers take 10 ms, at times a few hundred, and a
+/// user's poll gives up after 2 s.
 pub const STATE_TIMEOUT_MS: u64 = 1_200;
-/// Milliseconds to wait for a page of the whole store at start.
+/// Milliseconds to wait for a page of the initial listing.
 pub const STATE_LIST_TIMEOUT_MS: u64 = 4_000;
-/// Keys per page of the whole store; the protocol's maximum.
+/// Keys per page of the initial listing: the protocol's maximum.
 pub const STATE_LIST_LIMIT: usize = 1_000;
-/// Milliseconds a watch stays open. Zero-wait reads catch up when a watch is stuck,
-/// so this only bounds how long a dead connection lives.
+/// Milliseconds that a watch blocks without a change. Fresh reads bring changes when a watch is stuck,
+/// so this only bounds the life of a dead connection.
 pub const WATCH_BLOCK_MS: u64 = 5_000;
-/// Milliseconds after which an open watch counts as lost.
+/// Milliseconds after which an unanswered watch counts as failed.
 pub const WATCH_TIMEOUT_MS: u64 = 8_000;
-/// Milliseconds between zero-wait reads when nobody asks for one: shows whether the
-/// store serves us and replaces a stuck watch.
+/// Milliseconds between fresh reads when no request waits for one. They show whether the state
+/// service answers, and make up for a stuck watch.
 pub const READ_PERIOD_MS: u64 = 700;
-/// Least milliseconds between two zero-wait reads; polls in between share one.
+/// Least milliseconds between two fresh reads; requests that come in between share the next one.
 pub const READ_GAP_MIN_MS: u64 = 20;
-/// Milliseconds to wait before asking again after the state service refused.
+/// Milliseconds to wait after a failed request to the state service before a retry.
 pub const STATE_RETRY_BACKOFF_MS: u64 = 250;
-/// Milliseconds before a store of a layout that we can't read is checked again.
+/// Milliseconds before a store with an unsupported layout is checked again.
 pub const UNREADABLE_LAYOUT_RECHECK_MS: u64 = 10_000;
-/// Share of the request rate that one controller uses, times the number of controllers.
+/// Share of an allowed request rate that all controllers use together, each an equal part.
 pub const STATE_RPS_SHARE: f64 = 0.85;
-/// Share of the write rate that the leader has beyond what every controller has for
-/// submissions. Those are written in batches, so that little does for them; what is left
-/// bounds how fast tasks start.
+/// Share of the write rate reserved for the leader; the controllers divide the rest evenly for users'
+/// requests. Submissions are written in batches and need few writes, while the leader's writes
+/// bound how fast tasks start.
 pub const WRITE_SHARE_LEADER: f64 = 0.4;
-/// Writes kept free in the leader's bucket for submissions and cancellations.
+/// Writes that the leader's own transactions leave in its budget for submissions and cancellations.
 pub const WRITE_RESERVE: f64 = 2.0;
-/// Writes that a cancellation leaves in the bucket for submissions, and submissions for
-/// cancellations: none, both are users'.
+/// Writes that a user's request leaves in the budget for others: none, since submissions and
+/// cancellations have the same priority.
 pub const USER_WRITE_RESERVE: f64 = 0.0;
-/// Milliseconds that a submission may wait for its batch to be written before it is passed
-/// to a peer or refused: within what users consider fast.
+/// Milliseconds that a submission may wait for a batch before it is relayed to a peer or refused: short
+/// enough for users to consider it fast.
 pub const BATCH_WAIT_MS: u64 = 500;
-/// Milliseconds for which submissions gather while writes are short.
+/// Milliseconds for which submissions are collected into a batch while the write budget is low.
 pub const BATCH_GATHER_MS: u64 = 60;
-/// Milliseconds after which a batch of submissions with no answer is sent once more: answers
+/// Milliseconds after which a second copy of an unanswered batch of submissions is sent: answers
 /// usually take less than 10 ms (protocol).
 pub const BATCH_HEDGE_MS: u64 = 50;
-/// Share of the bucket below which writes are short.
+/// Share of a full write budget below which the budget is low.
 pub const SHORT_OF_WRITES_SHARE: f64 = 0.6;
-/// Batches of submissions on their way at a time; others gather meanwhile.
+/// Batches of submissions that may be in flight; other submissions wait meanwhile.
 pub const BATCHES_IN_FLIGHT: usize = 3;
-/// Bytes of a batch's value kept for its framing, per job and for all.
+/// Bytes of a batch's value reserved for framing: once for each job and once for the value.
 pub const BATCH_FRAME_BYTES: usize = 64;
-/// Bits of an arrival number below the revision of the batch: jobs of one batch.
+/// Low bits of a job's arrival number, which count the jobs of a batch; the batch's revision is above.
 pub const ARRIVAL_BITS: u32 = 8;
-/// Bytes in a kilobyte of the settings.
+/// Bytes in a kilobyte, as the settings use it.
 pub const BYTES_PER_KB: f64 = 1024.0;
-/// Least bytes of a value that the stored forms can do with: a bitmap of done tasks takes a quarter of
-/// [`DONE_CHUNK_TASKS`] in bytes, beside its name and framing.
+/// Least value size in bytes that the stored records can do with: a bitmap of done tasks takes a
+/// quarter of [`DONE_CHUNK_TASKS`] in bytes, besides its name and framing.
 pub const STORE_VALUE_BYTES_MIN: usize = 1_280;
-/// Least puts and deletes of a transaction: an election writes leader and term.
+/// Least limit of puts and deletes in a transaction: an election writes leader and term.
 pub const TRANSACTION_OPS_MIN: usize = 2;
-/// Bytes that a stored placement takes at the most, unless machines have very long names: bounds the
-/// gangs that are accepted, since a gang is placed by one commit.
+/// Most bytes of a stored placement, unless machines have very long names. Bounds the size of gangs,
+/// since a gang is placed by one commit.
 pub const PLACEMENT_BYTES_MAX: usize = 64;
-/// Bytes of a group's value kept for its framing.
+/// Bytes of a group's value reserved for framing.
 pub const GROUP_FRAME_BYTES: usize = 64;
-/// Bytes of one commit kept for its framing and conditions, of the protocol's 64 KiB.
+/// Bytes of a commit reserved for framing and conditions, out of [`COMMIT_BYTES`].
 pub const COMMIT_FRAME_BYTES: usize = 16 * 1024;
-/// Conditions of one commit for each of its changes (protocol).
+/// Conditions that a commit may have for each of its changes (protocol).
 pub const CONDITIONS_PER_CHANGE: usize = 4;
-/// Bytes of one commit (protocol).
+/// Most bytes of a commit (protocol).
 pub const COMMIT_BYTES: usize = 64 * 1024;
-/// Bytes that one task takes in a heartbeat, rounded up: bounds how many a machine gets, since
-/// heartbeats end at 64 KiB.
+/// Bytes of one task in a heartbeat, rounded up. Bounds the tasks of a machine, since a heartbeat may
+/// have 64 KiB.
 pub const HEARTBEAT_TASK_BYTES: usize = 128;
-/// Groups that are written only to take out what has ended, with each batch of bitmaps.
+/// Placement groups that a periodic transaction may rewrite only to remove ended placements.
 pub const CLEANED_GROUPS_PER_BATCH: usize = 2;
-/// Commands in one response: at up to 131 bytes each its body stays under 64 KiB.
+/// Most commands in a response to a worker: at up to 131 bytes each, the body stays under 64 KiB.
 pub const COMMANDS_MAX: usize = 500;
-/// Images remembered for a machine.
+/// Most images remembered for a machine.
 pub const IMAGES_KEPT: usize = 10;
-/// Milliseconds between two writes of the images that machines hold: hints for a new leader.
+/// Milliseconds between two writes of the images that machines hold, which are hints for a new leader.
 pub const IMAGES_PERIOD_MS: u64 = 15_000;
-/// Milliseconds between two searches for keys that nobody needs any more.
+/// Milliseconds between two searches for obsolete keys.
 pub const GARBAGE_PERIOD_MS: u64 = 10_000;
