--- a/src/constants/rebuild.rs
+++ b/src/constants/rebuild.rs
@@ -3,7 +3,7 @@
 use super::leadership::LEADER_LEASE_MS;
 
 /// Milliseconds between a suspicion, once it is confirmed, and the first attempt to rebuild: peers
-/// read the store every [`READ_PERIOD_MS`](super::READ_PERIOD_MS) and notice the loss too.
+/// read the store every [`FRESH_READ_PERIOD_MS`](super::FRESH_READ_PERIOD_MS) and notice the loss too.
 pub const REBUILD_CAMPAIGN_DELAY_MS: u64 = 1_000;
 /// The same for a controller that holds nothing of the lost store: one that does should rebuild it, since it
 /// may keep workers' leases meanwhile.
--- a/src/constants/workers.rs
+++ b/src/constants/workers.rs
@@ -1,6 +1,6 @@
 //! Heartbeats and leases of workers, and the detection of machines that answers don't reach.
 
-use super::state_service::{READ_PERIOD_MS, STATE_TIMEOUT_MS};
+use super::state_service::{FRESH_READ_PERIOD_MS, STATE_TIMEOUT_MS};
 
 /// Share of the heartbeat period by which a heartbeat may come early or late (protocol).
 pub const HEARTBEAT_JITTER: f64 = 0.25;
@@ -15,10 +15,10 @@
 /// Milliseconds for which what is known of cancellations is recent enough to order a start: one
 /// read period and the longest wait for a response, so that a start waits for nothing while
 /// the store answers at all.
-pub const START_READ_AGE_MAX_MS: u64 = READ_PERIOD_MS + STATE_TIMEOUT_MS + 100;
+pub const START_READ_AGE_MAX_MS: u64 = FRESH_READ_PERIOD_MS + STATE_TIMEOUT_MS + 100;
 /// Milliseconds without a read of the store after which a leader asks its peers which jobs have ended:
 /// one read period and the latency of most slow responses, so that a healthy store causes no such query.
-pub const ISOLATION_QUERY_AFTER_MS: u64 = READ_PERIOD_MS + 300;
+pub const ISOLATION_QUERY_AFTER_MS: u64 = FRESH_READ_PERIOD_MS + 300;
 /// Ended jobs that a controller names to a peer at most. Far more than users cancel in the longest
 /// outage that leases outlive; beyond it, leases count from the last read alone.
 pub const ENDED_JOBS_NAMED_MAX: usize = 4_096;
--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -1,6 +1,6 @@
 //! The client of the cloud: the rate of its requests, and the catalogue of machine types.
 
-use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_BACKOFF_MS, STATE_RPS_SHARE};
+use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_BACKOFF_MS, REQUEST_RATE_SHARE};
 use crate::protocol::cloud::Catalog;
 use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 impl CloudClient {
     /// A client with a follower's share of the requests.
     pub(super) fn new(requests_per_s: f64, controllers: usize, now: u64) -> CloudClient {
-        let share = requests_per_s * STATE_RPS_SHARE / controllers as f64;
+        let share = requests_per_s * REQUEST_RATE_SHARE / controllers as f64;
         CloudClient {
             requests_per_s,
             budget: TokenBucket::new(share, now),
@@ -34,12 +34,12 @@
 
     /// The leader may use the rate of all controllers.
     pub(super) fn set_leader_rate(&mut self, now: u64) {
-        self.budget.set_rate(self.requests_per_s * STATE_RPS_SHARE, now);
+        self.budget.set_rate(self.requests_per_s * REQUEST_RATE_SHARE, now);
     }
 
     /// A follower shares it with the others.
     pub(super) fn set_follower_rate(&mut self, controllers: usize, now: u64) {
-        let share = self.requests_per_s * STATE_RPS_SHARE / controllers as f64;
+        let share = self.requests_per_s * REQUEST_RATE_SHARE / controllers as f64;
         self.budget.set_rate(share, now);
     }
 
--- a/src/coordination/gang_rules.rs
+++ b/src/coordination/gang_rules.rs
@@ -2,8 +2,8 @@
 
 use super::write_shares::leader_write_share;
 use crate::constants::{
-    COMMIT_BYTES, COMMIT_FRAME_BYTES, GROUP_FRAME_BYTES, HEARTBEAT_JITTER, PLACEMENT_BYTES_MAX,
-    WRITE_RESERVE,
+    COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES, GROUP_FRAME_BYTES, HEARTBEAT_JITTER,
+    LEADER_WRITE_RESERVE, PLACEMENT_BYTES_MAX,
 };
 use crate::protocol::users::JobSpec;
 use crate::settings::Workers;
@@ -12,8 +12,9 @@
 /// Most tasks of a gang: the placements of an attempt go into one transaction, which can have no more
 /// changes than a leader may make at once.
 pub(super) fn gang_tasks_max(limits: &StoreLimits, controllers: usize) -> usize {
-    let by_bytes = (COMMIT_BYTES - COMMIT_FRAME_BYTES) / limits.value_bytes;
-    let burst = limits.lowest_writes_per_s() * leader_write_share(controllers) - WRITE_RESERVE;
+    let by_bytes = (COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES) / limits.value_bytes;
+    let burst =
+        limits.lowest_writes_per_s() * leader_write_share(controllers) - LEADER_WRITE_RESERVE;
     let groups = limits.transaction_ops.min(by_bytes).min(burst as usize).max(1);
     groups * ((limits.value_bytes - GROUP_FRAME_BYTES) / PLACEMENT_BYTES_MAX)
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -44,7 +44,7 @@
 pub use interface::{CallId, Clock, Command, ConnectionId, Effect, Service};
 pub use leader::Leader;
 
-use crate::constants::{BATCH_USER_MAX, POLL_MAX_MS, POLL_SOON_MS};
+use crate::constants::{POLL_MAX_MS, POLL_SOON_MS, USER_REQUESTS_PER_BATCH_MAX};
 use crate::protocol::http::Response;
 use crate::protocol::routes::{PeerRoute, Route};
 use crate::settings::{Operator, Platform};
@@ -122,7 +122,7 @@
         let mut user_requests = 0;
         for command in commands {
             user_requests += usize::from(command.priority() == CommandPriority::User);
-            if user_requests > BATCH_USER_MAX {
+            if user_requests > USER_REQUESTS_PER_BATCH_MAX {
                 self.shed(command);
             } else {
                 self.command(command);
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -9,8 +9,8 @@
 use super::put_rebuild_record;
 use super::rebuild_plan::RebuildPlan;
 use crate::constants::{
-    MS_PER_S, REBUILD_IMAGES_TIMEOUT_MS, REBUILD_REFUSALS_MAX, STATE_RETRY_BACKOFF_MS,
-    WRITE_RESERVE,
+    LEADER_WRITE_RESERVE, MS_PER_S, REBUILD_IMAGES_TIMEOUT_MS, REBUILD_REFUSALS_MAX,
+    STATE_RETRY_BACKOFF_MS,
 };
 use crate::coordination::membership::stop_commands_of_ended_jobs;
 use crate::coordination::{CallPurpose, ConnectionId, Controller};
@@ -129,7 +129,7 @@
         }
         let Some(plan) = &rebuild.plan else { return };
         // No more at a time than the bucket ever holds.
-        let burst = (self.store.write_budget().burst() - WRITE_RESERVE).max(1.0) as usize;
+        let burst = (self.store.write_budget().burst() - LEADER_WRITE_RESERVE).max(1.0) as usize;
         let limits = self.rebuild_limits();
         let limits =
             TransactionLimits { transaction_ops: limits.transaction_ops.min(burst), ..limits };
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -3,9 +3,10 @@
 //! [`Submissions`] owns the submissions that wait for a batch, and the batches that are being committed.
 
 use crate::constants::{
-    ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
-    BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, RETRY_AFTER_S,
-    SHORT_OF_WRITES_SHARE, USER_WAIT_MAX, USER_WRITE_RESERVE,
+    ARRIVAL_INDEX_BITS, BATCHES_IN_FLIGHT_MAX, BATCH_COLLECT_MS, BATCH_FRAME_BYTES,
+    BATCH_HEDGE_DELAY_MS, BATCH_WAIT_MAX_MS, COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES,
+    CONDITIONS_PER_CHANGE, LOW_WRITE_BUDGET_SHARE, RETRY_AFTER_S, USER_WRITE_RESERVE,
+    WAITING_USER_REQUESTS_MAX,
 };
 use crate::coordination::requester::Requester;
 use crate::coordination::store_client::ReadPoint;
@@ -144,26 +145,27 @@
     /// When [`Controller::batches_due`] has something to do next if no command comes before.
     pub(in crate::coordination) fn next_wake(&self, writes: &TokenBucket) -> Option<u64> {
         let gathered = self.gathering.first().map(|first| {
-            let plenty = writes.available_at(writes.burst() * SHORT_OF_WRITES_SHARE);
+            let plenty = writes.available_at(writes.burst() * LOW_WRITE_BUDGET_SHARE);
             let one = writes.available_at(USER_WRITE_RESERVE + 1.0);
-            let sent_at = (first.received_at + BATCH_GATHER_MS).min(plenty).max(one);
-            sent_at.min(first.received_at + BATCH_WAIT_MS + 1)
+            let sent_at = (first.received_at + BATCH_COLLECT_MS).min(plenty).max(one);
+            sent_at.min(first.received_at + BATCH_WAIT_MAX_MS + 1)
         });
         let hedges = self.in_flight.values().filter(|batch| batch.copies.len() == 1);
-        let hedge = hedges.map(|batch| batch.first_sent_at + BATCH_HEDGE_MS + 1).min();
+        let hedge = hedges.map(|batch| batch.first_sent_at + BATCH_HEDGE_DELAY_MS + 1).min();
         [gathered, hedge].into_iter().flatten().min()
     }
 
-    /// Takes out the submissions that have waited longer than [`BATCH_WAIT_MS`].
+    /// Takes out the submissions that have waited longer than [`BATCH_WAIT_MAX_MS`].
     fn take_overdue(&mut self, now: u64) -> Vec<PendingSubmission> {
-        let is_overdue = |s: &mut PendingSubmission| now > s.received_at + BATCH_WAIT_MS;
+        let is_overdue = |s: &mut PendingSubmission| now > s.received_at + BATCH_WAIT_MAX_MS;
         self.gathering.extract_if(.., is_overdue).collect()
     }
 
-    /// Batches whose only copy has had no answer for longer than [`BATCH_HEDGE_MS`].
+    /// Batches whose only copy has had no answer for longer than [`BATCH_HEDGE_DELAY_MS`].
     fn slow_batches(&self, now: u64) -> Vec<u64> {
-        let is_slow =
-            |batch: &Batch| batch.copies.len() == 1 && now > batch.first_sent_at + BATCH_HEDGE_MS;
+        let is_slow = |batch: &Batch| {
+            batch.copies.len() == 1 && now > batch.first_sent_at + BATCH_HEDGE_DELAY_MS
+        };
         self.in_flight.iter().filter(|(_, batch)| is_slow(batch)).map(|(id, _)| *id).collect()
     }
 
@@ -177,7 +179,7 @@
             // Each job takes a condition; those of the values are reserved.
             let conditions = taken.len() + limits.conditions_taken;
             let fits = conditions < limits.conditions
-                && bytes + submission.bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES;
+                && bytes + submission.bytes <= COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES;
             let has_room = |value: &BatchValue| value.has_room_for(&submission, limits.value_bytes);
             match values.iter().position(has_room) {
                 Some(index) if fits => values[index].add(&submission),
@@ -218,7 +220,7 @@
             return self.refuse(requester, 422, reason, None);
         }
         let gathering = &mut self.submissions.gathering;
-        if gathering.len() >= USER_WAIT_MAX {
+        if gathering.len() >= WAITING_USER_REQUESTS_MAX {
             return self.refuse_overloaded(requester);
         }
         match gathering.iter_mut().find(|submission| submission.spec.uid == spec.uid) {
@@ -251,11 +253,11 @@
             self.send_batch(id, 0.0);
         }
         let Some(first) = self.submissions.gathering.first() else { return };
-        let gathers_on = now < first.received_at + BATCH_GATHER_MS;
+        let gathers_on = now < first.received_at + BATCH_COLLECT_MS;
         if self.store.writes_are_short(now) && gathers_on {
             return;
         }
-        if self.submissions.in_flight.len() >= BATCHES_IN_FLIGHT {
+        if self.submissions.in_flight.len() >= BATCHES_IN_FLIGHT_MAX {
             return;
         }
         let limits = self.batch_limits(now);
@@ -272,7 +274,7 @@
         BatchLimits {
             value_bytes: value_bytes - BATCH_FRAME_BYTES,
             values,
-            conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_BITS),
+            conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_INDEX_BITS),
             conditions_taken: values + self.reserved_conditions(),
         }
     }
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -15,7 +15,9 @@
 
 use super::requester::Requester;
 use super::Controller;
-use crate::constants::{PEER_VERSION, RETRY_AFTER_BUSY_S, RETRY_AFTER_S, USER_WAIT_MAX};
+use crate::constants::{
+    PEER_VERSION, RETRY_AFTER_OVERLOAD_S, RETRY_AFTER_S, WAITING_USER_REQUESTS_MAX,
+};
 use crate::protocol::peers::{encode, RelayResponse};
 use crate::protocol::routes::{RouteError, UserRoute};
 use crate::protocol::users::{ErrorResponse, JobStatus, JobStatusResponse};
@@ -66,7 +68,7 @@
 
     /// Refuses a request because this controller is overloaded.
     pub(super) fn refuse_overloaded(&mut self, requester: Requester) {
-        self.refuse(requester, 503, "too much to do", Some(RETRY_AFTER_BUSY_S));
+        self.refuse(requester, 503, "too much to do", Some(RETRY_AFTER_OVERLOAD_S));
     }
 
     /// Refuses a request that can't be answered without the store.
@@ -100,7 +102,7 @@
             self.unavailable(requester);
             return false;
         }
-        if self.store.waiting_requests() >= USER_WAIT_MAX {
+        if self.store.waiting_requests() >= WAITING_USER_REQUESTS_MAX {
             self.refuse_overloaded(requester);
             return false;
         }
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -13,7 +13,7 @@
 
 use super::CallPurpose;
 use crate::constants::{
-    SHORT_OF_WRITES_SHARE, STATE_LOST_MS, STATE_RETRY_BACKOFF_MS, STATE_RPS_SHARE,
+    LOW_WRITE_BUDGET_SHARE, REQUEST_RATE_SHARE, STATE_LOST_MS, STATE_RETRY_BACKOFF_MS,
 };
 use crate::protocol::state::{Mutation, Transaction};
 use crate::settings::StateLimits;
@@ -91,7 +91,7 @@
         now: u64,
     ) -> StoreClient {
         let limits = StoreLimits::new(settings);
-        let reads_per_s = limits.requests_per_s * STATE_RPS_SHARE / controllers as f64;
+        let reads_per_s = limits.requests_per_s * REQUEST_RATE_SHARE / controllers as f64;
         StoreClient {
             replica: Replica::new(keys),
             read_budget: TokenBucket::new(reads_per_s, now),
@@ -138,7 +138,7 @@
 
     /// Whether so little of the write budget is left that writes which can wait should.
     pub(super) fn writes_are_short(&mut self, now: u64) -> bool {
-        self.write_budget.left(now) < self.write_budget.burst() * SHORT_OF_WRITES_SHARE
+        self.write_budget.left(now) < self.write_budget.burst() * LOW_WRITE_BUDGET_SHARE
     }
 
     /// Takes writes out of the budget if at least `keep` remain; returns whether it did.
@@ -149,7 +149,7 @@
     /// Sets this controller's rates to its share of what the state service allows all controllers.
     pub(super) fn set_rates(&mut self, controllers: usize, write_share: f64, now: u64) {
         self.write_budget.set_rate(self.limits.writes_per_s * write_share, now);
-        let reads_per_s = self.limits.requests_per_s * STATE_RPS_SHARE / controllers as f64;
+        let reads_per_s = self.limits.requests_per_s * REQUEST_RATE_SHARE / controllers as f64;
         self.read_budget.set_rate(reads_per_s, now);
     }
 
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -2,8 +2,9 @@
 
 use super::{is_store_call, Listing, ReadPoint};
 use crate::constants::{
-    KEY_FAMILY, KEY_ROOT, READ_GAP_MIN_MS, READ_PERIOD_MS, STATE_LIST_LIMIT, STATE_LIST_TIMEOUT_MS,
-    STATE_TIMEOUT_MS, UNREADABLE_LAYOUT_RECHECK_MS, WATCH_BLOCK_MS, WATCH_TIMEOUT_MS,
+    FRESH_READ_INTERVAL_MIN_MS, FRESH_READ_PERIOD_MS, KEY_FAMILY, KEY_ROOT, LIST_PAGE_KEYS,
+    LIST_TIMEOUT_MS, STATE_TIMEOUT_MS, UNREADABLE_LAYOUT_RECHECK_MS, WATCH_BLOCK_MS,
+    WATCH_TIMEOUT_MS,
 };
 use crate::coordination::{CallPurpose, Controller, Service};
 use crate::protocol::http::Response;
@@ -135,9 +136,9 @@
             return;
         }
         self.store.listing.in_flight = true;
-        let path = list_path(KEY_FAMILY, self.store.listing.last_key.as_deref(), STATE_LIST_LIMIT);
+        let path = list_path(KEY_FAMILY, self.store.listing.last_key.as_deref(), LIST_PAGE_KEYS);
         let purpose = CallPurpose::List { epoch: self.store.epoch };
-        self.state_call("GET", path, vec![], STATE_LIST_TIMEOUT_MS, purpose);
+        self.state_call("GET", path, vec![], LIST_TIMEOUT_MS, purpose);
     }
 
     fn open_watch(&mut self) {
@@ -151,8 +152,9 @@
     fn fresh_read_due(&mut self) {
         let now = self.now.monotonic_ms;
         let reads = &mut self.store.fresh_reads;
-        let periodic = now >= reads.begun_at + READ_PERIOD_MS;
-        let wanted = !reads.waiting.is_empty() && now >= reads.begun_at + READ_GAP_MIN_MS;
+        let periodic = now >= reads.begun_at + FRESH_READ_PERIOD_MS;
+        let wanted =
+            !reads.waiting.is_empty() && now >= reads.begun_at + FRESH_READ_INTERVAL_MIN_MS;
         if reads.running.is_some() || !(periodic || wanted) {
             return;
         }
--- a/src/coordination/transactions/builder.rs
+++ b/src/coordination/transactions/builder.rs
@@ -1,6 +1,6 @@
 //! A transaction that is being packed, within the limits of the state service.
 
-use crate::constants::{COMMIT_BYTES, COMMIT_FRAME_BYTES};
+use crate::constants::{COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES};
 use crate::protocol::state::{Condition, Mutation, Transaction};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
@@ -43,7 +43,7 @@
     pub(super) fn put(&mut self, key: String, value: Box<RawValue>, mod_revision: u64) -> bool {
         let bytes = value.get().len();
         let fits = bytes <= self.value_bytes_max
-            && self.bytes + bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES
+            && self.bytes + bytes <= COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES
             && self.has_room(1, 1);
         if fits {
             self.bytes += bytes;
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -3,7 +3,7 @@
 
 use super::builder::TransactionBuilder;
 use super::pending::PendingTransaction;
-use crate::constants::{GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS};
+use crate::constants::{IMAGES_WRITE_PERIOD_MS, STALE_KEY_SCAN_PERIOD_MS};
 use crate::coordination::{Controller, Leader};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::state::raw_json;
@@ -80,7 +80,7 @@
             }
         }
         if all_written {
-            self.transactions.images_at = now + IMAGES_PERIOD_MS;
+            self.transactions.images_at = now + IMAGES_WRITE_PERIOD_MS;
         }
     }
 
@@ -89,7 +89,7 @@
         if now < self.transactions.stale_keys_at || !self.cluster.stale_keys.is_empty() {
             return;
         }
-        self.transactions.stale_keys_at = now + GARBAGE_PERIOD_MS;
+        self.transactions.stale_keys_at = now + STALE_KEY_SCAN_PERIOD_MS;
         let jobs = &self.cluster.jobs;
         let is_over = |uid: &JobId| replica.has_ended(uid) && !jobs.contains_key(uid);
         for (key, batch) in &replica.batches {
--- a/src/coordination/transactions/mod.rs
+++ b/src/coordination/transactions/mod.rs
@@ -19,7 +19,7 @@
 mod pending;
 mod placements;
 
-use crate::constants::{GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS, WRITE_RESERVE};
+use crate::constants::{IMAGES_WRITE_PERIOD_MS, LEADER_WRITE_RESERVE, STALE_KEY_SCAN_PERIOD_MS};
 use crate::storage::token_bucket::TokenBucket;
 use pending::PendingTransaction;
 
@@ -47,8 +47,8 @@
             pending: None,
             divided_last: false,
             done_tasks_at: now,
-            images_at: now + IMAGES_PERIOD_MS,
-            stale_keys_at: now + GARBAGE_PERIOD_MS,
+            images_at: now + IMAGES_WRITE_PERIOD_MS,
+            stale_keys_at: now + STALE_KEY_SCAN_PERIOD_MS,
             shares_written: true,
             catalog_written: false,
         }
@@ -72,7 +72,7 @@
                 let writes_needed = pending.transaction.writes.len() as f64;
                 Some(pending.not_before.max(writes.available_at(writes_needed)))
             }
-            None if has_proposals => Some(writes.available_at(WRITE_RESERVE + 1.0)),
+            None if has_proposals => Some(writes.available_at(LEADER_WRITE_RESERVE + 1.0)),
             None => None,
         }
     }
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -2,7 +2,7 @@
 
 use super::builder::{TransactionBuilder, TransactionScope};
 use super::pending::PendingTransaction;
-use crate::constants::{CONDITIONS_PER_CHANGE, DONE_BATCH_MS, WRITE_RESERVE};
+use crate::constants::{CONDITIONS_PER_CHANGE, DONE_BATCH_MS, LEADER_WRITE_RESERVE};
 use crate::coordination::{Controller, Leader};
 use crate::protocol::state::raw_json;
 use crate::storage::cluster::ClusterState;
@@ -39,10 +39,10 @@
 
     /// The writes that a transaction may have now; none if it should wait for more.
     fn writes_for(&mut self, scope: TransactionScope) -> Option<usize> {
-        let writes_left = self.store.writes_left(self.now.monotonic_ms) - WRITE_RESERVE;
+        let writes_left = self.store.writes_left(self.now.monotonic_ms) - LEADER_WRITE_RESERVE;
         let available = writes_left.max(0.0) as usize;
         let writes_max = self.store.limits().transaction_ops;
-        let burst = (self.store.write_budget().burst() - WRITE_RESERVE).max(1.0) as usize;
+        let burst = (self.store.write_budget().burst() - LEADER_WRITE_RESERVE).max(1.0) as usize;
         let needed = match scope {
             TransactionScope::Everything => 1,
             _ => writes_max.min(burst),
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -11,7 +11,8 @@
 use super::builder::{TransactionBuilder, TransactionScope};
 use super::pending::{PendingTransaction, PlacementEntry, PlacementMove};
 use crate::constants::{
-    CLEANED_GROUPS_PER_BATCH, COMMIT_BYTES, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS, GROUP_FRAME_BYTES,
+    CLEANED_GROUPS_PER_TRANSACTION, COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS,
+    GROUP_FRAME_BYTES,
 };
 use crate::protocol::state::raw_json;
 use crate::protocol::workers::EndCause;
@@ -123,7 +124,7 @@
             let entries = removable.get(number).into_iter().flatten();
             entries.map(|entry| entry.bytes).sum::<usize>()
         };
-        let bytes_left = (COMMIT_BYTES - COMMIT_FRAME_BYTES).saturating_sub(builder.bytes);
+        let bytes_left = (COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES).saturating_sub(builder.bytes);
         let groups_by_bytes = bytes_left / builder.value_bytes_max.max(1);
         let writes_left = builder.writes_max.saturating_sub(builder.writes.len());
         let groups = self.groups.iter();
@@ -254,7 +255,7 @@
         .map(|(number, entries)| (entries.len(), *number))
         .collect();
     candidates.sort_unstable_by(|a, b| b.cmp(a));
-    for (_, number) in candidates.into_iter().take(CLEANED_GROUPS_PER_BATCH) {
+    for (_, number) in candidates.into_iter().take(CLEANED_GROUPS_PER_TRANSACTION) {
         fill.choose(number);
     }
 }
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -1,7 +1,7 @@
 //! Machines, and tasks placed on them, as the leader of a term knows them.
 
 use super::records::{JobId, MachineName, StoredPlacement};
-use crate::constants::{ATTEMPT_BITS, IMAGES_KEPT, UNREACHABLE_SIGNS};
+use crate::constants::{ATTEMPT_BITS, IMAGES_PER_MACHINE_MAX, UNREACHABLE_SIGNS};
 use crate::protocol::workers::{EndCause, Heartbeat, TaskStatus};
 use crate::protocol::Resources;
 use std::collections::{BTreeMap, BTreeSet};
@@ -316,6 +316,6 @@
 
     fn has_too_many_images(&self, cache_gb: f64) -> bool {
         let held_gb = || self.images.iter().map(|(_, size_gb)| size_gb).sum::<f64>();
-        self.images.len() > IMAGES_KEPT || (cache_gb > 0.0 && held_gb() > cache_gb)
+        self.images.len() > IMAGES_PER_MACHINE_MAX || (cache_gb > 0.0 && held_gb() > cache_gb)
     }
 }
--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -4,7 +4,7 @@
 //! matter. A value that can't be read leaves a log line and never stops the rest.
 
 use super::{Replica, Versioned};
-use crate::constants::ARRIVAL_BITS;
+use crate::constants::ARRIVAL_INDEX_BITS;
 use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::storage::records::{
     foreign_layout, parse_key, BatchRecord, FlaggedJobsRecord, JobEndGroupRecord, JobEndRecord,
@@ -137,7 +137,7 @@
         for (index, spec) in batch.jobs.into_iter().enumerate() {
             let id = self.shared_id(&spec.uid);
             ids.push(id.clone());
-            let arrival = (mod_revision << ARRIVAL_BITS) + batch.first + index as u64;
+            let arrival = (mod_revision << ARRIVAL_INDEX_BITS) + batch.first + index as u64;
             let accepted = JobRecord {
                 at: batch.at,
                 stage: JobStage::Live,
