--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -302,7 +302,7 @@
             has_our_token: heartbeat.has_our_token,
             may_start: may_order_starts && takes_starts,
         };
-        let is_over_by_peers = |uid: &str| self.membership.has_heard_end_of(uid);
+        let is_over_by_peers = |uid: &str| self.membership.has_ended_per_peer(uid);
         let mut decided = DecidedCommands::new(heartbeat.stop_and_clear_commands(machine));
         for (id, placement) in &mut machine.placements {
             if placement.settled.is_some() || placement.phase != PlacementPhase::Committed {
--- a/src/coordination/membership/ended_jobs.rs
+++ b/src/coordination/membership/ended_jobs.rs
@@ -16,7 +16,8 @@
     /// store asks.
     pub(super) fn ended_jobs_query(&self) -> Option<u64> {
         let is_late = |read_at| self.now.monotonic_ms > read_at + ISOLATION_QUERY_AFTER_MS;
-        let isolated = self.store.is_refused() || self.store.last_read_at().is_none_or(is_late);
+        let isolated =
+            self.store.last_request_failed() || self.store.last_read_at().is_none_or(is_late);
         (isolated && self.leader.is_some()).then_some(self.store.replica().revision)
     }
 
@@ -34,16 +35,16 @@
         answer.ended = names;
     }
 
-    /// Records the ended jobs listed in a peer's answer to gossip sent at `asked_at`.
-    pub(super) fn record_ended_jobs(&mut self, peer: usize, asked_at: u64) {
+    /// Records the ended jobs listed in a peer's answer to gossip sent at `sent_at`.
+    pub(super) fn record_ended_jobs(&mut self, peer: usize, sent_at: u64) {
         let Some(gossip) = self.membership.peers[peer].gossip.as_mut() else { return };
-        let are_all = gossip.ended_all;
+        let is_complete = gossip.ended_all;
         for uid in std::mem::take(&mut gossip.ended) {
             self.record_ended_job(&uid);
         }
-        if are_all {
-            let complete_at = &mut self.membership.peers[peer].ends_complete_at;
-            *complete_at = (*complete_at).max(Some(asked_at));
+        if is_complete {
+            let complete_at = &mut self.membership.peers[peer].ended_jobs_complete_at;
+            *complete_at = (*complete_at).max(Some(sent_at));
         }
     }
 
@@ -65,7 +66,7 @@
     }
 
     /// Drops the ended jobs reported by peers that the replica knows by now.
-    pub(in crate::coordination) fn forget_ended_by_peers(&mut self) {
+    pub(in crate::coordination) fn drop_known_ended_jobs(&mut self) {
         let replica = self.store.replica();
         self.membership.ended_jobs.retain(|uid| replica.is_live(uid));
     }
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -8,16 +8,18 @@
 use crate::protocol::routes::GOSSIP_PATH;
 
 /// Heartbeat periods for which a worker counts as seen after a heartbeat.
-const SEEN_PERIODS: f64 = 2.0;
+const WORKER_SEEN_PERIODS: f64 = 2.0;
 
 impl Controller {
     /// This controller's own state as a gossip message.
     fn gossip(&self) -> Gossip {
         let now = self.now.monotonic_ms;
-        let seen_ms = (self.settings.params.workers.report_s * MS_PER_S * SEEN_PERIODS) as u64;
-        let is_served =
-            !self.store.is_refused() && self.store.is_loaded() && !self.recovery.is_suspended();
-        let last_served_at = self.store.last_served_at().filter(|_| is_served);
+        let seen_ms =
+            (self.settings.params.workers.report_s * MS_PER_S * WORKER_SEEN_PERIODS) as u64;
+        let has_store_access = !self.store.last_request_failed()
+            && self.store.is_loaded()
+            && !self.recovery.is_suspended();
+        let last_served_at = self.store.last_served_at().filter(|_| has_store_access);
         let (store, recovery) = self.recovery_state();
         Gossip {
             version: PEER_VERSION,
@@ -29,7 +31,7 @@
             age_ms: now - self.started_at,
             served_ago_ms: last_served_at.map(|t| now - t),
             workers_seen: self.membership.workers_seen(seen_ms, now),
-            extended_lease_ago_ms: now - self.membership.lease_extension.last_at(),
+            extended_lease_ago_ms: now - self.membership.lease_extension.last_extended_at(),
             since: self.ended_jobs_query(),
             ended: Vec::new(),
             ended_all: false,
@@ -59,7 +61,7 @@
     pub(in crate::coordination) fn on_gossip_response(
         &mut self,
         peer: usize,
-        asked_at: u64,
+        sent_at: u64,
         reply: Option<Response>,
     ) {
         self.membership.peers[peer].gossip_in_flight = false;
@@ -71,11 +73,11 @@
         let member = &mut self.membership.peers[peer];
         let Some(gossip) = &member.gossip else { return };
         let since = now.saturating_sub(gossip.extended_lease_ago_ms);
-        member.no_extension = Some(NoExtensionSince { asked_at, since });
+        member.no_extension = Some(NoExtensionSince { sent_at, since });
         if gossip.leads {
-            self.membership.lease_extension.permit(gossip.term, asked_at);
+            self.membership.lease_extension.record_permit(gossip.term, sent_at);
         }
-        self.record_ended_jobs(peer, asked_at);
+        self.record_ended_jobs(peer, sent_at);
     }
 
     /// Records a peer's gossip and returns the peer's index; none if the message can't be used.
--- a/src/coordination/membership/lease_extension.rs
+++ b/src/coordination/membership/lease_extension.rs
@@ -7,7 +7,7 @@
 //! It treats a lease as expired only once every peer either has said, after the end of the lease, that it did
 //! not extend it, or could no longer have been permitted to when the lease began.
 
-use super::{is_served, Peer};
+use super::{has_store_access, Peer};
 use crate::constants::COMMANDS_MAX;
 use crate::coordination::{ConnectionId, Controller};
 use crate::protocol::parse_task;
@@ -19,7 +19,7 @@
     /// The leader's term.
     term: u64,
     /// When we sent the gossip that the leader answered.
-    asked_at: u64,
+    sent_at: u64,
 }
 
 /// The state of this controller's own lease extensions.
@@ -27,25 +27,25 @@
 pub(super) struct LeaseExtension {
     permit: Option<Permit>,
     /// When we last extended a lease; the start of the process if we never did.
-    last_at: u64,
+    last_extended_at: u64,
 }
 
 impl LeaseExtension {
     pub(super) fn new(now: u64) -> LeaseExtension {
-        LeaseExtension { permit: None, last_at: now }
+        LeaseExtension { permit: None, last_extended_at: now }
     }
 
-    /// Records that the leader of a term has answered gossip sent at `asked_at`.
-    pub(super) fn permit(&mut self, term: u64, asked_at: u64) {
-        let permit = Permit { term, asked_at };
+    /// Records that the leader of a term has answered gossip sent at `sent_at`.
+    pub(super) fn record_permit(&mut self, term: u64, sent_at: u64) {
+        let permit = Permit { term, sent_at };
         if self.permit.is_none_or(|known| permit > known) {
             self.permit = Some(permit);
         }
     }
 
     /// When we last extended a lease; the start of the process if we never did.
-    pub(super) fn last_at(&self) -> u64 {
-        self.last_at
+    pub(super) fn last_extended_at(&self) -> u64 {
+        self.last_extended_at
     }
 }
 
@@ -75,13 +75,15 @@
         let (Some(permit), Some(read_at)) = (permit, self.store.last_read_at()) else {
             return false;
         };
-        let others_lead =
-            self.membership.fresh_gossip(now).any(|gossip| gossip.leads || is_served(gossip));
-        let alone = !self.store_is_usable() && !others_lead;
-        alone
+        let peer_can_answer = self
+            .membership
+            .fresh_gossip(now)
+            .any(|gossip| gossip.leads || has_store_access(gossip));
+        let is_isolated = !self.store_is_usable() && !peer_can_answer;
+        is_isolated
             && permit.term == self.membership.highest_term
             && fencing_token <= permit.term
-            && now <= permit.asked_at.min(read_at) + self.isolation_budget_ms()
+            && now <= permit.sent_at.min(read_at) + self.isolation_budget_ms()
     }
 
     /// Answers a heartbeat on behalf of the leader, which extends the worker's lease.
@@ -91,18 +93,18 @@
         heartbeat: &Heartbeat,
     ) {
         let has_ended = |uid: &str| {
-            self.store.replica().has_ended(uid) || self.membership.has_heard_end_of(uid)
+            self.store.replica().has_ended(uid) || self.membership.has_ended_per_peer(uid)
         };
         // Tasks of jobs cancelled before we were isolated must still end within `cancel_s`.
         let commands = stop_commands_of_ended_jobs(heartbeat, has_ended);
         let now = self.now.monotonic_ms;
         let term = self.membership.highest_term;
-        if now > self.membership.lease_extension.last_at + self.lease_ms() {
+        if now > self.membership.lease_extension.last_extended_at + self.lease_ms() {
             log::info!(
                 "lease extension begins: no leader in reach, worker leases renewed in term {term}"
             );
         }
-        self.membership.lease_extension.last_at = now;
+        self.membership.lease_extension.last_extended_at = now;
         self.answer_without_starts(connection, term, commands);
     }
 
@@ -132,7 +134,9 @@
                 return u64::MAX;
             }
             match peer.no_extension {
-                Some(said) if said.since + lease_ms <= said.asked_at => said.asked_at - lease_ms,
+                Some(statement) if statement.since + lease_ms <= statement.sent_at => {
+                    statement.sent_at - lease_ms
+                }
                 _ => 0,
             }
         };
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy)]
 struct NoExtensionSince {
     /// When we sent the gossip that the peer answered with this statement.
-    asked_at: u64,
+    sent_at: u64,
     /// The peer has extended no lease after this time.
     since: u64,
 }
@@ -34,7 +34,7 @@
     /// Its last statement about leases that it extended.
     no_extension: Option<NoExtensionSince>,
     /// When we sent the last gossip that it answered with a complete list of ended jobs.
-    ends_complete_at: Option<u64>,
+    ended_jobs_complete_at: Option<u64>,
     gossip_in_flight: bool,
     next_gossip_at: u64,
 }
@@ -97,37 +97,37 @@
     }
 
     /// The recently heard peer that the state service has answered last, if any can reach it.
-    pub(super) fn served_peer(&self, now: u64) -> Option<usize> {
+    pub(super) fn peer_with_store_access(&self, now: u64) -> Option<usize> {
         let served_ago = |peer: &Peer| peer.gossip.as_ref().and_then(|gossip| gossip.served_ago_ms);
         (0..self.peers.len())
             .filter(|index| {
                 let peer = &self.peers[*index];
                 let is_fresh = now - peer.last_heard_at <= GOSSIP_FRESH_MS;
-                is_fresh && peer.gossip.as_ref().is_some_and(is_served)
+                is_fresh && peer.gossip.as_ref().is_some_and(has_store_access)
             })
             .min_by_key(|index| served_ago(&self.peers[*index]))
     }
 
     /// The replica is loaded again, and may lack more ended jobs than peers were asked for: their
     /// lists no longer count as complete.
-    pub(super) fn forget_complete_ends(&mut self) {
-        self.peers.iter_mut().for_each(|peer| peer.ends_complete_at = None);
+    pub(super) fn reset_ended_jobs_complete_at(&mut self) {
+        self.peers.iter_mut().for_each(|peer| peer.ended_jobs_complete_at = None);
     }
 
     /// Whether a peer has reported the end of a job that our replica still has as live.
-    pub(super) fn has_heard_end_of(&self, uid: &str) -> bool {
+    pub(super) fn has_ended_per_peer(&self, uid: &str) -> bool {
         self.ended_jobs.contains(uid)
     }
 
     /// The time up to which the lists of ended jobs from all peers are complete: the earliest over all
     /// peers of when we sent the gossip that the peer last answered with a complete list. None if a
     /// peer has never sent one.
-    pub(super) fn ends_complete_at(&self) -> Option<u64> {
-        self.peers.iter().map(|peer| peer.ends_complete_at).min().flatten()
+    pub(super) fn ended_jobs_complete_at(&self) -> Option<u64> {
+        self.peers.iter().map(|peer| peer.ended_jobs_complete_at).min().flatten()
     }
 }
 
 /// Whether a peer says that the state service has answered it recently.
-pub(super) fn is_served(gossip: &Gossip) -> bool {
+pub(super) fn has_store_access(gossip: &Gossip) -> bool {
     gossip.served_ago_ms.is_some_and(|ms| ms < STATE_LOST_MS)
 }
--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -102,7 +102,7 @@
     pub start_ms: Latencies,
     /// Counts of the controller's work.
     pub work: WorkCounts,
-    /// Counts of the transport's work, as last set by [`Controller::note_transport`].
+    /// Counts of the transport's work, as last set by [`Controller::set_transport_counts`].
     pub transport: TransportCounts,
     /// `work` as of the last log line.
     logged_work: WorkCounts,
@@ -131,7 +131,7 @@
 
 impl Controller {
     /// Sets the counts of the transport, which the controller's core can't observe.
-    pub fn note_transport(&mut self, counts: TransportCounts) {
+    pub fn set_transport_counts(&mut self, counts: TransportCounts) {
         self.metrics.transport = counts;
     }
 
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -43,7 +43,7 @@
             return self.refuse(requester, 400, &format!("{job}: must look like job-000412"), None);
         }
         if !self.store_is_usable() {
-            return self.unavailable(requester);
+            return self.refuse_unavailable(requester);
         }
         self.decide(requester, decision, &request);
     }
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -25,10 +25,10 @@
     /// Forgets the copy of the store and reads all of it anew. Answers to what was asked before
     /// count for nothing.
     pub(in crate::coordination) fn reload_store(&mut self) {
-        self.store.forget();
+        self.store.reset();
         self.recovery.clear_image();
         // What we knew is gone, and with it the ends that peers need not have named.
-        self.membership.forget_complete_ends();
+        self.membership.reset_ended_jobs_complete_at();
     }
 
     /// Something suggests that the store has lost data, or that we only have lost track of it: it is
--- a/src/coordination/requester.rs
+++ b/src/coordination/requester.rs
@@ -7,18 +7,18 @@
 pub(super) struct Requester {
     connection: ConnectionId,
     relayed: bool,
-    since: u64,
+    received_at: u64,
 }
 
 impl Requester {
     /// A client connected to this controller. `now` is in milliseconds on the steady clock.
     pub(super) fn direct(connection: ConnectionId, now: u64) -> Requester {
-        Requester { connection, relayed: false, since: now }
+        Requester { connection, relayed: false, received_at: now }
     }
 
     /// A peer that has relayed the request of its client.
     pub(super) fn relayed(connection: ConnectionId, now: u64) -> Requester {
-        Requester { connection, relayed: true, since: now }
+        Requester { connection, relayed: true, received_at: now }
     }
 
     /// The connection to answer on.
@@ -32,7 +32,7 @@
     }
 
     /// When this controller received the request.
-    pub(super) fn since(self) -> u64 {
-        self.since
+    pub(super) fn received_at(self) -> u64 {
+        self.received_at
     }
 }
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -36,7 +36,7 @@
 /// Jobs that are stored under one key: all of them gangs, or none.
 #[derive(Debug)]
 struct BatchValue {
-    gangs: bool,
+    holds_gangs: bool,
     bytes: usize,
     jobs: Vec<Rc<JobSpec>>,
 }
@@ -44,7 +44,7 @@
 impl BatchValue {
     fn new(submission: &PendingSubmission) -> BatchValue {
         BatchValue {
-            gangs: submission.spec.is_gang(),
+            holds_gangs: submission.spec.is_gang(),
             bytes: submission.bytes,
             jobs: vec![submission.spec.clone()],
         }
@@ -52,7 +52,7 @@
 
     /// Whether the job may be added to this value, in which jobs may take `bytes_max`.
     fn has_room_for(&self, submission: &PendingSubmission, bytes_max: usize) -> bool {
-        self.gangs == submission.spec.is_gang() && self.bytes + submission.bytes <= bytes_max
+        self.holds_gangs == submission.spec.is_gang() && self.bytes + submission.bytes <= bytes_max
     }
 
     fn add(&mut self, submission: &PendingSubmission) {
@@ -62,7 +62,7 @@
 
     /// The key that this value is stored under.
     fn key(&self, id: &str) -> String {
-        match self.gangs {
+        match self.holds_gangs {
             true => gang_batch_key(id),
             false => batch_key(id),
         }
@@ -73,7 +73,8 @@
 #[derive(Debug)]
 struct BatchCopy {
     transaction: Transaction,
-    sent: ReadPoint,
+    /// The state of the replica when the copy was sent.
+    read_point: ReadPoint,
 }
 
 /// A batch of submissions that is being committed.
@@ -124,60 +125,62 @@
     /// Number of conditions of the transaction.
     conditions: usize,
     /// Conditions reserved among these: one for each value, and those of the store's rebuild.
-    conditions_taken: usize,
+    conditions_reserved: usize,
 }
 
 /// Submissions that are not accepted yet.
 #[derive(Debug)]
 pub(in crate::coordination) struct Submissions {
     /// Submissions that wait for a batch.
-    gathering: Vec<PendingSubmission>,
+    pending: Vec<PendingSubmission>,
     /// Batches that are being committed, by number.
     in_flight: HashMap<u64, Batch>,
-    batches_made: u64,
+    batches_created: u64,
 }
 
 impl Submissions {
     pub(in crate::coordination) fn new(keys: HashKeys) -> Submissions {
-        Submissions { gathering: Vec::new(), in_flight: keys.map(), batches_made: 0 }
+        Submissions { pending: Vec::new(), in_flight: keys.map(), batches_created: 0 }
     }
 
     /// When [`Controller::batches_due`] has something to do next if no command comes before.
     pub(in crate::coordination) fn next_wake(&self, writes: &TokenBucket) -> Option<u64> {
-        let gathered = self.gathering.first().map(|first| {
-            let plenty = writes.available_at(writes.burst() * LOW_WRITE_BUDGET_SHARE);
-            let one = writes.available_at(USER_WRITE_RESERVE + 1.0);
-            let sent_at = (first.received_at + BATCH_COLLECT_MS).min(plenty).max(one);
+        let next_batch_at = self.pending.first().map(|first| {
+            let budget_restored_at = writes.available_at(writes.burst() * LOW_WRITE_BUDGET_SHARE);
+            let one_write_at = writes.available_at(USER_WRITE_RESERVE + 1.0);
+            let sent_at =
+                (first.received_at + BATCH_COLLECT_MS).min(budget_restored_at).max(one_write_at);
             sent_at.min(first.received_at + BATCH_WAIT_MAX_MS + 1)
         });
         let hedges = self.in_flight.values().filter(|batch| batch.copies.len() == 1);
-        let hedge = hedges.map(|batch| batch.first_sent_at + BATCH_HEDGE_DELAY_MS + 1).min();
-        [gathered, hedge].into_iter().flatten().min()
+        let next_hedge_at =
+            hedges.map(|batch| batch.first_sent_at + BATCH_HEDGE_DELAY_MS + 1).min();
+        [next_batch_at, next_hedge_at].into_iter().flatten().min()
     }
 
     /// Takes out the submissions that have waited longer than [`BATCH_WAIT_MAX_MS`].
     fn take_overdue(&mut self, now: u64) -> Vec<PendingSubmission> {
         let is_overdue = |s: &mut PendingSubmission| now > s.received_at + BATCH_WAIT_MAX_MS;
-        self.gathering.extract_if(.., is_overdue).collect()
+        self.pending.extract_if(.., is_overdue).collect()
     }
 
     /// Batches whose only copy has had no answer for longer than [`BATCH_HEDGE_DELAY_MS`].
-    fn slow_batches(&self, now: u64) -> Vec<u64> {
-        let is_slow = |batch: &Batch| {
+    fn batches_to_hedge(&self, now: u64) -> Vec<u64> {
+        let is_unanswered = |batch: &Batch| {
             batch.copies.len() == 1 && now > batch.first_sent_at + BATCH_HEDGE_DELAY_MS
         };
-        self.in_flight.iter().filter(|(_, batch)| is_slow(batch)).map(|(id, _)| *id).collect()
+        self.in_flight.iter().filter(|(_, batch)| is_unanswered(batch)).map(|(id, _)| *id).collect()
     }
 
     /// Makes a batch of the waiting submissions that fit, and returns its number; none if none fits.
-    fn begin_batch(&mut self, limits: &BatchLimits, now: u64) -> Option<u64> {
+    fn create_batch(&mut self, limits: &BatchLimits, now: u64) -> Option<u64> {
         let mut values: Vec<BatchValue> = Vec::new();
-        let mut taken: Vec<PendingSubmission> = Vec::new();
-        let mut left: Vec<PendingSubmission> = Vec::new();
+        let mut chosen: Vec<PendingSubmission> = Vec::new();
+        let mut remaining: Vec<PendingSubmission> = Vec::new();
         let mut bytes = 0;
-        for submission in std::mem::take(&mut self.gathering) {
+        for submission in std::mem::take(&mut self.pending) {
             // Each job takes a condition; those of the values are reserved.
-            let conditions = taken.len() + limits.conditions_taken;
+            let conditions = chosen.len() + limits.conditions_reserved;
             let fits = conditions < limits.conditions
                 && bytes + submission.bytes <= COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES;
             let has_room = |value: &BatchValue| value.has_room_for(&submission, limits.value_bytes);
@@ -187,27 +190,27 @@
                     values.push(BatchValue::new(&submission));
                 }
                 _ => {
-                    left.push(submission);
+                    remaining.push(submission);
                     continue;
                 }
             }
             bytes += submission.bytes;
-            taken.push(submission);
+            chosen.push(submission);
         }
-        self.gathering = left;
-        if taken.is_empty() {
+        self.pending = remaining;
+        if chosen.is_empty() {
             return None;
         }
-        self.batches_made += 1;
+        self.batches_created += 1;
         let batch = Batch {
-            submissions: taken,
+            submissions: chosen,
             values,
             first_sent_at: now,
             copies: Vec::new(),
             unanswered: 0,
         };
-        self.in_flight.insert(self.batches_made, batch);
-        Some(self.batches_made)
+        self.in_flight.insert(self.batches_created, batch);
+        Some(self.batches_created)
     }
 }
 
@@ -219,13 +222,13 @@
             let reason = "the submission is too large to be kept";
             return self.refuse(requester, 422, reason, None);
         }
-        let gathering = &mut self.submissions.gathering;
-        if gathering.len() >= WAITING_USER_REQUESTS_MAX {
+        let pending = &mut self.submissions.pending;
+        if pending.len() >= WAITING_USER_REQUESTS_MAX {
             return self.refuse_overloaded(requester);
         }
-        match gathering.iter_mut().find(|submission| submission.spec.uid == spec.uid) {
+        match pending.iter_mut().find(|submission| submission.spec.uid == spec.uid) {
             Some(submission) => submission.requesters.push(requester),
-            None => gathering.push(PendingSubmission {
+            None => pending.push(PendingSubmission {
                 requesters: vec![requester],
                 spec,
                 bytes,
@@ -240,8 +243,8 @@
     pub(in crate::coordination) fn batches_due(&mut self) {
         let now = self.now.monotonic_ms;
         if self.recovery.is_suspended() {
-            let gathered = std::mem::take(&mut self.submissions.gathering);
-            return gathered.into_iter().for_each(|submission| self.relay_submission(submission));
+            let pending = std::mem::take(&mut self.submissions.pending);
+            return pending.into_iter().for_each(|submission| self.relay_submission(submission));
         }
         for submission in self.submissions.take_overdue(now) {
             self.relay_submission(submission);
@@ -249,19 +252,20 @@
         // Hedging: the state service takes a few hundred milliseconds now and then, and a second copy
         // of the batch is mostly answered at once. It has keys of its own. If both are committed, the
         // earlier one counts, as for any job that stands in two batches.
-        for id in self.submissions.slow_batches(now) {
+        for id in self.submissions.batches_to_hedge(now) {
             self.send_batch(id, 0.0);
         }
-        let Some(first) = self.submissions.gathering.first() else { return };
-        let gathers_on = now < first.received_at + BATCH_COLLECT_MS;
-        if self.store.writes_are_short(now) && gathers_on {
+        let Some(first) = self.submissions.pending.first() else { return };
+        let is_collecting = now < first.received_at + BATCH_COLLECT_MS;
+        if self.store.is_write_budget_low(now) && is_collecting {
             return;
         }
         if self.submissions.in_flight.len() >= BATCHES_IN_FLIGHT_MAX {
             return;
         }
         let limits = self.batch_limits(now);
-        if let Some(id) = self.submissions.begin_batch(&limits, now) {
+        if let Some(id) = self.submissions.create_batch(&limits, now) {
+            // The limits already keep the batch within the write budget.
             self.send_batch(id, f64::MIN);
         }
     }
@@ -275,26 +279,26 @@
             value_bytes: value_bytes - BATCH_FRAME_BYTES,
             values,
             conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_INDEX_BITS),
-            conditions_taken: values + self.reserved_conditions(),
+            conditions_reserved: values + self.reserved_conditions(),
         }
     }
 
-    /// Sends a copy of a batch if that leaves at least `keep` writes in the budget.
-    fn send_batch(&mut self, id: u64, keep: f64) {
+    /// Sends a copy of a batch if that leaves at least `reserve` writes in the budget.
+    fn send_batch(&mut self, id: u64, reserve: f64) {
         let now = self.now.monotonic_ms;
-        let sent = self.store.read_point();
+        let read_point = self.store.read_point();
         let mut depending_on_rebuild = Transaction::default();
         self.add_rebuild_condition(&mut depending_on_rebuild);
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         let writes = batch.values.len();
-        if !self.store.take_writes(writes as f64, keep, now) {
+        if !self.store.take_writes(writes as f64, reserve, now) {
             return;
         }
         let transaction =
             batch.transaction(id, self.process_id, self.now.wall_ms, depending_on_rebuild);
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let copy = batch.copies.len();
-        batch.copies.push(BatchCopy { transaction, sent });
+        batch.copies.push(BatchCopy { transaction, read_point });
         batch.unanswered += 1;
         let purpose = CallPurpose::Submit { batch: id, copy };
         self.commit_call(body, writes, purpose);
@@ -324,7 +328,7 @@
         let Some(batch) = self.submissions.in_flight.remove(&id) else { return };
         match reply {
             Some(Response { status: 200, body }) => self.accept_batch(batch, copy, &body),
-            Some(Response { status: 409, body }) => self.split_refused_batch(batch, &body),
+            Some(Response { status: 409, body }) => self.resolve_batch_conflict(batch, &body),
             Some(Response { status: 429, .. }) => self.refuse_batch(batch),
             _ => batch.submissions.into_iter().for_each(|s| self.relay_submission(s)),
         }
@@ -336,8 +340,8 @@
     /// earlier one counts, and the watch delivers them in order.
     fn accept_batch(&mut self, batch: Batch, copy: usize, body: &[u8]) {
         if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(body) {
-            let BatchCopy { transaction, sent } = &batch.copies[copy];
-            if !self.applied_to_trusted_store(*sent, applied.revision) {
+            let BatchCopy { transaction, read_point } = &batch.copies[copy];
+            if !self.applied_to_trusted_store(*read_point, applied.revision) {
                 // The commit went into a store that has lost data: it accepts nothing.
                 return batch.submissions.into_iter().for_each(|s| self.relay_submission(s));
             }
@@ -373,11 +377,11 @@
 
     /// Handles a batch refused because a condition failed. A job that has an end by now is answered
     /// after a fresh read; the others wait for a batch again.
-    fn split_refused_batch(&mut self, batch: Batch, body: &[u8]) {
+    fn resolve_batch_conflict(&mut self, batch: Batch, body: &[u8]) {
         let failed_keys = TransactionConflict::failed_keys(body);
         for submission in batch.submissions {
             if !failed_keys.contains(&job_end_key(&submission.spec.uid)) {
-                self.submissions.gathering.push(submission);
+                self.submissions.pending.push(submission);
                 continue;
             }
             for requester in submission.requesters {
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -19,9 +19,9 @@
         if !self.admit(requester, "POST", &cancel_path(uid), &[]) {
             return;
         }
-        match self.known_stage(uid) {
+        match self.job_stage(uid) {
             Some(JobStage::Live) => self.commit_cancellation(requester, uid),
-            Some(_) => self.answer_known(requester, uid),
+            Some(_) => self.answer_with_status(requester, uid),
             None => {
                 let uid = uid.to_string();
                 self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid });
@@ -30,21 +30,21 @@
     }
 
     /// Handles a cancellation after a fresh read.
-    pub(in crate::coordination) fn cancel_known(&mut self, requester: Requester, uid: String) {
-        match self.known_stage(&uid) {
+    pub(in crate::coordination) fn cancel_after_read(&mut self, requester: Requester, uid: String) {
+        match self.job_stage(&uid) {
             Some(JobStage::Live) => self.commit_cancellation(requester, &uid),
-            Some(_) => self.answer_known(requester, &uid),
-            None => self.unknown_job(requester),
+            Some(_) => self.answer_with_status(requester, &uid),
+            None => self.refuse_unknown_job(requester),
         }
     }
 
-    fn known_stage(&self, uid: &str) -> Option<JobStage> {
+    fn job_stage(&self, uid: &str) -> Option<JobStage> {
         self.store.replica().jobs.get(uid).map(|job| job.value.stage)
     }
 
     fn commit_cancellation(&mut self, requester: Requester, uid: &str) {
         if self.store.replica().is_flagged(uid) {
-            return self.unavailable(requester);
+            return self.refuse_unavailable(requester);
         }
         let mut commit = Transaction::default();
         self.add_cancellation(uid, &mut commit);
@@ -83,10 +83,10 @@
         match reply {
             Some(Response { status: 200, body }) => {
                 let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) else {
-                    return self.unavailable(requester);
+                    return self.refuse_unavailable(requester);
                 };
                 if !self.applied_to_trusted_store(sent, applied.revision) {
-                    return self.unavailable(requester);
+                    return self.refuse_unavailable(requester);
                 }
                 self.apply_own_transaction(&commit, applied.revision);
                 log::debug!("job cancelled: {uid}");
--- a/src/coordination/requests/health.rs
+++ b/src/coordination/requests/health.rs
@@ -2,7 +2,7 @@
 
 use crate::constants::RETRY_AFTER_S;
 use crate::coordination::interface::ConnectionId;
-use crate::coordination::membership::is_served;
+use crate::coordination::membership::has_store_access;
 use crate::coordination::Controller;
 
 impl Controller {
@@ -24,8 +24,8 @@
         let now = self.now.monotonic_ms;
         let fresh: Vec<_> = self.membership.fresh_gossip(now).collect();
         let all_heard = fresh.len() == self.membership.peer_count();
-        let all_refused = all_heard && fresh.iter().all(|gossip| !is_served(gossip));
-        let can_relay = self.membership.served_peer(now).is_some();
-        self.store.is_loaded() && (can_relay || all_refused)
+        let no_peer_has_access = all_heard && fresh.iter().all(|gossip| !has_store_access(gossip));
+        let can_relay = self.membership.peer_with_store_access(now).is_some();
+        self.store.is_loaded() && (can_relay || no_peer_has_access)
     }
 }
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -72,7 +72,7 @@
     }
 
     /// Refuses a request that can't be answered without the store.
-    pub(super) fn unavailable(&mut self, requester: Requester) {
+    pub(super) fn refuse_unavailable(&mut self, requester: Requester) {
         self.refuse(requester, 503, "the state service can't be reached", Some(RETRY_AFTER_S));
     }
 
@@ -99,21 +99,21 @@
         body: &[u8],
     ) -> bool {
         if self.recovery.is_suspended() {
-            self.unavailable(requester);
+            self.refuse_unavailable(requester);
             return false;
         }
         if self.store.waiting_requests() >= WAITING_USER_REQUESTS_MAX {
             self.refuse_overloaded(requester);
             return false;
         }
-        if !self.store.is_loaded() || self.store.is_refused() {
+        if !self.store.is_loaded() || self.store.last_request_failed() {
             self.relay_or_refuse(requester, method, path.to_string(), body.to_vec());
             return false;
         }
         true
     }
 
-    fn status_of(&self, uid: &str, job: &Versioned<JobRecord>) -> JobStatus {
+    fn job_status(&self, uid: &str, job: &Versioned<JobRecord>) -> JobStatus {
         match job.value.stage {
             JobStage::Done => JobStatus::Done,
             JobStage::Cancelled => JobStatus::Cancelled,
@@ -123,21 +123,21 @@
     }
 
     /// Answers a submission or cancellation with the status of its job, which the replica holds.
-    fn answer_known(&mut self, requester: Requester, uid: &str) {
+    fn answer_with_status(&mut self, requester: Requester, uid: &str) {
         if self.store.replica().is_flagged(uid) {
-            return self.unavailable(requester);
+            return self.refuse_unavailable(requester);
         }
         if let Some(job) = self.store.replica().jobs.get(uid) {
-            let status = self.status_of(uid, job);
+            let status = self.job_status(uid, job);
             self.answer_json(requester, 200, &JobStatusResponse { uid, status });
         }
     }
 
     /// Refuses a request for an unknown job. It was never accepted, unless a part of the store's
     /// history is lost: then the answer is that the job's state can't be told.
-    fn unknown_job(&mut self, requester: Requester) {
+    fn refuse_unknown_job(&mut self, requester: Requester) {
         match self.has_history_gap() {
-            true => self.unavailable(requester),
+            true => self.refuse_unavailable(requester),
             false => self.refuse(requester, 404, "no such job", None),
         }
     }
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -24,15 +24,15 @@
 
     /// Answers a poll from the replica, which shows a final state or has had a fresh read.
     pub(in crate::coordination) fn answer_poll(&mut self, requester: Requester, uid: &str) {
-        let _ = self.metrics.poll_ms.record(self.now.monotonic_ms - requester.since());
+        let _ = self.metrics.poll_ms.record(self.now.monotonic_ms - requester.received_at());
         let replica = self.store.replica();
         let Some(job) = replica.jobs.get(uid) else {
-            return self.unknown_job(requester);
+            return self.refuse_unknown_job(requester);
         };
         if replica.is_flagged(uid) {
-            return self.unavailable(requester);
+            return self.refuse_unavailable(requester);
         }
-        let status = self.status_of(uid, job);
+        let status = self.job_status(uid, job);
         let (done, running) = match status {
             JobStatus::Done => (job.value.tasks, 0),
             JobStatus::Cancelled => (job.value.done, 0),
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -20,10 +20,10 @@
     ) {
         let peer = match requester.is_relayed() {
             true => None,
-            false => self.membership.served_peer(self.now.monotonic_ms),
+            false => self.membership.peer_with_store_access(self.now.monotonic_ms),
         };
         let Some(peer) = peer else {
-            return self.unavailable(requester);
+            return self.refuse_unavailable(requester);
         };
         let request = RelayRequest { version: PEER_VERSION, method: method.into(), path, body };
         let purpose = CallPurpose::Relay { requester };
@@ -45,7 +45,7 @@
                 self.record_relayed_status(&answer.body);
                 self.answer(requester, answer.status, answer.retry_after_s, answer.body);
             }
-            None => self.unavailable(requester),
+            None => self.refuse_unavailable(requester),
         }
     }
 
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -28,7 +28,7 @@
         }
         if let Some(job) = self.store.replica().jobs.get(uid.as_str()) {
             if job.value.stage != JobStage::Live {
-                return self.answer_known(requester, &uid);
+                return self.answer_with_status(requester, &uid);
             }
             return self.request_read_for_submission(requester, uid, None);
         }
@@ -90,19 +90,19 @@
     }
 
     /// Answers a submission after a fresh read: its job is known by now, or it is rejected.
-    pub(in crate::coordination) fn submit_known(
+    pub(in crate::coordination) fn submit_after_read(
         &mut self,
         requester: Requester,
         uid: &str,
         rejection: Option<Rejection>,
     ) {
         if self.store.replica().jobs.contains_key(uid) {
-            return self.answer_known(requester, uid);
+            return self.answer_with_status(requester, uid);
         }
         match rejection {
             // With a gap in the history, the job may have been accepted although it is invalid now.
             Some(rejection) if !self.has_history_gap() => self.reject(requester, &rejection),
-            _ => self.unavailable(requester),
+            _ => self.refuse_unavailable(requester),
         }
     }
 
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 struct FreshReads {
     /// Waiters of the read in flight; none if no read is in flight.
-    running: Option<Vec<FreshReadWaiter>>,
+    in_flight: Option<Vec<FreshReadWaiter>>,
     /// Waiters of the next read.
     waiting: Vec<FreshReadWaiter>,
     /// When the last read was sent.
@@ -72,7 +72,7 @@
     /// When the state service last answered a request.
     last_served_at: Option<u64>,
     /// The state service refused or did not answer the last request.
-    refused: bool,
+    last_request_failed: bool,
     /// When the last successful fresh read was sent.
     last_read_at: Option<u64>,
     /// Highest revision in any answer of the store.
@@ -103,7 +103,7 @@
             fresh_reads: FreshReads::default(),
             retry_at: 0,
             last_served_at: None,
-            refused: false,
+            last_request_failed: false,
             last_read_at: None,
             max_revision: 0,
             epoch: 0,
@@ -137,13 +137,13 @@
     }
 
     /// Whether so little of the write budget is left that writes which can wait should.
-    pub(super) fn writes_are_short(&mut self, now: u64) -> bool {
+    pub(super) fn is_write_budget_low(&mut self, now: u64) -> bool {
         self.write_budget.left(now) < self.write_budget.burst() * LOW_WRITE_BUDGET_SHARE
     }
 
-    /// Takes writes out of the budget if at least `keep` remain; returns whether it did.
-    pub(super) fn take_writes(&mut self, writes: f64, keep: f64, now: u64) -> bool {
-        self.write_budget.take(writes, keep, now)
+    /// Takes writes out of the budget if at least `reserve` remain; returns whether it did.
+    pub(super) fn take_writes(&mut self, writes: f64, reserve: f64, now: u64) -> bool {
+        self.write_budget.take(writes, reserve, now)
     }
 
     /// Sets this controller's rates to its share of what the state service allows all controllers.
@@ -159,14 +159,14 @@
     }
 
     /// Whether the state service refused or did not answer the last request.
-    pub(super) fn is_refused(&self) -> bool {
-        self.refused
+    pub(super) fn last_request_failed(&self) -> bool {
+        self.last_request_failed
     }
 
     /// Whether the state service answers, regardless of data that it may have lost.
     pub(super) fn is_reachable(&self, now: u64) -> bool {
         let answered_lately = self.last_served_at.is_some_and(|t| now - t < STATE_LOST_MS);
-        self.loaded && !self.refused && answered_lately
+        self.loaded && !self.last_request_failed && answered_lately
     }
 
     /// When the state service last answered a request.
@@ -216,7 +216,7 @@
 
     /// Drops the replica and starts a new epoch: the whole store is listed again, and answers to
     /// earlier requests are ignored.
-    pub(super) fn forget(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.replica = Replica::new(self.replica.hash_keys());
         self.epoch += 1;
         self.loaded = false;
@@ -228,7 +228,7 @@
 
     /// Number of requests that wait for a fresh read.
     pub(super) fn waiting_requests(&self) -> usize {
-        self.fresh_reads.waiting.len() + self.fresh_reads.running.as_ref().map_or(0, Vec::len)
+        self.fresh_reads.waiting.len() + self.fresh_reads.in_flight.as_ref().map_or(0, Vec::len)
     }
 
     /// The present state of the replica, to be kept with a request that is sent now.
@@ -236,7 +236,7 @@
         ReadPoint { epoch: self.epoch, revision: self.replica.revision }
     }
 
-    fn retry_later(&mut self, now: u64) {
+    fn back_off(&mut self, now: u64) {
         self.retry_at = now + STATE_RETRY_BACKOFF_MS;
     }
 }
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -37,25 +37,25 @@
         match status {
             // A watch that ends without an answer says nothing about the service: it may stay open long.
             Some(503) | None if matches!(purpose, CallPurpose::Watch { .. }) => {}
-            Some(429) => self.note_rate_limit(purpose),
+            Some(429) => self.on_rate_limited(purpose),
             Some(503) | None => {
-                if !self.store.refused {
-                    log::info!("state service unavailable: users' requests are relayed to a peer or refused");
+                if !self.store.last_request_failed {
+                    log::info!("state service unavailable: users' requests are relayed or refused");
                 }
-                self.store.refused = true;
+                self.store.last_request_failed = true;
             }
             Some(_) => {
-                if self.store.refused {
+                if self.store.last_request_failed {
                     log::info!("state service available again");
                 }
-                self.store.refused = false;
+                self.store.last_request_failed = false;
                 self.store.last_served_at = Some(self.now.monotonic_ms);
             }
         }
     }
 
     /// The state service has answered 429: empties the budget that the call was taken from.
-    fn note_rate_limit(&mut self, purpose: &CallPurpose) {
+    fn on_rate_limited(&mut self, purpose: &CallPurpose) {
         log::debug!("state service rate limit reached (429): request budget emptied");
         if self.store.limits.lower_rates() {
             log::info!("state service rates lowered to the next limits of the settings");
@@ -125,7 +125,7 @@
         if !self.store.loaded {
             return self.list_next_page();
         }
-        if !self.store.watching && !self.store.refused {
+        if !self.store.watching && !self.store.last_request_failed {
             self.open_watch();
         }
         self.fresh_read_due();
@@ -155,13 +155,13 @@
         let periodic = now >= reads.begun_at + FRESH_READ_PERIOD_MS;
         let wanted =
             !reads.waiting.is_empty() && now >= reads.begun_at + FRESH_READ_INTERVAL_MIN_MS;
-        if reads.running.is_some() || !(periodic || wanted) {
+        if reads.in_flight.is_some() || !(periodic || wanted) {
             return;
         }
         if !self.store.read_budget.take(0.0, 1.0, now) && !periodic {
             return;
         }
-        reads.running = Some(std::mem::take(&mut reads.waiting));
+        reads.in_flight = Some(std::mem::take(&mut reads.waiting));
         reads.begun_at = now;
         let path = changes_path(KEY_FAMILY, self.store.replica.revision, 0);
         let purpose = CallPurpose::Fresh { begun: now, asked: self.store.read_point() };
@@ -178,10 +178,10 @@
         }
         self.store.listing.in_flight = false;
         let Some(Response { status: 200, body }) = reply else {
-            return self.store.retry_later(self.now.monotonic_ms);
+            return self.store.back_off(self.now.monotonic_ms);
         };
         let Ok(page) = serde_json::from_slice::<KeyPage>(&body) else {
-            return self.store.retry_later(self.now.monotonic_ms);
+            return self.store.back_off(self.now.monotonic_ms);
         };
         self.metrics.work.state_bytes_read += body.len() as u64;
         self.store.listing.first_revision.get_or_insert(page.revision);
@@ -306,7 +306,7 @@
             self.store.watching = false;
         }
         if matches!(self.apply_changes(asked, &reply), ReadOutcome::Failed) {
-            self.store.retry_later(self.now.monotonic_ms);
+            self.store.back_off(self.now.monotonic_ms);
         }
     }
 
@@ -316,18 +316,18 @@
         asked: ReadPoint,
         reply: Option<Response>,
     ) {
-        let waiters = self.store.fresh_reads.running.take().unwrap_or_default();
+        let waiters = self.store.fresh_reads.in_flight.take().unwrap_or_default();
         match self.apply_changes(asked, &reply) {
             ReadOutcome::Applied => {
                 self.store.last_read_at = Some(begun);
-                self.forget_ended_by_peers();
+                self.drop_known_ended_jobs();
                 self.on_fresh_read(begun);
                 self.complete_waiters(waiters, begun);
             }
             outcome => {
                 let rate_limited = matches!(reply, Some(Response { status: 429, .. }));
                 if matches!(outcome, ReadOutcome::Failed) && !rate_limited {
-                    self.store.retry_later(self.now.monotonic_ms);
+                    self.store.back_off(self.now.monotonic_ms);
                 }
                 waiters.into_iter().for_each(|waiter| self.fail_waiter(waiter));
             }
--- a/src/coordination/store_client/waiters.rs
+++ b/src/coordination/store_client/waiters.rs
@@ -67,9 +67,9 @@
     fn complete_waiter(&mut self, waiter: FreshReadWaiter, begun: u64) {
         match waiter {
             FreshReadWaiter::Poll { requester, uid } => self.answer_poll(requester, &uid),
-            FreshReadWaiter::Cancel { requester, uid } => self.cancel_known(requester, uid),
+            FreshReadWaiter::Cancel { requester, uid } => self.cancel_after_read(requester, uid),
             FreshReadWaiter::Submit { requester, uid, rejection } => {
-                self.submit_known(requester, &uid, rejection);
+                self.submit_after_read(requester, &uid, rejection);
             }
             FreshReadWaiter::Leader => self.on_leader_read(begun),
         }
@@ -86,7 +86,7 @@
                 let path = cancel_path(&uid);
                 self.relay_or_refuse(requester, "POST", path, vec![]);
             }
-            FreshReadWaiter::Submit { requester, .. } => self.unavailable(requester),
+            FreshReadWaiter::Submit { requester, .. } => self.refuse_unavailable(requester),
             FreshReadWaiter::Leader => self.request_leader_read(),
         }
     }
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -78,7 +78,7 @@
         }
         leader.cluster.pack_placements(&mut builder, &mut pending, is_periodic, scope);
         // Hints and tidying up only with writes to spare.
-        if with_rest && !self.store.writes_are_short(now) {
+        if with_rest && !self.store.is_write_budget_low(now) {
             self.pack_housekeeping(&mut builder, &mut pending);
         }
         if builder.writes.is_empty() {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -44,7 +44,7 @@
     });
     loop {
         let commands = wait_for_commands(&mut transport, &core, clock(start))?;
-        core.note_transport(transport.counts());
+        core.set_transport_counts(transport.counts());
         for effect in core.batch(clock(start), commands) {
             perform(&mut transport, effect);
         }
