--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -14,7 +14,7 @@
 pub const DETAILS_QUERY: &str = "details";
 
 /// Waiting jobs listed at the most.
-const WAITING_SHOWN: usize = 50;
+const WAITING_JOBS_SHOWN_MAX: usize = 50;
 
 /// The status of a controller.
 #[derive(Debug, Serialize)]
@@ -27,11 +27,11 @@
     leader: Option<String>,
     term: u64,
     revision: u64,
-    jobs: JobSums,
+    jobs: JobCounts,
     /// On the leader only.
-    fleet: Option<FleetSums>,
+    fleet: Option<FleetCounts>,
     /// Numbers of entries in memory.
-    held: HeldSums,
+    held: EntryCounts,
     latency_ms: LatencyView,
     /// Only if recovery is enabled.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -40,14 +40,14 @@
     transport: TransportCounts,
     /// On the leader, on request.
     #[serde(skip_serializing_if = "Option::is_none")]
-    machines: Option<Vec<MachineLine>>,
+    machines: Option<Vec<MachineSummary>>,
     /// On the leader, on request.
     #[serde(skip_serializing_if = "Option::is_none")]
-    waiting: Option<Vec<WaitingLine>>,
+    waiting: Option<Vec<WaitingJobSummary>>,
 }
 
 #[derive(Debug, Serialize)]
-struct JobSums {
+struct JobCounts {
     live: usize,
     done: usize,
     cancelled: usize,
@@ -55,7 +55,7 @@
 
 /// Totals of the leader's fleet.
 #[derive(Debug, Default, Serialize)]
-struct FleetSums {
+struct FleetCounts {
     /// Machines by state.
     machines: BTreeMap<&'static str, usize>,
     /// Number of spot machines among them.
@@ -70,7 +70,7 @@
 
 /// Numbers of entries in the large in-memory tables.
 #[derive(Debug, Default, Serialize)]
-struct HeldSums {
+struct EntryCounts {
     /// In the replica, as the next two.
     jobs: usize,
     batches: usize,
@@ -85,14 +85,14 @@
 
 #[derive(Debug, Serialize)]
 struct LatencyView {
-    submit: Spread,
-    poll: Spread,
-    report: Spread,
-    placed_to_running: Spread,
+    submit: LatencySummary,
+    poll: LatencySummary,
+    report: LatencySummary,
+    placed_to_running: LatencySummary,
 }
 
 #[derive(Debug, Serialize)]
-struct Spread {
+struct LatencySummary {
     count: u64,
     p50: u64,
     p95: u64,
@@ -101,7 +101,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct MachineLine {
+struct MachineSummary {
     name: String,
     machine_type: String,
     zone: String,
@@ -111,7 +111,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct WaitingLine {
+struct WaitingJobSummary {
     uid: String,
     waiting: u32,
     done: u32,
@@ -119,8 +119,8 @@
     why: String,
 }
 
-fn spread(latencies: &Latencies) -> Spread {
-    Spread {
+fn summarize_latencies(latencies: &Latencies) -> LatencySummary {
+    LatencySummary {
         count: latencies.len(),
         p50: latencies.value_at_quantile(0.5),
         p95: latencies.value_at_quantile(0.95),
@@ -130,7 +130,7 @@
 }
 
 /// Name of a machine's state. Operators' scripts match these names.
-fn state_of(machine: &Machine) -> &'static str {
+fn machine_state_name(machine: &Machine) -> &'static str {
     match machine.state {
         MachineState::Booting => "booting",
         MachineState::AwaitingHeartbeat => "not heard of",
@@ -164,27 +164,27 @@
             leader: self.store.replica().leader.as_ref().map(|leader| leader.value.label.clone()),
             term: self.store.replica().term(),
             revision: self.store.replica().revision,
-            jobs: self.job_sums(),
-            fleet: leader.map(Leader::fleet_sums),
-            held: self.held_sums(),
+            jobs: self.job_counts(),
+            fleet: leader.map(Leader::fleet_counts),
+            held: self.entry_counts(),
             latency_ms: LatencyView {
-                submit: spread(&self.metrics.submit_ms),
-                poll: spread(&self.metrics.poll_ms),
-                report: spread(&self.metrics.report_ms),
-                placed_to_running: spread(&self.metrics.start_ms),
+                submit: summarize_latencies(&self.metrics.submit_ms),
+                poll: summarize_latencies(&self.metrics.poll_ms),
+                report: summarize_latencies(&self.metrics.report_ms),
+                placed_to_running: summarize_latencies(&self.metrics.start_ms),
             },
             recovery: self.recovery_view(),
             work: self.metrics.work,
             transport: self.metrics.transport,
-            machines: listed.map(Leader::machine_lines),
-            waiting: listed.map(|leader| self.waiting_lines(leader)),
+            machines: listed.map(Leader::machine_summaries),
+            waiting: listed.map(|leader| self.waiting_job_summaries(leader)),
         }
     }
 
-    fn job_sums(&self) -> JobSums {
+    fn job_counts(&self) -> JobCounts {
         let jobs = &self.store.replica().jobs;
         let count = |stage| jobs.values().filter(|job| job.value.stage == stage).count();
-        JobSums {
+        JobCounts {
             live: count(JobStage::Live),
             done: count(JobStage::Done),
             cancelled: count(JobStage::Cancelled),
@@ -192,27 +192,27 @@
     }
 
     /// The oldest waiting jobs, each with the reason why it waits.
-    fn waiting_lines(&self, leader: &Leader) -> Vec<WaitingLine> {
+    fn waiting_job_summaries(&self, leader: &Leader) -> Vec<WaitingJobSummary> {
         let cluster = &leader.cluster;
         let jobs = cluster.queue.values().filter_map(|uid| cluster.jobs.get(uid));
-        let line = |job: &Job| {
+        let summary = |job: &Job| {
             let why = self.wait_reason(leader, job)?.to_string();
             let (waiting, done, tasks) = (job.waiting(), job.done_count, job.tasks);
-            Some(WaitingLine { uid: job.id.to_string(), waiting, done, tasks, why })
+            Some(WaitingJobSummary { uid: job.id.to_string(), waiting, done, tasks, why })
         };
-        jobs.filter_map(line).take(WAITING_SHOWN).collect()
+        jobs.filter_map(summary).take(WAITING_JOBS_SHOWN_MAX).collect()
     }
 
-    fn held_sums(&self) -> HeldSums {
-        let copy = HeldSums {
+    fn entry_counts(&self) -> EntryCounts {
+        let replica_counts = EntryCounts {
             jobs: self.store.replica().jobs.len(),
             batches: self.store.replica().batches.len(),
             placement_groups: self.store.replica().placement_groups.len(),
-            ..HeldSums::default()
+            ..EntryCounts::default()
         };
         match &self.leader {
-            None => copy,
-            Some(leader) => HeldSums {
+            None => replica_counts,
+            Some(leader) => EntryCounts {
                 live_jobs: leader.cluster.jobs.len(),
                 machines: leader.cluster.machines.len(),
                 placements: leader
@@ -222,36 +222,36 @@
                     .map(|machine| machine.placements.len())
                     .sum(),
                 reports: leader.deferred_heartbeats.len(),
-                ..copy
+                ..replica_counts
             },
         }
     }
 }
 
 impl Leader {
-    fn fleet_sums(&self) -> FleetSums {
-        let mut sums = FleetSums::default();
+    fn fleet_counts(&self) -> FleetCounts {
+        let mut counts = FleetCounts::default();
         for machine in self.cluster.machines.values() {
-            *sums.machines.entry(state_of(machine)).or_default() += 1;
-            sums.spot += usize::from(machine.spot);
-            sums.tasks += machine.placements.len();
+            *counts.machines.entry(machine_state_name(machine)).or_default() += 1;
+            counts.spot += usize::from(machine.spot);
+            counts.tasks += machine.placements.len();
         }
         for job in self.cluster.jobs.values().filter(|job| job.waiting() > 0) {
-            sums.waiting_jobs += 1;
-            sums.waiting_tasks += u64::from(job.waiting());
+            counts.waiting_jobs += 1;
+            counts.waiting_tasks += u64::from(job.waiting());
         }
-        sums
+        counts
     }
 
-    fn machine_lines(&self) -> Vec<MachineLine> {
-        let line = |machine: &Machine| MachineLine {
+    fn machine_summaries(&self) -> Vec<MachineSummary> {
+        let summary = |machine: &Machine| MachineSummary {
             name: machine.name.to_string(),
             machine_type: machine.type_name.clone(),
             zone: machine.zone.clone(),
             spot: machine.spot,
-            state: state_of(machine),
+            state: machine_state_name(machine),
             tasks: machine.placements.len(),
         };
-        self.cluster.machines.values().map(line).collect()
+        self.cluster.machines.values().map(summary).collect()
     }
 }
