--- a/src/coordination/membership/ended_jobs.rs
+++ b/src/coordination/membership/ended_jobs.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Records the end of a job that the answer to a relayed request reports.
+    /// Records the end of a job if the answer to a relayed request reports it.
     pub(in crate::coordination) fn record_relayed_status(&mut self, body: &[u8]) {
         let Ok(answer) = serde_json::from_slice::<JobStatusResponse<'_>>(body) else { return };
         if matches!(answer.status, JobStatus::Done | JobStatus::Cancelled) {
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Sends gossip to every peer whose period has passed and that has answered the last message.
+    /// Sends gossip to every peer whose gossip period has passed, unless a message is in flight to it.
     pub(in crate::coordination) fn gossip_due(&mut self) {
         let now = self.now.monotonic_ms;
         for index in 0..self.membership.peers.len() {
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -16,7 +16,7 @@
 use crate::storage::records::JobId;
 use lease_extension::LeaseExtension;
 
-/// A peer's statement that it has not extended workers' leases in the leader's place.
+/// A peer's statement that it has extended no worker's lease since a given time.
 #[derive(Debug, Clone, Copy)]
 struct NoExtensionSince {
     /// When we sent the gossip that the peer answered with this statement.
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -124,7 +124,7 @@
     values: usize,
     /// Number of conditions of the transaction.
     conditions: usize,
-    /// Conditions reserved among these: one for each value, and those of the store's rebuild.
+    /// Conditions reserved among these: one for each value, and the one on the store's rebuild.
     conditions_reserved: usize,
 }
 
