--- a/src/constants/workers.rs
+++ b/src/constants/workers.rs
@@ -1,6 +1,6 @@
 //! Worker heartbeats and leases, and the detection of machines that responses don't reach.
 
-use super::state_service::{READ_PERIOD_MS, STATE_TIMEOUT_MS};
+use super::state_service::{FRESH_READ_PERIOD_MS, STATE_TIMEOUT_MS};
 
 /// Share of the heartbeat period by which a heartbeat may arrive early or late (protocol).
 pub const HEARTBEAT_JITTER_SHARE: f64 = 0.25;
@@ -14,10 +14,10 @@
 pub const CANCEL_MARGIN_MS: u64 = 1_000;
 /// Greatest age in milliseconds of the knowledge of cancellations that start commands may rest on: one read
 /// period and the longest wait for a response, so that no start is delayed while the store answers at all.
-pub const START_READ_AGE_MAX_MS: u64 = READ_PERIOD_MS + STATE_TIMEOUT_MS + 100;
+pub const START_READ_AGE_MAX_MS: u64 = FRESH_READ_PERIOD_MS + STATE_TIMEOUT_MS + 100;
 /// Milliseconds without a read of the store after which a leader asks its peers which jobs have ended:
 /// one read period and the latency of most slow responses, so that no query is sent while the store is healthy.
-pub const ISOLATION_QUERY_AFTER_MS: u64 = READ_PERIOD_MS + 300;
+pub const ISOLATION_QUERY_AFTER_MS: u64 = FRESH_READ_PERIOD_MS + 300;
 /// Most ended jobs that a controller names to a peer in one message: far more than users cancel in the longest
 /// outage during which leases are renewed. With more of them, leases depend on the last read of the store alone.
 pub const ENDED_JOBS_NAMED_MAX: usize = 4_096;
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -1,11 +1,12 @@
-//! Batches: submissions that come together are accepted with one write.
+//! Batches of submissions: jobs submitted at about the same time are stored with one write.
 //!
-//! [`Submissions`] owns those that gather for a batch and the batches that are being committed.
+//! [`Submissions`] owns the submissions that wait for a batch, and the batches that are being committed.
 
 use crate::constants::{
-    ARRIVAL_BITS, BATCHES_IN_FLIGHT, BATCH_FRAME_BYTES, BATCH_GATHER_MS, BATCH_HEDGE_MS,
-    BATCH_WAIT_MS, COMMIT_BYTES, COMMIT_FRAME_BYTES, CONDITIONS_PER_CHANGE, RETRY_AFTER_S,
-    SHORT_OF_WRITES_SHARE, USER_WAIT_MAX, USER_WRITE_RESERVE,
+    ARRIVAL_INDEX_BITS, BATCHES_IN_FLIGHT_MAX, BATCH_COLLECT_MS, BATCH_FRAME_BYTES,
+    BATCH_HEDGE_DELAY_MS, BATCH_WAIT_MAX_MS, COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES,
+    CONDITIONS_PER_CHANGE, LOW_WRITE_BUDGET_SHARE, RETRY_AFTER_S, USER_WRITE_RESERVE,
+    WAITING_USER_REQUESTS_MAX,
 };
 use crate::coordination::requester::Requester;
 use crate::coordination::store_client::ReadPoint;
@@ -22,20 +23,20 @@
 use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
 
-/// A submission that gathers for a batch, with everyone who asked for it.
+/// A submission that waits for a batch, with every request that asked for it.
 #[derive(Debug)]
 struct PendingSubmission {
     requesters: Vec<Requester>,
     spec: Rc<JobSpec>,
-    /// Bytes that it takes in a stored value.
+    /// Bytes of the job in a stored value, with its framing.
     bytes: usize,
     received_at: u64,
 }
 
-/// Jobs that are stored in one value: all of them gangs, or none.
+/// Jobs that are stored under one key: all of them gangs, or none.
 #[derive(Debug)]
 struct BatchValue {
-    gangs: bool,
+    holds_gangs: bool,
     bytes: usize,
     jobs: Vec<Rc<JobSpec>>,
 }
@@ -43,15 +44,15 @@
 impl BatchValue {
     fn new(submission: &PendingSubmission) -> BatchValue {
         BatchValue {
-            gangs: submission.spec.is_gang(),
+            holds_gangs: submission.spec.is_gang(),
             bytes: submission.bytes,
             jobs: vec![submission.spec.clone()],
         }
     }
 
-    /// Whether a job may stand in this value, of which `bytes_max` are for jobs.
+    /// Whether the job may be added to this value, in which jobs may take `bytes_max`.
     fn has_room_for(&self, submission: &PendingSubmission, bytes_max: usize) -> bool {
-        self.gangs == submission.spec.is_gang() && self.bytes + submission.bytes <= bytes_max
+        self.holds_gangs == submission.spec.is_gang() && self.bytes + submission.bytes <= bytes_max
     }
 
     fn add(&mut self, submission: &PendingSubmission) {
@@ -61,34 +62,35 @@
 
     /// The key that this value is stored under.
     fn key(&self, id: &str) -> String {
-        match self.gangs {
+        match self.holds_gangs {
             true => gang_batch_key(id),
             false => batch_key(id),
         }
     }
 }
 
-/// A copy of a batch that was sent.
+/// A copy of a batch that was sent to the state service.
 #[derive(Debug)]
 struct BatchCopy {
     transaction: Transaction,
-    sent: ReadPoint,
+    /// The state of the replica when the copy was sent.
+    read_point: ReadPoint,
 }
 
 /// A batch of submissions that is being committed.
 #[derive(Debug)]
 struct Batch {
     submissions: Vec<PendingSubmission>,
-    /// The jobs as divided into values.
+    /// The jobs, divided into stored values.
     values: Vec<BatchValue>,
     first_sent_at: u64,
     copies: Vec<BatchCopy>,
-    /// Copies that are not answered yet.
+    /// Number of copies without an answer yet.
     unanswered: u32,
 }
 
 impl Batch {
-    /// The transaction that accepts the batch, under keys that no other copy has.
+    /// Completes the transaction that stores the next copy of the batch, under keys of its own.
     fn transaction(
         &self,
         id: u64,
@@ -114,71 +116,73 @@
     }
 }
 
-/// What bounds a batch.
+/// Limits of one batch.
 struct BatchLimits {
     /// Bytes of jobs in one value.
     value_bytes: usize,
-    /// Values, one write each.
+    /// Number of values, each of which is one write.
     values: usize,
-    /// Conditions of the transaction.
+    /// Number of conditions of the transaction.
     conditions: usize,
-    /// Of these, those that are taken already: the values' own, and what else the transaction
-    /// depends on.
-    conditions_taken: usize,
+    /// Conditions reserved among these: one for each value, and the one on the store's rebuild.
+    conditions_reserved: usize,
 }
 
-/// Submissions on their way to being accepted.
+/// Submissions that are not accepted yet.
 #[derive(Debug)]
 pub(in crate::coordination) struct Submissions {
-    /// Those that wait for the next batch.
-    gathering: Vec<PendingSubmission>,
+    /// Submissions that wait for a batch.
+    pending: Vec<PendingSubmission>,
     /// Batches that are being committed, by number.
     in_flight: HashMap<u64, Batch>,
-    batches_made: u64,
+    batches_created: u64,
 }
 
 impl Submissions {
     pub(in crate::coordination) fn new(keys: HashKeys) -> Submissions {
-        Submissions { gathering: Vec::new(), in_flight: keys.map(), batches_made: 0 }
+        Submissions { pending: Vec::new(), in_flight: keys.map(), batches_created: 0 }
     }
 
-    /// When they have to be looked at again if nothing comes in before.
+    /// When [`Controller::batches_due`] has something to do next if no command comes before.
     pub(in crate::coordination) fn next_wake(&self, writes: &TokenBucket) -> Option<u64> {
-        let gathered = self.gathering.first().map(|first| {
-            let plenty = writes.available_at(writes.burst() * SHORT_OF_WRITES_SHARE);
-            let one = writes.available_at(USER_WRITE_RESERVE + 1.0);
-            let sent_at = (first.received_at + BATCH_GATHER_MS).min(plenty).max(one);
-            sent_at.min(first.received_at + BATCH_WAIT_MS + 1)
+        let next_batch_at = self.pending.first().map(|first| {
+            let budget_restored_at = writes.available_at(writes.burst() * LOW_WRITE_BUDGET_SHARE);
+            let one_write_at = writes.available_at(USER_WRITE_RESERVE + 1.0);
+            let sent_at =
+                (first.received_at + BATCH_COLLECT_MS).min(budget_restored_at).max(one_write_at);
+            sent_at.min(first.received_at + BATCH_WAIT_MAX_MS + 1)
         });
         let hedges = self.in_flight.values().filter(|batch| batch.copies.len() == 1);
-        let hedge = hedges.map(|batch| batch.first_sent_at + BATCH_HEDGE_MS + 1).min();
-        [gathered, hedge].into_iter().flatten().min()
+        let next_hedge_at =
+            hedges.map(|batch| batch.first_sent_at + BATCH_HEDGE_DELAY_MS + 1).min();
+        [next_batch_at, next_hedge_at].into_iter().flatten().min()
     }
 
-    /// Submissions that have waited for longer than their users would call quick.
+    /// Takes out the submissions that have waited longer than [`BATCH_WAIT_MAX_MS`].
     fn take_overdue(&mut self, now: u64) -> Vec<PendingSubmission> {
-        let is_overdue = |s: &mut PendingSubmission| now > s.received_at + BATCH_WAIT_MS;
-        self.gathering.extract_if(.., is_overdue).collect()
+        let is_overdue = |s: &mut PendingSubmission| now > s.received_at + BATCH_WAIT_MAX_MS;
+        self.pending.extract_if(.., is_overdue).collect()
     }
 
-    /// Batches of which one copy was sent, and has not been answered for long.
-    fn slow_batches(&self, now: u64) -> Vec<u64> {
-        let is_slow =
-            |batch: &Batch| batch.copies.len() == 1 && now > batch.first_sent_at + BATCH_HEDGE_MS;
-        self.in_flight.iter().filter(|(_, batch)| is_slow(batch)).map(|(id, _)| *id).collect()
+    /// Batches whose only copy has had no answer for longer than [`BATCH_HEDGE_DELAY_MS`].
+    fn batches_to_hedge(&self, now: u64) -> Vec<u64> {
+        let is_unanswered = |batch: &Batch| {
+            batch.copies.len() == 1 && now > batch.first_sent_at + BATCH_HEDGE_DELAY_MS
+        };
+        self.in_flight.iter().filter(|(_, batch)| is_unanswered(batch)).map(|(id, _)| *id).collect()
     }
 
-    /// Makes a batch of what has gathered and fits; gives its number.
-    fn begin_batch(&mut self, limits: &BatchLimits, now: u64) -> Option<u64> {
+    /// Makes a batch of the waiting submissions that fit, and returns its number; none if none fits.
+    fn create_batch(&mut self, limits: &BatchLimits, now: u64) -> Option<u64> {
         let mut values: Vec<BatchValue> = Vec::new();
-        let mut taken: Vec<PendingSubmission> = Vec::new();
-        let mut left: Vec<PendingSubmission> = Vec::new();
+        let mut chosen: Vec<PendingSubmission> = Vec::new();
+        let mut remaining: Vec<PendingSubmission> = Vec::new();
         let mut bytes = 0;
-        for submission in std::mem::take(&mut self.gathering) {
-            // A condition a job and one a value.
-            let conditions = taken.len() + limits.conditions_taken;
+        for submission in std::mem::take(&mut self.pending) {
+            // Each job takes a condition; those of the values are reserved.
+            let conditions = chosen.len() + limits.conditions_reserved;
             let fits = conditions < limits.conditions
-                && bytes + submission.bytes <= COMMIT_BYTES - COMMIT_FRAME_BYTES;
+                && bytes + submission.bytes <= COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES;
             let has_room = |value: &BatchValue| value.has_room_for(&submission, limits.value_bytes);
             match values.iter().position(has_room) {
                 Some(index) if fits => values[index].add(&submission),
@@ -186,45 +190,45 @@
                     values.push(BatchValue::new(&submission));
                 }
                 _ => {
-                    left.push(submission);
+                    remaining.push(submission);
                     continue;
                 }
             }
             bytes += submission.bytes;
-            taken.push(submission);
+            chosen.push(submission);
         }
-        self.gathering = left;
-        if taken.is_empty() {
+        self.pending = remaining;
+        if chosen.is_empty() {
             return None;
         }
-        self.batches_made += 1;
+        self.batches_created += 1;
         let batch = Batch {
-            submissions: taken,
+            submissions: chosen,
             values,
             first_sent_at: now,
             copies: Vec::new(),
             unanswered: 0,
         };
-        self.in_flight.insert(self.batches_made, batch);
-        Some(self.batches_made)
+        self.in_flight.insert(self.batches_created, batch);
+        Some(self.batches_created)
     }
 }
 
 impl Controller {
-    /// Takes a job that is to be accepted into the next batch. A repeat joins the first.
+    /// Adds a valid submission to those that wait for a batch. A repeat is answered with the first.
     pub(super) fn add_to_batch(&mut self, requester: Requester, spec: Rc<JobSpec>) {
         let bytes = raw_json(&spec).get().len() + BATCH_FRAME_BYTES;
         if bytes + BATCH_FRAME_BYTES > self.store.limits().value_bytes {
             let reason = "the submission is too large to be kept";
             return self.refuse(requester, 422, reason, None);
         }
-        let gathering = &mut self.submissions.gathering;
-        if gathering.len() >= USER_WAIT_MAX {
+        let pending = &mut self.submissions.pending;
+        if pending.len() >= WAITING_USER_REQUESTS_MAX {
             return self.refuse_overloaded(requester);
         }
-        match gathering.iter_mut().find(|submission| submission.spec.uid == spec.uid) {
+        match pending.iter_mut().find(|submission| submission.spec.uid == spec.uid) {
             Some(submission) => submission.requesters.push(requester),
-            None => gathering.push(PendingSubmission {
+            None => pending.push(PendingSubmission {
                 requesters: vec![requester],
                 spec,
                 bytes,
@@ -233,34 +237,35 @@
         }
     }
 
-    /// Writes submissions that have gathered. While writes are short they gather for longer, so
-    /// that one write accepts more of them; none waits for longer than its user would call
-    /// quick, it is passed on or refused then.
+    /// Sends the waiting submissions as a batch. While the write budget is low they wait longer, so
+    /// that one write stores more of them. A submission that has waited too long is relayed to a
+    /// peer or refused.
     pub(in crate::coordination) fn batches_due(&mut self) {
         let now = self.now.monotonic_ms;
         if self.recovery.is_suspended() {
-            let gathered = std::mem::take(&mut self.submissions.gathering);
-            return gathered.into_iter().for_each(|submission| self.relay_submission(submission));
+            let pending = std::mem::take(&mut self.submissions.pending);
+            return pending.into_iter().for_each(|submission| self.relay_submission(submission));
         }
         for submission in self.submissions.take_overdue(now) {
             self.relay_submission(submission);
         }
-        // The state service takes a few hundred milliseconds now and then. A second copy, under
-        // keys of its own, is mostly answered at once; whichever comes first counts, as with
-        // any job that stands in two batches.
-        for id in self.submissions.slow_batches(now) {
+        // Hedging: the state service takes a few hundred milliseconds now and then, and a second copy
+        // of the batch is mostly answered at once. It has keys of its own. If both are committed, the
+        // earlier one counts, as for any job that stands in two batches.
+        for id in self.submissions.batches_to_hedge(now) {
             self.send_batch(id, 0.0);
         }
-        let Some(first) = self.submissions.gathering.first() else { return };
-        let gathers_on = now < first.received_at + BATCH_GATHER_MS;
-        if self.store.writes_are_short(now) && gathers_on {
+        let Some(first) = self.submissions.pending.first() else { return };
+        let is_collecting = now < first.received_at + BATCH_COLLECT_MS;
+        if self.store.is_write_budget_low(now) && is_collecting {
             return;
         }
-        if self.submissions.in_flight.len() >= BATCHES_IN_FLIGHT {
+        if self.submissions.in_flight.len() >= BATCHES_IN_FLIGHT_MAX {
             return;
         }
         let limits = self.batch_limits(now);
-        if let Some(id) = self.submissions.begin_batch(&limits, now) {
+        if let Some(id) = self.submissions.create_batch(&limits, now) {
+            // The limits already keep the batch within the write budget.
             self.send_batch(id, f64::MIN);
         }
     }
@@ -268,38 +273,38 @@
     fn batch_limits(&mut self, now: u64) -> BatchLimits {
         let writes_left = self.store.writes_left(now) - USER_WRITE_RESERVE;
         let StoreLimits { value_bytes, transaction_ops, .. } = *self.store.limits();
-        // As many values as there are writes for.
+        // Each value takes one write.
         let values = (writes_left.max(0.0) as usize).min(transaction_ops);
         BatchLimits {
             value_bytes: value_bytes - BATCH_FRAME_BYTES,
             values,
-            conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_BITS),
-            conditions_taken: values + self.reserved_conditions(),
+            conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_INDEX_BITS),
+            conditions_reserved: values + self.reserved_conditions(),
         }
     }
 
-    /// Sends a copy of a batch, if that leaves `keep` writes.
-    fn send_batch(&mut self, id: u64, keep: f64) {
+    /// Sends a copy of a batch if that leaves at least `reserve` writes in the budget.
+    fn send_batch(&mut self, id: u64, reserve: f64) {
         let now = self.now.monotonic_ms;
-        let sent = self.store.read_point();
+        let read_point = self.store.read_point();
         let mut depending_on_rebuild = Transaction::default();
         self.add_rebuild_condition(&mut depending_on_rebuild);
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         let writes = batch.values.len();
-        if !self.store.take_writes(writes as f64, keep, now) {
+        if !self.store.take_writes(writes as f64, reserve, now) {
             return;
         }
         let transaction =
             batch.transaction(id, self.process_id, self.now.wall_ms, depending_on_rebuild);
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let copy = batch.copies.len();
-        batch.copies.push(BatchCopy { transaction, sent });
+        batch.copies.push(BatchCopy { transaction, read_point });
         batch.unanswered += 1;
         let purpose = CallPurpose::Submit { batch: id, copy };
         self.commit_call(body, writes, purpose);
     }
 
-    /// A peer may be able to take a submission that we can't.
+    /// Relays a submission that we can't accept to a peer, once for each request.
     fn relay_submission(&mut self, submission: PendingSubmission) {
         let body = serde_json::to_vec(&*submission.spec).unwrap_or_default();
         for requester in submission.requesters {
@@ -313,7 +318,7 @@
         copy: usize,
         reply: Option<Response>,
     ) {
-        // Another copy may have been answered already.
+        // The batch is gone if another copy has decided it.
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         batch.unanswered -= 1;
         let is_decided = matches!(reply, Some(Response { status: 200 | 409, .. }));
@@ -323,21 +328,21 @@
         let Some(batch) = self.submissions.in_flight.remove(&id) else { return };
         match reply {
             Some(Response { status: 200, body }) => self.accept_batch(batch, copy, &body),
-            Some(Response { status: 409, body }) => self.split_refused_batch(batch, &body),
+            Some(Response { status: 409, body }) => self.resolve_batch_conflict(batch, &body),
             Some(Response { status: 429, .. }) => self.refuse_batch(batch),
             _ => batch.submissions.into_iter().for_each(|s| self.relay_submission(s)),
         }
     }
 
-    /// The batch is committed.
+    /// Answers the submissions of a batch that was committed.
     ///
-    /// It is not put into the replica ahead of the watch: of a job that stands in two batches
-    /// the earlier counts, and the watch tells them in their order.
+    /// The batch is not applied to the replica ahead of the watch: if a job stands in two batches the
+    /// earlier one counts, and the watch delivers them in order.
     fn accept_batch(&mut self, batch: Batch, copy: usize, body: &[u8]) {
         if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(body) {
-            let BatchCopy { transaction, sent } = &batch.copies[copy];
-            if !self.applied_to_trusted_store(*sent, applied.revision) {
-                // In a store that has lost data: nothing is accepted by that.
+            let BatchCopy { transaction, read_point } = &batch.copies[copy];
+            if !self.applied_to_trusted_store(*read_point, applied.revision) {
+                // The commit went into a store that has lost data: it accepts nothing.
                 return batch.submissions.into_iter().for_each(|s| self.relay_submission(s));
             }
             self.record_own_transaction(transaction, applied.revision);
@@ -354,7 +359,8 @@
         self.metrics.work.accepted += 1;
         let _ = self.metrics.submit_ms.record(waited_ms);
         log::debug!(
-            "{}: accepted in {waited_ms} ms, {} tasks of {} for {}, {} of {} GB, due after {:?} s",
+            "job accepted: {} after {waited_ms} ms, tasks {}, class {}, team {}, image {} of {} GB, \
+             deadline_s {:?}",
             spec.uid,
             spec.tasks,
             spec.class,
@@ -369,13 +375,13 @@
         }
     }
 
-    /// One of the jobs has ended in the meantime: that one is answered as it is, the others
-    /// gather again.
-    fn split_refused_batch(&mut self, batch: Batch, body: &[u8]) {
+    /// Handles a batch refused because a condition failed. A job that has an end by now is answered
+    /// after a fresh read; the others wait for a batch again.
+    fn resolve_batch_conflict(&mut self, batch: Batch, body: &[u8]) {
         let failed_keys = TransactionConflict::failed_keys(body);
         for submission in batch.submissions {
             if !failed_keys.contains(&job_end_key(&submission.spec.uid)) {
-                self.submissions.gathering.push(submission);
+                self.submissions.pending.push(submission);
                 continue;
             }
             for requester in submission.requesters {
@@ -385,6 +391,7 @@
         }
     }
 
+    /// Refuses the submissions of a batch that hit the state service's rate limit.
     fn refuse_batch(&mut self, batch: Batch) {
         for requester in batch.submissions.into_iter().flat_map(|s| s.requesters) {
             self.refuse(requester, 503, "too many submissions", Some(RETRY_AFTER_S));
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -1,4 +1,4 @@
-//! Users' requests that a peer answers for us, or we for a peer.
+//! Relaying users' requests between controllers.
 
 use crate::constants::{PEER_VERSION, RELAY_TIMEOUT_MS};
 use crate::coordination::interface::{ConnectionId, Service};
@@ -9,7 +9,8 @@
 use crate::protocol::routes::{UserRoute, RELAY_PATH};
 
 impl Controller {
-    /// We can't answer: a served peer does it for us, or the user comes back later.
+    /// Relays a request that we can't answer to a peer that reaches the state service. Without such a
+    /// peer, or if the request was relayed to us, it is refused and the user retries.
     pub(in crate::coordination) fn relay_or_refuse(
         &mut self,
         requester: Requester,
@@ -19,10 +20,10 @@
     ) {
         let peer = match requester.is_relayed() {
             true => None,
-            false => self.membership.served_peer(self.now.monotonic_ms),
+            false => self.membership.peer_with_store_access(self.now.monotonic_ms),
         };
         let Some(peer) = peer else {
-            return self.unavailable(requester);
+            return self.refuse_unavailable(requester);
         };
         let request = RelayRequest { version: PEER_VERSION, method: method.into(), path, body };
         let purpose = CallPurpose::Relay { requester };
@@ -44,11 +45,11 @@
                 self.record_relayed_status(&answer.body);
                 self.answer(requester, answer.status, answer.retry_after_s, answer.body);
             }
-            None => self.unavailable(requester),
+            None => self.refuse_unavailable(requester),
         }
     }
 
-    /// A peer passes a user's request on.
+    /// Handles a user's request that a peer has relayed to us.
     pub(in crate::coordination) fn answer_relayed_request(
         &mut self,
         connection: ConnectionId,
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -1,9 +1,10 @@
-//! Reading the store: the first listing, the watch, and zero-wait reads.
+//! Reads of the store: the initial listing, the watch and fresh reads.
 
 use super::{is_store_call, Listing, ReadPoint};
 use crate::constants::{
-    KEY_FAMILY, KEY_ROOT, READ_GAP_MIN_MS, READ_PERIOD_MS, STATE_LIST_LIMIT, STATE_LIST_TIMEOUT_MS,
-    STATE_TIMEOUT_MS, UNREADABLE_LAYOUT_RECHECK_MS, WATCH_BLOCK_MS, WATCH_TIMEOUT_MS,
+    FRESH_READ_INTERVAL_MIN_MS, FRESH_READ_PERIOD_MS, KEY_FAMILY, KEY_ROOT, LIST_PAGE_KEYS,
+    LIST_TIMEOUT_MS, STATE_TIMEOUT_MS, UNREADABLE_LAYOUT_RECHECK_MS, WATCH_BLOCK_MS,
+    WATCH_TIMEOUT_MS,
 };
 use crate::coordination::{CallPurpose, Controller, Service};
 use crate::protocol::http::Response;
@@ -13,18 +14,18 @@
 use crate::storage::records::JobId;
 use crate::storage::replica::Replica;
 
-/// What became of an answer that should hold changes of the store.
+/// The outcome of a watch or a fresh read.
 enum ReadOutcome {
-    /// The changes are in the replica.
+    /// The changes were applied to the replica.
     Applied,
-    /// The store is read anew, or the question belonged to an earlier read of it.
+    /// The store is being listed again, or the request was sent in an earlier epoch.
     Superseded,
-    /// There was no answer that can be used.
+    /// There was no answer, or none that could be used.
     Failed,
 }
 
 impl Controller {
-    /// Takes note of how the state service answered a call; `status` is none without an answer.
+    /// Records the status of the state service's answer to a call; none if it did not answer.
     pub(in crate::coordination) fn note_store_response(
         &mut self,
         purpose: &CallPurpose,
@@ -34,30 +35,30 @@
             return;
         }
         match status {
-            // A watch may stay open for as long as it likes.
+            // A watch that ends without an answer says nothing about the service: it may stay open long.
             Some(503) | None if matches!(purpose, CallPurpose::Watch { .. }) => {}
-            Some(429) => self.note_rate_limit(purpose),
+            Some(429) => self.on_rate_limited(purpose),
             Some(503) | None => {
-                if !self.store.refused {
-                    log::info!("state service does not serve us");
+                if !self.store.last_request_failed {
+                    log::info!("state service unavailable: users' requests are relayed or refused");
                 }
-                self.store.refused = true;
+                self.store.last_request_failed = true;
             }
             Some(_) => {
-                if self.store.refused {
-                    log::info!("state service serves us");
+                if self.store.last_request_failed {
+                    log::info!("state service available again");
                 }
-                self.store.refused = false;
+                self.store.last_request_failed = false;
                 self.store.last_served_at = Some(self.now.monotonic_ms);
             }
         }
     }
 
-    /// The state service was asked too often: the budget that the call came from is empty.
-    fn note_rate_limit(&mut self, purpose: &CallPurpose) {
-        log::debug!("state service: too many requests");
+    /// The state service has answered 429: empties the budget that the call was taken from.
+    fn on_rate_limited(&mut self, purpose: &CallPurpose) {
+        log::debug!("state service rate limit reached (429): request budget emptied");
         if self.store.limits.lower_rates() {
-            log::info!("state service: the lower rates of the settings are in force");
+            log::info!("state service rates lowered to the next limits of the settings");
             self.set_state_rates();
         }
         let is_write = matches!(
@@ -73,12 +74,12 @@
         }
     }
 
-    /// Whether the state service serves us, as far as we know, and its data is to be trusted.
+    /// Whether the state service answers and its data is trusted.
     pub(in crate::coordination) fn store_is_usable(&self) -> bool {
         self.store_is_reachable() && !self.recovery.is_suspended()
     }
 
-    /// Whether the state service answers us, whatever it has lost.
+    /// Whether the state service answers, regardless of data that it may have lost.
     pub(in crate::coordination) fn store_is_reachable(&self) -> bool {
         self.store.is_reachable(self.now.monotonic_ms)
     }
@@ -107,7 +108,7 @@
         self.call(Service::State, method, path, body, timeout_ms, purpose);
     }
 
-    /// Sends a transaction, encoded as `body`, whose writes were taken from the budget.
+    /// Sends a transaction encoded as `body`. Its writes have been taken from the write budget.
     pub(in crate::coordination) fn commit_call(
         &mut self,
         body: Vec<u8>,
@@ -126,7 +127,7 @@
         if !self.store.loaded {
             return self.list_next_page();
         }
-        if !self.store.watching && !self.store.refused {
+        if !self.store.watching && !self.store.last_request_failed {
             self.open_watch();
         }
         self.fresh_read_due();
@@ -137,9 +138,9 @@
             return;
         }
         self.store.listing.in_flight = true;
-        let path = list_path(KEY_FAMILY, self.store.listing.last_key.as_deref(), STATE_LIST_LIMIT);
+        let path = list_path(KEY_FAMILY, self.store.listing.last_key.as_deref(), LIST_PAGE_KEYS);
         let purpose = CallPurpose::List { epoch: self.store.epoch };
-        self.state_call("GET", path, vec![], STATE_LIST_TIMEOUT_MS, purpose);
+        self.state_call("GET", path, vec![], LIST_TIMEOUT_MS, purpose);
     }
 
     fn open_watch(&mut self) {
@@ -149,19 +150,20 @@
         self.state_call("GET", path, vec![], WATCH_TIMEOUT_MS, purpose);
     }
 
-    /// Begins a zero-wait read if one is wanted, or the last one was long ago.
+    /// Sends a fresh read if a request waits for one, or if the last one was long ago.
     fn fresh_read_due(&mut self) {
         let now = self.now.monotonic_ms;
         let reads = &mut self.store.fresh_reads;
-        let periodic = now >= reads.begun_at + READ_PERIOD_MS;
-        let wanted = !reads.waiting.is_empty() && now >= reads.begun_at + READ_GAP_MIN_MS;
-        if reads.running.is_some() || !(periodic || wanted) {
+        let periodic = now >= reads.begun_at + FRESH_READ_PERIOD_MS;
+        let wanted =
+            !reads.waiting.is_empty() && now >= reads.begun_at + FRESH_READ_INTERVAL_MIN_MS;
+        if reads.in_flight.is_some() || !(periodic || wanted) {
             return;
         }
         if !self.store.read_budget.take(0.0, 1.0, now) && !periodic {
             return;
         }
-        reads.running = Some(std::mem::take(&mut reads.waiting));
+        reads.in_flight = Some(std::mem::take(&mut reads.waiting));
         reads.begun_at = now;
         let path = changes_path(KEY_FAMILY, self.store.replica.revision, 0);
         let purpose = CallPurpose::FreshRead { begun_at: now, read_point: self.store.read_point() };
@@ -178,10 +180,10 @@
         }
         self.store.listing.in_flight = false;
         let Some(Response { status: 200, body }) = reply else {
-            return self.store.retry_later(self.now.monotonic_ms);
+            return self.store.back_off(self.now.monotonic_ms);
         };
         let Ok(page) = serde_json::from_slice::<KeyPage>(&body) else {
-            return self.store.retry_later(self.now.monotonic_ms);
+            return self.store.back_off(self.now.monotonic_ms);
         };
         self.metrics.work.state_bytes_read += body.len() as u64;
         self.store.listing.first_revision.get_or_insert(page.revision);
@@ -199,12 +201,13 @@
         self.complete_listing(page.revision);
     }
 
-    /// Another version may still run on this store: neither may touch what the other keeps.
+    /// Drops the listing and checks again later: another version of the program may still use this
+    /// store, and neither may touch the other's keys.
     fn reject_foreign_layout(&mut self) {
         let replica = &mut self.store.replica;
         let key = replica.foreign_key.as_deref().unwrap_or_default();
         log::error!(
-            "the store has keys of another layout than {KEY_ROOT}, like {key}: serving nobody"
+            "store layout not supported: {key} is not under {KEY_ROOT}; no requests are served"
         );
         *replica = Replica::new(replica.hash_keys());
         self.recovery.clear_image();
@@ -212,9 +215,9 @@
         self.store.retry_at = self.now.monotonic_ms + UNREADABLE_LAYOUT_RECHECK_MS;
     }
 
-    /// The last page is in, which showed `revision`.
+    /// Completes the initial listing, whose last page showed `revision`.
     fn complete_listing(&mut self, revision: u64) {
-        // Pages are of different moments: changes since the first one follow by reads.
+        // The pages were read at different revisions: the watch starts from that of the first one.
         let first_revision = self.store.listing.first_revision.take();
         self.store.replica.revision = first_revision.unwrap_or(revision);
         self.store.note_revision(revision);
@@ -227,11 +230,11 @@
         self.cloud.restore_catalog(replica.catalog.as_ref().map(|record| &record.value));
         self.on_listing_complete();
         let replica = &self.store.replica;
-        log::info!("loaded: {} jobs at revision {}", replica.jobs.len(), replica.revision);
+        log::info!("store loaded: {} jobs at revision {}", replica.jobs.len(), replica.revision);
         self.store_reads_due();
     }
 
-    /// Puts an answer into the replica.
+    /// Applies the answer to a watch or a fresh read to the replica.
     fn apply_changes(&mut self, asked: ReadPoint, reply: &Option<Response>) -> ReadOutcome {
         if asked.epoch != self.store.epoch {
             return ReadOutcome::Superseded;
@@ -263,17 +266,17 @@
         ReadOutcome::Applied
     }
 
-    /// The service keeps no changes from so long ago.
+    /// The service has answered 410: it no longer keeps changes as old as the replica's revision.
     fn on_watch_too_old(&mut self) {
-        log::info!("too far behind, reading the store anew");
+        log::info!("watch revision too old (410): the store is listed again");
         if self.recovery.notices_losses() {
             return self.suspect_data_loss(None);
         }
         self.reload_store();
-        self.step_down("lost track of the store");
+        self.step_down("the replica was too far behind the store");
     }
 
-    /// A transaction of ours was applied: puts it into the replica ahead of the watch.
+    /// Applies a committed transaction of our own to the replica ahead of the watch.
     pub(in crate::coordination) fn apply_own_transaction(
         &mut self,
         transaction: &Transaction,
@@ -284,7 +287,7 @@
         self.on_jobs_changed(&changed_jobs);
     }
 
-    /// Jobs have changed in the replica: the leader's state follows.
+    /// Updates the leader's state after jobs have changed in the replica.
     pub(in crate::coordination) fn on_jobs_changed(&mut self, changed_jobs: &[JobId]) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) else { return };
@@ -305,7 +308,7 @@
             self.store.watching = false;
         }
         if matches!(self.apply_changes(asked, &reply), ReadOutcome::Failed) {
-            self.store.retry_later(self.now.monotonic_ms);
+            self.store.back_off(self.now.monotonic_ms);
         }
     }
 
@@ -315,18 +318,18 @@
         asked: ReadPoint,
         reply: Option<Response>,
     ) {
-        let waiters = self.store.fresh_reads.running.take().unwrap_or_default();
+        let waiters = self.store.fresh_reads.in_flight.take().unwrap_or_default();
         match self.apply_changes(asked, &reply) {
             ReadOutcome::Applied => {
                 self.store.last_read_at = Some(begun);
-                self.forget_ended_by_peers();
+                self.drop_known_ended_jobs();
                 self.on_fresh_read(begun);
                 self.complete_waiters(waiters, begun);
             }
             outcome => {
                 let rate_limited = matches!(reply, Some(Response { status: 429, .. }));
                 if matches!(outcome, ReadOutcome::Failed) && !rate_limited {
-                    self.store.retry_later(self.now.monotonic_ms);
+                    self.store.back_off(self.now.monotonic_ms);
                 }
                 waiters.into_iter().for_each(|waiter| self.fail_waiter(waiter));
             }
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -3,7 +3,7 @@
 
 use super::builder::TransactionBuilder;
 use super::pending::PendingTransaction;
-use crate::constants::{GARBAGE_PERIOD_MS, IMAGES_PERIOD_MS};
+use crate::constants::{IMAGES_WRITE_PERIOD_MS, STALE_KEY_SCAN_PERIOD_MS};
 use crate::coordination::{Controller, Leader};
 use crate::protocol::cloud::Catalog;
 use crate::protocol::state::raw_json;
@@ -81,7 +81,7 @@
             }
         }
         if all_written {
-            self.transactions.next_images_at = now + IMAGES_PERIOD_MS;
+            self.transactions.next_images_at = now + IMAGES_WRITE_PERIOD_MS;
         }
     }
 
@@ -91,7 +91,7 @@
         if now < self.transactions.next_stale_key_scan_at || !self.cluster.stale_keys.is_empty() {
             return;
         }
-        self.transactions.next_stale_key_scan_at = now + GARBAGE_PERIOD_MS;
+        self.transactions.next_stale_key_scan_at = now + STALE_KEY_SCAN_PERIOD_MS;
         let jobs = &self.cluster.jobs;
         let is_over = |uid: &JobId| replica.has_ended(uid) && !jobs.contains_key(uid);
         for (key, batch) in &replica.batches {
