--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -1,5 +1,5 @@
-//! What operators decide on jobs that a rebuild could not account for. Any controller takes a
-//! decision; it counts once it is committed.
+//! Operators' decisions on jobs that a rebuild has flagged, and on its history gap. Any controller accepts a
+//! decision, which takes effect once it is committed.
 
 use super::put_rebuild_record;
 use crate::constants::{RETRY_AFTER_S, USER_WRITE_RESERVE};
@@ -12,7 +12,7 @@
 use mountgap_records::constants::REBUILD_KEY;
 use std::collections::BTreeSet;
 
-/// An operator's decision that was sent to the state service.
+/// A transaction with an operator's decision that was sent to the state service.
 #[derive(Debug)]
 pub(in crate::coordination) struct DecisionCall {
     connection: ConnectionId,
@@ -21,13 +21,13 @@
 }
 
 impl Controller {
-    /// Answers with what operators are told of losses and rebuilds of the store.
+    /// Answers with the report on data loss and rebuilds.
     pub(in crate::coordination) fn answer_recovery_report(&mut self, connection: ConnectionId) {
         let body = serde_json::to_vec_pretty(&self.recovery_report()).unwrap_or_default();
         self.respond(connection, 200, None, body);
     }
 
-    /// Takes an operator's decision.
+    /// Handles an operator's decision.
     pub(in crate::coordination) fn recovery_decision(
         &mut self,
         connection: ConnectionId,
@@ -50,7 +50,7 @@
 
     fn decide(&mut self, requester: Requester, decision: Decision, request: &DecisionRequest) {
         let jobs = self.jobs_to_decide(decision, request);
-        // Each job may take a write of its own, and a group of flags another.
+        // Each job may need a write of its own, and another for its group of flagged jobs.
         let jobs_max = (self.store.limits().transaction_ops / 2).max(1);
         let decided: BTreeSet<String> = jobs.iter().take(jobs_max).cloned().collect();
         let left = jobs.len() - decided.len();
@@ -64,7 +64,7 @@
         self.send_decision(requester, commit, answer);
     }
 
-    /// The jobs that a request is about.
+    /// The jobs that a decision applies to.
     fn jobs_to_decide(&self, decision: Decision, request: &DecisionRequest) -> Vec<String> {
         let groups = self.store.replica().flagged.values();
         let flagged = groups.flat_map(|group| group.value.jobs.keys()).cloned();
@@ -74,7 +74,7 @@
                 flagged.filter(|job| request.jobs.contains(job)).collect()
             }
             (_, true) => flagged.collect(),
-            // Also a job of which nothing is known but that its tasks run.
+            // This includes unknown jobs, which only show because machines run their tasks.
             (Decision::GiveUp, false) => {
                 let open = |job: &&String| !self.store.replica().has_ended(job);
                 request.jobs.iter().filter(open).cloned().collect()
@@ -110,7 +110,7 @@
         self.commit_call(body, writes, purpose);
     }
 
-    /// Takes the flags off jobs.
+    /// Adds the writes that remove the flags of jobs.
     fn add_flag_removals(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
         for (group_number, group) in &self.store.replica().flagged {
             if !group.value.jobs.keys().any(|job| jobs.contains(job)) {
@@ -124,7 +124,8 @@
         }
     }
 
-    /// From now on a job that is not known was never accepted.
+    /// Adds the write that closes the history gap: from then on, a job that is not in the store counts as
+    /// never accepted.
     fn add_gap_closure(&self, commit: &mut Transaction) {
         if !self.has_history_gap() {
             return;
@@ -147,7 +148,7 @@
                 if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) {
                     self.apply_own_transaction(&call.commit, applied.revision);
                 }
-                log::info!("an operator has decided on {} jobs", call.answer.decided);
+                log::info!("operator decision applied: {} jobs", call.answer.decided);
                 self.answer_json(requester, 200, &call.answer);
             }
             _ => self.refuse(requester, 503, "not carried out, ask again", Some(RETRY_AFTER_S)),
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -1,4 +1,5 @@
-//! The election of the controller that rebuilds the store, and what any election writes about the store.
+//! The election of the controller that rebuilds the store, and the writes that every election adds about
+//! the identity or the rebuild of the store.
 
 use super::phase::RecoveryPhase;
 use super::put_rebuild_record;
@@ -12,7 +13,7 @@
 use rand::Rng;
 
 impl Controller {
-    /// Whether this controller may stand for election: to lead, or to rebuild the store.
+    /// Whether this controller may campaign, either to lead or to rebuild the store.
     pub(in crate::coordination) fn may_campaign(&self) -> bool {
         match self.recovery.phase() {
             RecoveryPhase::Following => self.store_is_usable(),
@@ -23,8 +24,8 @@
         }
     }
 
-    /// The term to stand with. A rebuild leaves those free that may have been taken in the part of
-    /// the history that is lost.
+    /// The term for the next campaign. A rebuild skips [`TERM_GAP`] terms, since some of them may have been
+    /// used in the lost part of the history.
     pub(in crate::coordination) fn next_term(&self) -> u64 {
         let known = self.store.replica().term().max(self.membership.highest_term());
         if !self.recovery.has_lost_store() {
@@ -34,8 +35,8 @@
         known.max(lost).saturating_add(1).saturating_add(TERM_GAP)
     }
 
-    /// What an election commits beside leader key and term: the identity of a new store, or the record
-    /// that a rebuild has begun.
+    /// Adds what an election writes beside the leader key and the term: the identity of a new store, or the
+    /// record that a rebuild has started.
     pub(in crate::coordination) fn add_recovery_writes(
         &mut self,
         commit: &mut Transaction,
@@ -72,14 +73,14 @@
         }
     }
 
-    /// The election is won: if the store is lost, to rebuild it.
+    /// Starts the rebuild after a won election, if the store is lost.
     pub(in crate::coordination) fn start_rebuild_if_lost(&mut self) {
         if self.recovery.has_lost_store() {
-            log::info!("rebuilds the store");
+            log::info!("rebuild started: this controller was elected to rebuild the store");
             let rebuild = Rebuild::new(self.membership.peer_count(), self.now.monotonic_ms);
             self.recovery.start_rebuild(rebuild);
-            // It may have been lost once more since we read it, and nothing written tells of that. What is
-            // read from now on holds our election.
+            // The store may have lost data again since we read it, and no record would show that. A listing
+            // from now on contains our election.
             self.reload_store();
         }
     }
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -1,8 +1,8 @@
-//! A first start on an empty store, told from a loss that nobody here remembers; and what peers and workers say
-//! of the store.
+//! Distinguishes a first start on a new store from a data loss that this process can't remember, by what
+//! peers and workers know of the store.
 //!
-//! An empty store is a new one unless somebody knows better: a worker that shows a token was once answered by a leader,
-//! and a peer may have read an earlier store.
+//! An empty store counts as new unless there is evidence of an earlier one: a worker that sends a fencing
+//! token was once answered by a leader, and a peer may have read an earlier store.
 
 use super::phase::RecoveryPhase;
 use crate::constants::{
@@ -17,19 +17,20 @@
 use mountgap_recovery::image::StoreId;
 
 impl Controller {
-    /// A worker that shows a token has been answered by a leader, so there was a store.
-    pub(in crate::coordination) fn check_worker_token(&mut self, report: &Heartbeat) {
-        let believed = report.fencing_token > 0 && report.fencing_token <= TERM_BELIEVED_MAX;
-        if !believed || !self.recovery.is_suspended() {
+    /// Records a worker's fencing token as evidence of an earlier store: a leader has answered the worker.
+    pub(in crate::coordination) fn check_worker_token(&mut self, heartbeat: &Heartbeat) {
+        let token = heartbeat.fencing_token;
+        let plausible = token > 0 && token <= TERM_BELIEVED_MAX;
+        if !plausible || !self.recovery.is_suspended() {
             return;
         }
-        self.membership.note_term(report.fencing_token);
-        let (machine, token) = (&report.machine, report.fencing_token);
+        self.membership.note_term(token);
+        let machine = &heartbeat.machine;
         let now = self.now.monotonic_ms;
         self.recovery.add_evidence(now, || format!("the worker of {machine} shows token {token}"));
     }
 
-    /// Compares what a peer says of the store with what we know of it.
+    /// Compares what a peer's gossip says of the store with what we know of it.
     pub(in crate::coordination) fn check_peer_store(&mut self, gossip: &Gossip) {
         if !self.recovery.notices_losses() {
             return;
@@ -47,8 +48,8 @@
         }
     }
 
-    /// Judges the store that we follow by what a peer reports: that it knows the store to be whole, or
-    /// that data was lost.
+    /// Checks the store that we follow against a peer's gossip, which may prove its continuity or report a
+    /// data loss.
     fn check_followed_store(&mut self, gossip: &Gossip) {
         let (our_store, _) = self.recovery.peer_view();
         let same_store = gossip.store.is_some() && gossip.store == our_store;
@@ -57,34 +58,38 @@
         }
         let Some(lost_term) = gossip.lost_term else { return };
         if lost_term >= self.store.replica().rebuild_term() {
-            // Not rebuilt since. It remembers more than we do: what it holds contradicts what is there.
+            // The store was not rebuilt since. The peer has a longer history than we do, and it contradicts
+            // the store that we read.
             let peer = gossip.label.clone();
             return self.declare_lost_and_reload(DataLoss::ReportedByPeer { peer });
         }
         let now = self.now.monotonic_ms;
         let long_followed = self.recovery.has_followed_for(2 * LOST_STORE_RELOAD_MS, now);
         if long_followed && self.recovery.stale_leader().is_allowed(now) {
-            // It should have seen by now that the store is rebuilt: perhaps it is not any more.
+            // The peer should have seen the complete rebuild by now. Perhaps the store has lost data again
+            // without our noticing.
             self.recovery.stale_leader_mut().pause(now);
             self.suspect_data_loss(None);
         }
     }
 
-    /// An empty store is a new one once every worker had time to show a token, and every peer has
-    /// said that it knows of no store, or has not been heard for long.
+    /// Trusts an empty store as new once every worker has had time to send a fencing token, and either all
+    /// peers have been heard without evidence of an earlier store or [`FIRST_START_MAX_MS`] have passed.
     pub(super) fn first_start_due(&mut self) {
         let now = self.now.monotonic_ms;
         let RecoveryPhase::FirstStart { since, evidence: None } = self.recovery.phase() else {
             return;
         };
-        let reports =
+        let heartbeat_wait_s =
             self.settings.params.workers.report_s * FIRST_START_HEARTBEAT_PERIODS + WORKER_RETRY_S;
-        let workers_had_time = now >= since + (reports * MS_PER_S) as u64;
+        let workers_had_time = now >= since + (heartbeat_wait_s * MS_PER_S) as u64;
         let heard_all_peers = self.membership.fresh_gossip(self.now.monotonic_ms).count()
             == self.membership.peer_count();
         let waited_long = now >= since + FIRST_START_MAX_MS;
         if workers_had_time && (heard_all_peers || waited_long) {
-            log::info!("the store is empty and nobody knows of an earlier one: a first start");
+            log::info!(
+                "first start: the store is empty, and there is no evidence of an earlier one"
+            );
             self.recovery.follow_new_store(now);
         }
     }
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -1,4 +1,4 @@
-//! Passing images of the lost store to the controller that rebuilds it.
+//! Transfer of images of the lost store, page by page, to the controller that rebuilds it.
 
 use crate::constants::{IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, IMAGE_TIMEOUT_MS, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
@@ -8,35 +8,35 @@
 use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::image::StoreImage;
 
-/// The image that a peer hands over.
+/// The image of a peer, as received so far.
 #[derive(Debug, Default)]
 pub(super) struct PeerImage {
-    /// Pages so far.
+    /// The content of all pages received.
     image: StoreImage,
-    /// Last key of these pages.
+    /// The last key of these pages; the next page begins after it.
     last_key: String,
-    /// A page was asked for and is not answered yet.
+    /// Whether a request for a page is not answered yet.
     request_sent: bool,
-    /// When the next page may be asked for.
+    /// When the next page may be requested.
     next_request_at: u64,
-    /// All pages are in.
+    /// Whether all pages were received.
     complete: bool,
-    /// What the peer knows reaches back to before the loss.
+    /// Whether the peer's history reaches back to before the loss.
     history_complete: bool,
 }
 
 impl PeerImage {
-    /// The whole image, once it is there.
-    pub(super) fn whole(&self) -> Option<&StoreImage> {
+    /// The image, once all pages were received.
+    pub(super) fn image_if_complete(&self) -> Option<&StoreImage> {
         Some(&self.image).filter(|_| self.complete)
     }
 
-    /// Whether all pages are in.
+    /// Whether all pages were received.
     pub(super) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Whether what the peer knows reaches back to before the loss.
+    /// Whether the peer's history reaches back to before the loss.
     pub(super) fn is_history_complete(&self) -> bool {
         self.history_complete
     }
@@ -60,7 +60,7 @@
 }
 
 impl Controller {
-    /// Asks peers for what is missing of their images.
+    /// Requests the next missing page of each peer's image.
     pub(super) fn request_peer_images(&mut self) {
         let now = self.now.monotonic_ms;
         for peer in 0..self.membership.peer_count() {
@@ -106,8 +106,8 @@
         self.check_term();
     }
 
-    /// Answers a peer that rebuilds the store. One that asks has begun to; if we know nothing of a
-    /// loss we look for ourselves first.
+    /// Answers a page request of a peer that rebuilds the store. The request itself shows that a rebuild has
+    /// started, so if we know of no data loss, we suspect one and verify the store first.
     pub(in crate::coordination) fn answer_image_request(
         &mut self,
         connection: ConnectionId,
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -1,9 +1,9 @@
-//! Detecting that the store has lost data.
+//! Detection of data loss in the store.
 //!
-//! Every answer that names a revision below one that the store had reached before the request went
-//! out proves a loss. Where nothing as plain is to be had (the watch is too old, a commit is refused
-//! for no reason that the copy shows, a peer has begun to rebuild) the whole store is read anew and
-//! compared with the image of what was known.
+//! A response with a revision below one that the store had reached before the request was sent proves a
+//! loss. Weaker signs only raise a suspicion: the watch revision is too old, transactions keep failing
+//! with conflicts that the replica doesn't explain, or a peer has started a rebuild. The store is then
+//! listed again and compared with the image from before the suspicion.
 
 use super::phase::RecoveryPhase;
 use crate::constants::KEY_FAMILY;
@@ -14,7 +14,7 @@
 use mountgap_recovery::audit::{audit, DataLoss};
 use mountgap_recovery::image::StoreImage;
 
-/// Whether an event says that somebody rebuilds the store.
+/// Whether an event writes the record with which a rebuild starts.
 fn starts_rebuild(event: &WatchEvent) -> bool {
     let data = event.value.as_ref().filter(|_| event.put_key.as_deref() == Some(REBUILD_KEY));
     let record = data.and_then(|data| serde_json::from_str::<RebuildRecord>(data.get()).ok());
@@ -22,17 +22,17 @@
 }
 
 impl Controller {
-    /// Forgets the copy of the store and reads all of it anew. Answers to what was asked before
-    /// count for nothing.
+    /// Discards the replica and the image, and lists the store again. Responses to earlier reads are
+    /// ignored.
     pub(in crate::coordination) fn reload_store(&mut self) {
         self.store.reset();
         self.recovery.clear_image();
-        // What we knew is gone, and with it the ends that peers need not have named.
+        // Peers left out of their lists the ended jobs that we already knew, and those are now discarded.
         self.membership.reset_ended_jobs_complete_at();
     }
 
-    /// Something suggests that the store has lost data, or that we only have lost track of it: it is
-    /// read anew and compared with what was known.
+    /// Handles a sign of data loss, or of a replica that differs from the store: lists the store again and
+    /// compares it with the known image. `suspicion` is the suspected loss, if it is a particular one.
     pub(in crate::coordination) fn suspect_data_loss(&mut self, suspicion: Option<DataLoss>) {
         if !self.recovery.notices_losses() {
             return;
@@ -40,8 +40,8 @@
         match self.recovery.phase() {
             RecoveryPhase::Following => self.verify_store_against_image(suspicion),
             RecoveryPhase::Lost { .. } => {
-                // Lost once more, while it is rebuilt: what is to be written back is known still.
-                self.step_down("the store has changed again");
+                // Data may have been lost again during the rebuild. The image of the lost store is kept.
+                self.step_down("the store may have lost data again");
                 self.reload_store();
             }
             RecoveryPhase::FirstStart { .. } | RecoveryPhase::Verifying { .. } => {
@@ -52,21 +52,24 @@
 
     fn verify_store_against_image(&mut self, suspicion: Option<DataLoss>) {
         if let Some(loss) = &suspicion {
-            log::warn!("the store may have lost data: {loss}; serving nobody until it is verified");
+            log::warn!(
+                "data loss suspected: {loss}; no requests are served until the store is verified"
+            );
         }
         let known = self.step_down_and_freeze_image("the store may have lost data");
         self.recovery.begin_verifying(known, suspicion);
         self.reload_store();
     }
 
-    /// The store that we follow has lost data, though nothing that we read ourselves shows it.
+    /// Handles a data loss that a peer or a worker has shown, although nothing that we read ourselves shows
+    /// it.
     pub(super) fn declare_lost_and_reload(&mut self, loss: DataLoss) {
         let known = self.step_down_and_freeze_image("the store has lost data");
         self.declare_lost(loss, Some(known));
         self.reload_store();
     }
 
-    /// Stops leading; gives what was known of the store, which is kept for a rebuild.
+    /// Steps down and returns the known image of the store, which is kept for a rebuild.
     fn step_down_and_freeze_image(&mut self, reason: &str) -> StoreImage {
         self.step_down(reason);
         self.recovery.freeze_image(self.store.last_read_at(), self.now.monotonic_ms)
@@ -76,7 +79,7 @@
         self.recovery.declare_lost(loss, known, self.now.monotonic_ms);
     }
 
-    /// Puts a key of the whole store into the image as it is read.
+    /// Adds a listed key to the image.
     pub(in crate::coordination) fn record_item(&mut self, item: &KeyValue) {
         if self.recovery.notices_losses() && item.key.starts_with(KEY_FAMILY) {
             let epoch = self.store.epoch();
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Judges an answer of the store, asked for what came after `since`, before it is put into the
-    /// copy. False if it must not be.
+    /// Checks the changes after revision `since` for signs of data loss before they are applied to the
+    /// replica. False if they must not be applied.
     pub(in crate::coordination) fn check_changes(
         &mut self,
         since: u64,
@@ -107,7 +110,7 @@
         true
     }
 
-    /// The whole store has been read.
+    /// Handles the completion of a listing of the store.
     pub(in crate::coordination) fn on_listing_complete(&mut self) {
         if !self.recovery.notices_losses() {
             return;
@@ -128,8 +131,8 @@
         }
     }
 
-    /// While somebody else rebuilds the store it may be lost once more, unseen by us. So it is read anew now and
-    /// then until we see it complete.
+    /// Lists the lost store again if it is time to. While another controller rebuilds it, the store may lose
+    /// data again without our noticing, so it is listed periodically until the rebuild is complete.
     pub(super) fn reload_due(&mut self) {
         let due = !self.is_rebuilding() && self.recovery.take_due_reload(self.now.monotonic_ms);
         if due && self.store_is_reachable() {
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Whether the leader key has had this revision before the store was lost. A leader's transactions depend on
-    /// it, and one that was held up since would be carried out.
+    /// Whether the leader key already had this revision before the data loss. A leader's transactions are
+    /// conditional on that revision, so a delayed one from before the loss could still be applied.
     pub(in crate::coordination) fn leader_revision_was_used(&self, mod_revision: u64) -> bool {
         self.recovery.leader_revision_seen_before(mod_revision, self.store.epoch())
     }
@@ -147,17 +150,21 @@
         self.store.replica().rebuild_phase().is_some_and(|phase| phase != RebuildPhase::Writing)
     }
 
-    /// A read begun at `begun` is in: what was to be judged by it is judged.
-    pub(in crate::coordination) fn on_fresh_read(&mut self, begun: u64) {
+    /// Handles a completed fresh read that was sent at `read_started_at`: decides whether the store is
+    /// trusted, lost or rebuilt.
+    pub(in crate::coordination) fn on_fresh_read(&mut self, read_started_at: u64) {
         match self.recovery.phase() {
             RecoveryPhase::Following => {}
             RecoveryPhase::Verifying { .. } => self.verify_store(),
             RecoveryPhase::FirstStart { evidence, .. } => {
-                let heard = evidence.as_ref().filter(|evidence| begun > evidence.heard_at);
-                let heard = heard.map(|evidence| evidence.description.clone());
+                // Only a read sent after the evidence was heard contradicts it: the store may have been
+                // created after an earlier read.
+                let evidence =
+                    evidence.as_ref().filter(|evidence| read_started_at > evidence.heard_at);
+                let evidence = evidence.map(|evidence| evidence.description.clone());
                 if self.store.replica().store.is_some() {
                     self.recovery.follow_store(self.now.monotonic_ms);
-                } else if let Some(evidence) = heard {
+                } else if let Some(evidence) = evidence {
                     self.declare_lost(DataLoss::EmptyAfterUse { evidence }, None);
                 }
             }
@@ -174,7 +181,7 @@
         match verdict {
             Ok(()) => {
                 if let Some(loss) = suspicion {
-                    log::info!("the store is as it was after all: {loss} was suspected");
+                    log::info!("store verified: no data was lost; the suspected loss was: {loss}");
                 }
                 self.recovery.confirm_store();
             }
@@ -185,8 +192,8 @@
         }
     }
 
-    /// Goes on once the store is rebuilt: its records are complete, and the rebuild has taken a term above
-    /// all that we know of the lost store.
+    /// Trusts the store again if it is rebuilt: the rebuild is complete, and its term is above all terms that we
+    /// know of the lost store.
     pub(super) fn resume_if_rebuilt(&mut self) {
         let term = self.store.replica().rebuild_term();
         if self.store.replica().rebuild_phase() == Some(RebuildPhase::Writing) {
@@ -197,18 +204,19 @@
             return;
         }
         if !self.is_rebuilding() && !self.recovery.has_loaded_complete_rebuild() {
-            // What was read in pieces while others wrote may hold what a further loss has undone.
+            // The replica was built up while another controller was still writing. If data was lost again
+            // meanwhile, the replica may contain values that are gone.
             return self.reload_store();
         }
-        log::info!("the store is rebuilt: {} jobs", self.store.replica().jobs.len());
+        log::info!("store rebuilt: {} jobs", self.store.replica().jobs.len());
         self.recovery.follow_new_store(self.now.monotonic_ms);
-        // Whoever wrote it back leads from here on, and builds on what is there now.
+        // The controller that rebuilt the store goes on as leader, from the state in the store.
         self.request_leader_read();
     }
 
-    /// A worker that has our token runs a task that no placement names. What runs was stored before it
-    /// was ordered, and is taken out only once it is proved gone: the store was set back, and all
-    /// controllers have started since.
+    /// Handles a worker that has our fencing token and runs a task without a placement. A placement is
+    /// stored before its start command is sent, and removed only once it is settled. So the store was
+    /// restored from a backup, and all controllers have restarted since.
     pub(in crate::coordination) fn on_unrecorded_task(&mut self, machine: &str, task: &str) {
         if !self.recovery.notices_losses() || self.recovery.is_suspended() {
             return;
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -1,18 +1,21 @@
-//! Detecting that the state service has lost its data, and rebuilding the store.
+//! Detection of data loss in the state service, and the rebuild of its store.
 //!
-//! While nothing is lost a controller keeps an image of the store beside its copy. From a suspicion
-//! until the store is rebuilt the service is suspended: nothing is accepted, started, settled,
-//! returned or called unknown. `docs/recovery-design.md` says why.
+//! In normal operation a controller keeps an image of the store beside its replica. From the suspicion
+//! of a data loss until the store is verified or rebuilt, the service is suspended: no job is accepted,
+//! no task is started, no placement is settled, no machine is returned and no user is told that a job is
+//! unknown. `docs/recovery-design.md` gives the reasons.
 //!
-//! * [`state`] owns the state of all that, [`phase`] names whether the store is trusted;
-//! * [`loss_detection`] notices a loss and tells it from what looks like one;
-//! * [`stale_leader`] looks after a leader key that outlives its leader;
-//! * [`first_start`] tells a new store from one that is lost, by what peers and workers say;
-//! * [`election`] chooses the controller that writes the store back;
-//! * [`image_transfer`] passes images between controllers;
-//! * [`rebuild_plan`] works out what the store should hold, [`rebuild`] writes it;
-//! * [`reconciliation`] blocks starts until it is known what every machine runs;
-//! * [`decisions`] takes what operators decide afterwards, [`report`] is what they are told.
+//! * [`state`] owns the state of detection and rebuild, [`phase`] defines the phases;
+//! * [`loss_detection`] detects data loss and rules out false alarms;
+//! * [`stale_leader`] detects a leader key that outlives its leader;
+//! * [`first_start`] distinguishes a new store from one that lost its data, by what peers and workers
+//!   know;
+//! * [`election`] decides when to campaign for a rebuild, and what an election writes about it;
+//! * [`image_transfer`] transfers images between controllers;
+//! * [`rebuild_plan`] computes the desired content of the store, [`rebuild`] writes it;
+//! * [`reconciliation`] blocks starts until it is known which tasks every machine runs;
+//! * [`decisions`] applies operators' decisions on flagged jobs, [`report`] builds the reports for
+//!   operators.
 
 mod decisions;
 mod election;
@@ -42,24 +45,24 @@
 use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::image::StoreImage;
 
-/// The write of the record that says how far the last rebuild has come.
+/// The write of a rebuild record, which holds the phase of the last rebuild.
 fn put_rebuild_record(record: &RebuildRecord) -> Mutation {
     Mutation::put(REBUILD_KEY.into(), record)
 }
 
 impl Controller {
-    /// Gives the image of the last snapshot of an earlier process, before anything is read.
+    /// Passes in the newest snapshot of an earlier process. Must be called before the store is first read.
     pub fn restore_snapshot(&mut self, image: StoreImage) {
         self.recovery.set_earlier_snapshot(image);
     }
 
-    /// What became of the last snapshot, for the operators' view.
+    /// Records the result of the last snapshot, for the status that operators see.
     pub fn note_snapshot(&mut self, status: SnapshotStatus) {
         self.recovery.set_snapshot_status(status);
     }
 
-    /// The image of the store for a snapshot; none while there is nothing to keep. A copy costs the
-    /// same whatever its size.
+    /// The image of the store for a snapshot. None while the store is not trusted, not fully read or
+    /// has no identity yet. The copy takes constant time.
     pub fn image_for_snapshot(&self) -> Option<StoreImage> {
         let trusted = self.recovery.notices_losses() && !self.recovery.is_suspended();
         let image = self.recovery.image();
@@ -67,18 +70,19 @@
         complete.then(|| image.clone())
     }
 
-    /// What peers are told of the store: its identity, and whether it is lost.
+    /// What gossip tells peers: the identity of the store and the recovery state.
     pub(super) fn recovery_state(&self) -> (Option<u64>, Option<RecoveryState>) {
         self.recovery.peer_view()
     }
 
-    /// Whether a transaction that was answered with a revision has gone into the store that we
-    /// read. One that the store carried out after it lost data shows an older revision.
+    /// Whether a transaction that was applied at `revision` went into the store that we read now, and
+    /// that store is trusted. A transaction that the state service applied after it lost data may have
+    /// an older revision than was known when it was sent.
     pub(super) fn applied_to_trusted_store(&mut self, sent: ReadPoint, revision: u64) -> bool {
         self.applied_to_current_store(sent, revision) && !self.recovery.is_suspended()
     }
 
-    /// Whether a transaction was carried out in the store that we read now, trusted or not.
+    /// Whether a transaction was applied to the store that we read now, trusted or not.
     pub(super) fn applied_to_current_store(&mut self, sent: ReadPoint, revision: u64) -> bool {
         if !self.recovery.notices_losses() {
             return true;
@@ -90,8 +94,9 @@
         sent.epoch == self.store.epoch()
     }
 
-    /// Makes a user's transaction depend on the last rebuild that we know: one that goes into a store that is rebuilt
-    /// meanwhile would be taken out again, or end a job that is flagged there.
+    /// Makes a user's transaction conditional on the last rebuild that we know. If it were applied during a
+    /// later rebuild, the rebuild would remove its writes, or it would end a job that the rebuild has
+    /// flagged.
     pub(super) fn add_rebuild_condition(&self, commit: &mut Transaction) {
         if self.recovery.notices_losses() {
             let mod_revision = self.store.replica().mod_revision(REBUILD_KEY);
@@ -99,38 +104,39 @@
         }
     }
 
-    /// Conditions of a user's transaction that [`Controller::add_rebuild_condition`] takes.
+    /// Number of conditions that [`Controller::add_rebuild_condition`] adds to a user's transaction.
     pub(super) fn reserved_conditions(&self) -> usize {
         usize::from(self.recovery.notices_losses())
     }
 
-    /// Notes a transaction of ours that was confirmed, ahead of the watch.
+    /// Records an applied transaction of our own in the image, ahead of the watch.
     pub(super) fn record_own_transaction(&mut self, commit: &Transaction, revision: u64) {
         self.recovery.record_transaction(commit, revision);
     }
 
-    /// Whether no task may start: the store is being written back, or what the machines run is not
-    /// known since.
+    /// Whether no task may start, because the store is being rebuilt, or because it is not yet known which
+    /// tasks the machines run.
     pub(super) fn starts_are_blocked(&self) -> bool {
         let phase = self.store.replica().rebuild_phase();
         if matches!(phase, Some(RebuildPhase::Writing | RebuildPhase::Complete)) {
             return true;
         }
-        // Tasks of unknown jobs may run that a new leader has not heard of; and where all controllers
-        // have started anew, the store may have been set back with nobody to notice but the workers.
+        // After a rebuild with a history gap, machines may run tasks of unknown jobs that a new leader has
+        // not heard of. If all controllers have restarted, the store may have been restored from a backup
+        // and only the workers' heartbeats can show it.
         let unproven = self.recovery.notices_losses() && !self.recovery.is_continuity_proven();
         let unknown_tasks_may_run = self.has_history_gap() || unproven;
         unknown_tasks_may_run
             && self.leader.as_ref().is_some_and(|leader| !leader.machines_reconciled)
     }
 
-    /// Whether a rebuild could not draw on the memory of every controller, and no operator has closed
-    /// the gap: a job that is not known may have been accepted.
+    /// Whether the last rebuild has a history gap that no operator has closed: some controller had no complete
+    /// history, so a job that is not in the store may have been accepted.
     pub(super) fn has_history_gap(&self) -> bool {
         self.store.replica().rebuild.as_ref().is_some_and(|record| !record.value.gap.is_empty())
     }
 
-    /// Does what is due of detection and rebuild.
+    /// Runs the due steps of loss detection, rebuild and reconciliation.
     pub(super) fn recovery_due(&mut self) {
         if self.recovery.notices_losses() {
             self.check_stale_leader_key();
--- a/src/coordination/recovery/phase.rs
+++ b/src/coordination/recovery/phase.rs
@@ -1,41 +1,44 @@
-//! Whether a controller trusts the store, and what made it doubt.
+//! Whether a controller trusts the store, and the evidence against it if it does not.
 
 use mountgap_recovery::audit::DataLoss;
 use mountgap_recovery::image::StoreImage;
 
-/// Whether a controller trusts the store. It serves from it only while it is following.
+/// Whether a controller trusts the store. It serves requests only in the phase `Following`.
 #[derive(Debug)]
 pub(super) enum RecoveryPhase {
-    /// The store goes on from where it was.
+    /// The store is trusted, and the watch follows its changes.
     Following,
-    /// This controller has just started, and the store is empty.
+    /// This controller has just started and found the store empty. It finds out whether the store is new
+    /// or has lost its data.
     FirstStart {
-        /// When that was seen, on the steady clock in milliseconds.
+        /// When the store was found empty, on the monotonic clock in milliseconds.
         since: u64,
-        /// What shows that there was a store before, as heard first.
+        /// The first evidence of an earlier store, if there is any.
         evidence: Option<EarlierStoreEvidence>,
     },
-    /// Something suggests a loss: the store is read anew and compared with what was known.
+    /// A data loss is suspected: the store is listed again and compared with the known image.
     Verifying {
-        /// What was known.
+        /// The image of the store from before the suspicion.
         known: StoreImage,
-        /// What suggests the loss; none where we are only too far behind.
+        /// The suspected loss. None if no particular loss is suspected, for example because the watch fell
+        /// too far behind.
         suspicion: Option<DataLoss>,
     },
-    /// The store has lost data, and is to be rebuilt.
+    /// The store has lost data and must be rebuilt.
     Lost {
-        /// What shows it.
+        /// The detected loss.
         loss: DataLoss,
-        /// From when on this controller may stand for election to rebuild it.
+        /// When this controller may first campaign to rebuild the store, on the monotonic clock in
+        /// milliseconds.
         campaign_at: u64,
     },
 }
 
-/// A sign that there was a store before the empty one that is read.
+/// Evidence that there was a store before the empty one that was read.
 #[derive(Debug)]
 pub(super) struct EarlierStoreEvidence {
-    /// Who knows of the earlier store, and what.
+    /// Who knows of the earlier store, and what they know. It becomes part of a [`DataLoss`].
     pub description: String,
-    /// When we heard of it, on the steady clock in milliseconds.
+    /// When we heard of it, on the monotonic clock in milliseconds.
     pub heard_at: u64,
 }
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -1,9 +1,10 @@
-//! Rebuilding the store: the work of the one controller that won the election for it.
+//! The rebuild of the store by the controller that was elected for it.
 //!
-//! The election commits leader key, term and the record that a rebuild has begun together, so that of
-//! two controllers that both begin one wins, and what it writes depends on that. It gathers what the
-//! others hold, works out what the store should hold, and writes what is missing, one transaction
-//! after the other. Whoever takes over finds them in the store and goes on with the rest.
+//! The election writes the leader key, the term and the record that a rebuild has started in one
+//! transaction, so that only one of several campaigning controllers wins. All further transactions of the
+//! rebuild are conditional on the leader key and that record. The controller gathers its peers' images,
+//! computes the desired content of the store, and writes what is missing, one transaction after the other.
+//! A controller that takes over an unfinished rebuild finds these writes in the store and writes the rest.
 
 use super::image_transfer::PeerImage;
 use super::put_rebuild_record;
@@ -24,26 +25,26 @@
 use mountgap_records::constants::REBUILD_KEY;
 use mountgap_recovery::write_back::{Change, RebuildTransaction, TransactionLimits};
 
-/// A rebuild that this controller does.
+/// A rebuild that this controller runs.
 #[derive(Debug)]
 pub(super) struct Rebuild {
-    /// When it began, on the steady clock in milliseconds.
+    /// When it started, on the monotonic clock in milliseconds.
     started_at: u64,
-    /// What each peer hands over, in the order of the settings.
+    /// The image of each peer, in the order of the settings.
     pub peers: Vec<PeerImage>,
-    /// Once all is gathered: what the store is to hold, and where that is from.
+    /// The plan, once the images are gathered.
     plan: Option<RebuildPlan>,
-    /// A transaction was sent and is not answered yet.
+    /// Whether a transaction was sent and is not answered yet.
     transaction_sent: bool,
     /// When the next transaction may be sent.
     next_transaction_at: u64,
-    /// Transactions that were carried out.
+    /// Number of transactions that were applied.
     transactions_applied: u32,
-    /// Transactions in a row that were refused.
-    refusals: u32,
+    /// Number of consecutive conflicts.
+    conflicts: u32,
 }
 
-/// A transaction of the rebuild that was sent.
+/// A transaction of a rebuild that was sent.
 #[derive(Debug)]
 pub(in crate::coordination) struct RebuildCall {
     /// The term in which it was sent.
@@ -60,7 +61,7 @@
             transaction_sent: false,
             next_transaction_at: now,
             transactions_applied: 0,
-            refusals: 0,
+            conflicts: 0,
         }
     }
 
@@ -72,14 +73,15 @@
         self.plan = Some(plan);
     }
 
-    /// Transactions carried out, and values that there are to write in all.
+    /// The number of transactions applied so far, and of values in the desired state. None while there is
+    /// no plan.
     pub(super) fn progress(&self) -> Option<(u32, usize)> {
         let plan = self.plan.as_ref()?;
         Some((self.transactions_applied, plan.desired.len()))
     }
 
-    /// Whether every peer's image is there, or was waited for long enough.
-    fn has_gathered(&self, now: u64) -> bool {
+    /// Whether the images of all peers are complete, or the wait for them has timed out.
+    fn has_gathered_images(&self, now: u64) -> bool {
         let complete = self.peers.iter().all(PeerImage::is_complete);
         complete || now >= self.started_at + REBUILD_IMAGES_TIMEOUT_MS
     }
@@ -91,7 +93,8 @@
         self.leader.is_some() && self.recovery.rebuild().is_some()
     }
 
-    /// The lead is lost: a rebuild ends, and what was gathered is kept for whoever goes on.
+    /// Ends this controller's rebuild because it no longer leads. The image of the lost store is kept, for
+    /// the controller that takes over the rebuild.
     pub(in crate::coordination) fn abandon_rebuild(&mut self) {
         self.recovery.abandon_rebuild(self.now.monotonic_ms);
     }
@@ -102,11 +105,11 @@
         if rebuild.plan.is_some() {
             return self.write_back_due();
         }
-        // The present store is read up to our own election first: an earlier rebuild may have
-        // written a part of it.
+        // The store must be read up to our own election first: an earlier rebuild may have written a part
+        // of the values.
         let election_is_read =
             self.store.is_loaded() && self.store.replica().revision >= leader.mod_revision;
-        if rebuild.has_gathered(self.now.monotonic_ms) && election_is_read {
+        if rebuild.has_gathered_images(self.now.monotonic_ms) && election_is_read {
             self.plan_rebuild();
         } else {
             self.request_peer_images();
@@ -120,15 +123,17 @@
         }
     }
 
-    /// Sends the next transaction of the rebuild, one at a time; the last one says that it is complete.
+    /// Sends the next transaction of the rebuild if it is time to. Only one is in flight at a time; the last
+    /// one records that the rebuild is complete.
     fn write_back_due(&mut self) {
         let Some(rebuild) = self.recovery.rebuild() else { return };
-        let waits = rebuild.transaction_sent || self.now.monotonic_ms < rebuild.next_transaction_at;
-        if waits || !self.store_is_reachable() {
+        let must_wait =
+            rebuild.transaction_sent || self.now.monotonic_ms < rebuild.next_transaction_at;
+        if must_wait || !self.store_is_reachable() {
             return;
         }
         let Some(plan) = &rebuild.plan else { return };
-        // No more at a time than the bucket ever holds.
+        // A transaction with more writes than the token bucket can hold would never be sent.
         let burst = (self.store.write_budget().burst() - LEADER_WRITE_RESERVE).max(1.0) as usize;
         let limits = self.rebuild_limits();
         let limits =
@@ -146,7 +151,7 @@
         }
     }
 
-    /// What the store says of a rebuild whose records are all written.
+    /// The record of this rebuild once all values are written.
     fn complete_rebuild_record(&self, plan: &RebuildPlan) -> Option<RebuildRecord> {
         let before = &self.store.replica().rebuild.as_ref()?.value;
         let gap = match self.recovery.gap_policy() {
@@ -157,12 +162,12 @@
         Some(RebuildRecord { phase: RebuildPhase::Complete, sources, gap, ..before.clone() })
     }
 
-    /// Sends the record of the rebuild in its next phase.
+    /// Sends the record of the rebuild with its next phase. False if it can't be sent now.
     pub(super) fn send_rebuild_record(&mut self, record: &RebuildRecord) -> bool {
         self.send_fenced(rebuild_record_update(record))
     }
 
-    /// Sends a transaction that depends on our lead and on the record of the rebuild as we know it.
+    /// Sends a transaction that is conditional on our leader key and on the rebuild record as we know it.
     /// False if it can't be sent now.
     fn send_fenced(&mut self, mut commit: Transaction) -> bool {
         let Some(leader) = &self.leader else { return false };
@@ -210,30 +215,36 @@
         self.apply_own_transaction(commit, applied.revision);
         if let Some(rebuild) = self.recovery.rebuild_mut() {
             rebuild.transactions_applied += 1;
-            rebuild.refusals = 0;
+            rebuild.conflicts = 0;
         }
         self.finish_rebuild_if_complete();
     }
 
-    /// Changed by a late copy or by another controller: a read tells what is left.
+    /// Handles a conflict: a key was changed by a late duplicate or by another controller. A fresh read
+    /// shows what is left to write.
     fn on_rebuild_conflict(&mut self, body: &[u8]) {
         if TransactionConflict::failed_keys(body).contains(&leader_key()) {
             self.step_down("the leader key has changed");
             return self.suspect_stale_leader_key();
         }
         if let Some(rebuild) = self.recovery.rebuild_mut() {
-            rebuild.refusals += 1;
-            if rebuild.refusals >= REBUILD_REFUSALS_MAX {
-                // Reads between them have shown no reason: what we read is not what is there.
+            rebuild.conflicts += 1;
+            if rebuild.conflicts >= REBUILD_REFUSALS_MAX {
+                // The reads in between have not resolved the conflict, so the store differs from the
+                // replica.
                 return self.suspect_data_loss(None);
             }
         }
         self.pause_rebuild();
     }
 
-    /// The state service does not take a transaction as large as that: smaller ones are planned.
+    /// Handles a transaction rejected as malformed: its size exceeds a limit of the state service, so the
+    /// rebuild is planned again with smaller transactions.
     fn on_rebuild_rejected(&mut self, body: &[u8]) {
-        log::error!("rebuild answered 400: {}", String::from_utf8_lossy(body));
+        log::error!(
+            "rebuild transaction rejected: the state service answered 400: {}",
+            String::from_utf8_lossy(body)
+        );
         self.store.halve_size_limits();
         if let Some(rebuild) = self.recovery.rebuild_mut() {
             rebuild.plan = None;
@@ -253,29 +264,30 @@
         let Some(rebuild) = self.recovery.rebuild().filter(|_| complete) else { return };
         let seconds = (self.now.monotonic_ms - rebuild.started_at) as f64 / MS_PER_S;
         let transactions = rebuild.transactions_applied;
-        log::info!("all records are written: {transactions} commits in {seconds:.1} s");
+        log::info!("rebuild written: {transactions} transactions in {seconds:.1} s");
         self.resume_if_rebuilt();
     }
 
-    /// Answers a report while the store is rebuilt: the worker's lease goes on, what is known to be
-    /// over is stopped, and nothing starts.
+    /// Answers a heartbeat during the rebuild: extends the worker's lease and stops tasks of jobs that are
+    /// known to have ended, but starts nothing.
     pub(in crate::coordination) fn answer_heartbeat_in_rebuild(
         &mut self,
         connection: ConnectionId,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
     ) {
         let Some(token) = self.leader.as_ref().map(|leader| leader.term) else {
             return self.redirect(connection);
         };
         let plan = self.recovery.rebuild().and_then(Rebuild::plan);
         let has_ended = |job: &str| plan.is_some_and(|plan| plan.merged.ends.contains_key(job));
-        let commands = stop_commands_of_ended_jobs(&report, has_ended);
+        let commands = stop_commands_of_ended_jobs(&heartbeat, has_ended);
         self.answer_without_starts(connection, token, commands);
     }
 
-    /// The time before which nobody was told of an end that we don't know, while the store is not
-    /// trusted: as of the loss, until every controller's memory is gathered. After that only what is
-    /// written in the store that we read can have been told.
+    /// While the service is suspended: the latest time before which no user can have been told of an ended
+    /// job that we don't know. Until the complete history of every controller is gathered, this is the time
+    /// of the last read before the suspected loss. After that, users can only have been told of ended jobs
+    /// that are in the store that we read, so it is the time of the last read.
     pub(in crate::coordination) fn confirmed_read_while_suspended(&self) -> Option<u64> {
         let releases_gaps = self.recovery.gap_policy() == GapPolicy::Release;
         match self.recovery.rebuild().and_then(Rebuild::plan) {
@@ -305,7 +317,7 @@
         Change::Put { key, data } => Mutation::Put {
             key,
             value: serde_json::value::RawValue::from_string(data)
-                .expect("the values of the desired state are JSON"),
+                .expect("values of the desired state are valid JSON"),
             lease_id: None,
         },
     }
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -1,23 +1,24 @@
-//! Blocking starts after a rebuild until every machine that may run a task is reconciled: what it
-//! runs is known.
+//! Reconciliation: after a rebuild, starts are blocked until it is known which tasks every machine runs.
 //!
-//! The same applies where all controllers have started anew and nobody can vouch for the store.
+//! The same applies after a restart of all controllers, as long as nothing proves that the store has lost
+//! no data meanwhile.
 //!
-//! A task may have been placed in the part of the history that is lost, and run on a machine that
-//! has not reported since. It must not start elsewhere before its worker has shown the term of the
-//! rebuild, which proves what runs there, or its lease has surely ended.
+//! A task may have been placed in the lost part of the history and run on a machine that has sent no
+//! heartbeat since. It must not start elsewhere before its worker has sent a heartbeat with the term of
+//! the rebuild, which shows what runs there, or its lease has certainly expired.
 
 use crate::coordination::Controller;
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::{RebuildPhase, RebuildRecord};
 
-/// Whether a machine's tasks are known: its worker has shown our term, or nothing runs there.
+/// Whether it is known which tasks a machine runs: its worker has sent our fencing token, or the machine no
+/// longer runs any.
 fn is_reconciled(machine: &Machine) -> bool {
     machine.has_our_token || machine.failed || machine.state == MachineState::Terminated
 }
 
 impl Controller {
-    /// Notes when the last machine is reconciled, and lets tasks start again.
+    /// Records when all machines are reconciled, and resumes planning once starts are no longer blocked.
     pub(super) fn reconciliation_due(&mut self) {
         let blocked = self.starts_are_blocked();
         if self.recovery.update_starts_blocked(blocked) {
@@ -40,13 +41,14 @@
     fn all_machines_are_reconciled(&self) -> bool {
         let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return false };
-        // Whoever answered workers before our term may have done so for so long, as it could not
-        // read the store; every lease that it renewed is over by then, and those that we did in the rebuild.
+        // A controller that answered workers before our term and could not read the store may have gone
+        // on renewing leases for the isolation budget. By this time all of these leases have expired, and
+        // so have those that we renewed during the rebuild.
         let leases_over = leader.ready_at + self.isolation_budget_ms() + self.worker_lease_max_ms();
         if now > leases_over {
             return true;
         }
-        // A list that was asked for early may lack machines that are up.
+        // The cloud's list lags behind: one that was requested too early may lack running machines.
         let lag_ms = self.settings.params.cloud.list_lag_ms();
         let listed = leader
             .fleet
@@ -63,11 +65,11 @@
         }
     }
 
-    /// Every machine is accounted for: what is in part only is stopped, and planning begins.
+    /// Stops gangs of which only a part is placed, and starts planning.
     fn on_starts_unblocked(&mut self) {
         let now = self.now.monotonic_ms;
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) {
-            log::info!("every machine is accounted for, tasks may start");
+            log::info!("all machines reconciled: tasks may start again");
             leader.cluster.stop_incomplete_gangs();
             leader.plan_soon(now);
         }
--- a/src/coordination/recovery/report.rs
+++ b/src/coordination/recovery/report.rs
@@ -1,4 +1,4 @@
-//! What operators are told of losses and rebuilds.
+//! The reports on data loss and rebuilds for operators.
 
 use super::phase::RecoveryPhase;
 use super::rebuild::Rebuild;
@@ -8,20 +8,20 @@
 use crate::storage::records::{FlagReason, RebuildPhase};
 use serde::Serialize;
 
-/// The part of a controller's status that is about losses of the store.
+/// The part of a controller's status that concerns data loss in the store.
 #[derive(Debug, Serialize)]
 pub(crate) struct RecoveryView {
     phase: &'static str,
     store: Option<String>,
     losses: u64,
-    /// Keys in the image of the store, which is kept for a rebuild.
+    /// Number of keys in the image of the store that is kept for a rebuild.
     image_keys: usize,
     flagged_jobs: usize,
     unknown_tasks: usize,
-    /// The last rebuild could not draw on the memory of every controller.
+    /// Whether the last rebuild has a history gap that no operator has closed.
     gap: bool,
     starts_held: bool,
-    /// Where snapshots are written.
+    /// The result of the last snapshot, if snapshots are enabled.
     #[serde(skip_serializing_if = "Option::is_none")]
     snapshot: Option<SnapshotStatus>,
 }
@@ -73,7 +73,7 @@
         tasks.collect()
     }
 
-    /// The part of the status that is about losses; none where they are not noticed.
+    /// The part of the status that concerns data loss. None if data loss is not detected.
     pub(in crate::coordination) fn recovery_view(&self) -> Option<RecoveryView> {
         self.recovery.notices_losses().then(|| RecoveryView {
             phase: self.recovery_phase_text(),
@@ -88,7 +88,7 @@
         })
     }
 
-    /// All that this controller knows of losses and rebuilds.
+    /// The full report on data loss and rebuilds as this controller knows them.
     pub(super) fn recovery_report(&self) -> RecoveryReport {
         let loss = match self.recovery.phase() {
             RecoveryPhase::Lost { loss, .. } => Some(loss.to_string()),
--- a/src/coordination/recovery/stale_leader.rs
+++ b/src/coordination/recovery/stale_leader.rs
@@ -1,7 +1,8 @@
-//! A leader key that outlives its leader: when the store is read anew for it.
+//! Detection of a leader key that outlives its leader.
 //!
-//! A store that was set back without falling behind does not tell that the leader key is gone, so
-//! nobody would ever lead again.
+//! If the store is restored from a backup but its revision doesn't fall, the watch never shows the removal
+//! of the leader key. Replicas would keep the key, and nobody would ever campaign again. So the store is
+//! listed again if its leader is silent for too long.
 
 use super::phase::RecoveryPhase;
 use crate::constants::{
@@ -9,51 +10,52 @@
 };
 use crate::coordination::Controller;
 
-/// When the store is read anew because nobody is heard to lead.
+/// The schedule for listing the store again because its leader is silent.
 #[derive(Debug, Default)]
 pub(super) struct StaleLeaderCheck {
-    /// When it is due, unless somebody is heard to lead until then.
+    /// When the listing is due, unless the leader is heard before.
     due_at: Option<u64>,
-    /// Until when it is not, whoever leads.
+    /// No listing is done before this time.
     paused_until: u64,
 }
 
 impl StaleLeaderCheck {
-    /// The store has said that the lease of the leader key is over, so the key should go soon.
+    /// Schedules the listing for soon after the lease of the leader key has expired.
     fn schedule_after_lease(&mut self, now: u64) {
         self.due_at = Some(now + STALE_LEADER_AFTER_LEASE_MS);
         self.paused_until = now;
     }
 
-    /// Nothing is to be checked at the moment.
+    /// Cancels the scheduled listing.
     fn cancel(&mut self) {
         self.due_at = None;
     }
 
-    /// Whether the key has been suspicious for long enough; the time runs from the first call.
+    /// Whether the listing is due. Schedules it on the first call.
     fn is_due(&mut self, now: u64) -> bool {
         now >= *self.due_at.get_or_insert(now + STALE_LEADER_TIMEOUT_MS)
     }
 
-    /// Whether the last reload is long enough ago for another one.
+    /// Whether the last listing is long enough ago for another one.
     pub(super) fn is_allowed(&self, now: u64) -> bool {
         now >= self.paused_until
     }
 
-    /// The store is read anew: not again for a while.
+    /// The store is listed again now: prevents another listing for a while.
     pub(super) fn pause(&mut self, now: u64) {
         self.paused_until = now + STALE_LEADER_RECHECK_MS;
     }
 }
 
 impl Controller {
-    /// The store has said that the lease of the leader key is over, so the key should go.
+    /// The state service has answered that the lease of the leader key has expired, so the key should be
+    /// removed soon.
     pub(in crate::coordination) fn suspect_stale_leader_key(&mut self) {
         let now = self.now.monotonic_ms;
         self.recovery.stale_leader_mut().schedule_after_lease(now);
     }
 
-    /// Reads the store anew where it names a leader and nobody is heard to lead for long.
+    /// Lists the store again if the leader that it names has been silent for too long.
     pub(super) fn check_stale_leader_key(&mut self) {
         let now = self.now.monotonic_ms;
         let reads_store =
@@ -64,7 +66,9 @@
             return check.cancel();
         }
         if check.is_due(now) && self.store_is_reachable() {
-            log::info!("nobody is heard to lead, reading the store anew");
+            log::info!(
+                "leader silent: no gossip confirms the stored leader; the store is listed again"
+            );
             let check = self.recovery.stale_leader_mut();
             check.cancel();
             check.pause(now);
@@ -72,7 +76,7 @@
         }
     }
 
-    /// Whether the store names a leader that neither we are nor any peer says to be.
+    /// Whether the store names a leader, but neither this process nor a peer of that name leads.
     fn names_unheard_leader(&self) -> bool {
         let Some(leader) = &self.store.replica().leader else { return false };
         let label = &leader.value.label;
--- a/src/coordination/recovery/state.rs
+++ b/src/coordination/recovery/state.rs
@@ -1,8 +1,9 @@
-//! The state of failure detection and recovery: whether the store is trusted, the image of it, and
-//! the rebuild that this controller does.
+//! The state of data loss detection and recovery: whether the store is trusted, its image, and the
+//! rebuild that this controller runs.
 //!
-//! [`Recovery`] owns all of it and changes it only by its methods. It neither reads the clock nor
-//! sends anything: times are passed in, and the rest of the controller acts on what it answers.
+//! [`Recovery`] owns this state and changes it only in its methods. It does no I/O and reads no clock:
+//! times are passed in, and the rest of the controller acts on what its methods return. All times are
+//! in milliseconds of the monotonic clock.
 
 use super::phase::{EarlierStoreEvidence, RecoveryPhase};
 use super::rebuild::Rebuild;
@@ -20,45 +21,49 @@
 use mountgap_recovery::image::{StoreId, StoreImage};
 use std::collections::BTreeMap;
 
-/// A controller's part in noticing losses of the store and in rebuilding it.
+/// A controller's state for detecting data loss in the store and for rebuilding it.
 #[derive(Debug)]
 pub(in crate::coordination) struct Recovery {
+    /// Whether data loss is detected at all.
     enabled: bool,
     gap_policy: GapPolicy,
     phase: RecoveryPhase,
-    /// The store as it is read now.
+    /// The image of the store that is read now.
     image: StoreImage,
-    /// What we hold of the lost store.
+    /// Our image of the lost store, if we have one.
     lost_image: Option<StoreImage>,
-    /// Highest term known of the lost store.
+    /// Highest term known to have been used in the lost store.
     lost_term: u64,
-    /// What we knew reaches back to before the loss without a gap, as of the loss.
+    /// Whether our history was complete when the loss was suspected, that is, reached back to before the
+    /// loss without a gap.
     history_complete: bool,
-    /// From when on what we know reaches back to before any loss that shows.
+    /// From when on our history counts as complete.
     history_complete_from: Option<u64>,
-    /// The last snapshot of an earlier process, until the store was compared with it.
+    /// The newest snapshot of an earlier process, until the store is compared with it.
     earlier_snapshot: Option<StoreImage>,
-    /// The last snapshot of this process.
+    /// The result of the last snapshot that this process wrote.
     snapshot_status: Option<SnapshotStatus>,
-    /// The time before which nobody was told of an end that we don't know, as of the loss.
+    /// When the last read before the suspected loss was sent: no user can have been told before that time
+    /// of an ended job that we don't know.
     confirmed_read_at: Option<u64>,
-    /// The rebuild that this controller does.
+    /// The rebuild that this controller runs.
     rebuild: Option<Rebuild>,
-    /// A rebuild was complete already when the store was last read as a whole.
+    /// Whether a rebuild was already complete when the store was last listed.
     loaded_complete_rebuild: bool,
-    /// When the store is read anew while another controller rebuilds it.
+    /// When the store is next listed again while another controller rebuilds it.
     reload_at: u64,
-    /// Revisions that the leader key has had, with the epoch in which each was first seen.
+    /// Revisions that the leader key has had, with the epoch of the store in which each was first seen.
     leader_revisions: BTreeMap<u64, u32>,
-    /// A change of the rebuild's phase was sent and is not answered yet.
+    /// Whether an update of the rebuild's phase was sent and is not answered yet.
     phase_update_sent: bool,
-    /// The store is known to have gone on since before the last start of all controllers: this process or a
-    /// peer, a snapshot or a look at every machine proves it.
+    /// Whether the store is proven not to have lost data while all controllers were restarted. The proof is
+    /// that this process or a peer followed the store throughout, that the store matches a snapshot, or that
+    /// all machines are reconciled.
     continuity_proven: bool,
     stale_leader: StaleLeaderCheck,
-    /// Starts were blocked when that was last looked at.
+    /// Whether starts were blocked at the last check.
     starts_were_blocked: bool,
-    /// Losses seen.
+    /// Number of data losses detected by this process.
     losses: u64,
 }
 
@@ -88,24 +93,24 @@
         }
     }
 
-    // --- what other parts ask ---------------------------------------------------------
+    // --- queries of other modules -----------------------------------------------------
 
-    /// Whether losses are noticed at all.
+    /// Whether data loss is detected at all. If not, the store is always trusted.
     pub(in crate::coordination) fn notices_losses(&self) -> bool {
         self.enabled
     }
 
-    /// Whether the store is not trusted: nothing is served, accepted or started.
+    /// Whether the service is suspended because the store is not trusted.
     pub(in crate::coordination) fn is_suspended(&self) -> bool {
         !self.is_following()
     }
 
-    /// The highest term known of the lost store, while it is lost.
+    /// The highest term known to have been used in the lost store, while the store is lost.
     pub(in crate::coordination) fn lost_term(&self) -> Option<u64> {
         self.has_lost_store().then_some(self.lost_term)
     }
 
-    /// What peers are told of the store: its identity, and whether it is lost.
+    /// What gossip tells peers: the identity of the store and the recovery state.
     pub(in crate::coordination) fn peer_view(&self) -> (Option<u64>, Option<RecoveryState>) {
         if !self.enabled {
             return (None, None);
@@ -135,13 +140,13 @@
         matches!(self.phase, RecoveryPhase::Lost { .. })
     }
 
-    /// The store is empty; whether it is a new one has to be found out.
+    /// Enters the phase `FirstStart`: the store is empty, and it is not known yet whether it is new.
     pub(super) fn begin_first_start(&mut self, now: u64) {
         self.phase = RecoveryPhase::FirstStart { since: now, evidence: None };
     }
 
-    /// Notes that somebody knows of an earlier store, unless that was heard before or does not
-    /// matter any more.
+    /// Records evidence of an earlier store. Only the first evidence is kept, and only in the phase
+    /// `FirstStart`.
     pub(super) fn add_evidence(&mut self, now: u64, description: impl Fn() -> String) {
         if let RecoveryPhase::FirstStart { evidence, .. } = &mut self.phase {
             evidence.get_or_insert_with(|| EarlierStoreEvidence {
@@ -151,12 +156,12 @@
         }
     }
 
-    /// The store that is read now is the one to be compared with what was known.
+    /// Enters the phase `Verifying`: the store that is read now is to be compared with `known`.
     pub(super) fn begin_verifying(&mut self, known: StoreImage, suspicion: Option<DataLoss>) {
         self.phase = RecoveryPhase::Verifying { known, suspicion };
     }
 
-    /// The snapshot of an earlier process is what the store is compared with first, if there is one.
+    /// Enters the phase `Verifying` with the snapshot of an earlier process. False if there is none.
     pub(super) fn begin_verifying_snapshot(&mut self) -> bool {
         let snapshot = self.earlier_snapshot.take();
         let found = snapshot.is_some();
@@ -166,7 +171,7 @@
         found
     }
 
-    /// What the store is compared with, and what suggested the loss; ends the verification.
+    /// Ends the phase `Verifying`; returns the known image and the suspected loss. None in other phases.
     pub(super) fn take_verification(&mut self) -> Option<(StoreImage, Option<DataLoss>)> {
         match std::mem::replace(&mut self.phase, RecoveryPhase::Following) {
             RecoveryPhase::Verifying { known, suspicion } => Some((known, suspicion)),
@@ -177,13 +182,13 @@
         }
     }
 
-    /// The store is as it was known.
+    /// The store matches the known image: no data was lost.
     pub(super) fn confirm_store(&mut self) {
         self.continuity_proven = true;
         self.confirmed_read_at = None;
     }
 
-    /// Something vouches for the store since before the last start of all controllers.
+    /// Records a proof that the store lost no data while all controllers were restarted.
     pub(super) fn prove_continuity(&mut self) {
         self.continuity_proven = true;
     }
@@ -192,13 +197,13 @@
         self.continuity_proven
     }
 
-    /// The store that is read now is followed, and all of its history is known.
+    /// Trusts the store that is read now. Its whole history is known.
     pub(super) fn follow_store(&mut self, now: u64) {
         self.phase = RecoveryPhase::Following;
         self.history_complete_from = Some(now);
     }
 
-    /// The same for a store that is new or rebuilt: what came before it matters no more.
+    /// The same for a new or rebuilt store: the state kept of a lost one is dropped.
     pub(super) fn follow_new_store(&mut self, now: u64) {
         self.follow_store(now);
         self.continuity_proven = true;
@@ -207,16 +212,18 @@
         self.rebuild = None;
     }
 
-    /// The store has lost data. `lost_image` is what we hold of it as it was.
+    /// Enters the phase `Lost`. `lost_image` is our image of the store from before the loss.
     pub(super) fn declare_lost(
         &mut self,
         loss: DataLoss,
         lost_image: Option<StoreImage>,
         now: u64,
     ) {
-        log::error!("the store has lost data: {loss}; serving nobody until it is rebuilt");
-        let holds_something = lost_image.as_ref().is_some_and(|image| !image.is_empty());
-        let wait = if holds_something {
+        log::error!(
+            "data loss detected: {loss}; no requests are served until the store is rebuilt"
+        );
+        let has_lost_image = lost_image.as_ref().is_some_and(|image| !image.is_empty());
+        let delay_ms = if has_lost_image {
             REBUILD_CAMPAIGN_DELAY_MS
         } else {
             REBUILD_CAMPAIGN_DELAY_EMPTY_MS
@@ -226,22 +233,23 @@
         self.lost_term = lost_image.as_ref().map_or(0, StoreImage::term);
         self.lost_image = lost_image;
         self.reload_at = now + LOST_STORE_RELOAD_MS;
-        self.phase = RecoveryPhase::Lost { loss, campaign_at: now + wait };
+        self.phase = RecoveryPhase::Lost { loss, campaign_at: now + delay_ms };
     }
 
-    /// An unfinished rebuild of this term is in the store: only one of this term or a later one
-    /// counts as complete, while a backup of before it does not.
+    /// The store contains an unfinished rebuild of this term. Only the completion of a rebuild of this or a
+    /// later term ends the loss; an earlier rebuild that a restored backup contains does not.
     pub(super) fn observe_unfinished_rebuild(&mut self, term: u64) {
         self.lost_term = self.lost_term.max(term.saturating_sub(1));
     }
 
-    /// Whether a rebuild of this term came after all that we know of the lost store. A backup may
-    /// hold an earlier one.
+    /// Whether a rebuild of this term is later than all that we know of the lost store. A restored backup
+    /// may contain an earlier rebuild.
     pub(super) fn is_rebuild_after_loss(&self, term: u64) -> bool {
         term > self.lost_term
     }
 
-    /// Whether the store is to be read anew, since another controller rebuilds it; sets the next time.
+    /// Whether it is time to list the lost store again, to see if another controller has rebuilt it. If so,
+    /// schedules the next time.
     pub(super) fn take_due_reload(&mut self, now: u64) -> bool {
         let due = self.has_lost_store() && now >= self.reload_at;
         if due {
@@ -254,9 +262,9 @@
         self.losses
     }
 
-    // --- the image and what it proves ---------------------------------------------------
+    // --- the image and the history ------------------------------------------------------
 
-    /// The store as it is read now.
+    /// The image of the store that is read now.
     pub(super) fn image(&self) -> &StoreImage {
         &self.image
     }
@@ -265,28 +273,28 @@
         self.image = StoreImage::new();
     }
 
-    /// Takes the image out as what was known at the moment of a suspected or certain loss, with how
-    /// far it reaches. `read_at` is the begin of the last read that brought it up to date.
+    /// Takes the image out when a loss is suspected or detected, and records whether our history is complete
+    /// at this point. `read_at` is when the last fresh read that updated the image was sent.
     pub(super) fn freeze_image(&mut self, read_at: Option<u64>, now: u64) -> StoreImage {
         self.confirmed_read_at = read_at;
         self.history_complete = self.has_complete_history(now);
         std::mem::take(&mut self.image)
     }
 
-    /// What we knew at the loss does not explain what the workers run: neither ends nor anything
-    /// else of it counts as complete.
+    /// Our image does not contain a task that a worker runs, so neither its history nor its ended jobs count
+    /// as complete.
     pub(super) fn discard_history(&mut self) {
         self.confirmed_read_at = None;
         self.history_complete = false;
     }
 
-    /// Puts in a key of the whole store as it is read.
+    /// Adds a key and its value to the image.
     pub(super) fn record_value(&mut self, key: &str, mod_revision: u64, data: &str, epoch: u32) {
         self.record_leader_revision(key, mod_revision, epoch);
         self.image.put(key, mod_revision, data);
     }
 
-    /// Puts in all changes up to a revision.
+    /// Applies all changes up to a revision to the image.
     pub(super) fn record_changes(&mut self, changes: &WatchResponse, epoch: u32) {
         for event in &changes.events {
             if let (Some(key), Some(data)) = (&event.put_key, &event.value) {
@@ -298,7 +306,7 @@
         self.image.advance(changes.revision);
     }
 
-    /// Puts in a transaction of ours that was confirmed, ahead of the watch.
+    /// Applies a confirmed transaction of our own to the image, ahead of the watch.
     pub(super) fn record_transaction(&mut self, transaction: &Transaction, revision: u64) {
         if !self.enabled {
             return;
@@ -311,13 +319,13 @@
         }
     }
 
-    /// The whole store has been read up to a revision.
+    /// The store has been listed up to a revision.
     pub(super) fn complete_image(&mut self, revision: u64, rebuild_complete: bool) {
         self.image.advance(revision);
         self.loaded_complete_rebuild = rebuild_complete;
     }
 
-    /// Whether a rebuild was complete already when the store was last read as a whole.
+    /// Whether a rebuild was already complete when the store was last listed.
     pub(super) fn has_loaded_complete_rebuild(&self) -> bool {
         self.loaded_complete_rebuild
     }
@@ -328,39 +336,40 @@
         }
     }
 
-    /// Whether the leader key has had this revision in an earlier epoch than the present one.
+    /// Whether the leader key was first seen with this revision in an epoch other than `epoch`.
     pub(super) fn leader_revision_seen_before(&self, mod_revision: u64, epoch: u32) -> bool {
         self.leader_revisions.get(&mod_revision).is_some_and(|seen_in| *seen_in != epoch)
     }
 
-    /// What we know counts as complete only after the store was read for long enough.
+    /// Our history restarts now: it counts as complete only after [`COMPLETE_HISTORY_AGE_MS`].
     pub(super) fn restart_history(&mut self, now: u64) {
         self.history_complete_from = Some(now + COMPLETE_HISTORY_AGE_MS);
     }
 
-    /// Whether what we know reaches back to before a loss that shows now. One may go unnoticed for a while, and
-    /// a process that began in that while has only read what was left.
+    /// Whether our history reaches back to before a loss that is detected now. A loss can go undetected for
+    /// a while, and a process that started in that time has only read what was left.
     fn has_complete_history(&self, now: u64) -> bool {
         self.continuity_proven && self.history_complete_from.is_some_and(|from| now >= from)
     }
 
-    /// Whether the history has counted as complete for so many milliseconds.
+    /// Whether the time from which our history counts as complete is `duration_ms` ago or more.
     pub(super) fn has_followed_for(&self, duration_ms: u64, now: u64) -> bool {
         self.history_complete_from.is_some_and(|from| now >= from + duration_ms)
     }
 
-    /// Whether what we knew at the loss reached back to before it.
+    /// Whether our history was complete when the loss was suspected.
     pub(super) fn was_history_complete(&self) -> bool {
         self.history_complete
     }
 
-    /// The time before which nobody was told of an end that we don't know, as of the loss.
+    /// When the last read before the suspected loss was sent: no user can have been told before that time
+    /// of an ended job that we don't know.
     pub(super) fn confirmed_read_at(&self) -> Option<u64> {
         self.confirmed_read_at
     }
 
-    /// What is held of a store that is lost, or may be: it does not change while the service is
-    /// suspended.
+    /// Our image of a store that has lost data or is suspected to. The image does not change while the
+    /// service is suspended.
     pub(super) fn held_image(&self) -> Option<&StoreImage> {
         match &self.phase {
             RecoveryPhase::Verifying { known, .. } => Some(known),
@@ -369,7 +378,7 @@
         }
     }
 
-    /// What is held of the lost store.
+    /// Our image of the lost store, if we have one.
     pub(super) fn lost_image(&self) -> Option<&StoreImage> {
         self.lost_image.as_ref()
     }
@@ -378,7 +387,7 @@
         self.lost_image = image;
     }
 
-    /// The store that this controller reads, or has read before a loss.
+    /// The identity of the store that this controller reads or, during a loss, of the store before it.
     pub(super) fn identity(&self) -> Option<StoreId> {
         self.held_image().unwrap_or(&self.image).identity()
     }
@@ -413,7 +422,8 @@
         self.rebuild = Some(rebuild);
     }
 
-    /// The lead is lost: a rebuild ends here, and others may stand to go on with it first.
+    /// Leadership is lost, so this controller's rebuild ends. Its next campaign is delayed, so that another
+    /// controller can take over the rebuild first.
     pub(super) fn abandon_rebuild(&mut self, now: u64) {
         self.phase_update_sent = false;
         if self.rebuild.take().is_none() {
@@ -428,7 +438,7 @@
         self.gap_policy
     }
 
-    /// Whether a change of the rebuild's phase was sent and is not answered yet.
+    /// Whether an update of the rebuild's phase was sent and is not answered yet.
     pub(super) fn is_phase_update_sent(&self) -> bool {
         self.phase_update_sent
     }
@@ -437,13 +447,13 @@
         self.phase_update_sent = sent;
     }
 
-    /// Whether starts are allowed again since this was last asked.
+    /// Records whether starts are blocked now. Returns whether they were blocked and no longer are.
     pub(super) fn update_starts_blocked(&mut self, blocked: bool) -> bool {
         let were_blocked = std::mem::replace(&mut self.starts_were_blocked, blocked);
         were_blocked && !blocked
     }
 
-    // --- a leader key that should be gone -------------------------------------------------
+    // --- the stale leader key ----------------------------------------------------------
 
     pub(super) fn stale_leader(&self) -> &StaleLeaderCheck {
         &self.stale_leader
--- a/src/coordination/recovery/state/tests.rs
+++ b/src/coordination/recovery/state/tests.rs
@@ -7,7 +7,7 @@
     Recovery::new(&RecoverySettings { enabled: true, gap_policy: GapPolicy::Hold, snapshots: None })
 }
 
-/// A recovery that has read a store of this term.
+/// A recovery state that has read a store with this term.
 fn following(term: u64) -> Recovery {
     let mut recovery = recovery();
     recovery.record_value(&store_key(), 1, r#"{"id":7}"#, 0);
@@ -25,13 +25,10 @@
 }
 
 #[test]
-fn what_was_known_at_a_loss_counts_only_once_the_store_was_followed_for_long_and_proven() {
-    let followed_long = NOW + COMPLETE_HISTORY_AGE_MS;
-    let cases = [
-        (false, followed_long, false),
-        (true, followed_long - 1, false),
-        (true, followed_long, true),
-    ];
+fn history_is_complete_only_after_long_following_with_proven_continuity() {
+    let complete_at = NOW + COMPLETE_HISTORY_AGE_MS;
+    let cases =
+        [(false, complete_at, false), (true, complete_at - 1, false), (true, complete_at, true)];
     for (proven, lost_at, complete) in cases {
         let mut recovery = following(3);
         if proven {
@@ -46,7 +43,7 @@
 }
 
 #[test]
-fn a_controller_that_holds_nothing_of_the_lost_store_lets_others_campaign_first() {
+fn a_controller_without_an_image_campaigns_later() {
     let mut holds_image = following(3);
     let known = holds_image.freeze_image(None, NOW);
     holds_image.declare_lost(DataLoss::RebuildStarted, Some(known), NOW);
@@ -59,23 +56,27 @@
 }
 
 #[test]
-fn only_a_rebuild_of_a_term_after_the_lost_store_ends_the_loss() {
+fn only_a_rebuild_of_a_later_term_ends_the_loss() {
     let mut recovery = following(3);
     let known = recovery.freeze_image(None, NOW);
     recovery.declare_lost(DataLoss::RebuildStarted, Some(known), NOW);
-    assert!(!recovery.is_rebuild_after_loss(3), "a backup holds an earlier rebuild");
+    assert!(!recovery.is_rebuild_after_loss(3), "a restored backup contains an earlier rebuild");
     assert!(recovery.is_rebuild_after_loss(4));
     recovery.observe_unfinished_rebuild(9);
     assert!(!recovery.is_rebuild_after_loss(8));
-    assert!(recovery.is_rebuild_after_loss(9), "the unfinished one itself");
+    assert!(recovery.is_rebuild_after_loss(9), "the unfinished rebuild itself");
 }
 
 #[test]
-fn an_abandoned_rebuild_leaves_others_time_to_campaign() {
+fn abandoning_a_rebuild_delays_the_next_campaign() {
     let mut recovery = recovery();
     recovery.declare_lost(DataLoss::RebuildStarted, None, NOW);
     recovery.abandon_rebuild(NOW + 9_000);
-    assert_eq!(campaign_at(&recovery), NOW + REBUILD_CAMPAIGN_DELAY_EMPTY_MS, "there was none");
+    assert_eq!(
+        campaign_at(&recovery),
+        NOW + REBUILD_CAMPAIGN_DELAY_EMPTY_MS,
+        "there was no rebuild to abandon"
+    );
     recovery.start_rebuild(Rebuild::new(2, NOW));
     recovery.set_phase_update_sent(true);
     recovery.abandon_rebuild(NOW + 9_000);
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn the_first_evidence_of_an_earlier_store_counts_and_only_at_a_first_start() {
+fn only_the_first_evidence_of_an_earlier_store_is_kept_and_only_at_a_first_start() {
     let mut recovery = recovery();
     recovery.add_evidence(NOW, || "while following".into());
     recovery.begin_first_start(NOW);
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_revision_of_the_leader_key_is_known_from_the_epoch_in_which_it_was_first_seen() {
+fn a_leader_key_revision_belongs_to_the_epoch_in_which_it_was_first_seen() {
     let mut recovery = recovery();
     recovery.record_value(&leader_key(), 5, "{}", 1);
     recovery.record_value(&leader_key(), 5, "{}", 2);
@@ -109,9 +110,9 @@
 }
 
 #[test]
-fn the_store_is_read_anew_now_and_then_while_it_is_lost() {
+fn a_lost_store_is_reloaded_periodically() {
     let mut recovery = recovery();
-    assert!(!recovery.take_due_reload(NOW), "it is followed");
+    assert!(!recovery.take_due_reload(NOW), "the store is not lost");
     recovery.declare_lost(DataLoss::RebuildStarted, None, NOW);
     assert!(!recovery.take_due_reload(NOW + LOST_STORE_RELOAD_MS - 1));
     assert!(recovery.take_due_reload(NOW + LOST_STORE_RELOAD_MS));
--- a/src/snapshots.rs
+++ b/src/snapshots.rs
@@ -1,8 +1,8 @@
-//! Snapshots of the store's image in a directory: written beside the event loop, read at the start.
+//! Snapshots of the store's image in a directory: written by a background thread, read at startup.
 //!
-//! A thread encodes and writes, since a disk may be slow; the image that it is given is a frozen
-//! copy, which the loop hands over in constant time. A directory that is full or can't be written
-//! costs a log line and nothing else.
+//! A thread of its own encodes and writes them, since the disk may be slow. The event loop hands it an
+//! immutable copy of the image, which takes constant time. A full or unwritable directory causes an
+//! error in the log and in the status, and nothing else.
 
 use crate::settings::{Platform, SnapshotSettings};
 use mountgap_recovery::image::StoreImage;
@@ -15,42 +15,44 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Ending of the names of snapshot files.
+/// Suffix of the names of snapshot files.
 const FILE_ENDING: &str = ".snapshot";
 
-/// Snapshots that wait for the writing thread, at the most: a disk that falls behind gets fewer.
+/// Capacity of the writer thread's queue. While it is full, further snapshots are skipped, so a slow
+/// disk gets fewer of them.
 const WAITING_MAX: usize = 1;
 
-/// The last snapshot, for the operators' view.
+/// The result of the last snapshot, as operators see it in the status.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct SnapshotStatus {
-    /// Time of day at which it was taken, in milliseconds.
+    /// Time of day at which the last successful one was taken, in milliseconds.
     pub taken_at: Option<u64>,
-    /// Revision that it holds.
+    /// Revision of its image.
     pub revision: u64,
     /// Its size in bytes.
     pub bytes: u64,
-    /// Why the last attempt failed, if it did.
+    /// Why the most recent attempt failed, if it did.
     pub error: Option<String>,
 }
 
-/// An image to be written.
+/// A request to the writer thread to write an image.
 struct SnapshotRequest {
     image: StoreImage,
     /// Time of day at which it was taken, in milliseconds.
     taken_at: u64,
 }
 
-/// Hands images to the thread that writes them.
+/// Passes images to the writer thread, at most one per period.
 pub struct SnapshotWriter {
     requests: SyncSender<SnapshotRequest>,
     status: Arc<Mutex<SnapshotStatus>>,
     period_ms: u64,
-    /// When the next snapshot is due, on the steady clock in milliseconds.
+    /// When the next snapshot is due, on the monotonic clock in milliseconds.
     next_at: u64,
 }
 
-/// What names the deployment that a snapshot belongs to: its controllers and its state service.
+/// Identifies the deployment that a snapshot belongs to, by the labels of its controllers and the address
+/// of its state service.
 fn deployment(platform: &Platform) -> String {
     let mut labels: Vec<&str> = platform.peers.iter().map(|peer| peer.label.as_str()).collect();
     labels.push(&platform.label);
@@ -59,7 +61,7 @@
 }
 
 impl SnapshotWriter {
-    /// Starts the thread that writes to a directory. A snapshot is due every `period_s` seconds.
+    /// Starts the thread that writes to `directory`. A snapshot is due every `period_s` seconds.
     pub fn start(directory: SnapshotDirectory, period_s: u64) -> SnapshotWriter {
         let (requests, received) = sync_channel(WAITING_MAX);
         let status = Arc::new(Mutex::new(SnapshotStatus::default()));
@@ -68,22 +70,22 @@
         SnapshotWriter { requests, status, period_ms: period_s * 1_000, next_at: 0 }
     }
 
-    /// Whether the next snapshot is due. `now` is on the steady clock in milliseconds.
+    /// Whether the next snapshot is due. `now` is in milliseconds of the monotonic clock.
     pub fn is_due(&self, now: u64) -> bool {
         now >= self.next_at
     }
 
-    /// Hands over an image, unless the one before is not written yet. `now` is on the steady clock,
-    /// `wall_ms` the time of day, both in milliseconds.
+    /// Queues an image for writing, or skips it if the queue is full. `now` is on the monotonic clock,
+    /// `wall_ms` is the time of day, both in milliseconds.
     pub fn request(&mut self, image: StoreImage, now: u64, wall_ms: u64) {
         self.next_at = now + self.period_ms;
         let request = SnapshotRequest { image, taken_at: wall_ms };
         if let Err(TrySendError::Full(_)) = self.requests.try_send(request) {
-            log::warn!("the last snapshot is still being written, this one is left out");
+            log::warn!("snapshot skipped: an earlier one is still being written");
         }
     }
 
-    /// The last snapshot.
+    /// The result of the last snapshot.
     pub fn status(&self) -> SnapshotStatus {
         self.status.lock().map(|status| status.clone()).unwrap_or_default()
     }
@@ -104,7 +106,7 @@
                 *status = SnapshotStatus { taken_at, revision, bytes, error: None };
             }
             Err(error) => {
-                log::error!("no snapshot: {}: {error}", directory.path.display());
+                log::error!("snapshot failed: {}: {error}", directory.path.display());
                 status.error = Some(error.to_string());
             }
         }
@@ -117,25 +119,25 @@
     /// The file can't be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// What it holds is refused.
+    /// Its content is invalid or belongs elsewhere.
     #[error(transparent)]
     Refused(#[from] SnapshotError),
 }
 
-/// A directory that holds snapshots of one controller.
+/// A directory with snapshots of one controller.
 pub struct SnapshotDirectory {
     /// The directory.
     pub path: PathBuf,
-    /// Snapshots that are kept.
+    /// Number of snapshots kept; older ones are removed.
     pub kept: usize,
-    /// The deployment that they belong to.
+    /// Identifies the deployment that the snapshots belong to.
     pub deployment: String,
     /// Label of the controller.
     pub controller: String,
 }
 
 impl SnapshotDirectory {
-    /// The directory of the settings, for snapshots of this controller.
+    /// The directory named in the settings, for snapshots of this controller.
     pub fn new(settings: &SnapshotSettings, platform: &Platform) -> SnapshotDirectory {
         SnapshotDirectory {
             path: settings.directory.clone(),
@@ -145,8 +147,9 @@
         }
     }
 
-    /// Writes a snapshot under another name first, so that none is there in part, and removes the
-    /// oldest ones. `taken_at` is a time of day in milliseconds. Gives the size in bytes.
+    /// Writes a snapshot and removes the oldest ones. The file gets its final name only once it is
+    /// complete, so a partly written one is never read. `taken_at` is a time of day in milliseconds.
+    /// Returns the size in bytes.
     pub fn write(&self, image: &StoreImage, taken_at: u64) -> io::Result<u64> {
         let header = SnapshotHeader {
             deployment: self.deployment.clone(),
@@ -170,13 +173,13 @@
         self.newest_first()?.into_iter().skip(self.kept).try_for_each(fs::remove_file)
     }
 
-    /// The newest snapshot that is whole, of this deployment and not from the future. The reason
-    /// why one is refused goes into the log.
+    /// The newest snapshot that is intact, of this deployment and not from the future. Rejected ones are
+    /// logged with the reason.
     pub fn read_newest(&self, wall_ms: u64) -> Option<(SnapshotHeader, StoreImage)> {
         let files = match self.newest_first() {
             Ok(files) => files,
             Err(error) => {
-                log::warn!("no snapshots: {}: {error}", self.path.display());
+                log::warn!("snapshot directory not readable: {}: {error}", self.path.display());
                 return None;
             }
         };
@@ -187,7 +190,7 @@
         match self.try_read(file, wall_ms) {
             Ok(snapshot) => Some(snapshot),
             Err(reason) => {
-                log::warn!("snapshot {} is refused: {reason}", file.display());
+                log::warn!("snapshot rejected: {}: {reason}", file.display());
                 None
             }
         }
