--- a/src/constants/rebuild.rs
+++ b/src/constants/rebuild.rs
@@ -38,9 +38,9 @@
 pub const STALE_LEADER_RECHECK_MS: u64 = 20_000;
 /// Consecutive conflicts of rebuild transactions before the store is listed again. A single one happens
 /// when a late duplicate has changed a key, which the next read shows.
-pub const REBUILD_REFUSALS_MAX: u32 = 3;
+pub const REBUILD_CONFLICTS_MAX: u32 = 3;
 /// Consecutive election conflicts without a visible winner before the store is listed again.
-pub const ELECTION_REFUSALS_MAX: u32 = 4;
+pub const ELECTION_CONFLICTS_MAX: u32 = 4;
 /// Milliseconds between two listings of the store by a controller that has suspended its service while
 /// another one rebuilds the store.
 pub const LOST_STORE_RELOAD_MS: u64 = 10_000;
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -9,7 +9,7 @@
 use super::store_client::ReadPoint;
 use super::{CallPurpose, Controller, Leader};
 use crate::constants::{
-    ELECTION_JITTER_MS, ELECTION_REFUSALS_MAX, HANDOVER_BACKOFF_MS, LEADER_LEASE_MS,
+    ELECTION_CONFLICTS_MAX, ELECTION_JITTER_MS, HANDOVER_BACKOFF_MS, LEADER_LEASE_MS,
     STATE_TIMEOUT_MS,
 };
 use crate::protocol::http::Response;
@@ -194,7 +194,7 @@
     /// winner, the store differs from the replica, so data loss is suspected.
     fn on_election_conflict(&mut self) {
         self.election.conflicts += 1;
-        if self.election.conflicts >= ELECTION_REFUSALS_MAX {
+        if self.election.conflicts >= ELECTION_CONFLICTS_MAX {
             self.election.conflicts = 0;
             self.suspect_data_loss(None);
         }
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -129,7 +129,7 @@
                 reported.task_id,
                 id.number
             );
-            if has_our_token && !was_rebuilt && self.recovery.notices_losses() {
+            if has_our_token && !was_rebuilt && self.recovery.is_enabled() {
                 return Err(UnrecordedTask { task_id: reported.task_id.clone() });
             }
             to_stop.push(TaskAttempt { task_id: reported.task_id.clone(), attempt: id.number });
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -241,7 +241,7 @@
 
     fn run_due_work(&mut self) {
         self.store_reads_due();
-        self.recovery_due();
+        self.run_recovery_if_due();
         self.batches_due();
         self.catalog_due();
         self.gossip_due();
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -16,7 +16,7 @@
 #[derive(Debug)]
 pub(in crate::coordination) struct DecisionCall {
     connection: ConnectionId,
-    commit: Transaction,
+    transaction: Transaction,
     answer: DecisionAnswer,
 }
 
@@ -56,12 +56,12 @@
         let left = jobs.len() - decided.len();
         let closes_gap =
             decision == Decision::CloseGap || decision == Decision::Release && request.all;
-        let commit = self.decision_transaction(decision, &decided, closes_gap && left == 0);
+        let transaction = self.decision_transaction(decision, &decided, closes_gap && left == 0);
         let answer = DecisionAnswer { decided: decided.len(), left };
-        if commit.writes.is_empty() {
+        if transaction.writes.is_empty() {
             return self.answer_json(requester, 200, &answer);
         }
-        self.send_decision(requester, commit, answer);
+        self.send_decision(requester, transaction, answer);
     }
 
     /// The jobs that a decision applies to.
@@ -88,30 +88,35 @@
         jobs: &BTreeSet<String>,
         closes_gap: bool,
     ) -> Transaction {
-        let mut commit = Transaction::default();
+        let mut transaction = Transaction::default();
         if decision == Decision::GiveUp {
-            jobs.iter().for_each(|job| self.add_cancellation(job, &mut commit));
+            jobs.iter().for_each(|job| self.add_cancellation(job, &mut transaction));
         }
-        self.add_flag_removals(jobs, &mut commit);
+        self.add_flag_removals(jobs, &mut transaction);
         if closes_gap {
-            self.add_gap_closure(&mut commit);
+            self.add_gap_closure(&mut transaction);
         }
-        commit
+        transaction
     }
 
-    fn send_decision(&mut self, requester: Requester, commit: Transaction, answer: DecisionAnswer) {
-        let writes = commit.writes.len();
+    fn send_decision(
+        &mut self,
+        requester: Requester,
+        transaction: Transaction,
+        answer: DecisionAnswer,
+    ) {
+        let writes = transaction.writes.len();
         if !self.store.take_writes(writes as f64, USER_WRITE_RESERVE, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
-        let body = serde_json::to_vec(&commit).unwrap_or_default();
+        let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let connection = requester.connection();
-        let purpose = CallPurpose::Decision(DecisionCall { connection, commit, answer });
+        let purpose = CallPurpose::Decision(DecisionCall { connection, transaction, answer });
         self.commit_call(body, writes, purpose);
     }
 
     /// Adds the writes that remove the flags of jobs.
-    fn add_flag_removals(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
+    fn add_flag_removals(&self, jobs: &BTreeSet<String>, transaction: &mut Transaction) {
         for (group_number, group) in &self.store.replica().flagged {
             if !group.value.jobs.keys().any(|job| jobs.contains(job)) {
                 continue;
@@ -119,22 +124,22 @@
             let mut kept = FlaggedJobsRecord { jobs: group.value.jobs.clone() };
             kept.jobs.retain(|job, _| !jobs.contains(job));
             let key = flagged_jobs_key(*group_number);
-            commit.writes.push(Mutation::put(key.clone(), &kept));
-            commit.conditions.push(Condition { key, mod_revision: group.mod_revision });
+            transaction.writes.push(Mutation::put(key.clone(), &kept));
+            transaction.conditions.push(Condition { key, mod_revision: group.mod_revision });
         }
     }
 
     /// Adds the write that closes the history gap: from then on, a job that is not in the store counts as
     /// never accepted.
-    fn add_gap_closure(&self, commit: &mut Transaction) {
+    fn add_gap_closure(&self, transaction: &mut Transaction) {
         if !self.has_history_gap() {
             return;
         }
         let Some(known) = &self.store.replica().rebuild else { return };
         let closed = RebuildRecord { gap: Vec::new(), ..known.value.clone() };
         let mod_revision = known.mod_revision;
-        commit.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
-        commit.writes.push(put_rebuild_record(&closed));
+        transaction.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
+        transaction.writes.push(put_rebuild_record(&closed));
     }
 
     pub(in crate::coordination) fn on_decision_response(
@@ -146,7 +151,7 @@
         match reply {
             Some(Response { status: 200, body }) => {
                 if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) {
-                    self.apply_own_transaction(&call.commit, applied.revision);
+                    self.apply_own_transaction(&call.transaction, applied.revision);
                 }
                 log::info!("operator decision applied: {} jobs", call.answer.decided);
                 self.answer_json(requester, 200, &call.answer);
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -39,10 +39,10 @@
     /// record that a rebuild has started.
     pub(in crate::coordination) fn add_recovery_writes(
         &mut self,
-        commit: &mut Transaction,
+        transaction: &mut Transaction,
         term: u64,
     ) {
-        if !self.recovery.notices_losses() {
+        if !self.recovery.is_enabled() {
             return;
         }
         let write = match self.recovery.phase() {
@@ -55,10 +55,10 @@
             _ => return,
         };
         let key = write.key().to_string();
-        commit
+        transaction
             .conditions
             .push(Condition { mod_revision: self.store.replica().mod_revision(&key), key });
-        commit.writes.push(write);
+        transaction.writes.push(write);
     }
 
     fn new_rebuild_record(&self, loss: &DataLoss, term: u64) -> RebuildRecord {
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -32,7 +32,7 @@
 
     /// Compares what a peer's gossip says of the store with what we know of it.
     pub(in crate::coordination) fn check_peer_store(&mut self, gossip: &Gossip) {
-        if !self.recovery.notices_losses() {
+        if !self.recovery.is_enabled() {
             return;
         }
         if self.recovery.is_following() && self.store.is_loaded() {
@@ -54,7 +54,7 @@
         let (our_store, _) = self.recovery.peer_view();
         let same_store = gossip.store.is_some() && gossip.store == our_store;
         if same_store && gossip.recovery == Some(RecoveryState::Following) {
-            self.recovery.prove_continuity();
+            self.recovery.mark_continuity_proven();
         }
         let Some(lost_term) = gossip.lost_term else { return };
         if lost_term >= self.store.replica().rebuild_term() {
@@ -64,8 +64,8 @@
             return self.declare_lost_and_reload(DataLoss::ReportedByPeer { peer });
         }
         let now = self.now.monotonic_ms;
-        let long_followed = self.recovery.has_followed_for(2 * LOST_STORE_RELOAD_MS, now);
-        if long_followed && self.recovery.stale_leader().is_allowed(now) {
+        let followed_long_enough = self.recovery.has_followed_for(2 * LOST_STORE_RELOAD_MS, now);
+        if followed_long_enough && self.recovery.stale_leader().is_allowed(now) {
             // The peer should have seen the complete rebuild by now. Perhaps the store has lost data again
             // without our noticing.
             self.recovery.stale_leader_mut().pause(now);
@@ -75,7 +75,7 @@
 
     /// Trusts an empty store as new once every worker has had time to send a fencing token, and either all
     /// peers have been heard without evidence of an earlier store or [`FIRST_START_MAX_MS`] have passed.
-    pub(super) fn first_start_due(&mut self) {
+    pub(super) fn complete_first_start_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         let RecoveryPhase::FirstStart { since, evidence: None } = self.recovery.phase() else {
             return;
@@ -85,8 +85,8 @@
         let workers_had_time = now >= since + (heartbeat_wait_s * MS_PER_S) as u64;
         let heard_all_peers = self.membership.fresh_gossip(self.now.monotonic_ms).count()
             == self.membership.peer_count();
-        let waited_long = now >= since + FIRST_START_MAX_MS;
-        if workers_had_time && (heard_all_peers || waited_long) {
+        let timed_out = now >= since + FIRST_START_MAX_MS;
+        if workers_had_time && (heard_all_peers || timed_out) {
             log::info!(
                 "first start: the store is empty, and there is no evidence of an earlier one"
             );
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -114,9 +114,7 @@
         body: &[u8],
     ) {
         let request = match decode::<ImageRequest>(body) {
-            Ok(request) if request.version == PEER_VERSION && self.recovery.notices_losses() => {
-                request
-            }
+            Ok(request) if request.version == PEER_VERSION && self.recovery.is_enabled() => request,
             _ => return self.respond(connection, 404, None, vec![]),
         };
         if self.recovery.is_following() && self.store.is_loaded() {
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -34,7 +34,7 @@
     /// Handles a sign of data loss, or of a replica that differs from the store: lists the store again and
     /// compares it with the known image. `suspicion` is the suspected loss, if it is a particular one.
     pub(in crate::coordination) fn suspect_data_loss(&mut self, suspicion: Option<DataLoss>) {
-        if !self.recovery.notices_losses() {
+        if !self.recovery.is_enabled() {
             return;
         }
         match self.recovery.phase() {
@@ -81,7 +81,7 @@
 
     /// Adds a listed key to the image.
     pub(in crate::coordination) fn record_item(&mut self, item: &KeyValue) {
-        if self.recovery.notices_losses() && item.key.starts_with(KEY_FAMILY) {
+        if self.recovery.is_enabled() && item.key.starts_with(KEY_FAMILY) {
             let epoch = self.store.epoch();
             self.recovery.record_value(&item.key, item.mod_revision, item.value.get(), epoch);
         }
@@ -94,7 +94,7 @@
         since: u64,
         changes: &WatchResponse,
     ) -> bool {
-        if !self.recovery.notices_losses() {
+        if !self.recovery.is_enabled() {
             return true;
         }
         if changes.revision < since {
@@ -112,7 +112,7 @@
 
     /// Handles the completion of a listing of the store.
     pub(in crate::coordination) fn on_listing_complete(&mut self) {
-        if !self.recovery.notices_losses() {
+        if !self.recovery.is_enabled() {
             return;
         }
         self.recovery.complete_image(self.store.replica().revision, self.rebuild_is_complete());
@@ -133,7 +133,7 @@
 
     /// Lists the lost store again if it is time to. While another controller rebuilds it, the store may lose
     /// data again without our noticing, so it is listed periodically until the rebuild is complete.
-    pub(super) fn reload_due(&mut self) {
+    pub(super) fn reload_store_if_due(&mut self) {
         let due = !self.is_rebuilding() && self.recovery.take_due_reload(self.now.monotonic_ms);
         if due && self.store_is_reachable() {
             self.reload_store();
@@ -218,11 +218,11 @@
     /// stored before its start command is sent, and removed only once it is settled. So the store was
     /// restored from a backup, and all controllers have restarted since.
     pub(in crate::coordination) fn on_unrecorded_task(&mut self, machine: &str, task: &str) {
-        if !self.recovery.notices_losses() || self.recovery.is_suspended() {
+        if !self.recovery.is_enabled() || self.recovery.is_suspended() {
             return;
         }
         let (machine, task) = (machine.to_string(), task.to_string());
         self.declare_lost_and_reload(DataLoss::UnrecordedTask { machine, task });
-        self.recovery.discard_history();
+        self.recovery.mark_history_incomplete();
     }
 }
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -57,14 +57,14 @@
     }
 
     /// Records the result of the last snapshot, for the status that operators see.
-    pub fn note_snapshot(&mut self, status: SnapshotStatus) {
+    pub fn record_snapshot_status(&mut self, status: SnapshotStatus) {
         self.recovery.set_snapshot_status(status);
     }
 
     /// The image of the store for a snapshot. None while the store is not trusted, not fully read or
     /// has no identity yet. The copy takes constant time.
     pub fn image_for_snapshot(&self) -> Option<StoreImage> {
-        let trusted = self.recovery.notices_losses() && !self.recovery.is_suspended();
+        let trusted = self.recovery.is_enabled() && !self.recovery.is_suspended();
         let image = self.recovery.image();
         let complete = trusted && self.store.is_loaded() && image.identity().is_some();
         complete.then(|| image.clone())
@@ -84,7 +84,7 @@
 
     /// Whether a transaction was applied to the store that we read now, trusted or not.
     pub(super) fn applied_to_current_store(&mut self, sent: ReadPoint, revision: u64) -> bool {
-        if !self.recovery.notices_losses() {
+        if !self.recovery.is_enabled() {
             return true;
         }
         if sent.epoch == self.store.epoch() && revision <= sent.revision {
@@ -97,21 +97,21 @@
     /// Makes a user's transaction conditional on the last rebuild that we know. If it were applied during a
     /// later rebuild, the rebuild would remove its writes, or it would end a job that the rebuild has
     /// flagged.
-    pub(super) fn add_rebuild_condition(&self, commit: &mut Transaction) {
-        if self.recovery.notices_losses() {
+    pub(super) fn add_rebuild_condition(&self, transaction: &mut Transaction) {
+        if self.recovery.is_enabled() {
             let mod_revision = self.store.replica().mod_revision(REBUILD_KEY);
-            commit.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
+            transaction.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
         }
     }
 
     /// Number of conditions that [`Controller::add_rebuild_condition`] adds to a user's transaction.
     pub(super) fn reserved_conditions(&self) -> usize {
-        usize::from(self.recovery.notices_losses())
+        usize::from(self.recovery.is_enabled())
     }
 
     /// Records an applied transaction of our own in the image, ahead of the watch.
-    pub(super) fn record_own_transaction(&mut self, commit: &Transaction, revision: u64) {
-        self.recovery.record_transaction(commit, revision);
+    pub(super) fn record_own_transaction(&mut self, transaction: &Transaction, revision: u64) {
+        self.recovery.record_transaction(transaction, revision);
     }
 
     /// Whether no task may start, because the store is being rebuilt, or because it is not yet known which
@@ -124,7 +124,7 @@
         // After a rebuild with a history gap, machines may run tasks of unknown jobs that a new leader has
         // not heard of. If all controllers have restarted, the store may have been restored from a backup
         // and only the workers' heartbeats can show it.
-        let unproven = self.recovery.notices_losses() && !self.recovery.is_continuity_proven();
+        let unproven = self.recovery.is_enabled() && !self.recovery.is_continuity_proven();
         let unknown_tasks_may_run = self.has_history_gap() || unproven;
         unknown_tasks_may_run
             && self.leader.as_ref().is_some_and(|leader| !leader.machines_reconciled)
@@ -137,13 +137,13 @@
     }
 
     /// Runs the due steps of loss detection, rebuild and reconciliation.
-    pub(super) fn recovery_due(&mut self) {
-        if self.recovery.notices_losses() {
+    pub(super) fn run_recovery_if_due(&mut self) {
+        if self.recovery.is_enabled() {
             self.check_stale_leader_key();
-            self.first_start_due();
-            self.reload_due();
-            self.rebuild_due();
+            self.complete_first_start_if_due();
+            self.reload_store_if_due();
+            self.continue_rebuild_if_due();
         }
-        self.reconciliation_due();
+        self.update_reconciliation();
     }
 }
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -10,7 +10,7 @@
 use super::put_rebuild_record;
 use super::rebuild_plan::RebuildPlan;
 use crate::constants::{
-    LEADER_WRITE_RESERVE, MS_PER_S, REBUILD_IMAGES_TIMEOUT_MS, REBUILD_REFUSALS_MAX,
+    LEADER_WRITE_RESERVE, MS_PER_S, REBUILD_CONFLICTS_MAX, REBUILD_IMAGES_TIMEOUT_MS,
     STATE_RETRY_BACKOFF_MS,
 };
 use crate::coordination::membership::stop_commands_of_ended_jobs;
@@ -49,7 +49,7 @@
 pub(in crate::coordination) struct RebuildCall {
     /// The term in which it was sent.
     term: u64,
-    commit: Transaction,
+    transaction: Transaction,
 }
 
 impl Rebuild {
@@ -99,11 +99,11 @@
         self.recovery.abandon_rebuild(self.now.monotonic_ms);
     }
 
-    pub(super) fn rebuild_due(&mut self) {
+    pub(super) fn continue_rebuild_if_due(&mut self) {
         let Some(leader) = &self.leader else { return };
         let Some(rebuild) = self.recovery.rebuild() else { return };
         if rebuild.plan.is_some() {
-            return self.write_back_due();
+            return self.write_back_if_due();
         }
         // The store must be read up to our own election first: an earlier rebuild may have written a part
         // of the values.
@@ -125,7 +125,7 @@
 
     /// Sends the next transaction of the rebuild if it is time to. Only one is in flight at a time; the last
     /// one records that the rebuild is complete.
-    fn write_back_due(&mut self) {
+    fn write_back_if_due(&mut self) {
         let Some(rebuild) = self.recovery.rebuild() else { return };
         let must_wait =
             rebuild.transaction_sent || self.now.monotonic_ms < rebuild.next_transaction_at;
@@ -138,14 +138,14 @@
         let limits = self.rebuild_limits();
         let limits =
             TransactionLimits { transaction_ops: limits.transaction_ops.min(burst), ..limits };
-        let commit = match plan.desired.next_transaction(self.recovery.image(), &limits) {
+        let transaction = match plan.desired.next_transaction(self.recovery.image(), &limits) {
             Some(transaction) => transaction_from(transaction),
             None => {
                 let Some(record) = self.complete_rebuild_record(plan) else { return };
                 rebuild_record_update(&record)
             }
         };
-        let sent = self.send_fenced(commit);
+        let sent = self.send_fenced(transaction);
         if let Some(rebuild) = self.recovery.rebuild_mut().filter(|_| sent) {
             rebuild.transaction_sent = true;
         }
@@ -169,20 +169,20 @@
 
     /// Sends a transaction that is conditional on our leader key and on the rebuild record as we know it.
     /// False if it can't be sent now.
-    fn send_fenced(&mut self, mut commit: Transaction) -> bool {
+    fn send_fenced(&mut self, mut transaction: Transaction) -> bool {
         let Some(leader) = &self.leader else { return false };
         let Some(record) = &self.store.replica().rebuild else { return false };
         let term = leader.term;
-        let writes = commit.writes.len();
-        commit.conditions.extend([
+        let writes = transaction.writes.len();
+        transaction.conditions.extend([
             Condition { key: leader_key(), mod_revision: leader.mod_revision },
             Condition { key: REBUILD_KEY.into(), mod_revision: record.mod_revision },
         ]);
         if !self.store.take_writes(writes as f64, 0.0, self.now.monotonic_ms) {
             return false;
         }
-        let body = serde_json::to_vec(&commit).unwrap_or_default();
-        let purpose = CallPurpose::Rebuild(RebuildCall { term, commit });
+        let body = serde_json::to_vec(&transaction).unwrap_or_default();
+        let purpose = CallPurpose::Rebuild(RebuildCall { term, transaction });
         self.commit_call(body, writes, purpose);
         true
     }
@@ -200,19 +200,21 @@
             rebuild.transaction_sent = false;
         }
         match reply {
-            Some(Response { status: 200, body }) => self.on_rebuild_applied(&call.commit, &body),
+            Some(Response { status: 200, body }) => {
+                self.on_rebuild_applied(&call.transaction, &body);
+            }
             Some(Response { status: 409, body }) => self.on_rebuild_conflict(&body),
             Some(Response { status: 400, body }) => self.on_rebuild_rejected(&body),
             _ => self.pause_rebuild(),
         }
     }
 
-    fn on_rebuild_applied(&mut self, commit: &Transaction, body: &[u8]) {
+    fn on_rebuild_applied(&mut self, transaction: &Transaction, body: &[u8]) {
         let Ok(applied) = serde_json::from_slice::<TransactionApplied>(body) else { return };
         if applied.revision <= self.leader.as_ref().map_or(0, |leader| leader.mod_revision) {
             return self.suspect_data_loss(None);
         }
-        self.apply_own_transaction(commit, applied.revision);
+        self.apply_own_transaction(transaction, applied.revision);
         if let Some(rebuild) = self.recovery.rebuild_mut() {
             rebuild.transactions_applied += 1;
             rebuild.conflicts = 0;
@@ -229,7 +231,7 @@
         }
         if let Some(rebuild) = self.recovery.rebuild_mut() {
             rebuild.conflicts += 1;
-            if rebuild.conflicts >= REBUILD_REFUSALS_MAX {
+            if rebuild.conflicts >= REBUILD_CONFLICTS_MAX {
                 // The reads in between have not resolved the conflict, so the store differs from the
                 // replica.
                 return self.suspect_data_loss(None);
@@ -302,13 +304,13 @@
 }
 
 fn transaction_from(rebuild: RebuildTransaction) -> Transaction {
-    let mut commit = Transaction::default();
+    let mut transaction = Transaction::default();
     for conditional in rebuild.changes {
         let key = conditional.change.key().to_string();
-        commit.conditions.push(Condition { key, mod_revision: conditional.expected_revision });
-        commit.writes.push(mutation_from(conditional.change));
+        transaction.conditions.push(Condition { key, mod_revision: conditional.expected_revision });
+        transaction.writes.push(mutation_from(conditional.change));
     }
-    commit
+    transaction
 }
 
 fn mutation_from(change: Change) -> Mutation {
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -19,7 +19,7 @@
 
 impl Controller {
     /// Records when all machines are reconciled, and resumes planning once starts are no longer blocked.
-    pub(super) fn reconciliation_due(&mut self) {
+    pub(super) fn update_reconciliation(&mut self) {
         let blocked = self.starts_are_blocked();
         if self.recovery.update_starts_blocked(blocked) {
             self.on_starts_unblocked();
@@ -32,7 +32,7 @@
         if let Some(leader) = &mut self.leader {
             leader.machines_reconciled = true;
         }
-        self.recovery.prove_continuity();
+        self.recovery.mark_continuity_proven();
         if self.store.replica().rebuild_phase() == Some(RebuildPhase::Complete) {
             self.record_reconciliation();
         }
--- a/src/coordination/recovery/report.rs
+++ b/src/coordination/recovery/report.rs
@@ -43,7 +43,7 @@
 impl Controller {
     fn recovery_phase_text(&self) -> &'static str {
         match self.recovery.phase() {
-            _ if !self.recovery.notices_losses() => "not enabled",
+            _ if !self.recovery.is_enabled() => "not enabled",
             _ if self.is_rebuilding() => "rebuilding",
             RecoveryPhase::Following => "following",
             RecoveryPhase::FirstStart { .. } => "first start",
@@ -75,7 +75,7 @@
 
     /// The part of the status that concerns data loss. None if data loss is not detected.
     pub(in crate::coordination) fn recovery_view(&self) -> Option<RecoveryView> {
-        self.recovery.notices_losses().then(|| RecoveryView {
+        self.recovery.is_enabled().then(|| RecoveryView {
             phase: self.recovery_phase_text(),
             store: self.recovery.identity().map(|id| id.to_string()),
             losses: self.recovery.losses(),
@@ -100,7 +100,7 @@
         let last = self.store.replica().rebuild.as_ref().map(|record| &record.value);
         RecoveryReport {
             controller: self.settings.label.clone(),
-            enabled: self.recovery.notices_losses(),
+            enabled: self.recovery.is_enabled(),
             phase: self.recovery_phase_text().into(),
             loss,
             store: self.recovery.identity().map(|id| id.to_string()),
--- a/src/coordination/recovery/stale_leader.rs
+++ b/src/coordination/recovery/stale_leader.rs
@@ -60,7 +60,7 @@
         let now = self.now.monotonic_ms;
         let reads_store =
             matches!(self.recovery.phase(), RecoveryPhase::Following | RecoveryPhase::Lost { .. });
-        let suspicious = reads_store && self.names_unheard_leader();
+        let suspicious = reads_store && self.stored_leader_is_silent();
         let check = self.recovery.stale_leader_mut();
         if !suspicious || !check.is_allowed(now) {
             return check.cancel();
@@ -77,7 +77,7 @@
     }
 
     /// Whether the store names a leader, but neither this process nor a peer of that name leads.
-    fn names_unheard_leader(&self) -> bool {
+    fn stored_leader_is_silent(&self) -> bool {
         let Some(leader) = &self.store.replica().leader else { return false };
         let label = &leader.value.label;
         let leads = match *label == self.settings.label {
--- a/src/coordination/recovery/state.rs
+++ b/src/coordination/recovery/state.rs
@@ -96,7 +96,7 @@
     // --- queries of other modules -----------------------------------------------------
 
     /// Whether data loss is detected at all. If not, the store is always trusted.
-    pub(in crate::coordination) fn notices_losses(&self) -> bool {
+    pub(in crate::coordination) fn is_enabled(&self) -> bool {
         self.enabled
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// Records a proof that the store lost no data while all controllers were restarted.
-    pub(super) fn prove_continuity(&mut self) {
+    pub(super) fn mark_continuity_proven(&mut self) {
         self.continuity_proven = true;
     }
 
@@ -283,7 +283,7 @@
 
     /// Our image does not contain a task that a worker runs, so neither its history nor its ended jobs count
     /// as complete.
-    pub(super) fn discard_history(&mut self) {
+    pub(super) fn mark_history_incomplete(&mut self) {
         self.confirmed_read_at = None;
         self.history_complete = false;
     }
--- a/src/coordination/recovery/state/tests.rs
+++ b/src/coordination/recovery/state/tests.rs
@@ -32,7 +32,7 @@
     for (proven, lost_at, complete) in cases {
         let mut recovery = following(3);
         if proven {
-            recovery.prove_continuity();
+            recovery.mark_continuity_proven();
         }
         let known = recovery.freeze_image(Some(90), lost_at);
         assert_eq!(known.term(), 3);
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -269,7 +269,7 @@
     /// The service has answered 410: it no longer keeps changes as old as the replica's revision.
     fn on_watch_too_old(&mut self) {
         log::info!("watch revision too old (410): the store is listed again");
-        if self.recovery.notices_losses() {
+        if self.recovery.is_enabled() {
             return self.suspect_data_loss(None);
         }
         self.reload_store();
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -72,7 +72,7 @@
     fn on_transaction_applied(&mut self, revision: u64) {
         let Some(leader) = &self.leader else { return };
         let known = leader.mod_revision;
-        if revision <= known && self.recovery.notices_losses() {
+        if revision <= known && self.recovery.is_enabled() {
             let loss = DataLoss::RevisionRegressed { known, shown: revision };
             return self.suspect_data_loss(Some(loss));
         }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -84,7 +84,7 @@
     if !writer.is_due(now.monotonic_ms) {
         return;
     }
-    core.note_snapshot(writer.status());
+    core.record_snapshot_status(writer.status());
     if let Some(image) = core.image_for_snapshot() {
         writer.request(image, now.monotonic_ms, now.wall_ms);
     }
--- a/src/snapshots.rs
+++ b/src/snapshots.rs
@@ -16,11 +16,11 @@
 use std::thread;
 
 /// Suffix of the names of snapshot files.
-const FILE_ENDING: &str = ".snapshot";
+const FILE_SUFFIX: &str = ".snapshot";
 
 /// Capacity of the writer thread's queue. While it is full, further snapshots are skipped, so a slow
 /// disk gets fewer of them.
-const WAITING_MAX: usize = 1;
+const QUEUED_SNAPSHOTS_MAX: usize = 1;
 
 /// The result of the last snapshot, as operators see it in the status.
 #[derive(Debug, Clone, Default, Serialize)]
@@ -53,7 +53,7 @@
 
 /// Identifies the deployment that a snapshot belongs to, by the labels of its controllers and the address
 /// of its state service.
-fn deployment(platform: &Platform) -> String {
+fn deployment_name(platform: &Platform) -> String {
     let mut labels: Vec<&str> = platform.peers.iter().map(|peer| peer.label.as_str()).collect();
     labels.push(&platform.label);
     labels.sort_unstable();
@@ -63,10 +63,10 @@
 impl SnapshotWriter {
     /// Starts the thread that writes to `directory`. A snapshot is due every `period_s` seconds.
     pub fn start(directory: SnapshotDirectory, period_s: u64) -> SnapshotWriter {
-        let (requests, received) = sync_channel(WAITING_MAX);
+        let (requests, received) = sync_channel(QUEUED_SNAPSHOTS_MAX);
         let status = Arc::new(Mutex::new(SnapshotStatus::default()));
         let shared_status = status.clone();
-        thread::spawn(move || write_all(&directory, &received, &shared_status));
+        thread::spawn(move || write_requested_snapshots(&directory, &received, &shared_status));
         SnapshotWriter { requests, status, period_ms: period_s * 1_000, next_at: 0 }
     }
 
@@ -91,7 +91,7 @@
     }
 }
 
-fn write_all(
+fn write_requested_snapshots(
     directory: &SnapshotDirectory,
     requests: &Receiver<SnapshotRequest>,
     status: &Mutex<SnapshotStatus>,
@@ -121,7 +121,7 @@
     Io(#[from] io::Error),
     /// Its content is invalid or belongs elsewhere.
     #[error(transparent)]
-    Refused(#[from] SnapshotError),
+    Invalid(#[from] SnapshotError),
 }
 
 /// A directory with snapshots of one controller.
@@ -142,7 +142,7 @@
         SnapshotDirectory {
             path: settings.directory.clone(),
             kept: settings.kept,
-            deployment: deployment(platform),
+            deployment: deployment_name(platform),
             controller: platform.label.clone(),
         }
     }
@@ -206,7 +206,7 @@
     }
 
     fn file_name(&self, taken_at: u64) -> String {
-        format!("{}-{taken_at:020}{FILE_ENDING}", self.controller)
+        format!("{}-{taken_at:020}{FILE_SUFFIX}", self.controller)
     }
 
     fn newest_first(&self) -> io::Result<Vec<PathBuf>> {
@@ -215,7 +215,7 @@
         for entry in fs::read_dir(&self.path)? {
             let path = entry?.path();
             let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
-            if name.starts_with(&prefix) && name.ends_with(FILE_ENDING) {
+            if name.starts_with(&prefix) && name.ends_with(FILE_SUFFIX) {
                 files.push(path);
             }
         }
