--- a/crates/mountgap-recovery/src/constants.rs
+++ b/crates/mountgap-recovery/src/constants.rs
@@ -18,10 +18,10 @@
 /// Bytes of a transaction's changes: the protocol's 64 KiB less room for conditions and names.
 pub const TRANSACTION_BYTES: usize = 48 * 1024;
 
-/// Bytes of a snapshot once it is decompressed, at the most: a hundred thousand tasks take some ten
-/// megabytes, and a damaged length must not exhaust the memory.
+/// Maximum size of a decompressed snapshot in bytes. A hundred thousand tasks take about 10 MB; the
+/// limit keeps a damaged length from exhausting the memory.
 pub const SNAPSHOT_BYTES_MAX: u64 = 256 * 1024 * 1024;
 
-/// Milliseconds by which a snapshot's time of day may lie ahead of ours: clocks that are off by a
-/// few seconds are normal, and more than this is a wrong clock or a forged file.
-pub const SNAPSHOT_AHEAD_MAX_MS: u64 = 5 * 60 * 1000;
+/// Milliseconds by which the time of a snapshot may be ahead of the local clock. Clocks commonly
+/// differ by a few seconds; a larger difference means a wrong clock or a forged file.
+pub const SNAPSHOT_CLOCK_SKEW_MAX_MS: u64 = 5 * 60 * 1000;
--- a/crates/mountgap-recovery/src/snapshot.rs
+++ b/crates/mountgap-recovery/src/snapshot.rs
@@ -1,11 +1,11 @@
-//! Snapshots: an image as a file, compressed and with a checksum.
+//! Snapshots: encoding of an image as a file, compressed and with a checksum.
 //!
-//! The form is a magic number, a format number, a header as JSON, and the keys with their values as
-//! one deflate stream; a CRC-32 over all of that ends it. A file that is damaged, of another
-//! deployment, of a later format or from the future is refused with a reason, so that the next
-//! older one can be taken.
+//! A file consists of a magic number, the format version, the length of the header, the header as
+//! JSON, the keys and values as one deflate stream, and a CRC-32 over everything before it. Numbers
+//! are little endian. A file that is damaged, belongs to another deployment, has a later format or
+//! was taken in the future is refused with a reason, so that the caller can try the next older one.
 
-use crate::constants::{SNAPSHOT_AHEAD_MAX_MS, SNAPSHOT_BYTES_MAX};
+use crate::constants::{SNAPSHOT_BYTES_MAX, SNAPSHOT_CLOCK_SKEW_MAX_MS};
 use crate::image::StoreImage;
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
@@ -13,19 +13,19 @@
 use serde::{Deserialize, Serialize};
 use std::io::{Read, Write};
 
-/// First bytes of every snapshot.
+/// Magic number: the first bytes of every snapshot.
 const MAGIC: &[u8; 8] = b"mountgap";
-/// The format that this version writes, and the latest that it reads.
-pub const FORMAT: u32 = 1;
-/// Bytes of magic number, format number and length of the header.
+/// Format version that is written, and the latest that can be read.
+pub const FORMAT_VERSION: u32 = 1;
+/// Bytes of magic number, format version and header length.
 const PREFIX_BYTES: usize = 16;
 /// Bytes of the checksum at the end.
 const CHECKSUM_BYTES: usize = 4;
 
-/// What a snapshot says of itself.
+/// Header of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotHeader {
-    /// The deployment that it belongs to.
+    /// The deployment that the snapshot belongs to.
     pub deployment: String,
     /// Label of the controller that wrote it.
     pub controller: String,
@@ -40,25 +40,25 @@
 /// Why a snapshot is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// It ends too early.
+    /// The file ends too early.
     #[error("truncated")]
     Truncated,
-    /// It is none.
+    /// The file doesn't begin with the magic number.
     #[error("not a snapshot")]
     NotASnapshot,
-    /// A later version has written it.
-    #[error("of format {0}, and this version reads up to {FORMAT}")]
+    /// The format is a later one than this version can read.
+    #[error("of format {0}, and this version reads up to {FORMAT_VERSION}")]
     NewerFormat(u32),
-    /// Its checksum is another.
+    /// The checksum doesn't match.
     #[error("damaged: the checksum does not match")]
     Checksum,
-    /// It belongs to another deployment.
+    /// The snapshot belongs to another deployment.
     #[error("of another deployment: {0}")]
     OtherDeployment(String),
-    /// It was taken later than now.
+    /// The snapshot's time lies further ahead of the clock than the allowed skew.
     #[error("taken in the future, at {0} ms")]
     FutureDated(u64),
-    /// What it holds can't be read.
+    /// The header or the values can't be read, or contradict each other.
     #[error("malformed: {0}")]
     Malformed(&'static str),
 }
@@ -68,7 +68,7 @@
     let header_bytes = serde_json::to_vec(header)?;
     let mut bytes = Vec::new();
     bytes.extend_from_slice(MAGIC);
-    bytes.extend_from_slice(&FORMAT.to_le_bytes());
+    bytes.extend_from_slice(&FORMAT_VERSION.to_le_bytes());
     bytes.extend_from_slice(&(header_bytes.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&header_bytes);
     let mut stream = DeflateEncoder::new(bytes, Compression::fast());
@@ -88,26 +88,26 @@
     stream.write_all(text.as_bytes())
 }
 
-/// Decodes a snapshot of a deployment, or says why it is refused. `now` is the time of day in
+/// Decodes a snapshot and checks that it belongs to the deployment. `now` is the time of day in
 /// milliseconds.
 pub fn decode(
     bytes: &[u8],
     deployment: &str,
     now: u64,
 ) -> Result<(SnapshotHeader, StoreImage), SnapshotError> {
-    let (header, stream) = checked_parts(bytes)?;
+    let (header, stream) = verify_and_split(bytes)?;
     if header.deployment != deployment {
         return Err(SnapshotError::OtherDeployment(header.deployment));
     }
-    if header.taken_at > now.saturating_add(SNAPSHOT_AHEAD_MAX_MS) {
+    if header.taken_at > now.saturating_add(SNAPSHOT_CLOCK_SKEW_MAX_MS) {
         return Err(SnapshotError::FutureDated(header.taken_at));
     }
-    let mut values = Values { stream: DeflateDecoder::new(stream).take(SNAPSHOT_BYTES_MAX) };
+    let mut values = ValueReader { stream: DeflateDecoder::new(stream).take(SNAPSHOT_BYTES_MAX) };
     let mut image = StoreImage::new();
     for _ in 0..header.keys {
-        let key = values.text()?;
-        let mod_revision = values.number()?;
-        let data = values.text()?;
+        let key = values.read_text()?;
+        let mod_revision = values.read_u64()?;
+        let data = values.read_text()?;
         if mod_revision > header.revision {
             return Err(SnapshotError::Malformed("a value is newer than the snapshot"));
         }
@@ -120,29 +120,29 @@
     Ok((header, image))
 }
 
-/// The header and the compressed values, once checksum and format are found to be right.
-fn checked_parts(bytes: &[u8]) -> Result<(SnapshotHeader, &[u8]), SnapshotError> {
+/// Verifies format and checksum, and returns the header and the compressed values.
+fn verify_and_split(bytes: &[u8]) -> Result<(SnapshotHeader, &[u8]), SnapshotError> {
     if !bytes.starts_with(MAGIC) {
-        let is_cut_short = MAGIC.starts_with(bytes);
-        return Err(match is_cut_short {
+        let is_truncated = MAGIC.starts_with(bytes);
+        return Err(match is_truncated {
             true => SnapshotError::Truncated,
             false => SnapshotError::NotASnapshot,
         });
     }
-    let word = |at: usize| {
+    let u32_at = |at: usize| {
         let four = bytes.get(at..at + 4).ok_or(SnapshotError::Truncated)?;
         Ok(u32::from_le_bytes(four.try_into().map_err(|_| SnapshotError::Truncated)?))
     };
-    let format = word(MAGIC.len())?;
-    if format > FORMAT {
+    let format = u32_at(MAGIC.len())?;
+    if format > FORMAT_VERSION {
         return Err(SnapshotError::NewerFormat(format));
     }
-    let header_end = PREFIX_BYTES.saturating_add(word(MAGIC.len() + 4)? as usize);
+    let header_end = PREFIX_BYTES.saturating_add(u32_at(MAGIC.len() + 4)? as usize);
     let end = bytes.len().saturating_sub(CHECKSUM_BYTES);
     if header_end > end {
         return Err(SnapshotError::Truncated);
     }
-    if crc32fast::hash(&bytes[..end]) != word(end)? {
+    if crc32fast::hash(&bytes[..end]) != u32_at(end)? {
         return Err(SnapshotError::Checksum);
     }
     let header = serde_json::from_slice(&bytes[PREFIX_BYTES..header_end])
@@ -150,13 +150,13 @@
     Ok((header, &bytes[header_end..end]))
 }
 
-/// Reads values from the decompressed stream.
-struct Values<R> {
+/// Reads keys and values from the decompressed stream.
+struct ValueReader<R> {
     stream: R,
 }
 
-impl<R: Read> Values<R> {
-    fn bytes<const N: usize>(&mut self) -> Result<[u8; N], SnapshotError> {
+impl<R: Read> ValueReader<R> {
+    fn read_array<const N: usize>(&mut self) -> Result<[u8; N], SnapshotError> {
         let mut bytes = [0; N];
         self.stream
             .read_exact(&mut bytes)
@@ -164,12 +164,12 @@
         Ok(bytes)
     }
 
-    fn number(&mut self) -> Result<u64, SnapshotError> {
-        Ok(u64::from_le_bytes(self.bytes()?))
+    fn read_u64(&mut self) -> Result<u64, SnapshotError> {
+        Ok(u64::from_le_bytes(self.read_array()?))
     }
 
-    fn text(&mut self) -> Result<String, SnapshotError> {
-        let length = u64::from(u32::from_le_bytes(self.bytes()?));
+    fn read_text(&mut self) -> Result<String, SnapshotError> {
+        let length = u64::from(u32::from_le_bytes(self.read_array()?));
         let mut text = String::new();
         let read = self
             .stream
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Whether there is more in the stream.
+    /// Whether the stream has any bytes left.
     fn has_more(&mut self) -> Result<bool, SnapshotError> {
         let mut one = [0; 1];
         let read = self.stream.read(&mut one);
