--- a/crates/mountgap-recovery/src/audit.rs
+++ b/crates/mountgap-recovery/src/audit.rs
@@ -1,150 +1,153 @@
-//! Whether a store that is read anew can be the one that was read before.
+//! Checks whether a store that is read again can be the continuation of one that was read before.
 //!
-//! A store goes on from where it was: its identity stays, its revision and those of its
-//! keys never fall, ends of jobs are kept for ever, and an accepted job is there until it has ended. A
-//! store that was emptied or set back to a backup breaks one of these, also if its revisions have
-//! grown past the old ones since.
+//! In a store that has lost nothing the identity stays, the revision and those of the keys never
+//! decrease, ends of jobs are kept forever, and an accepted job is kept until it has ended. A store
+//! that was emptied or restored from a backup violates one of these rules, even if its revisions
+//! have grown past the old ones since.
 
 use crate::image::{StoreId, StoreImage, StoredValue};
 use mountgap_records::records::{parse_key, BatchRecord, JobEndGroupRecord, Key};
 use std::collections::BTreeSet;
 
-/// What shows that the store has lost data.
+/// Evidence that the store has lost data.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DataLoss {
-    /// An answer named a revision below one that the store had reached.
-    #[error("the store is at revision {shown}, and was at {known}")]
+    /// A response had a lower revision than the store had already reached.
+    #[error("the store is at revision {observed}, and was at {known}")]
     RevisionRegressed {
-        /// Revision that was known.
+        /// Revision that the store had reached.
         known: u64,
-        /// Revision that was answered.
-        shown: u64,
+        /// Revision of the response.
+        observed: u64,
     },
-    /// The store has no identity any more.
+    /// The store no longer has an identity.
     #[error("store {known} has lost its identity")]
     IdentityMissing {
         /// The identity that was known.
         known: StoreId,
     },
     /// The store has another identity.
-    #[error("store {known} has become store {shown}")]
+    #[error("store {known} has become store {observed}")]
     IdentityChanged {
         /// The identity that was known.
         known: StoreId,
-        /// The one that it has now.
-        shown: StoreId,
+        /// The identity that it has now.
+        observed: StoreId,
     },
-    /// The end of a job is gone, or was written anew; ends are kept as they are for ever.
+    /// The end of a job is missing or was written again; ends are kept unchanged forever.
     #[error("the end of {job} is gone")]
     JobEndMissing {
         /// The job.
         job: String,
     },
-    /// An accepted job is gone that has not ended.
+    /// An accepted job that has not ended is missing.
     #[error("accepted job {job} is gone")]
     JobMissing {
         /// The job.
         job: String,
     },
-    /// A key has a history that contradicts what was read.
+    /// The revision of a key, or its absence, contradicts what was read before.
     #[error("key {key} contradicts what was read of it")]
     KeyMismatch {
         /// The key.
         key: String,
     },
-    /// A controller that starts on an empty store finds that there was one before.
+    /// A controller starts on an empty store and finds that it was in use before.
     #[error("the store is empty, but {evidence}")]
     EmptyAfterUse {
-        /// Who knows of the earlier store, and what.
+        /// Who knows of the earlier store, and what they know.
         evidence: String,
     },
-    /// A worker runs a task that the store does not explain.
+    /// A worker runs a task of which the store has no record.
     #[error("{machine} runs {task}, which no record explains")]
     UnrecordedTask {
-        /// Where it runs.
+        /// The machine that runs it.
         machine: String,
-        /// Its name.
+        /// Name of the task.
         task: String,
     },
-    /// Another controller that remembers more says so.
+    /// Another controller, which had read more of the store, reports the loss.
     #[error("controller {peer} says that it has lost data")]
     ReportedByPeer {
-        /// Its label.
+        /// Label of that controller.
         peer: String,
     },
-    /// Another controller has begun to rebuild the store.
+    /// Another controller has started to rebuild the store.
     #[error("a rebuild of the store has begun")]
     RebuildStarted,
 }
 
-/// Compares what was known of a store with what a whole new read of it shows.
-pub fn audit(known: &StoreImage, shown: &StoreImage) -> Result<(), DataLoss> {
-    check_identity(known, shown)?;
-    if shown.revision() < known.revision() {
+/// Compares the known image of a store with an image from a complete new read of it.
+pub fn audit(known: &StoreImage, observed: &StoreImage) -> Result<(), DataLoss> {
+    check_identity(known, observed)?;
+    if observed.revision() < known.revision() {
         return Err(DataLoss::RevisionRegressed {
             known: known.revision(),
-            shown: shown.revision(),
+            observed: observed.revision(),
         });
     }
-    let ended = ended_jobs(shown);
+    let ended = ended_jobs(observed);
     for (key, value) in known.iter() {
-        check_known_key(key, value, shown, &ended)?;
+        check_known_key(key, value, observed, &ended)?;
     }
-    for (key, value) in shown.iter() {
-        // All that was there at the known revision is known, and with the same revision.
-        let old = value.mod_revision <= known.revision();
-        if old && known.mod_revision(key) != value.mod_revision {
+    for (key, value) in observed.iter() {
+        // The known image holds every value up to its revision, with the same revision as observed.
+        let is_old = value.mod_revision <= known.revision();
+        if is_old && known.mod_revision(key) != value.mod_revision {
             return Err(DataLoss::KeyMismatch { key: key.to_string() });
         }
     }
     Ok(())
 }
 
-fn check_identity(known: &StoreImage, shown: &StoreImage) -> Result<(), DataLoss> {
-    match (known.identity(), shown.identity()) {
+fn check_identity(known: &StoreImage, observed: &StoreImage) -> Result<(), DataLoss> {
+    match (known.identity(), observed.identity()) {
         (Some(known), None) => Err(DataLoss::IdentityMissing { known }),
-        (Some(known), Some(shown)) if known != shown => {
-            Err(DataLoss::IdentityChanged { known, shown })
+        (Some(known), Some(observed)) if known != observed => {
+            Err(DataLoss::IdentityChanged { known, observed })
         }
         _ => Ok(()),
     }
 }
 
-/// Checks that a key that was known is there as it was, or has changed as it may.
+/// Checks that a known key is unchanged or has changed in a way that is allowed.
 fn check_known_key(
     key: &str,
     known: &StoredValue,
-    shown: &StoreImage,
+    observed: &StoreImage,
     ended: &BTreeSet<String>,
 ) -> Result<(), DataLoss> {
     let mismatch = || Err(DataLoss::KeyMismatch { key: key.to_string() });
-    let now = shown.get(key);
-    if now.is_some_and(|now| now.mod_revision < known.mod_revision) {
+    let current = observed.get(key);
+    if current.is_some_and(|current| current.mod_revision < known.mod_revision) {
         return mismatch();
     }
     match parse_key(key) {
-        Some(Key::End(job)) if now.is_none_or(|now| now.mod_revision != known.mod_revision) => {
+        Some(Key::End(job))
+            if current.is_none_or(|current| current.mod_revision != known.mod_revision) =>
+        {
             Err(DataLoss::JobEndMissing { job: job.to_string() })
         }
-        Some(Key::Batch(_) | Key::GangBatch(_)) if now.is_none() => {
-            match first_open_job(&known.data, ended) {
+        Some(Key::Batch(_) | Key::GangBatch(_)) if current.is_none() => {
+            match first_live_job(&known.data, ended) {
                 Some(job) => Err(DataLoss::JobMissing { job }),
                 None => Ok(()),
             }
         }
-        // The leader key ends with its lease, and what a later version stores is not ours to judge.
+        // The leader key is removed when its lease expires, and nothing is known of keys that only
+        // a later version uses.
         Some(Key::Leader) | None => Ok(()),
-        // Nothing else is ever removed, but by a rebuild, which gives the store another identity.
-        Some(_) if now.is_none() => mismatch(),
+        // No other key is ever removed except by a rebuild, which gives the store another identity.
+        Some(_) if current.is_none() => mismatch(),
         Some(_) => Ok(()),
     }
 }
 
 /// The first job of a stored batch that has not ended.
-fn first_open_job(batch: &str, ended: &BTreeSet<String>) -> Option<String> {
+fn first_live_job(batch: &str, ended: &BTreeSet<String>) -> Option<String> {
     let batch = serde_json::from_str::<BatchRecord>(batch).ok()?;
-    let open = batch.jobs.iter().find(|job| !ended.contains(&job.uid));
-    open.map(|job| job.uid.clone())
+    let live = batch.jobs.iter().find(|job| !ended.contains(&job.uid));
+    live.map(|job| job.uid.clone())
 }
 
 fn ended_jobs(image: &StoreImage) -> BTreeSet<String> {
--- a/crates/mountgap-recovery/tests/laws.rs
+++ b/crates/mountgap-recovery/tests/laws.rs
@@ -197,7 +197,7 @@
     let empty = audit(&known, &StoreImage::new());
     assert_eq!(empty, Err(DataLoss::IdentityMissing { known: StoreId(7) }));
     let other = audit(&known, &history(8, &[0; 9]).image);
-    assert_eq!(other, Err(DataLoss::IdentityChanged { known: StoreId(7), shown: StoreId(8) }));
+    assert_eq!(other, Err(DataLoss::IdentityChanged { known: StoreId(7), observed: StoreId(8) }));
     let other = history(8, &[]).image;
     assert!(known.join(&other).is_err());
 }
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -95,7 +95,7 @@
             return true;
         }
         if changes.revision < since {
-            let loss = DataLoss::RevisionRegressed { known: since, shown: changes.revision };
+            let loss = DataLoss::RevisionRegressed { known: since, observed: changes.revision };
             self.suspect_data_loss(Some(loss));
             return false;
         }
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -84,7 +84,7 @@
             return true;
         }
         if sent.epoch == self.store.epoch() && revision <= sent.revision {
-            let loss = DataLoss::RevisionRegressed { known: sent.revision, shown: revision };
+            let loss = DataLoss::RevisionRegressed { known: sent.revision, observed: revision };
             self.suspect_data_loss(Some(loss));
         }
         sent.epoch == self.store.epoch()
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -73,7 +73,7 @@
         let Some(leader) = &self.leader else { return };
         let known = leader.mod_revision;
         if revision <= known && self.recovery.notices_losses() {
-            let loss = DataLoss::RevisionRegressed { known, shown: revision };
+            let loss = DataLoss::RevisionRegressed { known, observed: revision };
             return self.suspect_data_loss(Some(loss));
         }
         self.apply_pending_transaction(revision);
