--- a/crates/mountgap-recovery/src/constants.rs
+++ b/crates/mountgap-recovery/src/constants.rs
@@ -1,22 +1,25 @@
-//! Constants of the rebuild, each with its unit and its reason.
+//! Constants of the recovery, each with its unit and reason.
 
-/// Terms left free between the highest one that any source knows and the term of a rebuild. Terms
-/// that were taken in the lost part of the history are below it, so that attempts, rental names and
-/// tokens made from them are never made again: at one election a second this covers 18 hours.
-pub const TERM_GAP: u64 = 1 << 16;
+/// Terms that a rebuild skips above the highest term that any source knows. Terms that were taken
+/// in the lost part of the history are then below the term of the rebuild, so that the attempts,
+/// rental names and fencing tokens derived from them are never reused. At one election a second
+/// this covers 18 hours.
+pub const REBUILD_TERM_MARGIN: u64 = 1 << 16;
 
-/// Highest term that is believed when a worker shows it as its token. Attempt numbers hold the term
-/// above 26 bits, so that terms have 38; a token beyond half of these is no term.
-pub const TERM_BELIEVED_MAX: u64 = 1 << 37;
+/// Highest term that is accepted from a worker's fencing token. An attempt number holds the term
+/// above its low 26 bits, which leaves the term 38 bits; a token in the upper half of that range is
+/// not plausible.
+pub const PLAUSIBLE_TERM_MAX: u64 = 1 << 37;
 
-/// Bytes of a value that are kept for its framing beside the records in it.
-pub const VALUE_FRAME_BYTES: usize = 64;
+/// Bytes of a value that are reserved for the JSON around its entries.
+pub const VALUE_OVERHEAD_BYTES: usize = 64;
 
-/// Conditions that a transaction may have for each change (protocol).
+/// Conditions that the protocol of the state service allows for each change of a transaction.
 pub const CONDITIONS_PER_CHANGE: usize = 4;
 
-/// Bytes of a transaction's changes: the protocol's 64 KiB less room for conditions and names.
-pub const TRANSACTION_BYTES: usize = 48 * 1024;
+/// Bytes of a transaction's changes: the protocol's 64 KiB minus a reserve for conditions and
+/// names.
+pub const TRANSACTION_BYTES_MAX: usize = 48 * 1024;
 
 /// Maximum size of a decompressed snapshot in bytes. A hundred thousand tasks take about 10 MB; the
 /// limit keeps a damaged length from exhausting the memory.
--- a/crates/mountgap-recovery/src/image.rs
+++ b/crates/mountgap-recovery/src/image.rs
@@ -1,16 +1,17 @@
-//! Images: all keys and values of the store as one controller has read them.
+//! Images: copies of all keys and values of a store, as one controller has read them.
 //!
-//! An image is complete up to a revision. Above it single values and removals can be known, those
-//! that a controller wrote itself and that were confirmed before it read them. The map is a
-//! persistent one: a copy is made in constant time and stays as it is while the original goes on,
-//! so that a snapshot is written beside the event loop.
+//! An image is complete up to a revision. Above that revision it can hold single values and
+//! removals, namely the controller's own writes that were confirmed before it read them back. The
+//! map is persistent (it shares its structure with its copies): a copy takes constant time and
+//! doesn't change with the original, so that a snapshot can be written while the event loop goes
+//! on.
 
 use imbl::OrdMap;
 use mountgap_records::records::{StoreIdRecord, TermRecord};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Names a store. A store that was emptied gets another identity.
+/// Identity of a store. A store that was emptied gets another identity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
@@ -29,18 +30,18 @@
     pub data: Arc<str>,
 }
 
-/// Two images are of different stores, so that their revisions can't be compared.
+/// Two images come from different stores, so their revisions can't be compared.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("images of different stores")]
 pub struct DifferentStores;
 
-/// All that a controller has read of a store.
+/// The keys and values of a store, as one controller has read them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StoreImage {
-    /// All changes up to this revision are in.
+    /// The image contains all changes up to this revision.
     revision: u64,
     values: OrdMap<Arc<str>, StoredValue>,
-    /// Keys removed above `revision`, with the revisions of their removals.
+    /// Keys that were removed after `revision`, with the revisions of their removals.
     removed: OrdMap<Arc<str>, u64>,
 }
 
@@ -50,7 +51,7 @@
         StoreImage::default()
     }
 
-    /// The revision up to which all changes are in.
+    /// The revision up to which the image is complete.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -60,26 +61,26 @@
         self.values.len()
     }
 
-    /// Whether no key is known.
+    /// Whether the image has no keys.
     pub fn is_empty(&self) -> bool {
         self.values.is_empty()
     }
 
-    /// The identity of the store, if it has one.
+    /// The identity of the store, if it has a readable one.
     pub fn identity(&self) -> Option<StoreId> {
         let value = self.values.get(mountgap_records::records::store_key().as_str())?;
         let record: StoreIdRecord = serde_json::from_str(&value.data).ok()?;
         Some(StoreId(record.id))
     }
 
-    /// The term in the store; 0 if there is none.
+    /// The highest term ever taken, as stored; 0 if there is none or it can't be read.
     pub fn term(&self) -> u64 {
         let value = self.values.get(mountgap_records::records::term_key().as_str());
         let record = value.and_then(|value| serde_json::from_str::<TermRecord>(&value.data).ok());
         record.map_or(0, |record| record.term)
     }
 
-    /// A value by its key.
+    /// The value of a key.
     pub fn get(&self, key: &str) -> Option<&StoredValue> {
         self.values.get(key)
     }
@@ -94,7 +95,7 @@
         self.values.iter()
     }
 
-    /// Keys with their values after a key, in their order.
+    /// All keys that sort after `key`, with their values, in the order of the keys.
     pub fn iter_after<'a>(
         &'a self,
         key: &str,
@@ -103,12 +104,13 @@
         self.values.range::<_, str>((Excluded(key), Unbounded))
     }
 
-    /// Removals above the revision of the image.
+    /// Keys that were removed after the image's revision, with the revisions of their removals.
     pub fn removals(&self) -> impl Iterator<Item = (&Arc<str>, u64)> {
         self.removed.iter().map(|(key, mod_revision)| (key, *mod_revision))
     }
 
-    /// Puts in a value; an older one than is known, or one removed since, is left out.
+    /// Sets a value, unless the image has one at least as new or knows that the key was
+    /// removed since.
     pub fn put(&mut self, key: &str, mod_revision: u64, data: &str) {
         let newer = self.mod_revision(key) < mod_revision;
         let removed_since =
@@ -118,8 +120,8 @@
         }
     }
 
-    /// Puts in a value that may be known with the same revision as another JSON text, of which the
-    /// lesser counts.
+    /// Like [`StoreImage::put`], but of two JSON texts with the same revision the lesser is kept,
+    /// so that the result doesn't depend on the order of the calls.
     fn put_canonical(&mut self, key: &str, value: &StoredValue) {
         match self.values.get_mut(key) {
             Some(known) if known.mod_revision == value.mod_revision => {
@@ -131,7 +133,8 @@
         }
     }
 
-    /// Takes out a key that was removed at a revision.
+    /// Removes a key as of a revision, unless its value is newer. A removal after the image's
+    /// revision is remembered until the image is complete up to it.
     pub fn remove(&mut self, key: &str, mod_revision: u64) {
         if self.values.get(key).is_some_and(|value| value.mod_revision < mod_revision) {
             self.values.remove(key);
@@ -142,43 +145,45 @@
         }
     }
 
-    /// All changes up to a revision are in.
+    /// Declares the image complete up to a revision; a lower one than the present has no effect.
     pub fn advance(&mut self, revision: u64) {
         if revision <= self.revision {
             return;
         }
         self.revision = revision;
-        let passed: Vec<Arc<str>> = self
+        let covered: Vec<Arc<str>> = self
             .removed
             .iter()
             .filter(|(_, removed_at)| **removed_at <= revision)
             .map(|(key, _)| key.clone())
             .collect();
-        for key in passed {
+        for key in covered {
             self.removed.remove(&key);
         }
     }
 
-    /// Joins two images of one store: of each key the newer value, unless the other image has
-    /// seen its removal. The order of joins does not matter, and joining again changes nothing.
-    pub fn join(&self, other: &StoreImage) -> Result<StoreImage, DifferentStores> {
+    /// Merges two images of one store: takes the newer value of each key, unless the other image is
+    /// complete up to the value's revision and doesn't have the key, which shows that it was
+    /// removed. The order of merges doesn't matter (commutative), and repeating one changes nothing
+    /// (idempotent).
+    pub fn merge(&self, other: &StoreImage) -> Result<StoreImage, DifferentStores> {
         if self.identity() != other.identity() {
             return Err(DifferentStores);
         }
-        let mut joined =
+        let mut merged =
             StoreImage { revision: self.revision.max(other.revision), ..StoreImage::default() };
         for (key, removed_at) in self.removals().chain(other.removals()) {
-            joined.remove(key, removed_at);
+            merged.remove(key, removed_at);
         }
         for (image, counterpart) in [(self, other), (other, self)] {
             for (key, value) in image.iter() {
-                let seen_removed =
+                let was_removed =
                     value.mod_revision <= counterpart.revision && counterpart.get(key).is_none();
-                if !seen_removed {
-                    joined.put_canonical(key, value);
+                if !was_removed {
+                    merged.put_canonical(key, value);
                 }
             }
         }
-        Ok(joined)
+        Ok(merged)
     }
 }
--- a/crates/mountgap-recovery/src/merged_state.rs
+++ b/crates/mountgap-recovery/src/merged_state.rs
@@ -1,10 +1,12 @@
-//! What the records of all sources say together, whatever store they come from.
+//! Merges the records of all sources, whichever store they come from.
 //!
-//! Images of one store are joined key by key, since their revisions can be compared. What a
-//! half-written or a set back store holds beside them can't be: its records are joined one by one.
-//! A join is a union in which an end beats no end, done tasks only grow, and of two placements of a
-//! task the one with the higher attempt counts, since an attempt is placed only once the last is
-//! settled. So the order of sources does not matter, and joining again changes nothing.
+//! Images of one store are merged key by key ([`StoreImage::merge`]), since their revisions can be
+//! compared. Revisions of different stores, or of a store that is partly rebuilt or was restored
+//! from a backup, can't be: there the records are merged one by one. The merge is a union: an end
+//! takes precedence over no end, sets of done tasks are united, and of two placements of a task the
+//! one with the higher attempt is kept, since a task is placed again only once its last attempt is
+//! settled. So the order of merges doesn't matter (commutative), and repeating one changes nothing
+//! (idempotent).
 
 use crate::image::StoreImage;
 use mountgap_records::constants::DONE_CHUNK_TASKS;
@@ -21,7 +23,7 @@
 /// A task's machine and attempt.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlacedTask {
-    /// Attempt; of two the higher one is the later.
+    /// Number of the attempt; later attempts have higher numbers.
     pub attempt: u64,
     /// Name of the machine.
     pub machine: String,
@@ -32,45 +34,46 @@
 pub struct AcceptedBatch {
     /// The batch as stored.
     pub record: BatchRecord,
-    /// Revision of its key in the source, for the order of arrival.
+    /// Revision of its key in the source, which gives the order of arrival.
     pub mod_revision: u64,
 }
 
-/// What the records of all sources say together.
+/// The merged records of any number of sources.
 #[derive(Debug, Clone, Default)]
 pub struct MergedState {
-    /// Batches of jobs by key, gangs' too.
+    /// Batches of accepted jobs by key, those of gangs included.
     pub batches: BTreeMap<String, AcceptedBatch>,
     /// Ends by job.
     pub ends: BTreeMap<String, JobEndRecord>,
-    /// Done tasks by job, as stored texts by chunk.
+    /// Done tasks by job: by the number of the chunk, its bitmap as stored text.
     pub done: BTreeMap<String, BTreeMap<u32, String>>,
-    /// Placements by task.
+    /// Placements by job and task.
     pub placements: BTreeMap<(String, u32), PlacedTask>,
-    /// Jobs that could not be accounted for.
+    /// Jobs that a rebuild could not account for, with the reason.
     pub flagged: BTreeMap<String, FlagReason>,
-    /// Controllers whose memory an earlier rebuild lacked, where no operator has closed that gap yet.
+    /// Controllers whose memory of the time before the loss was missing in an earlier rebuild, as
+    /// long as no operator has closed that gap.
     pub open_gap: BTreeSet<String>,
     /// The teams' shares.
     pub shares: Option<SharesRecord>,
-    /// The catalogue as stored.
+    /// The catalog as stored.
     pub catalog: Option<String>,
-    /// Highest term.
+    /// Highest term of all sources.
     pub term: u64,
     /// Keys whose values can't be read.
     pub unreadable: BTreeSet<String>,
 }
 
-/// How much a rebuild has recovered, for the log.
+/// How much a rebuild recovers, for the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MergeSummary {
-    /// Jobs that go on.
+    /// Jobs that have not ended and are not flagged.
     pub recovered: usize,
     /// Jobs that have ended.
     pub ended: usize,
-    /// Jobs that are flagged.
+    /// Jobs that are flagged, since the rebuild can't account for them.
     pub flagged: usize,
-    /// Placements of tasks that may run.
+    /// Placements of tasks that may still run.
     pub placements: usize,
     /// Keys whose values can't be read.
     pub unreadable: usize,
@@ -88,7 +91,7 @@
         merged
     }
 
-    /// Adds one stored value; none if it can't be read.
+    /// Adds one stored value; `None` if it can't be read.
     fn add_value(&mut self, key: &str, mod_revision: u64, data: &str) -> Option<()> {
         fn read<T: DeserializeOwned>(data: &str) -> Option<T> {
             serde_json::from_str(data).ok()
@@ -131,9 +134,9 @@
         Some(())
     }
 
-    /// Joins what another merged state says. The order of joins does not matter, and joining again
-    /// changes nothing.
-    pub fn join(&mut self, other: &MergedState) {
+    /// Merges another state into this one. The order of merges doesn't matter (commutative), and
+    /// repeating one changes nothing (idempotent).
+    pub fn merge(&mut self, other: &MergedState) {
         for (key, batch) in &other.batches {
             self.add_batch(key, batch.clone());
         }
@@ -156,8 +159,9 @@
         self.unreadable.extend(other.unreadable.iter().cloned());
     }
 
-    /// A batch is never changed once it is written; should two differ, the larger text counts
-    /// everywhere.
+    /// Adds a batch. A batch never changes once it is written; should two with the same key differ,
+    /// the one whose jobs are the larger text is kept, so that the result doesn't depend on the
+    /// order.
     fn add_batch(&mut self, key: &str, batch: AcceptedBatch) {
         let jobs_text =
             |record: &BatchRecord| serde_json::to_string(&record.jobs).unwrap_or_default();
@@ -166,9 +170,9 @@
                 self.batches.insert(key.to_string(), batch);
             }
             Some(known) => {
-                let rank = |batch: &AcceptedBatch| (jobs_text(&batch.record), batch.record.at);
+                let order = |batch: &AcceptedBatch| (jobs_text(&batch.record), batch.record.at);
                 let mod_revision = known.mod_revision.max(batch.mod_revision);
-                if rank(known) < rank(&batch) {
+                if order(known) < order(&batch) {
                     *known = batch;
                 }
                 known.mod_revision = mod_revision;
@@ -176,12 +180,13 @@
         }
     }
 
-    /// Of two ends of a job, which only sources of different histories can have, completion counts:
-    /// there is a result.
+    /// Adds the end of a job. Only sources with different histories can hold two ends of a job;
+    /// then a completion takes precedence, since the job has a result.
     fn add_end(&mut self, job: &str, end: JobEndRecord) {
-        let rank = |end: &JobEndRecord| (end.stage == JobStage::Done, end.done, end.at, end.tasks);
+        let precedence =
+            |end: &JobEndRecord| (end.stage == JobStage::Done, end.done, end.at, end.tasks);
         match self.ends.get_mut(job) {
-            Some(known) if rank(known) >= rank(&end) => {}
+            Some(known) if precedence(known) >= precedence(&end) => {}
             Some(known) => *known = end,
             None => {
                 self.ends.insert(job.to_string(), end);
@@ -213,60 +218,61 @@
     }
 
     fn add_shares(&mut self, shares: SharesRecord) {
-        let rank = |shares: &SharesRecord| (shares.term, shares.teams.clone());
-        if self.shares.as_ref().is_none_or(|known| rank(known) < rank(&shares)) {
+        let order = |shares: &SharesRecord| (shares.term, shares.teams.clone());
+        if self.shares.as_ref().is_none_or(|known| order(known) < order(&shares)) {
             self.shares = Some(shares);
         }
     }
 
-    /// Prices move and types stay: any of two catalogues does, as long as it is the same for all.
+    /// Adds a catalog. Catalogs differ in prices, hardly in machine types, so either of two will do
+    /// as long as the choice doesn't depend on the order.
     fn add_catalog(&mut self, catalog: &str) {
         if self.catalog.as_deref().is_none_or(|known| known < catalog) {
             self.catalog = Some(catalog.to_string());
         }
     }
 
-    /// Descriptions of all jobs, by job.
+    /// Specifications of all jobs in the batches, by job id.
     pub fn jobs(&self) -> BTreeMap<&str, &Rc<JobSpec>> {
         let records = self.batches.values().flat_map(|batch| &batch.record.jobs);
         records.map(|spec| (spec.uid.as_str(), spec)).collect()
     }
 
-    /// Jobs that have not ended.
+    /// Ids of the jobs that have not ended.
     pub fn live_jobs(&self) -> impl Iterator<Item = &str> {
         self.jobs().into_keys().filter(|job| !self.ends.contains_key(*job))
     }
 
-    /// Flags every job that has not ended: some source is lost that may have told its user
-    /// of an end.
+    /// Flags every job that has not ended. Used when a source is missing that may have confirmed
+    /// the end of any of them to its user.
     pub fn flag_live_jobs(&mut self, reason: FlagReason) {
         let live: Vec<String> = self.live_jobs().map(str::to_string).collect();
         live.iter().for_each(|job| self.add_flag(job, reason));
     }
 
-    /// Takes out what is of no use any more: batches whose jobs have all ended with nothing left on
-    /// machines, done tasks and flags of ended jobs, and placements of jobs that no source
-    /// describes. The latter's tasks are found by the workers' reports and left alone.
-    pub fn tidy(&mut self) {
+    /// Removes what is no longer needed: batches whose jobs have all ended and have no placements
+    /// left, done tasks and flags of ended jobs, and placements of jobs that no batch contains.
+    /// Tasks of the latter show up in the workers' heartbeats and are left running.
+    pub fn remove_obsolete(&mut self) {
         let placed: BTreeSet<&str> = self.placements.keys().map(|(job, _)| job.as_str()).collect();
-        let over = |job: &str| self.ends.contains_key(job) && !placed.contains(job);
-        let spent: Vec<String> = self
+        let is_finished = |job: &str| self.ends.contains_key(job) && !placed.contains(job);
+        let obsolete: Vec<String> = self
             .batches
             .iter()
-            .filter(|(_, batch)| batch.record.jobs.iter().all(|job| over(&job.uid)))
+            .filter(|(_, batch)| batch.record.jobs.iter().all(|job| is_finished(&job.uid)))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in spent {
+        for key in obsolete {
             self.batches.remove(&key);
         }
-        let described: BTreeSet<String> = self.jobs().into_keys().map(str::to_string).collect();
+        let known_jobs: BTreeSet<String> = self.jobs().into_keys().map(str::to_string).collect();
         let ends = &self.ends;
-        self.placements.retain(|(job, _), _| described.contains(job));
-        self.done.retain(|job, _| described.contains(job) && !ends.contains_key(job));
-        self.flagged.retain(|job, _| described.contains(job) && !ends.contains_key(job));
+        self.placements.retain(|(job, _), _| known_jobs.contains(job));
+        self.done.retain(|job, _| known_jobs.contains(job) && !ends.contains_key(job));
+        self.flagged.retain(|job, _| known_jobs.contains(job) && !ends.contains_key(job));
     }
 
-    /// How many jobs and placements there are, for the log.
+    /// Numbers of jobs, placements and unreadable keys, for the log.
     pub fn summary(&self) -> MergeSummary {
         let live = self.live_jobs().count();
         MergeSummary {
@@ -278,7 +284,7 @@
         }
     }
 
-    /// Done tasks as stored, by the name of their chunk.
+    /// Bitmaps of done tasks as stored, with the names of their chunks.
     pub fn done_chunks(&self) -> impl Iterator<Item = (String, &String)> {
         self.done.iter().flat_map(|(job, chunks)| {
             chunks.iter().map(move |(chunk, text)| (chunk_name(job, *chunk), text))
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -7,7 +7,7 @@
 use crate::protocol::state::{Condition, Mutation, Transaction};
 use crate::storage::records::{store_key, RebuildPhase, RebuildRecord, StoreIdRecord};
 use mountgap_recovery::audit::DataLoss;
-use mountgap_recovery::constants::TERM_GAP;
+use mountgap_recovery::constants::REBUILD_TERM_MARGIN;
 use mountgap_recovery::image::StoreImage;
 use rand::Rng;
 
@@ -31,7 +31,7 @@
             return known.saturating_add(1);
         }
         let lost = self.recovery.lost_image().map_or(0, StoreImage::term);
-        known.max(lost).saturating_add(1).saturating_add(TERM_GAP)
+        known.max(lost).saturating_add(1).saturating_add(REBUILD_TERM_MARGIN)
     }
 
     /// What an election commits beside leader key and term: the identity of a new store, or the record
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -13,13 +13,13 @@
 use crate::protocol::peers::{Gossip, RecoveryState};
 use crate::protocol::workers::Heartbeat;
 use mountgap_recovery::audit::DataLoss;
-use mountgap_recovery::constants::TERM_BELIEVED_MAX;
+use mountgap_recovery::constants::PLAUSIBLE_TERM_MAX;
 use mountgap_recovery::image::StoreId;
 
 impl Controller {
     /// A worker that shows a token has been answered by a leader, so there was a store.
     pub(in crate::coordination) fn check_worker_token(&mut self, report: &Heartbeat) {
-        let believed = report.fencing_token > 0 && report.fencing_token <= TERM_BELIEVED_MAX;
+        let believed = report.fencing_token > 0 && report.fencing_token <= PLAUSIBLE_TERM_MAX;
         if !believed || !self.recovery.is_suspended() {
             return;
         }
--- a/src/coordination/recovery/rebuild_plan.rs
+++ b/src/coordination/recovery/rebuild_plan.rs
@@ -96,7 +96,7 @@
     ) -> (MergedState, Vec<String>) {
         let mut merged = MergedState::default();
         for image in histories.iter().chain([self.recovery.image()]) {
-            merged.join(&MergedState::from_image(image));
+            merged.merge(&MergedState::from_image(image));
         }
         // What an interrupted rebuild has written is no better known than what it was written from.
         if !gap.is_empty() && self.recovery.gap_policy() == GapPolicy::Hold {
@@ -106,7 +106,7 @@
         let open_gap = merged.open_gap.iter().filter(|label| !gap.contains(label));
         let open_gap: Vec<String> = open_gap.cloned().collect();
         gap.extend(open_gap);
-        merged.tidy();
+        merged.remove_obsolete();
         (merged, gap)
     }
 
@@ -129,7 +129,7 @@
         let same = histories.iter_mut().find(|history| audit(&image, history).is_ok());
         match same {
             Some(history) => {
-                if let Ok(joined) = history.join(&image) {
+                if let Ok(joined) = history.merge(&image) {
                     *history = joined;
                 }
             }
