--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -13,14 +13,14 @@
 use crate::protocol::peers::{Gossip, RecoveryState};
 use crate::protocol::workers::Heartbeat;
 use mountgap_recovery::audit::DataLoss;
-use mountgap_recovery::constants::TERM_BELIEVED_MAX;
+use mountgap_recovery::constants::PLAUSIBLE_TERM_MAX;
 use mountgap_recovery::image::StoreId;
 
 impl Controller {
     /// Records a worker's fencing token as evidence of an earlier store: a leader has answered the worker.
     pub(in crate::coordination) fn check_worker_token(&mut self, heartbeat: &Heartbeat) {
         let token = heartbeat.fencing_token;
-        let plausible = token > 0 && token <= TERM_BELIEVED_MAX;
+        let plausible = token > 0 && token <= PLAUSIBLE_TERM_MAX;
         if !plausible || !self.recovery.is_suspended() {
             return;
         }
--- a/src/coordination/recovery/rebuild_plan.rs
+++ b/src/coordination/recovery/rebuild_plan.rs
@@ -96,7 +96,7 @@
     ) -> (MergedState, Vec<String>) {
         let mut merged = MergedState::default();
         for image in histories.iter().chain([self.recovery.image()]) {
-            merged.join(&MergedState::from_image(image));
+            merged.merge(&MergedState::from_image(image));
         }
         // This includes jobs that an interrupted rebuild has written, also from incomplete histories.
         if !gap.is_empty() && self.recovery.gap_policy() == GapPolicy::Hold {
@@ -106,7 +106,7 @@
         let open_gap = merged.open_gap.iter().filter(|label| !gap.contains(label));
         let open_gap: Vec<String> = open_gap.cloned().collect();
         gap.extend(open_gap);
-        merged.tidy();
+        merged.remove_obsolete();
         (merged, gap)
     }
 
@@ -130,7 +130,7 @@
         let same_store = histories.iter_mut().find(|history| audit(&image, history).is_ok());
         match same_store {
             Some(history) => {
-                if let Ok(joined) = history.join(&image) {
+                if let Ok(joined) = history.merge(&image) {
                     *history = joined;
                 }
             }
