--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -85,8 +85,8 @@
     pub(super) fn user_request(&mut self, requester: Requester, route: UserRoute<'_>, body: &[u8]) {
         match route {
             UserRoute::Submit => self.submit(requester, body),
-            UserRoute::Poll { uid } => self.poll_job(requester, uid),
-            UserRoute::Cancel { uid } => self.cancel(requester, uid),
+            UserRoute::Poll { job_id } => self.poll_job(requester, job_id),
+            UserRoute::Cancel { job_id } => self.cancel(requester, job_id),
         }
     }
 
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -22,7 +22,7 @@
             Ok(submission) => submission,
             Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
-        let uid = submission.uid().to_string();
+        let uid = submission.job_id().to_string();
         if !self.admit(requester, "POST", JOBS_PATH, body) {
             return;
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,19 +1,20 @@
-//! mountgap: a cluster scheduler in one program.
+//! mountgap: a cluster scheduler in a single binary.
 //!
-//! Several controllers run the same program, keep no disk and share one small
-//! state service. The layers, from the outside in:
+//! Several redundant controllers run this binary. They share one small state service, elect a leader
+//! and need no local disk. The layers, from the outside in:
 //!
 //! * [`transport`]: sockets, HTTP, connections and deadlines;
-//! * [`protocol`]: the messages of every interface, nothing else knows wire names;
-//! * [`coordination`]: leadership, planning, machines, workers' commands, users' requests;
-//! * [`storage`]: what is stored and what is counted;
-//! * [`snapshots`]: the store's image in files, where operators want that.
+//! * [`protocol`]: the messages of every interface; only this layer knows the names on the wire;
+//! * [`coordination`]: leadership, planning, machines, commands to workers, users' requests;
+//! * [`storage`]: the local replica of the store and the state of the cluster derived from it;
+//! * [`snapshots`]: optional snapshot files of the store, for recovery after a data loss.
 //!
-//! Beside them stand [`settings`], the two settings files; [`daemon`], the loop that joins the layers; and
-//! [`cli`], the subcommands that ask a running controller.
+//! Other modules: [`settings`] reads the two settings files, [`constants`] holds the tuning constants,
+//! [`daemon`] is the event loop that connects the layers, and [`cli`] has the subcommands that query a
+//! running controller.
 //!
-//! The core ([`coordination::Controller`]) does no I/O: commands go in, effects come
-//! out, and time and randomness are passed in.
+//! The core ([`coordination::Controller`]) does no I/O: it takes commands and returns effects, and
+//! time and randomness are passed in.
 
 pub mod cli;
 pub mod constants;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,149 +1,150 @@
-//! Controllers -> cloud ("Controller nodes -> cloud" of the protocol): the catalog, renting, returning and
-//! listing machines.
+//! Requests of controllers to the cloud: the catalog of machine types, and renting, returning and listing
+//! machines.
 
 use super::Resources;
 use serde::{Deserialize, Serialize};
 
-/// What can be rented ("GET /catalog" of the protocol).
+/// The machine types that can be rented (`GET /catalog`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Every type that can be rented.
+    /// All machine types.
     #[serde(rename = "builds")]
     pub machine_types: Vec<MachineType>,
 }
 
 impl Catalog {
-    /// A type by its name.
+    /// Finds a machine type by name.
     pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
         self.machine_types.iter().find(|machine_type| machine_type.type_name == name)
     }
 
-    /// Seconds that the slowest type takes to boot, as a rule.
+    /// Typical boot time in seconds of the machine type that boots slowest; 0 without any type.
     pub fn longest_boot_s(&self) -> f64 {
         self.machine_types.iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max)
     }
 }
 
-/// A machine type ("GET /catalog" of the protocol).
+/// A machine type (`GET /catalog`).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Name of the type.
     #[serde(rename = "sku")]
     pub type_name: String,
-    /// Cores of a machine.
+    /// Number of cores.
     pub cores: f64,
-    /// GPUs of a machine.
+    /// Number of GPUs.
     pub gpus: f64,
-    /// Gigabytes of memory of a machine.
+    /// Memory in gigabytes.
     pub ram_gb: f64,
-    /// Gigabytes of images that a machine keeps.
+    /// Size in gigabytes of the machine's image cache; 0 if unknown.
     #[serde(default)]
     #[serde(rename = "local_gb")]
     pub cache_gb: f64,
-    /// Rate at which a machine fetches images.
+    /// Rate in gigabytes per second at which a machine fetches images; 0 if unknown.
     #[serde(default)]
     #[serde(rename = "pull_gb_per_s")]
     pub fetch_gb_per_s: f64,
-    /// Price of an hour.
+    /// Price per hour of an on-demand machine.
     pub rate: f64,
-    /// Price of an hour of a spot machine; 0: not to be had.
+    /// Price per hour of a spot machine; 0 if the type is not offered as spot.
     #[serde(default)]
     #[serde(rename = "low_price")]
     pub spot_price: f64,
-    /// Seconds from the request until a machine is up, as a rule.
+    /// Typical time in seconds from the rental request until the machine is up.
     #[serde(rename = "ready_s")]
     pub boot_s: f64,
-    /// Zones in which it can be rented.
+    /// Zones in which the type can be rented.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// What a machine of this type has for tasks.
+    /// Resources that a machine of this type offers to tasks.
     pub fn total(&self) -> Resources {
         Resources::new(self.cores, self.gpus, self.ram_gb)
     }
 }
 
-/// Rents machines ("POST /hosts" of the protocol); a repeat with the same id rents nothing more.
+/// Request to rent machines (`POST /hosts`). It is idempotent: repeating it with the same id rents no further
+/// machines.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct RentalRequest {
-    /// Name of the request, never used again.
+    /// Id of the request, chosen by the controller; must not be reused for another request.
     #[serde(rename = "hire")]
     pub request_id: String,
-    /// Type to rent.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Zone to rent in.
+    /// Zone in which to rent the machines.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are asked for.
+    /// Whether to rent spot machines instead of on-demand ones.
     #[serde(rename = "lendables")]
     pub spot: bool,
-    /// Machines asked for.
+    /// Number of machines to rent.
     pub number: usize,
 }
 
-/// Names of machines: the answer to a rental ("POST /hosts" of the protocol), and the request that returns
-/// them ("POST /hosts/delete").
+/// Names of machines: the response to a rental request (`POST /hosts`), and the body of the request that
+/// returns machines (`POST /hosts/delete`).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Names of machines.
+    /// The names.
     #[serde(rename = "steads")]
     pub machines: Vec<String>,
 }
 
-/// State of a machine in the list ("GET /hosts" of the protocol).
+/// State of a machine according to the cloud's list (`GET /hosts`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedMachineStatus {
-    /// Rented, not yet up.
+    /// Rented, but not up yet.
     Starting,
-    /// Up, or not known to be down.
+    /// Up, as far as the cloud knows.
     Running,
-    /// Stopped on its own; nothing runs there.
+    /// Stopped without having been returned; no task runs on it.
     Failed,
-    /// A state of a later protocol.
+    /// A state added by a later protocol version.
     #[serde(other)]
     Unknown,
 }
 
-/// A machine in the list ("GET /hosts" of the protocol).
+/// An entry of the cloud's list of machines (`GET /hosts`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     pub uid: String,
-    /// Where its worker takes direct commands.
+    /// Address at which the machine's worker accepts direct commands; empty if not given.
     #[serde(default)]
     pub address: String,
-    /// Its type.
+    /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "lendables")]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     pub status: ListedMachineStatus,
-    /// Seconds since the request, at the time that the list describes.
+    /// Seconds from the rental request to the time that the list describes; 0 if not given.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// A page of the list of machines ("GET /hosts" of the protocol).
+/// A page of the cloud's list of machines (`GET /hosts`).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Machines in the order of their names.
+    /// Machines, sorted by name.
     #[serde(rename = "steads")]
     pub machines: Vec<ListedMachine>,
-    /// Whether the list goes on after the last of them.
+    /// Whether there are more machines after the last one of this page.
     #[serde(default)]
     pub has_next: bool,
 }
 
-/// Path of a page of the list: at most `limit` machines after the one named `since`.
+/// Path of a page of the list: at most `limit` machines after the one named `since`, or from the first one on.
 pub fn machine_list_path(since: Option<&str>, limit: usize) -> String {
     match since {
         Some(since) => format!("/hosts?since={since}&limit={limit}"),
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -1,17 +1,16 @@
-//! What every HTTP interface of a controller has in common, without its framing on the wire
-//! (see [`crate::transport::http`]).
+//! HTTP responses as the core sees them; [`crate::transport::http`] parses and frames them.
 
-/// The answer to a call to the state service, the cloud or a peer.
+/// The response to a call to the state service, the cloud or a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body, decoded; may be empty.
+    /// Body without transfer encoding; may be empty.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// An answer with this status and body.
+    /// Creates a response with this status and body.
     pub fn new(status: u16, body: impl Into<Vec<u8>>) -> Response {
         Response { status, body: body.into() }
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,8 @@
-//! The messages of every interface. Nothing outside this module knows wire names.
+//! The messages of every interface; no other module knows the names on the wire.
+//!
+//! The interfaces to users, workers, the state service and the cloud are specified outside this
+//! project. Serde attributes map the names used here to those on the wire, and a call such as
+//! `POST /checkin` in a comment names the request that a type belongs to.
 
 pub mod cloud;
 pub mod http;
--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -1,52 +1,52 @@
-//! The requests that a controller takes: method and path are parsed once, here, into a typed route.
+//! Routing of the requests to a controller: parses method and path into a typed route.
 //!
-//! Owns the paths of the controllers' own interface and the decision which requests are answered
-//! 404 or 405. It never looks into a body, and it doesn't check ids: whether a path's id has the form
-//! of a job id is for whoever answers the request.
+//! Defines the paths of the controllers' HTTP interface, and which requests are answered with 404 or 405.
+//! It doesn't read request bodies, and it doesn't check whether the id in a path has the form of a job id;
+//! the request's handler does.
 
 use super::recovery::{Decision, RECOVERY_PATH};
 
-/// Path of the workers' heartbeats ("POST /checkin" of the protocol).
+/// Path of the workers' heartbeats (`POST /checkin`).
 pub const HEARTBEAT_PATH: &str = "/checkin";
-/// Path of the health check ("GET /up" of the protocol).
+/// Path of the load balancer's health check (`GET /up`).
 pub const HEALTH_PATH: &str = "/up";
-/// Path of the operators' view of a running controller.
+/// Path of the status report for operators (`GET /v1/status`).
 pub const STATUS_PATH: &str = "/v1/status";
-/// Path of submissions ("POST /v1/jobs" of the protocol); jobs are below it.
+/// Path of submissions (`POST /v1/jobs`) and prefix of the paths of single jobs.
 pub const JOBS_PATH: &str = "/v1/jobs";
-/// Path on which controllers exchange what they know of each other.
+/// Path at which controllers exchange gossip (`POST /gossip`).
 pub const GOSSIP_PATH: &str = "/gossip";
-/// Path on which a controller asks a peer to answer a user's request.
+/// Path at which a controller relays a user's request to a peer (`POST /relay`).
 pub const RELAY_PATH: &str = "/relay";
-/// Path on which a controller asks a peer for its image of the lost store.
+/// Path at which a controller requests a peer's image of the lost store (`POST /image`).
 pub const IMAGE_PATH: &str = "/image";
 
-/// What stands behind a job's path when the job is to be cancelled.
+/// Suffix of a job's path that makes it the path of the job's cancellation.
 const CANCEL_SUFFIX: &str = "/withdraw";
 
-/// Path of a job ("GET /v1/jobs/{id}" of the protocol).
-pub fn job_path(uid: &str) -> String {
-    format!("{JOBS_PATH}/{uid}")
+/// Path of a job (`GET /v1/jobs/{id}`).
+pub fn job_path(job_id: &str) -> String {
+    format!("{JOBS_PATH}/{job_id}")
 }
 
-/// Path that cancels a job ("POST /v1/jobs/{id}/withdraw" of the protocol).
-pub fn cancel_path(uid: &str) -> String {
-    format!("{JOBS_PATH}/{uid}{CANCEL_SUFFIX}")
+/// Path at which a job is cancelled (`POST /v1/jobs/{id}/withdraw`).
+pub fn cancel_path(job_id: &str) -> String {
+    format!("{JOBS_PATH}/{job_id}{CANCEL_SUFFIX}")
 }
 
-/// Why a request has no route.
+/// Why a request has no route; the text is sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No request has this path.
+    /// The path does not exist.
     #[error("no such path")]
     NotFound,
-    /// Requests with this path have another method.
+    /// The path exists, but not with this method.
     #[error("wrong method")]
     MethodNotAllowed,
 }
 
 impl RouteError {
-    /// HTTP status to answer with.
+    /// HTTP status code of the response.
     pub fn status(self) -> u16 {
         match self {
             RouteError::NotFound => 404,
@@ -55,28 +55,28 @@
     }
 }
 
-/// A request of a user, a worker, an operator or a health check.
+/// A request from a user, a worker, an operator or the load balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route<'a> {
     /// A worker's heartbeat.
     Heartbeat,
     /// The load balancer's health check.
     HealthCheck,
-    /// The operators' view of the controller.
+    /// An operator's request for the status report.
     Status {
-        /// What follows the path's question mark; may be empty.
+        /// The part of the path after the question mark; may be empty.
         query: &'a str,
     },
-    /// The report on losses and rebuilds of the store.
+    /// An operator's request for the report on data losses and rebuilds of the store.
     RecoveryReport,
-    /// An operator's decision on jobs that a rebuild could not account for.
+    /// An operator's decision on jobs with an uncertain state after a rebuild of the store.
     RecoveryDecision(Decision),
     /// A user's request.
     User(UserRoute<'a>),
 }
 
 impl<'a> Route<'a> {
-    /// Parses method and path; the path may have a query, which only [`Route::Status`] reads.
+    /// Parses method and path. The path may have a query, which is ignored except for [`Route::Status`].
     pub fn parse(method: &str, path: &'a str) -> Result<Route<'a>, RouteError> {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
         match (method, path) {
@@ -93,7 +93,8 @@
         if (method, path) == ("GET", RECOVERY_PATH) {
             return Ok(Route::RecoveryReport);
         }
-        // Other methods on the report's own path are answered 404 too: operators' scripts know it so.
+        // Other methods at the path of the report are answered with 404 instead of 405, since operators'
+        // scripts rely on it.
         let decision = Decision::from_path(path).ok_or(RouteError::NotFound)?;
         match method {
             "POST" => Ok(Route::RecoveryDecision(decision)),
@@ -102,61 +103,61 @@
     }
 }
 
-/// A user's request, which a peer may pass on.
+/// A user's request, received directly or relayed by a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UserRoute<'a> {
-    /// Submits a job; the body has its id.
+    /// Submits a job, whose id is in the body.
     Submit,
-    /// Asks for a job's state.
+    /// Asks for the status of a job.
     Poll {
-        /// The id as it stands in the path.
-        uid: &'a str,
+        /// The job id from the path, not checked.
+        job_id: &'a str,
     },
     /// Cancels a job.
     Cancel {
-        /// The id as it stands in the path; unlike a poll's it may contain slashes.
-        uid: &'a str,
+        /// The job id from the path, not checked; unlike that of a poll, it may contain slashes.
+        job_id: &'a str,
     },
 }
 
 impl<'a> UserRoute<'a> {
-    /// Parses method and path; the path has no query.
+    /// Parses method and path; the caller has removed the query from the path.
     pub fn parse(method: &str, path: &'a str) -> Result<UserRoute<'a>, RouteError> {
         let below_jobs = path.strip_prefix(JOBS_PATH).ok_or(RouteError::NotFound)?;
         if below_jobs.is_empty() {
             return route_if(method == "POST", UserRoute::Submit);
         }
         let job = below_jobs.strip_prefix('/').ok_or(RouteError::NotFound)?;
-        if let Some(uid) = job.strip_suffix(CANCEL_SUFFIX) {
-            return route_if(method == "POST", UserRoute::Cancel { uid });
+        if let Some(job_id) = job.strip_suffix(CANCEL_SUFFIX) {
+            return route_if(method == "POST", UserRoute::Cancel { job_id });
         }
         if job.contains('/') {
             return Err(RouteError::NotFound);
         }
-        route_if(method == "GET", UserRoute::Poll { uid: job })
+        route_if(method == "GET", UserRoute::Poll { job_id: job })
     }
 }
 
-fn route_if(method_fits: bool, route: UserRoute<'_>) -> Result<UserRoute<'_>, RouteError> {
-    match method_fits {
+fn route_if(method_matches: bool, route: UserRoute<'_>) -> Result<UserRoute<'_>, RouteError> {
+    match method_matches {
         true => Ok(route),
         false => Err(RouteError::MethodNotAllowed),
     }
 }
 
-/// A request of another controller.
+/// A request from another controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerRoute {
-    /// What the sender knows of itself and others.
+    /// Gossip: the sender's state, answered with that of the receiver.
     Gossip,
-    /// A user's request that the receiver is asked to answer.
+    /// A user's request that the sender relays to the receiver.
     Relay,
-    /// A page of the receiver's image of the lost store.
+    /// A request for a page of the receiver's image of the lost store.
     Image,
 }
 
 impl PeerRoute {
-    /// Parses method and path. Between controllers another method has no answer of its own.
+    /// Parses method and path. A wrong method is answered like an unknown path.
     pub fn parse(method: &str, path: &str) -> Result<PeerRoute, RouteError> {
         match (method, path) {
             ("POST", GOSSIP_PATH) => Ok(PeerRoute::Gossip),
--- a/src/protocol/routes/tests.rs
+++ b/src/protocol/routes/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn each_request_of_the_protocol_has_its_route() {
+fn each_request_has_a_route() {
     assert_eq!(Route::parse("POST", "/checkin"), Ok(Route::Heartbeat));
     assert_eq!(Route::parse("GET", "/up"), Ok(Route::HealthCheck));
     assert_eq!(Route::parse("GET", "/v1/status"), Ok(Route::Status { query: "" }));
@@ -20,13 +20,16 @@
         assert_eq!(Route::parse("POST", &path), Ok(Route::RecoveryDecision(decision)));
     }
     assert_eq!(Route::parse("POST", "/v1/jobs"), Ok(Route::User(UserRoute::Submit)));
-    let uid = "job-000412";
-    assert_eq!(Route::parse("GET", &job_path(uid)), Ok(Route::User(UserRoute::Poll { uid })));
-    assert_eq!(Route::parse("POST", &cancel_path(uid)), Ok(Route::User(UserRoute::Cancel { uid })));
+    let job_id = "job-000412";
+    assert_eq!(Route::parse("GET", &job_path(job_id)), Ok(Route::User(UserRoute::Poll { job_id })));
+    assert_eq!(
+        Route::parse("POST", &cancel_path(job_id)),
+        Ok(Route::User(UserRoute::Cancel { job_id }))
+    );
 }
 
 #[test]
-fn paths_of_jobs_are_those_of_the_protocol() {
+fn job_paths_contain_the_job_id() {
     assert_eq!(job_path("job-000412"), "/v1/jobs/job-000412");
     assert_eq!(cancel_path("job-000412"), "/v1/jobs/job-000412/withdraw");
 }
@@ -75,7 +78,7 @@
             assert_eq!(status(method, path), 404, "{method} {path}");
         }
     }
-    // The report's path is known for GET alone; anything else on it is taken for an unknown decision.
+    // Other methods at the path of the recovery report are parsed as an unknown decision.
     assert_eq!(status("POST", "/v1/recovery"), 404);
 }
 
@@ -83,18 +86,18 @@
 fn a_query_does_not_change_the_route() {
     assert_eq!(Route::parse("POST", "/checkin?a=b"), Ok(Route::Heartbeat));
     assert_eq!(Route::parse("POST", "/v1/jobs?a"), Ok(Route::User(UserRoute::Submit)));
-    let poll = Ok(Route::User(UserRoute::Poll { uid: "job-000412" }));
+    let poll = Ok(Route::User(UserRoute::Poll { job_id: "job-000412" }));
     assert_eq!(Route::parse("GET", "/v1/jobs/job-000412?a=/b/withdraw"), poll);
 }
 
 #[test]
-fn errors_say_what_users_read() {
+fn error_texts_are_those_sent_to_users() {
     assert_eq!(RouteError::NotFound.to_string(), "no such path");
     assert_eq!(RouteError::MethodNotAllowed.to_string(), "wrong method");
 }
 
 #[test]
-fn controllers_post_to_each_other() {
+fn requests_of_peers_use_post_without_a_query() {
     assert_eq!(PeerRoute::parse("POST", "/gossip"), Ok(PeerRoute::Gossip));
     assert_eq!(PeerRoute::parse("POST", "/relay"), Ok(PeerRoute::Relay));
     assert_eq!(PeerRoute::parse("POST", "/image"), Ok(PeerRoute::Image));
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -1,72 +1,73 @@
-//! Controllers -> state service ("Controller nodes -> state service" of the protocol): reads, transactions on
-//! conditions, leases and watches.
+//! Requests of controllers to the state service: reads, conditional transactions, leases and watches.
+//!
+//! Every change of the store has a revision, a number that grows with each transaction.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// A key with its value ("GET /store" of the protocol).
+/// A key with its value (`GET /store`).
 #[derive(Debug, Deserialize)]
 pub struct KeyValue {
-    /// Its name.
+    /// The key.
     pub key: String,
-    /// Its value.
+    /// The value, as unparsed JSON.
     #[serde(rename = "data")]
     pub value: Box<RawValue>,
-    /// Revision of its last change.
+    /// Revision of the key's last change.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
-/// A page of keys ("GET /store?prefix=" of the protocol).
+/// A page of a listing of keys (`GET /store?prefix=`).
 #[derive(Debug, Deserialize)]
 pub struct KeyPage {
-    /// Keys with their values, in order.
+    /// Keys with their values, sorted by key.
     pub items: Vec<KeyValue>,
-    /// Whether the list goes on after the last of them.
+    /// Whether there are more keys after the last one of this page.
     #[serde(default)]
     pub has_next: bool,
-    /// Revision of the store.
+    /// Revision of the store when the page was read.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
-/// A condition of a transaction ("POST /commit" of the protocol).
+/// A condition of a transaction (`POST /commit`).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The key.
+    /// The key that is checked.
     pub key: String,
-    /// The revision of its last change that is asked for; 0: it must not exist.
+    /// Required revision of the key's last change; 0 requires that the key does not exist.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
-/// A change in a transaction ("POST /commit" of the protocol).
+/// A change in a transaction (`POST /commit`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Mutation {
     /// Sets a key.
     Put {
-        /// The key.
+        /// The key that is set.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// The new value, as unparsed JSON.
         #[serde(rename = "data")]
         value: Box<RawValue>,
-        /// The lease with which it ends.
+        /// Lease at whose end the key is removed; absent for a key that is kept.
         #[serde(skip_serializing_if = "Option::is_none")]
         #[serde(rename = "tenancy")]
         lease_id: Option<u64>,
     },
     /// Removes a key.
     Remove {
-        /// The key.
+        /// The key that is removed.
         #[serde(rename = "remove")]
         key: String,
     },
 }
 
 impl Mutation {
-    /// A write of a value with no lease.
+    /// Creates a write of a value without a lease.
     pub fn put<T: Serialize>(key: String, value: &T) -> Mutation {
         Mutation::Put { key, value: raw_json(value), lease_id: None }
     }
@@ -79,59 +80,59 @@
     }
 }
 
-/// A value as it is stored.
+/// Serializes a value to the JSON text that is stored.
 pub fn raw_json<T: Serialize>(value: &T) -> Box<RawValue> {
     serde_json::value::to_raw_value(value).expect("stored values have string keys only")
 }
 
-/// Changes that are applied all together, and only if every condition holds ("POST /commit" of the protocol).
+/// Changes that are applied atomically, and only if every condition holds (`POST /commit`).
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold for the transaction to be applied.
+    /// Conditions, all of which must hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// The changes, all with one revision.
+    /// The changes; all of them get the same revision.
     pub writes: Vec<Mutation>,
 }
 
-/// Answer to a transaction that was applied ("POST /commit" of the protocol).
+/// Response to a transaction that was applied (`POST /commit`).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransactionApplied {
-    /// Revision of the change.
+    /// Revision of the transaction's changes.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
-/// Answer to a transaction whose conditions failed: 409 of "POST /commit" of the protocol.
+/// Response with status 409 to a transaction whose conditions failed (`POST /commit`).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TransactionConflict {
-    /// Keys whose conditions failed.
+    /// Keys whose conditions failed; empty if the response does not name them.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// Revision of the store.
+    /// Revision of the store when the conditions were checked; 0 if absent.
     #[serde(default)]
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
 }
 
 impl TransactionConflict {
-    /// Keys whose conditions failed, as far as an answer names them.
+    /// Keys whose conditions failed according to a response body; empty if the body can't be parsed.
     pub fn failed_keys(body: &[u8]) -> Vec<String> {
         let conflict = serde_json::from_slice::<TransactionConflict>(body);
         conflict.map(|conflict| conflict.failed).unwrap_or_default()
     }
 }
 
-/// One change seen by a watch ("GET /changes" of the protocol).
+/// A change reported by a watch (`GET /changes`): a write or a removal of one key.
 #[derive(Debug, Deserialize)]
 pub struct WatchEvent {
-    /// The key that was set.
+    /// The key that was set; absent for a removal.
     #[serde(default, rename = "write")]
     pub put_key: Option<String>,
-    /// The key that was removed.
+    /// The key that was removed; absent for a write.
     #[serde(default, rename = "remove")]
     pub removed_key: Option<String>,
-    /// The new value.
+    /// The new value, as unparsed JSON; absent for a removal.
     #[serde(default, rename = "data")]
     pub value: Option<Box<RawValue>>,
     /// Revision of the change.
@@ -139,49 +140,50 @@
     pub mod_revision: u64,
 }
 
-/// Answer to a watch ("GET /changes" of the protocol).
+/// Response to a watch (`GET /changes`).
 #[derive(Debug, Deserialize)]
 pub struct WatchResponse {
-    /// Revision up to which the answer holds all changes.
+    /// Revision up to which the response contains all changes.
     #[serde(rename = "ledger_rev")]
     pub revision: u64,
-    /// Changes in the order of their revisions.
+    /// Changes in ascending order of their revisions.
     #[serde(default)]
     pub events: Vec<WatchEvent>,
 }
 
-/// Asks for a lease ("POST /holds" of the protocol).
+/// Request for a lease (`POST /holds`).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Milliseconds that the lease lasts without renewal.
+    /// Milliseconds after which the lease expires unless it is renewed.
     pub life_ms: u64,
 }
 
-/// Answer to the request for a lease ("POST /holds" of the protocol).
+/// Response to a request for a lease (`POST /holds`).
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseGranted {
-    /// Number of the lease.
+    /// Number of the lease, assigned by the state service.
     #[serde(rename = "tenancy")]
     pub lease_id: u64,
 }
 
-/// Path on which leases are granted ("POST /holds" of the protocol).
+/// Path at which leases are granted (`POST /holds`).
 pub const LEASES_PATH: &str = "/holds";
 
-/// Path of a lease ("DELETE /holds/{id}" of the protocol).
+/// Path at which a lease is revoked (`DELETE /holds/{id}`).
 pub fn lease_path(lease_id: u64) -> String {
     format!("{LEASES_PATH}/{lease_id}")
 }
 
-/// Path that renews a lease ("POST /holds/{id}/renew" of the protocol).
+/// Path at which a lease is renewed (`POST /holds/{id}/renew`).
 pub fn lease_renewal_path(lease_id: u64) -> String {
     format!("{LEASES_PATH}/{lease_id}/renew")
 }
 
-/// Path of a transaction.
+/// Path at which transactions are submitted.
 pub const COMMIT_PATH: &str = "/commit";
 
-/// Path of a page of all keys under a prefix: at most `limit` keys after the key `since`.
+/// Path that lists a page of the keys with a prefix: at most `limit` keys after the key `since`, or from
+/// the first key on.
 pub fn list_path(prefix: &str, since: Option<&str>, limit: usize) -> String {
     match since {
         Some(since) => format!("/store?prefix={prefix}&since={since}&limit={limit}"),
@@ -189,8 +191,8 @@
     }
 }
 
-/// Path of a watch for changes above the revision `since`. It waits up to `block_ms` milliseconds for one;
-/// with zero it reads what there is.
+/// Path of a watch for changes with a revision above `since`. The state service waits up to `block_ms`
+/// milliseconds for the first one; with 0 it returns at once, even without changes.
 pub fn changes_path(prefix: &str, since: u64, block_ms: u64) -> String {
     format!("/changes?prefix={prefix}&since={since}&block_ms={block_ms}")
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,30 +1,31 @@
-//! Users -> controllers: submissions, polls and cancellations ("Users -> controller nodes" of the protocol).
+//! Interface between users and controllers: submissions, polls and cancellations of jobs.
 //!
-//! Owns what a submission must look like; whether the job can ever run is judged elsewhere, since
-//! that takes the settings and the machine types.
+//! This module checks the form of a submission. Whether the job can ever run depends on the settings and
+//! the machine types; [`crate::coordination`] checks that.
 
 use super::Resources;
 use serde::{Deserialize, Serialize};
 
 pub use mountgap_records::job::{valid_uid, JobKind, JobSpec, Priority, TASKS_MAX, UID_PREFIX};
 
-/// Longest name of a class, team, image, type or zone, in bytes.
+/// Maximum length in bytes of the name of a class, team, image, machine type or zone.
 const NAME_MAX: usize = 100;
-/// Most machine types a submission may list.
+/// Maximum number of machine types that a submission may list.
 const MACHINE_TYPES_MAX: usize = 64;
-/// Largest amount or duration accepted; keeps arithmetic exact.
+/// Maximum of each amount and of each duration in seconds, so that arithmetic in whole thousandths stays
+/// exact.
 const AMOUNT_MAX: f64 = 1e9;
 
-/// Why a submission is malformed ("400" of "POST /v1/jobs"); the text is part of the answer.
+/// Why a submission is rejected with status 400 (`POST /v1/jobs`); the text is sent to the user.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmissionError {
-    /// Not JSON, or a field has another type than the protocol gives it.
+    /// The body is not JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// JSON, but not an object.
+    /// The body is JSON, but not an object.
     #[error("not an object")]
     NotAnObject,
-    /// A field has a value that is not allowed.
+    /// The value of a field is not allowed.
     #[error("{field}: {problem}")]
     InvalidField {
         /// Name of the field on the wire.
@@ -37,10 +38,10 @@
 /// What is wrong with the value of a submission's field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FieldProblem {
-    /// There is none, or it is no string.
+    /// The field is missing or not a string.
     #[error("missing or not a string")]
     NotAString,
-    /// It has not the form of a job id.
+    /// The value does not have the form of a job id.
     #[error("must look like job-000412")]
     NotAJobId,
     /// A name is empty or too long.
@@ -52,49 +53,50 @@
     /// The job has no tasks or too many.
     #[error("must lie between 1 and {TASKS_MAX}")]
     TaskCount,
-    /// An amount or a duration is negative, too large or not a number.
+    /// An amount or a duration is negative or too large.
     #[error("out of range")]
     OutOfRange,
-    /// Tasks take no resources at all.
+    /// A task would use no cores, GPUs or memory.
     #[error("a task must take something")]
     NoResources,
 }
 
 impl FieldProblem {
-    fn of(self, field: &'static str) -> SubmissionError {
+    /// The error that reports this problem of a field.
+    fn in_field(self, field: &'static str) -> SubmissionError {
         SubmissionError::InvalidField { field, problem: self }
     }
 }
 
-/// A submission of which only the id was read ("POST /v1/jobs" of the protocol).
+/// A submission of which only the job id has been checked (`POST /v1/jobs`).
 ///
-/// The id is read before the rest is judged: a repeat of an accepted job is answered with its state
-/// whatever else it carries.
+/// The id is checked before the other fields: a repeated submission of an accepted job is answered with
+/// the status of that job, whatever its other fields are.
 #[derive(Debug)]
 pub struct Submission {
-    uid: String,
+    job_id: String,
     fields: serde_json::Value,
 }
 
 impl Submission {
-    /// Reads a request's body as far as the job's id.
+    /// Parses a request body and checks the job id.
     pub fn parse(body: &[u8]) -> Result<Submission, SubmissionError> {
         let fields: serde_json::Value = serde_json::from_slice(body)?;
         let object = fields.as_object().ok_or(SubmissionError::NotAnObject)?;
-        let uid = object.get("uid").and_then(|uid| uid.as_str());
-        let uid = uid.ok_or(FieldProblem::NotAString.of("uid"))?.to_string();
-        if !valid_uid(&uid) {
-            return Err(FieldProblem::NotAJobId.of("uid"));
+        let job_id = object.get("uid").and_then(|job_id| job_id.as_str());
+        let job_id = job_id.ok_or(FieldProblem::NotAString.in_field("uid"))?.to_string();
+        if !valid_uid(&job_id) {
+            return Err(FieldProblem::NotAJobId.in_field("uid"));
         }
-        Ok(Submission { uid, fields })
+        Ok(Submission { job_id, fields })
     }
 
-    /// The job's id.
-    pub fn uid(&self) -> &str {
-        &self.uid
+    /// The job id.
+    pub fn job_id(&self) -> &str {
+        &self.job_id
     }
 
-    /// Reads and checks the whole submission.
+    /// Checks all other fields and returns the job's specification.
     pub fn into_spec(self) -> Result<JobSpec, SubmissionError> {
         let spec: JobSpec = serde_json::from_value(self.fields)?;
         validate(&spec)?;
@@ -102,15 +104,15 @@
     }
 }
 
-/// Checks every field; the first one that is wrong is named.
+/// Checks all fields; the error names the first invalid one.
 fn validate(spec: &JobSpec) -> Result<(), SubmissionError> {
     validate_names(spec)?;
     if !(1..=TASKS_MAX).contains(&spec.tasks) {
-        return Err(FieldProblem::TaskCount.of("loads"));
+        return Err(FieldProblem::TaskCount.in_field("loads"));
     }
     validate_amounts(spec)?;
     if spec.need() == Resources::default() {
-        return Err(FieldProblem::NoResources.of("cores"));
+        return Err(FieldProblem::NoResources.in_field("cores"));
     }
     Ok(())
 }
@@ -124,14 +126,14 @@
     }
     let machine_types = spec.machine_types.as_deref().unwrap_or_default();
     if machine_types.len() > MACHINE_TYPES_MAX {
-        return Err(FieldProblem::TooMany.of("builds"));
+        return Err(FieldProblem::TooMany.in_field("builds"));
     }
     machine_types.iter().try_for_each(|name| validate_name("builds", name))
 }
 
 fn validate_name(field: &'static str, name: &str) -> Result<(), SubmissionError> {
     if name.is_empty() || name.len() > NAME_MAX {
-        return Err(FieldProblem::NameLength.of(field));
+        return Err(FieldProblem::NameLength.in_field(field));
     }
     Ok(())
 }
@@ -149,55 +151,56 @@
     ];
     for (field, amount) in amounts {
         if !(0.0..=AMOUNT_MAX).contains(&amount) {
-            return Err(FieldProblem::OutOfRange.of(field));
+            return Err(FieldProblem::OutOfRange.in_field(field));
         }
     }
     Ok(())
 }
 
-/// A job's state in users' words ("GET /v1/jobs/{id}" of the protocol).
+/// Status of a job as users see it (`GET /v1/jobs/{id}`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task is placed on a machine.
     Queued,
-    /// A task runs.
+    /// At least one task is placed on a machine.
     Running,
-    /// All tasks are done.
+    /// All tasks have completed.
     Done,
-    /// Its user has cancelled it.
+    /// The job was cancelled by its user or given up by an operator.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
-/// Answer to a submission or a cancellation ("POST /v1/jobs" and "POST /v1/jobs/{id}/withdraw" of the
-/// protocol). A controller that passes an answer of a peer on reads it too; the answer to a poll has
-/// the same fields and more.
+/// Response to a submission or a cancellation (`POST /v1/jobs` and `POST /v1/jobs/{id}/withdraw`).
+///
+/// A controller also parses this from the response of a peer to which it relayed a request; the response
+/// to a poll has these fields and more.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct JobStatusResponse<'a> {
-    /// The job's id.
+    /// The job id.
     pub uid: &'a str,
-    /// Its state.
+    /// Status of the job.
     pub status: JobStatus,
 }
 
-/// Answer to a poll ("GET /v1/jobs/{id}" of the protocol).
+/// Response to a poll (`GET /v1/jobs/{id}`).
 #[derive(Debug, Serialize)]
 pub struct JobProgressResponse<'a> {
-    /// The job's id.
+    /// The job id.
     pub uid: &'a str,
-    /// Its state.
+    /// Status of the job.
     pub status: JobStatus,
-    /// Tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Tasks on machines.
+    /// Number of tasks placed on machines.
     pub running: u32,
 }
 
-/// Body of every answer that refuses a request.
+/// Body of every error response.
 #[derive(Debug, Serialize)]
 pub struct ErrorResponse<'a> {
-    /// The reason, for a person.
+    /// The reason, in words for a human reader.
     pub error: &'a str,
 }
 
