--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,111 +1,120 @@
-//! Controllers <-> controllers, in CBOR ("Controller nodes <-> controller nodes" of the protocol, which
-//! leaves the messages to the service).
+//! Messages between controllers, encoded as CBOR: gossip, relayed users' requests, and images of the store
+//! for a rebuild after a data loss.
 //!
-//! Controllers of two versions meet during an upgrade: fields keep their names and their order, and a
-//! field that came later has a default.
+//! During an upgrade controllers of two versions exchange messages, so fields keep their names and their
+//! order, and a field added later needs a default.
 
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// What controllers tell each other about themselves.
+/// The state of a controller, sent to each peer periodically. The peer answers with its own.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Version of the messages between controllers.
+    /// Version of the messages, see [`PEER_VERSION`](crate::constants::PEER_VERSION).
     pub version: u32,
-    /// Name of the sender.
+    /// Label of the sender.
     pub label: String,
-    /// Random number of the sender's process.
+    /// Random id of the sender's process, new after each restart.
     pub incarnation: u64,
-    /// Highest term known.
+    /// Highest term that the sender knows of.
     pub term: u64,
-    /// Whether the sender leads in that term.
+    /// Whether the sender is the leader in that term.
     pub leads: bool,
-    /// Highest revision of the state service in any answer the sender got.
+    /// Highest revision of the store that the sender has seen in a response of the state service.
     pub max_rev: u64,
-    /// Milliseconds since the sender's process began.
+    /// Milliseconds since the sender's process started.
     pub age_ms: u64,
-    /// Milliseconds since the state service last served the sender; none: never.
+    /// Milliseconds since the state service last answered the sender; none if it never has, or if the
+    /// sender has no access to a usable store now.
     pub served_ago_ms: Option<u64>,
-    /// Workers that reported to the sender within the last few seconds.
+    /// Number of workers whose heartbeats reached the sender within the last two heartbeat periods.
     pub workers_seen: u32,
-    /// Milliseconds since the sender last extended a worker's lease in the leader's place, or since
-    /// it began if it never did: an earlier process of it may have.
+    /// Milliseconds since the sender last extended a worker's lease on behalf of the leader. If this
+    /// process never did, milliseconds since its start, as the process before it may have.
     #[serde(rename = "stood_in_ago_ms")]
     pub extended_lease_ago_ms: u64,
-    /// The sender can't read the store and asks which jobs have ended after this revision.
+    /// Set by a leader that can't read the store: it asks which jobs have ended after this revision, the
+    /// last one that it has read.
     #[serde(default)]
     pub since: Option<u64>,
-    /// In the answer to that: jobs that have ended, and whether these are all that the sender
-    /// could ever have told a user of.
+    /// In the answer to such a query: ids of jobs that have ended after that revision, as far as the
+    /// sender knows. Otherwise empty.
     #[serde(default)]
     pub ended: Vec<String>,
-    /// In the answer: the jobs named are all.
+    /// In the answer to such a query: whether `ended` lists all ended jobs that the sender knows of, and
+    /// thus all whose end it can have confirmed to a user.
     #[serde(default)]
     pub ended_all: bool,
-    /// Identity of the store that the sender reads, or has read before a loss.
+    /// Identity of the store that the sender reads, or that it read before a data loss; absent if unknown
+    /// or if recovery is not enabled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub store: Option<u64>,
-    /// While it is lost: the highest term that the sender knows of the lost store.
+    /// While the store is lost: the highest term that the sender knows of that store.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lost_term: Option<u64>,
-    /// The sender notices losses of the store, and what it knows of one.
+    /// The sender's view of a possible data loss; absent if recovery is not enabled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub recovery: Option<RecoveryState>,
 }
 
-/// What a controller that notices losses of the store knows of one.
+/// What a controller with recovery enabled knows of a possible loss of the store's data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecoveryState {
-    /// Nothing is lost.
+    /// The sender follows the store and knows of no data loss.
     Following,
-    /// Nothing is known to be lost, but the sender has started since and can't confirm it.
+    /// The sender follows the store and knows of no data loss, but it cannot rule out one before its own
+    /// start.
     Unproven,
-    /// It has just started on an empty store, or reads the store anew on a suspicion.
+    /// The sender has started on an empty store and waits for information from others, or it suspects a
+    /// data loss and reads the store again.
     Undecided,
-    /// The store is lost; the sender answers with its image of it.
+    /// The store's data is lost; the sender provides its image of the lost store.
     Lost,
 }
 
-/// Asks for a page of the receiver's image of the lost store.
+/// Request for a page of the receiver's image of the lost store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ImageRequest {
-    /// Version of the messages between controllers.
+    /// Version of the messages, see [`PEER_VERSION`](crate::constants::PEER_VERSION).
     pub version: u32,
-    /// Name of the sender.
+    /// Label of the sender.
     pub label: String,
-    /// The page begins after this key.
+    /// The page begins with the first key after this one; empty for the first page.
     pub after: String,
 }
 
-/// A page of an image.
+/// A page of the sender's image of the lost store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ImagePage {
-    /// Version of the messages between controllers.
+    /// Version of the messages, see [`PEER_VERSION`](crate::constants::PEER_VERSION).
     pub version: u32,
-    /// Name of the sender.
+    /// Label of the sender.
     pub label: String,
-    /// Whether the sender holds still; if it does not, it has only now begun to look at the store.
+    /// Whether the sender has suspended its service, so that its image no longer changes. If not, it has
+    /// only now begun to check the store, and the receiver has to ask again.
     pub holds: bool,
-    /// Whether its memory reaches back to before the loss.
+    /// Whether the sender's knowledge of the lost store is complete up to the loss: it had followed the
+    /// store since before the loss could have happened.
     pub remembers: bool,
-    /// Highest term heard of.
+    /// Highest term that the sender knows of.
     pub term: u64,
     /// Revision up to which the image is complete.
     pub revision: u64,
-    /// Keys with stamps and values, in order.
+    /// Keys with the revisions of their last changes and their values, sorted by key.
     pub values: Vec<(String, u64, String)>,
-    /// Removals above the revision, on the first page.
+    /// Removed keys with the revisions of their removals, as far as these are above `revision`; on the
+    /// first page only.
     pub removed: Vec<(String, u64)>,
     /// Whether this is the last page.
     pub last: bool,
 }
 
-/// A user's request that the receiver is asked to answer in the sender's place.
+/// A user's request that the sender can't answer and relays to the receiver.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RelayRequest {
-    /// Version of the messages between controllers.
+    /// Version of the messages, see [`PEER_VERSION`](crate::constants::PEER_VERSION).
     pub version: u32,
-    /// Method of the user's request.
+    /// HTTP method of the user's request.
     pub method: String,
     /// Path of the user's request.
     pub path: String,
@@ -114,21 +123,21 @@
     pub body: Vec<u8>,
 }
 
-/// The receiver's answer to the user, to be passed on.
+/// The response to a relayed request, which the relaying controller sends to the user.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RelayResponse {
-    /// Version of the messages between controllers.
+    /// Version of the messages, see [`PEER_VERSION`](crate::constants::PEER_VERSION).
     pub version: u32,
-    /// Status for the user.
+    /// HTTP status code.
     pub status: u16,
-    /// Seconds after which the user may come back.
+    /// Seconds after which the user may retry; none if a retry is not suggested.
     pub retry_after_s: Option<u64>,
-    /// Body for the user.
+    /// Body of the response.
     #[serde(with = "serde_bytes_vec")]
     pub body: Vec<u8>,
 }
 
-/// Bodies as CBOR byte strings instead of arrays of numbers.
+/// Serializes bodies as CBOR byte strings instead of arrays of numbers.
 mod serde_bytes_vec {
     use serde::de::Visitor;
     use serde::{Deserializer, Serializer};
@@ -163,19 +172,19 @@
     }
 }
 
-/// Bytes that are no message between controllers, or not the one that was expected.
+/// The bytes are not a message between controllers, or not one of the expected type.
 #[derive(Debug, thiserror::Error)]
 #[error("{0}")]
 pub struct DecodeError(ciborium::de::Error<std::io::Error>);
 
-/// Encodes a message.
+/// Encodes a message as CBOR.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
     ciborium::into_writer(message, &mut bytes).expect("messages encode into memory");
     bytes
 }
 
-/// Decodes a message.
+/// Decodes a message from CBOR.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     ciborium::from_reader(bytes).map_err(DecodeError)
 }
--- a/src/protocol/recovery.rs
+++ b/src/protocol/recovery.rs
@@ -1,25 +1,28 @@
-//! Operators -> controllers, about a rebuild of the store: the report, and decisions on jobs that a rebuild
-//! could not account for. `docs/recovery.md` tells operators what to do with them.
+//! Interface between operators and controllers for rebuilds of the store after a data loss: the recovery
+//! report, and decisions on flagged jobs.
+//!
+//! A job is flagged if a rebuild could not establish whether it had ended in the lost part of the history.
+//! `docs/recovery.md` describes the decisions for operators.
 
 use serde::{Deserialize, Serialize};
 
-/// Path of the report, and of the decisions below it.
+/// Path of the report (`GET /v1/recovery`) and prefix of the paths of decisions.
 pub const RECOVERY_PATH: &str = "/v1/recovery";
 
-/// What operators decide on jobs that a rebuild could not account for.
+/// An operator's decision after a rebuild.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
-    /// They go on as they were last known.
+    /// The jobs continue in their last known state. For all jobs this also closes the gap in the history.
     Release,
-    /// They are cancelled.
+    /// The jobs are cancelled.
     GiveUp,
-    /// Jobs that are not known were never accepted.
+    /// The gap in the history is closed: jobs that are not known count as never accepted.
     CloseGap,
 }
 
 impl Decision {
-    /// The last part of its path.
+    /// The last segment of the decision's path.
     pub fn name(self) -> &'static str {
         match self {
             Decision::Release => "release",
@@ -28,7 +31,7 @@
         }
     }
 
-    /// The decision that a path names.
+    /// Parses a path; none if it is not the path of a decision.
     pub fn from_path(path: &str) -> Option<Decision> {
         let name = path.strip_prefix(RECOVERY_PATH)?.strip_prefix('/')?;
         let all = [Decision::Release, Decision::GiveUp, Decision::CloseGap];
@@ -36,84 +39,86 @@
     }
 }
 
-/// Which jobs a decision is about.
+/// The jobs that a decision applies to.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct DecisionRequest {
-    /// These.
+    /// Job ids; not used to close the gap.
     #[serde(default)]
     pub jobs: Vec<String>,
-    /// All that are flagged.
+    /// Whether the decision applies to all flagged jobs.
     #[serde(default)]
     pub all: bool,
 }
 
-/// What a decision has done.
+/// Response to a decision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionAnswer {
-    /// Jobs decided on.
+    /// Number of jobs to which the decision was applied.
     pub decided: usize,
-    /// Jobs of the request that another one has to follow for.
+    /// Number of jobs that did not fit into one transaction; the request has to be repeated for these.
     pub left: usize,
 }
 
-/// What a controller knows of losses and rebuilds of the store.
+/// Recovery report: what a controller knows of data losses and rebuilds of the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RecoveryReport {
-    /// Name of the controller.
+    /// Label of the controller.
     pub controller: String,
-    /// Whether it notices losses.
+    /// Whether the controller detects data losses (`recovery.enabled` in its settings).
     pub enabled: bool,
-    /// What it believes of the store.
+    /// Phase of the detection or rebuild, in words.
     pub phase: String,
-    /// What shows the loss, while there is one.
+    /// Evidence of the present or suspected data loss; none without one.
     pub loss: Option<String>,
-    /// Identity of the store.
+    /// Identity of the store, a random number; none if unknown.
     pub store: Option<String>,
-    /// Losses seen since it started.
+    /// Number of data losses detected since the controller started.
     pub losses: u64,
-    /// While this controller rebuilds: transactions carried out, and values there are in all.
+    /// While this controller rebuilds the store: number of transactions applied, and number of values to
+    /// write in all.
     pub written: Option<(u32, usize)>,
-    /// The last rebuild, as the store has it.
+    /// The last rebuild recorded in the store; none if there was none.
     pub last_rebuild: Option<LastRebuild>,
-    /// Flagged jobs with the reason of each.
+    /// Jobs that are flagged and wait for a decision.
     pub flagged: Vec<FlaggedJob>,
-    /// On the leader: tasks that run and belong to no known job.
+    /// Running tasks that belong to no known job; empty on controllers that are not the leader.
     pub unknown_tasks: Vec<UnknownTask>,
 }
 
 /// The last rebuild of the store.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LastRebuild {
-    /// How far it has come.
+    /// Phase of the rebuild, in words.
     pub phase: String,
-    /// Which controller did it.
+    /// Label of the controller that does or did it.
     pub owner: String,
-    /// Time of day of its begin, in milliseconds.
+    /// Wall-clock time of its start, in milliseconds since the Unix epoch.
     pub at: u64,
-    /// What showed the loss.
+    /// Evidence by which the data loss was detected.
     pub loss: String,
-    /// Controllers that it drew on.
+    /// Labels of the controllers whose images of the lost store were used; empty until all records are written.
     pub sources: Vec<String>,
-    /// Controllers whose memory did not reach back to before the loss.
+    /// Labels of the controllers whose images of the lost store were missing or incomplete; empty once the
+    /// gap is closed by an operator or by the settings.
     pub gap: Vec<String>,
 }
 
-/// A job that a rebuild could not account for.
+/// A job that waits for an operator's decision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlaggedJob {
-    /// Its id.
+    /// The job id.
     pub job: String,
-    /// Why.
+    /// Why it is flagged.
     pub reason: String,
 }
 
-/// A task that runs and belongs to no known job.
+/// A running task that belongs to no known job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnknownTask {
-    /// Where it runs.
+    /// Name of the machine.
     pub machine: String,
-    /// Its name.
+    /// Job id and index of the task.
     pub task: String,
-    /// Its attempt.
+    /// Attempt number of the task.
     pub attempt: u64,
 }
--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -121,7 +121,7 @@
 }
 
 impl<'a> UserRoute<'a> {
-    /// Parses method and path; the caller has removed the query from the path.
+    /// Parses method and path; the path must not have a query.
     pub fn parse(method: &str, path: &'a str) -> Result<UserRoute<'a>, RouteError> {
         let below_jobs = path.strip_prefix(JOBS_PATH).ok_or(RouteError::NotFound)?;
         if below_jobs.is_empty() {
