--- a/src/constants/mod.rs
+++ b/src/constants/mod.rs
@@ -1,8 +1,8 @@
-//! Every constant of the program, each with its unit and its reason.
+//! Constants of the program, each with its unit and, where needed, the reason for its value.
 //!
-//! What a deployment can differ in comes from the settings, the catalogue and the
-//! reports; these are the project's own choices. Each module holds the constants of one
-//! subsystem and is re-exported here, so that all of them are named `crate::constants::NAME`.
+//! Values that differ between deployments come from the settings, the catalog and the heartbeats instead.
+//! Each module contains the constants of one subsystem. All are re-exported here, so that code refers to
+//! them as `crate::constants::NAME`.
 
 mod admission;
 mod fleet;
@@ -26,5 +26,6 @@
 pub use state_service::*;
 pub use workers::*;
 
-/// Milliseconds in a second; durations inside the program are whole milliseconds.
+/// Milliseconds in a second, for the conversion of durations from the settings and from messages.
+/// Internally, durations are whole milliseconds.
 pub const MS_PER_S: f64 = 1000.0;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -20,7 +20,7 @@
 use super::leadership::LeaderLease;
 use super::transactions::Transactions;
 use super::Controller;
-use crate::constants::{ATTEMPT_COUNTER_BITS, POLL_SOON_MS, SUMMARY_LOG_PERIOD_MS};
+use crate::constants::{ATTEMPT_COUNTER_BITS, OVERDUE_WORK_RECHECK_MS, SUMMARY_LOG_PERIOD_MS};
 use crate::storage::cluster::ClusterState;
 use crate::storage::hashing::HashKeys;
 use crate::storage::machine::{Placement, PlacementPhase};
@@ -121,7 +121,8 @@
         // Any command also triggers the responses that are due, and in a large fleet a heartbeat arrives every
         // few milliseconds. So this timer only has to fire somewhat after the deadline.
         let deferred = self.deferred_heartbeats.iter();
-        let response = deferred.map(|heartbeat| heartbeat.response_deadline() + POLL_SOON_MS).min();
+        let response =
+            deferred.map(|heartbeat| heartbeat.response_deadline() + OVERDUE_WORK_RECHECK_MS).min();
         // No pass runs until the proposals of the last one are committed.
         let waits_for_pass = response.is_some() && !has_proposals;
         let pass = waits_for_pass.then(|| self.pass_schedule.next_at().max(now + 1));
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -44,7 +44,7 @@
 pub use interface::{CallId, Clock, Command, ConnectionId, Effect, Service};
 pub use leader::Leader;
 
-use crate::constants::{POLL_MAX_MS, POLL_SOON_MS, USER_REQUESTS_PER_BATCH_MAX};
+use crate::constants::{EVENT_WAIT_MAX_MS, OVERDUE_WORK_RECHECK_MS, USER_REQUESTS_PER_BATCH_MAX};
 use crate::protocol::http::Response;
 use crate::protocol::routes::{PeerRoute, Route};
 use crate::settings::{Operator, Platform};
@@ -140,8 +140,8 @@
         let leader = leader.and_then(|leader| leader.next_wake(now, writes));
         let times = [leader, self.submissions.next_wake(writes)].into_iter().flatten();
         // A time in the past means that the work awaits an event of unknown time, so it is polled.
-        let times = times.map(|t| if t > now { t } else { now + POLL_SOON_MS });
-        times.fold(now + POLL_MAX_MS, u64::min)
+        let times = times.map(|t| if t > now { t } else { now + OVERDUE_WORK_RECHECK_MS });
+        times.fold(now + EVENT_WAIT_MAX_MS, u64::min)
     }
 
     fn handle_command(&mut self, command: Command) {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -3,7 +3,7 @@
 //! Everything runs on one thread, but for the writing of snapshots. The loop decides nothing: what
 //! comes in is handed to the core, and what the core asks for is carried out.
 
-use crate::constants::POLL_MAX_MS;
+use crate::constants::EVENT_WAIT_MAX_MS;
 use crate::coordination::{Clock, Command, Controller, Effect, Service};
 use crate::protocol::http::Response;
 use crate::settings::{Operator, Platform};
@@ -100,7 +100,7 @@
         true => 0,
         false => core.next_wake().saturating_sub(now.monotonic_ms),
     };
-    let incoming = transport.poll(Duration::from_millis(wait_ms.min(POLL_MAX_MS)))?;
+    let incoming = transport.poll(Duration::from_millis(wait_ms.min(EVENT_WAIT_MAX_MS)))?;
     Ok(incoming.into_iter().map(command).collect())
 }
 
