--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The two settings files: the platform's JSON and the operators' protobuf text.
+//! The two settings files: the platform's in JSON and the operators' in protobuf text format.
 //!
-//! Each file is parsed first and validated then; an error names the file, the field and the reason.
-//! `mountgap check` prints both structures as they are, so operators see the names of their types and
-//! fields.
+//! Each file is parsed and then validated; an error contains the file, the field and the reason.
+//! `mountgap check` prints both structures by their `Debug` output, so operators see the names of the types
+//! and fields.
 
 mod operator;
 mod platform;
@@ -17,30 +17,30 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{file}: {problem}")]
 pub struct SettingsError {
-    /// The file as given on the command line.
+    /// Path of the file as given on the command line.
     pub file: String,
-    /// What is wrong with it.
+    /// What is wrong with the file.
     pub problem: SettingsProblem,
 }
 
 /// What is wrong with a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsProblem {
-    /// It can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Unreadable(#[from] std::io::Error),
-    /// It is not JSON, or a field is missing or of another type.
+    /// The text is not JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It is not protobuf text of the operators' message.
+    /// The text is not an `Operator` message (`proto/operator.proto`) in protobuf text format.
     #[error(transparent)]
     ProtobufText(#[from] protobuf::text_format::ParseError),
-    /// A field has a value that is not allowed.
+    /// The value of a field is not allowed.
     #[error("{field}: {reason}")]
     InvalidField {
-        /// Path of the field within the file.
+        /// Path of the field in the file, with dots between its parts.
         field: &'static str,
-        /// What its value must be.
+        /// The rule that its value breaks.
         reason: String,
     },
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads both files; without an operators' file every default holds.
+/// Reads the platform's file `config` and the operators' file; without the latter all defaults apply.
 pub fn load(config: &str, operator: Option<&str>) -> Result<(Platform, Operator), SettingsError> {
     let platform = read(config, Platform::parse)?;
     let operator = match operator {
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' own settings, in protobuf text; every field has a default.
+//! The operators' settings, in protobuf text format; every field has a default.
 
 use super::SettingsProblem;
 use crate::constants::{
@@ -21,60 +21,63 @@
 }
 use generated::operator as proto;
 
-/// Longest time between two planning passes that may be set, in milliseconds.
+/// Maximum of the `planner.pass_period_ms` setting, in milliseconds.
 const PASS_PERIOD_MAX_MS: u64 = 60_000;
 
-/// Share of a core's bandwidth that a core of a task takes of what all tasks of a machine share.
+/// Shared bandwidth that a task uses per core, relative to the machine's bandwidth per core. All tasks of a
+/// machine share its bandwidth; 1 means that a machine is saturated when all of its cores are taken.
 pub type Bandwidth = f64;
 
-/// The operators' settings with every default filled in.
+/// The operators' settings, with defaults for all fields that the file leaves out.
 #[derive(Debug, Clone)]
 pub struct Operator {
-    /// Penalty factors that a pass tries, in rising order.
+    /// Thresholds on the penalty factor that a planning pass tries for the reservation of the oldest waiting
+    /// job, in ascending order; each is at least 1.
     pub thresholds: Vec<f64>,
-    /// Milliseconds between two planning passes.
+    /// Maximum time between two planning passes, in milliseconds.
     pub pass_period_ms: u64,
-    /// Shared bandwidth that a core of a task takes, by class.
+    /// Shared bandwidth that a task uses, by class of jobs; the first entry of a class counts. A class without
+    /// an entry has low bandwidth.
     pub class_bandwidth: Vec<(String, Bandwidth)>,
-    /// Share of the machines in use that is kept free.
+    /// Capacity kept free, as a share of the capacity in use; between 0 and 1.
     pub headroom_share: f64,
-    /// None: as long as a boot takes, by type.
+    /// Seconds for which a machine may be idle before it is returned. None: the boot time of its type.
     pub idle_return_s: Option<f64>,
-    /// Whether spot machines are rented at all.
+    /// Whether spot machines may be rented at all.
     pub rent_spot: bool,
-    /// What is done when the state service has lost its data.
+    /// Recovery after a loss of the state service's data.
     pub recovery: RecoverySettings,
 }
 
-/// What is done with jobs that may have ended in the part of the history that is lost.
+/// What happens after a rebuild to jobs that may have ended in the lost part of the history.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum GapPolicy {
-    /// They wait for an operator.
+    /// The jobs are flagged and wait for an operator's decision.
     #[default]
     Hold,
-    /// They go on as they were last known.
+    /// The jobs continue in their last known state.
     Release,
 }
 
-/// What is done when the state service has lost its data.
+/// Recovery after a loss of the state service's data.
 #[derive(Debug, Clone, Default)]
 pub struct RecoverySettings {
-    /// Whether a loss is noticed and the store rebuilt.
+    /// Whether a data loss is detected and the store rebuilt.
     pub enabled: bool,
-    /// What is done with jobs that may have ended in the part of the history that is lost.
+    /// What happens to jobs that may have ended in the lost part of the history.
     pub gap_policy: GapPolicy,
-    /// Where snapshots are kept, if any are.
+    /// Snapshot files of the store; none: no snapshots are written or read.
     pub snapshots: Option<SnapshotSettings>,
 }
 
-/// Where snapshots are kept, and how many.
+/// Where, how often and how many snapshot files are written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SnapshotSettings {
-    /// The directory.
+    /// Directory of the files.
     pub directory: std::path::PathBuf,
-    /// Seconds between two of them.
+    /// Seconds between two snapshots.
     pub period_s: u64,
-    /// How many are kept.
+    /// Number of snapshots kept; older ones are deleted.
     pub kept: usize,
 }
 
@@ -93,7 +96,7 @@
 }
 
 impl Operator {
-    /// Parses and validates the operators' protobuf text, and fills in what it leaves out.
+    /// Parses and validates the operators' protobuf text, and sets missing fields to their defaults.
     pub fn parse(text: &str) -> Result<Operator, SettingsProblem> {
         let message: proto::Operator = protobuf::text_format::parse_from_str(text)?;
         validate_planner(message.planner.get_or_default())?;
@@ -102,7 +105,7 @@
         Ok(Operator::from_message(&message))
     }
 
-    /// Takes over a message that was validated.
+    /// Converts a validated message.
     fn from_message(message: &proto::Operator) -> Operator {
         let defaults = Operator::default();
         let planner = message.planner.get_or_default();
@@ -118,7 +121,7 @@
         }
     }
 
-    /// What a core of a task of this class takes of a core's bandwidth.
+    /// Shared bandwidth that a task of a job of this class uses per core.
     pub fn bandwidth(&self, class: &str) -> Bandwidth {
         let entry = self.class_bandwidth.iter().find(|(name, _)| name == class);
         entry.map_or(BANDWIDTH_LOW, |(_, bandwidth)| *bandwidth)
@@ -150,7 +153,7 @@
         return Err(SettingsProblem::invalid("planner.pass_period_ms", reason));
     }
     if !planner.duty_bandwidth.is_empty() {
-        log::warn!("planner.duty_bandwidth is now called class_bandwidth");
+        log::warn!("setting renamed: planner.duty_bandwidth is now called class_bandwidth");
     }
     Ok(())
 }
@@ -180,20 +183,21 @@
     Ok(())
 }
 
-/// The penalty factors in rising order, if any are given.
+/// The thresholds in ascending order; none if the message has none.
 fn thresholds(planner: &proto::Planner) -> Option<Vec<f64>> {
     let mut thresholds = planner.thresholds.clone();
     thresholds.sort_by(f64::total_cmp);
     Some(thresholds).filter(|thresholds| !thresholds.is_empty())
 }
 
-/// Entries under the present name come first, so they win over those under the former one.
+/// Bandwidth by class. Entries of the field `class_bandwidth` precede those of its former name
+/// `duty_bandwidth`, so that they take precedence.
 fn class_bandwidth(planner: &proto::Planner) -> Vec<(String, Bandwidth)> {
-    let present = planner.class_bandwidth.iter();
-    let present = present.map(|entry| (entry.class().to_string(), entry.bandwidth()));
+    let current = planner.class_bandwidth.iter();
+    let current = current.map(|entry| (entry.class().to_string(), entry.bandwidth()));
     let former = planner.duty_bandwidth.iter();
     let former = former.map(|entry| (entry.duty().to_string(), entry.bandwidth()));
-    present.chain(former).map(|(class, bandwidth)| (class, bandwidth_of(bandwidth))).collect()
+    current.chain(former).map(|(class, bandwidth)| (class, bandwidth_of(bandwidth))).collect()
 }
 
 fn bandwidth_of(class: proto::BandwidthClass) -> Bandwidth {
@@ -204,7 +208,7 @@
     }
 }
 
-/// Where snapshots are to be kept; an empty name is none.
+/// Directory for snapshots; an empty name means that none are written.
 fn snapshot_directory(recovery: &proto::Recovery) -> Option<&str> {
     recovery.snapshot_directory.as_deref().filter(|name| !name.is_empty())
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's settings: facts of the deployment, handed over as JSON by whoever starts the process.
+//! The platform's settings: a JSON file that describes the deployment, written by the platform that starts
+//! the controller.
 
 use super::SettingsProblem;
 use crate::constants::{
@@ -9,131 +10,132 @@
 use serde::Deserialize;
 use std::net::SocketAddrV4;
 
-/// Fewest sockets with which a controller can serve users, workers, peers and its own calls.
+/// Minimum socket limit with which a controller can serve users, workers and peers and send its own requests.
 const SOCKETS_MIN: usize = 32;
 
-/// What the platform hands over.
+/// The platform's settings for one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
-    /// Name of this controller.
+    /// Label of this controller, unique among all controllers.
     pub label: String,
-    /// Its zone.
+    /// Zone of this controller.
     pub zone: String,
-    /// Where users, workers and health checks connect.
+    /// Address on which users, workers and health checks connect.
     pub listen: SocketAddrV4,
-    /// Where other controllers connect.
+    /// Address on which other controllers connect.
     pub peer_bind: SocketAddrV4,
-    /// The other controllers.
+    /// The other controllers; empty if there are none.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// What it depends on.
+    /// Addresses of the services that the controller depends on.
     pub services: Services,
-    /// Facts of the deployment.
+    /// Parameters of the deployment.
     pub params: Params,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Name of the controller.
+    /// Label of the controller.
     pub label: String,
-    /// Its zone.
+    /// Zone of the controller; empty if not given.
     #[serde(default)]
     pub zone: String,
-    /// Where it takes other controllers' messages.
+    /// Address on which it accepts messages from other controllers.
     pub address: SocketAddrV4,
 }
 
-/// Where cloud and state service answer.
+/// Addresses of the services that a controller depends on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
-    /// The cloud's address.
+    /// Address of the cloud's API.
     pub cloud: SocketAddrV4,
-    /// The state service's address.
+    /// Address of the state service.
     pub state: SocketAddrV4,
 }
 
-/// Facts of the deployment.
+/// Parameters of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Params {
-    /// All zones.
+    /// Names of all zones.
     #[serde(default)]
     pub zones: Vec<String>,
     /// All teams.
     pub teams: Vec<Team>,
-    /// The users' aims.
+    /// The users' objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The workers' timing.
+    /// Timing of the workers.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// What this process may use.
+    /// Resources that this process may use.
     pub machine_limits: MachineLimits,
-    /// Milliseconds by which the time of day may be off.
+    /// Maximum error of the wall clock, in milliseconds.
     #[serde(default)]
     pub time_bound_ms: f64,
 }
 
-/// A team with its guarantee and its limit; 0 means none.
+/// A team with its guaranteed resources and its limits; an amount of 0 means no guarantee or no limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// Cores that it is guaranteed.
+    /// Guaranteed number of cores.
     #[serde(default)]
     pub cpus: f64,
-    /// Cores that it may use at the most.
+    /// Maximum number of cores that the team may use.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs that it is guaranteed.
+    /// Guaranteed number of GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// GPUs that it may use at the most.
+    /// Maximum number of GPUs that the team may use.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// Resources that it is guaranteed; memory is not limited.
+    /// Guaranteed resources; memory is not guaranteed.
     pub fn guarantee(&self) -> Resources {
         Resources::new(self.cpus, self.gpus, 0.0)
     }
 
-    /// Resources that it may use at the most; what is 0 is not limited.
+    /// Maximum resources that the team may use; a component of 0, such as memory, is not limited.
     pub fn limit(&self) -> Resources {
         Resources::new(self.cpus_max, self.gpus_max, 0.0)
     }
 }
 
-/// One of the users' aims, as far as planning can use it.
+/// One of the users' service level objectives.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is counted.
+    /// What the objective measures; see [`Objective::complete_within`] for the kinds that planning uses.
     pub kind: String,
-    /// The class whose jobs are counted; none: all.
+    /// The class of jobs to which it applies; none: all jobs.
     #[serde(default)]
     pub class: Option<String>,
-    /// Seconds within which a job counts as served.
+    /// Maximum time in seconds for a job to meet the objective; none if the kind has no such time.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The share of jobs to be served so.
+    /// Share of the jobs that should meet the objective; none if not given.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Of a job's own deadline, for aims that are counted in it.
+    /// For the kind `deadline`: allowed time as a multiple of the job's own deadline; none: 1.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
 impl Objective {
-    /// Seconds within which a job of an array has to be complete for this aim, if the aim asks
-    /// for that: `deadline_s` is its deadline, and its tasks run for `run_s`.
+    /// Seconds after its submission within which a job must complete to meet this objective; none if the
+    /// objective sets no such limit. `deadline_s` is the job's own deadline, and `run_s` the run time of its
+    /// tasks.
     pub fn complete_within(&self, deadline_s: Option<f64>, run_s: f64) -> Option<f64> {
         match self.kind.as_str() {
             "finished" => self.within_s,
-            // Its last task has started by then.
+            // The last task must have started within that time, and then it runs.
             "wait" => self.within_s.map(|within_s| within_s + run_s),
             "deadline" => deadline_s.map(|deadline_s| deadline_s * self.times.unwrap_or(1.0)),
             _ => None,
@@ -141,20 +143,20 @@
     }
 }
 
-/// The workers' timing.
+/// Timing of the workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Seconds between two reports.
+    /// Seconds between two heartbeats of a worker.
     pub report_s: f64,
-    /// Seconds after which a worker that is not answered kills its tasks.
+    /// Length of a worker's lease in seconds: a worker that gets no response for so long kills its tasks.
     pub lease_s: f64,
-    /// Seconds after a cancellation within which its tasks must be gone.
+    /// Seconds after the cancellation of a job within which its tasks must have ended.
     pub cancel_s: f64,
-    /// Seconds that a task of a gang waits for the other tasks of its attempt; 0: not known.
+    /// Seconds for which a task of a gang waits for the other tasks of its attempt; 0: unknown.
     #[serde(default)]
     pub gang_wait_s: f64,
-    /// Seconds within which tasks of a gang notice that another one is gone, and within which all
-    /// of them have to be told to stop; 0: not known.
+    /// Seconds after which the tasks of a gang fail once another one is gone. To save their progress, all
+    /// of them have to be told to stop within that time. 0: unknown.
     #[serde(default)]
     pub gang_peer_s: f64,
 }
@@ -169,56 +171,57 @@
 /// Limits of the state service.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Maximum requests per second, from all controllers together.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Maximum puts and deletes per second, from all controllers together.
     pub write_rps: f64,
-    /// Kilobytes of one value.
+    /// Maximum size of a value, in kilobytes of 1024 bytes.
     pub value_kb: f64,
-    /// Puts and deletes of one transaction.
+    /// Maximum number of puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Limits that the state service takes on at some later moment, without notice.
+    /// Limits that come into force at some later time, without notice; none if no change is announced.
     #[serde(default)]
     pub next: Option<NextStateLimits>,
 }
 
-/// Limits of the state service that are to come; what is not named stays as it is.
+/// Announced limits of the state service; a limit that is absent does not change.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextStateLimits {
-    /// Requests a second.
+    /// Maximum requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Puts and deletes a second.
+    /// Maximum puts and deletes per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Kilobytes of one value.
+    /// Maximum size of a value, in kilobytes of 1024 bytes.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Puts and deletes of one transaction.
+    /// Maximum number of puts and deletes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StateLimits {
-    /// Bytes of one value that are allowed now and later.
+    /// Maximum size of a value in bytes, the lower of the present and the announced limit.
     pub fn value_bytes(&self) -> usize {
         let next = self.next.as_ref().and_then(|next| next.value_kb);
         (next.map_or(self.value_kb, |kb| kb.min(self.value_kb)) * BYTES_PER_KB) as usize
     }
 
-    /// Puts and deletes of one transaction that are allowed now and later.
+    /// Maximum number of puts and deletes in a transaction, the lower of the present and the announced
+    /// limit.
     pub fn transaction_ops(&self) -> usize {
         let next = self.next.as_ref().and_then(|next| next.txn_ops);
         next.map_or(self.txn_ops, |ops| ops.min(self.txn_ops))
     }
 
-    /// Requests a second that are allowed now and later.
+    /// Maximum requests per second, the lower of the present and the announced limit.
     pub fn lowest_rps(&self) -> f64 {
         let next = self.next.as_ref().and_then(|next| next.rps);
         next.map_or(self.rps, |rps| rps.min(self.rps))
     }
 
-    /// Puts and deletes a second that are allowed now and later.
+    /// Maximum puts and deletes per second, the lower of the present and the announced limit.
     pub fn lowest_write_rps(&self) -> f64 {
         let next = self.next.as_ref().and_then(|next| next.write_rps);
         next.map_or(self.write_rps, |rps| rps.min(self.write_rps))
@@ -228,27 +231,29 @@
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Maximum requests per second, from all controllers together.
     pub rps: f64,
-    /// Seconds by which the list of machines may lag.
+    /// Maximum lag of the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
 impl CloudLimits {
-    /// Milliseconds by which the machine list may lag before a machine missing from it counts as gone.
+    /// Milliseconds by which the cloud's list is taken to lag at most: twice the lag from the settings plus a
+    /// margin. A machine missing from a list counts as gone only if the list was requested more than this after
+    /// the last proof that the machine exists.
     pub fn list_lag_ms(&self) -> u64 {
         (self.list_lag_s * 2.0 * MS_PER_S) as u64 + MACHINE_LIST_LAG_MARGIN_MS
     }
 }
 
-/// What this process may use.
+/// Resources that this process may use.
 #[derive(Debug, Clone, Deserialize)]
 pub struct MachineLimits {
-    /// Share of a core.
+    /// CPU time, as a share of one core.
     pub core_share: f64,
-    /// Megabytes of memory.
+    /// Memory in megabytes.
     pub mem_mb: f64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub sockets: usize,
 }
 
@@ -298,7 +303,7 @@
         Ok(())
     }
 
-    /// Number of controllers.
+    /// Number of controllers, this one included.
     pub fn controllers(&self) -> usize {
         self.peers.len() + 1
     }
