--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,5 +1,5 @@
 //! Messages between controllers, encoded as CBOR: gossip, relayed users' requests, and images of the store
-//! for a rebuild after a data loss.
+//! for a rebuild after a data loss. The protocol does not specify them, so they can change with the program.
 //!
 //! During an upgrade controllers of two versions exchange messages, so fields keep their names and their
 //! order, and a field added later needs a default.
