--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -1,7 +1,7 @@
-//! One connection with its buffers, whichever side opened it.
+//! One connection with its buffers, inbound or outbound.
 //!
-//! It reads, writes and keeps its own state. Whether it is closed, and who is told, is for
-//! [`Transport`](super::Transport).
+//! A connection reads, writes and keeps its own state. [`Transport`](super::Transport) closes it and
+//! reports calls that end without a response.
 
 use super::counts::TransportCounts;
 use super::http::{self, HttpError};
@@ -13,59 +13,60 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// Interim answer to a client that waits for it before it sends its body.
+/// Interim response to a client that waits for it before sending the body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// A connection.
+/// A TCP connection with its buffers.
 pub(super) struct Connection {
     pub stream: TcpStream,
     pub role: Role,
-    /// Bytes received and not yet taken as a message.
+    /// Bytes received but not yet parsed.
     pub input: Vec<u8>,
-    /// Bytes to send, of which the first `written` are sent.
+    /// Bytes to send; the first `written` of them have been sent.
     pub output: Vec<u8>,
     written: usize,
-    /// What the poller watches it for.
+    /// What the poller watches the connection for.
     pub interest: Interest,
-    /// When the current request began to arrive, or the connection fell idle.
+    /// Start of the current timeout: when a request began to arrive or was sent, or when the connection
+    /// became idle.
     pub since: Instant,
-    /// The other side sends nothing more, or nothing more is read of it.
+    /// The remote side has closed its sending direction, or its input is no longer read.
     pub is_ended: bool,
 }
 
-/// Which side sends the requests.
+/// Which side sends requests.
 pub(super) enum Role {
     Inbound(Inbound),
     Outbound(Outbound),
 }
 
-/// The other side sends requests.
+/// State of a connection on which the remote side sends requests.
 pub(super) struct Inbound {
     pub id: ConnectionId,
     pub origin: Origin,
-    /// A request was taken and is not answered yet.
+    /// A request has been received and not answered yet.
     pub is_busy: bool,
-    /// The client keeps the connection open after the answer to the current request.
+    /// The client asked to keep the connection open after the current request.
     pub keep_alive: bool,
-    /// It is closed once no request waits for an answer and all output is sent.
+    /// Close the connection once no request is pending and all output has been sent.
     pub closes_after_output: bool,
 }
 
-/// We send requests.
+/// State of a connection on which this process sends requests.
 pub(super) struct Outbound {
     pub target: Target,
-    /// The call that waits for its reply.
+    /// The call that waits for its response.
     pub call: Option<CallInFlight>,
     pub is_connecting: bool,
 }
 
-/// A call that was sent.
+/// A call assigned to a connection.
 pub(super) struct CallInFlight {
     pub id: CallId,
     pub deadline: Instant,
 }
 
-/// How far the output has come.
+/// Result of writing the pending output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteProgress {
     Complete,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Sends what waits, as far as the socket takes it.
+    /// Sends pending output until the socket would block.
     pub(super) fn write_output(
         &mut self,
         counts: &mut TransportCounts,
@@ -112,7 +113,7 @@
         Ok(WriteProgress::Complete)
     }
 
-    /// The first time that a new connection can be written it is known whether it came about.
+    /// Checks whether connecting succeeded. The result is available once the socket is first writable.
     fn finish_connecting(&mut self) -> io::Result<()> {
         let Role::Outbound(outbound) = &mut self.role else {
             return Ok(());
@@ -127,7 +128,8 @@
         Ok(())
     }
 
-    /// Reads what there is, through `scratch`; fails too if that is more than any message may have.
+    /// Reads the available input, using `scratch` as the read buffer. Also fails if the input grows beyond
+    /// the size limit of every message.
     pub(super) fn read_input(
         &mut self,
         scratch: &mut [u8],
@@ -150,7 +152,7 @@
             };
             counts.bytes_read += length as u64;
             self.append_input(&scratch[..length])?;
-            // A read that did not fill the buffer has emptied the socket: another one would find nothing.
+            // A read that does not fill the buffer has drained the socket; another one would block.
             if length < scratch.len() || self.has_enough_input() {
                 return Ok(());
             }
@@ -168,7 +170,7 @@
         Ok(())
     }
 
-    /// More than any request may have: the parser decides before more is read.
+    /// Whether the input exceeds the size of any single request, so that it is parsed before more is read.
     fn has_enough_input(&self) -> bool {
         self.is_inbound() && self.input.len() > HTTP_BODY_MAX + HTTP_HEAD_MAX
     }
@@ -177,7 +179,8 @@
         matches!(self.role, Role::Inbound(_))
     }
 
-    /// Whether it was to be closed once its output is sent, and no request waits for an answer.
+    /// Whether to close the connection once its output has been sent: this was requested and no request is
+    /// pending.
     pub(super) fn closes_after_output(&self) -> bool {
         match &self.role {
             Role::Inbound(inbound) => inbound.closes_after_output && !inbound.is_busy,
@@ -185,12 +188,12 @@
         }
     }
 
-    /// What the poller should watch it for.
+    /// What the poller should watch the connection for.
     pub(super) fn wanted_interest(&self) -> Interest {
         let has_output = self.written < self.output.len();
         match &self.role {
             Role::Inbound(inbound) => {
-                // A client that sends more while it waits for an answer is read later.
+                // Backpressure: while a request is pending, at most about a chunk of further input is read.
                 let has_room = !inbound.is_busy || self.input.len() < READ_CHUNK;
                 Interest { read: !self.is_ended && has_room, write: has_output }
             }
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Writes the answer to the request that waits for one; false if none does.
+    /// Writes the response to the pending request; returns false if there is none.
     pub(super) fn answer(&mut self, status: u16, retry_after_s: Option<u64>, body: &[u8]) -> bool {
         let Role::Inbound(inbound) = &mut self.role else {
             return false;
@@ -216,7 +219,7 @@
         true
     }
 
-    /// Answers bytes that are no request, and ends the connection with that.
+    /// Rejects input that is not an acceptable request and closes the connection after the response.
     pub(super) fn refuse(&mut self, status: u16, reason: &str) {
         if let Role::Inbound(inbound) = &mut self.role {
             inbound.closes_after_output = true;
@@ -227,17 +230,17 @@
         http::write_response(&mut self.output, status, None, &body, false);
     }
 
-    /// The same with the status and the reason of the parser.
+    /// Rejects input that the parser did not accept, with the parser's status and reason.
     pub(super) fn refuse_malformed(&mut self, error: HttpError) {
         self.refuse(error.status(), &error.to_string());
     }
 
-    /// Tells the client to send the body of its request.
+    /// Writes the interim response that tells the client to send the request body.
     pub(super) fn write_continue(&mut self) {
         self.output.extend_from_slice(CONTINUE);
     }
 
-    /// Bytes that its buffers hold.
+    /// Bytes allocated for the buffers.
     pub(super) fn buffered_bytes(&self) -> u64 {
         (self.input.capacity() + self.output.capacity()) as u64
     }
--- a/src/transport/counts.rs
+++ b/src/transport/counts.rs
@@ -1,53 +1,54 @@
-//! Counts of the system calls and messages that the sockets cost.
+//! Counts of the transport's system calls, messages and bytes.
 
 use serde::Serialize;
 
-/// What the transport has done since the process began, and what it holds now.
+/// Counts since the start of the process, and the current number of connections and size of buffers.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct TransportCounts {
     /// Waits for readiness.
     pub waits: u64,
-    /// Waits that ended with no socket ready.
+    /// Waits that ended without a ready socket.
     pub waits_without_event: u64,
     /// Reads from sockets.
     pub reads: u64,
-    /// Reads that found nothing.
+    /// Reads that would have blocked.
     pub reads_empty: u64,
     /// Writes to sockets.
     pub writes: u64,
     /// Attempts to accept a connection.
     pub accepts: u64,
-    /// Attempts that found none.
+    /// Attempts to accept that found no connection or failed.
     pub accepts_empty: u64,
-    /// Connections opened to the state service, the cloud and peers.
+    /// Attempts to connect to the state service, the cloud and other controllers.
     pub connects: u64,
-    /// Connections closed, by either side.
+    /// Connections closed by either side.
     pub closes: u64,
-    /// Changes of what the poller is to watch a connection for.
+    /// Changes of what the poller watches a connection for.
     pub interest_changes: u64,
-    /// Whole requests received.
+    /// Complete requests received.
     pub requests: u64,
-    /// Whole replies received.
+    /// Complete responses received.
     pub replies: u64,
     /// Bytes read from sockets.
     pub bytes_read: u64,
     /// Bytes written to sockets.
     pub bytes_written: u64,
-    /// The largest message received, in bytes.
+    /// The largest body of a message received, in bytes.
     pub largest_message: u64,
-    /// Connections open now.
+    /// Connections that are open now.
     pub connections: u64,
-    /// Bytes that the buffers of open connections hold now.
+    /// Bytes allocated for the buffers of open connections, as of the last sweep.
     pub buffered_bytes: u64,
 }
 
 impl TransportCounts {
-    /// Takes note of the size of a message's body, in bytes.
+    /// Updates the size of the largest message body.
     pub(super) fn record_message(&mut self, body_bytes: usize) {
         self.largest_message = self.largest_message.max(body_bytes as u64);
     }
 
-    /// What was done between an earlier reading and this one; what is held now stays as it is.
+    /// Counts between an earlier reading and this one. Connections, buffers and the largest message are
+    /// kept as they are now.
     pub fn since(&self, earlier: &TransportCounts) -> TransportCounts {
         TransportCounts {
             waits: self.waits - earlier.waits,
--- a/src/transport/deadlines.rs
+++ b/src/transport/deadlines.rs
@@ -1,8 +1,8 @@
-//! All that happens because of the time: idle connections are closed, slow requests refused, calls
-//! without a reply given up.
+//! Timeouts: idle connections are closed, requests that arrive too slowly are rejected, and calls
+//! without a response are reported as unanswered.
 //!
-//! No timer stands for any single connection: all are looked at every [`SWEEP_MS`] milliseconds, so a
-//! deadline may be overrun by that.
+//! There is no timer per connection: all connections are checked every [`SWEEP_MS`] milliseconds, so a
+//! deadline may be exceeded by that much.
 
 use super::connection::{Connection, Role};
 use super::net::{ConnectionKey, Transport};
@@ -11,19 +11,20 @@
 };
 use std::time::{Duration, Instant};
 
-/// Status of the answer to a request that did not come in time.
+/// HTTP status of the response to a request that did not arrive in time.
 const REQUEST_TIMEOUT: u16 = 408;
 
-/// What becomes of a connection whose time is over.
+/// What to do with a connection that has timed out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Overdue {
-    /// Its request has taken too long to arrive.
+    /// Reject the request, which has taken too long to arrive, and close the connection.
     Refused,
-    /// It is closed without a word.
+    /// Close the connection without a response.
     Closed,
 }
 
 impl Transport {
+    /// Checks all timeouts if the last check was [`SWEEP_MS`] ago.
     pub(super) fn sweep_if_due(&mut self, now: Instant) {
         if now < self.next_sweep_at {
             return;
@@ -55,7 +56,7 @@
         connections.filter_map(|(key, connection)| Some((*key, end(connection)?))).collect()
     }
 
-    /// Few inbound connections are left, so idle ones make room for others sooner.
+    /// Whether the limit of inbound connections is nearly reached, so that idle ones are closed sooner.
     fn is_crowded(&self) -> bool {
         self.inbound.len() as f64 >= self.inbound_max as f64 * CROWDED_SHARE
     }
@@ -69,12 +70,12 @@
     }
 }
 
-/// Whether a connection's time is over; an inbound one may be idle for `inbound_idle_ms`.
+/// What to do with a connection if it has timed out; an inbound one may be idle for `inbound_idle_ms`.
 fn overdue(connection: &Connection, now: Instant, inbound_idle_ms: u64) -> Option<Overdue> {
     let age = now.duration_since(connection.since);
     let closed_after = |ms| (age > Duration::from_millis(ms)).then_some(Overdue::Closed);
     match &connection.role {
-        // Whoever answers it has deadlines of their own.
+        // The code that answers the request has its own deadlines.
         Role::Inbound(inbound) if inbound.is_busy => None,
         Role::Inbound(_) if !connection.output.is_empty() => closed_after(HTTP_REQUEST_MS),
         Role::Inbound(_) if !connection.input.is_empty() => {
--- a/src/transport/deadlines/tests.rs
+++ b/src/transport/deadlines/tests.rs
@@ -25,7 +25,7 @@
     connection(Role::Outbound(Outbound { target: 0, call, is_connecting: false }))
 }
 
-/// What becomes of a connection at its limit, and a millisecond later.
+/// What is done with a connection at its limit, and a millisecond later.
 fn at_and_after(connection: &Connection, limit_ms: u64) -> [Option<Overdue>; 2] {
     [0, 1].map(|more| {
         let now = connection.since + Duration::from_millis(limit_ms + more);
--- a/src/transport/http/body.rs
+++ b/src/transport/http/body.rs
@@ -1,28 +1,28 @@
-//! The body of a message: found by its length, in chunks, or by the end of the connection.
+//! The body of a message, delimited by its length, by chunks, or by the end of the connection.
 
 use super::head::{find_end, line_end};
 use super::{HttpError, Parsed};
 use crate::constants::HTTP_HEAD_MAX;
 
-/// Longest line that gives a chunk's size, with its end and extensions, in bytes.
+/// Longest line with the size of a chunk in bytes, including extensions and the line ending.
 const CHUNK_SIZE_LINE_MAX: usize = 128;
 
-/// How a body's end is found.
+/// How the end of a body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Framing {
-    /// It has so many bytes.
+    /// By its length in bytes.
     Length(usize),
-    /// An empty chunk ends it.
+    /// By an empty chunk (chunked transfer coding).
     Chunked,
-    /// The end of the connection ends it.
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// A whole body.
+/// A complete body.
 pub(super) struct Body {
-    /// Its bytes, decoded.
+    /// The decoded bytes.
     pub bytes: Vec<u8>,
-    /// Bytes that it took on the wire.
+    /// Number of bytes on the wire.
     pub encoded_length: usize,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Parses a body of at most `max` bytes; `closed`: no more bytes will come.
+/// Parses a body of at most `max` bytes; `closed` says that no more bytes will arrive.
 pub(super) fn parse(input: &[u8], framing: Framing, max: usize, closed: bool) -> Parsed<Body> {
     match framing {
         Framing::Length(length) if length > max => Err(HttpError::BodyTooLarge),
@@ -44,17 +44,17 @@
     }
 }
 
-/// What a chunked body has next.
+/// The next element expected in a chunked body.
 enum ChunkState {
     /// A line with the size of a chunk.
     Size,
-    /// So many bytes of data.
+    /// The data of a chunk, with its length in bytes.
     Data(usize),
-    /// The end of the line behind the data.
+    /// The line ending after the data.
     DataEnd,
-    /// Trailers, if any, and an empty line.
+    /// Optional trailers and an empty line.
     Trailers,
-    /// Nothing more.
+    /// Nothing: the body is complete.
     Complete,
 }
 
@@ -62,7 +62,7 @@
 struct ChunkedBody<'a> {
     input: &'a [u8],
     max: usize,
-    /// Bytes of the input that were taken.
+    /// Number of input bytes parsed.
     position: usize,
     decoded: Vec<u8>,
 }
@@ -110,7 +110,7 @@
         Ok(Some(if size == 0 { ChunkState::Trailers } else { ChunkState::Data(size) }))
     }
 
-    /// Data is taken once the first byte behind it is there.
+    /// Parses the data of a chunk, once the byte after it has arrived too.
     fn take_data(&mut self, size: usize) -> Option<ChunkState> {
         let rest = self.rest();
         if rest.len() < size + 1 {
@@ -142,13 +142,13 @@
     }
 }
 
-/// The size in a line before a chunk; extensions behind a semicolon are passed over.
+/// Parses the line before a chunk's data; extensions after a semicolon are ignored.
 fn parse_chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let line = std::str::from_utf8(line).map_err(|_| HttpError::MalformedChunkSize)?;
     let digits = line.split(';').next().unwrap_or("").trim();
     if digits.is_empty() || !digits.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Err(HttpError::MalformedChunkSize);
     }
-    // Digits alone fail only where the number has no room.
+    // Parsing digits fails only on overflow.
     usize::from_str_radix(digits, 16).map_err(|_| HttpError::BodyTooLarge)
 }
--- a/src/transport/http/head.rs
+++ b/src/transport/http/head.rs
@@ -1,15 +1,15 @@
-//! The head of a message: its first line, and the headers that say how the body ends and whether the
+//! The head of a message: its first line, and the headers that determine how the body ends and whether the
 //! connection stays open.
 
 use super::{HttpError, Parsed};
 use crate::constants::{HTTP_HEADERS_MAX, HTTP_HEAD_MAX};
 
-/// A head as far as the parsers need it.
+/// The parts of a head that the parsers need.
 #[derive(Default)]
 pub(super) struct Head<'a> {
     /// Request line or status line.
     pub first_line: &'a str,
-    /// Index of the first byte behind the head.
+    /// Index of the first byte after the head.
     pub end: usize,
     pub content_length: Option<usize>,
     pub is_chunked: bool,
@@ -46,7 +46,7 @@
         Ok(Some(head))
     }
 
-    /// Whether the connection stays open after the message; HTTP/1.0 has to ask for it.
+    /// Whether the connection stays open after the message; HTTP/1.0 has to request that.
     pub(super) fn keeps_alive(&self, is_http_1_0: bool) -> bool {
         !self.asks_close && (!is_http_1_0 || self.asks_keep_alive)
     }
@@ -72,7 +72,7 @@
         if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(HttpError::MalformedContentLength);
         }
-        // Digits alone fail only where the number has no room.
+        // Parsing digits fails only on overflow.
         let length: usize = value.parse().map_err(|_| HttpError::BodyTooLarge)?;
         if self.content_length.is_some_and(|earlier| earlier != length) {
             return Err(HttpError::ConflictingLengths);
@@ -89,7 +89,7 @@
     }
 }
 
-/// A header's name, and its value without spaces around it.
+/// Splits a header line into its name and its trimmed value.
 fn split_header(line: &str) -> Result<(&str, &str), HttpError> {
     let (name, value) = line.split_once(':').ok_or(HttpError::HeaderWithoutColon)?;
     if name.is_empty() || name.bytes().any(|byte| byte <= b' ') {
@@ -98,7 +98,8 @@
     Ok((name, value.trim()))
 }
 
-/// Finds the end of a head: an empty line, with or without carriage returns.
+/// Index after the first empty line, which ends a head or trailers. Lines may end with or without a
+/// carriage return.
 pub(super) fn find_end(buffer: &[u8]) -> Option<usize> {
     let mut from = 0;
     while let Some(offset) = buffer[from..].iter().position(|byte| *byte == b'\n') {
@@ -111,7 +112,7 @@
     None
 }
 
-/// The bytes of the end of a line at the front of the buffer, if it begins with one.
+/// Length of the line ending at the front of the buffer, if there is one.
 pub(super) fn line_end(buffer: &[u8]) -> Option<usize> {
     match buffer {
         [b'\n', ..] => Some(1),
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1: the project's own parser and writer, for both sides of a connection.
+//! A parser and writer of HTTP/1.1 messages, for clients and servers.
 //!
-//! Both parsers work on a growing buffer: they say "not yet" until a message is whole,
-//! take exactly its bytes, and refuse what goes over the limits. No input makes them panic.
+//! The parsers of requests and responses work on a growing buffer: they return `None` until a message is
+//! complete, then remove exactly its bytes from the buffer, and reject messages over the limits. No input
+//! makes them panic.
 
 mod body;
 mod error;
@@ -15,34 +16,34 @@
 use body::Framing;
 use head::Head;
 
-/// What a parser found; `None`: the message is not whole yet.
+/// Result of a parser; `None` if the message is not complete yet.
 pub type Parsed<T> = Result<Option<T>, HttpError>;
 
-/// A whole request.
+/// A complete request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Method, in capital letters.
+    /// Method in capital letters.
     pub method: String,
-    /// Path with its query.
+    /// Path, including the query.
     pub path: String,
     /// Body, decoded.
     pub body: Vec<u8>,
-    /// The client keeps the connection open.
+    /// The client wants to keep the connection open.
     pub keep_alive: bool,
 }
 
-/// A whole response.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Body, decoded.
     pub body: Vec<u8>,
-    /// The connection can carry another request.
+    /// The server keeps the connection open for another request.
     pub keep_alive: bool,
 }
 
-/// Takes one request with a body of at most `max_body` bytes from the front of the buffer.
+/// Parses one request with a body of at most `max_body` bytes and removes it from the front of the buffer.
 pub fn take_request(buffer: &mut Vec<u8>, max_body: usize) -> Parsed<Request> {
     skip_empty_lines(buffer);
     let Some(head) = Head::parse(buffer)? else {
@@ -64,12 +65,13 @@
     Ok(Some(request))
 }
 
-/// Whether the client waits for `100 Continue` before it sends the body.
+/// Whether the client waits for `100 Continue` before sending the body.
 pub fn wants_continue(buffer: &[u8]) -> bool {
     matches!(Head::parse(buffer), Ok(Some(head)) if head.expects_continue && buffer.len() == head.end)
 }
 
-/// Takes one response from the front of the buffer; `closed`: no more bytes will come.
+/// Parses one response and removes it from the front of the buffer; `closed` says that no more bytes will
+/// arrive.
 pub fn take_response(buffer: &mut Vec<u8>, closed: bool) -> Parsed<Response> {
     loop {
         let Some(head) = Head::parse(buffer)? else {
@@ -93,7 +95,7 @@
     }
 }
 
-/// Empty lines before a request line are skipped, as old clients send them.
+/// Skips empty lines before a request line, which old clients send.
 fn skip_empty_lines(buffer: &mut Vec<u8>) {
     let empty = buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
     buffer.drain(..empty);
@@ -147,13 +149,13 @@
         Ok(StatusLine { version, status: status.ok_or(HttpError::MalformedStatus)? })
     }
 
-    /// Another response follows for the same request.
+    /// Whether another response to the same request follows.
     fn is_interim(&self) -> bool {
         (100..200).contains(&self.status)
     }
 }
 
-/// A request without a length has no body.
+/// How the end of a request's body is found; without a length there is no body.
 fn request_framing(head: &Head<'_>) -> Framing {
     match head.is_chunked {
         true => Framing::Chunked,
@@ -161,10 +163,10 @@
     }
 }
 
-/// A response without a length ends with the connection.
+/// How the end of a response's body is found; without a length it ends with the connection.
 fn response_framing(status: u16, head: &Head<'_>) -> Framing {
     match (status, head.content_length) {
-        // These never have a body, whatever their headers say.
+        // These statuses never have a body, whatever their headers say.
         (204 | 304, _) => Framing::Length(0),
         _ if head.is_chunked => Framing::Chunked,
         (_, Some(length)) => Framing::Length(length),
--- a/src/transport/http/write.rs
+++ b/src/transport/http/write.rs
@@ -1,8 +1,8 @@
-//! Writing whole messages into a buffer.
+//! Writing complete messages into a buffer.
 
 use std::io::Write;
 
-/// Writes a response; `retry_after_s` are seconds after which the client may come back.
+/// Writes a response; `retry_after_s` is the value of the `Retry-After` header in seconds.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that others open: admission, requests and answers.
+//! Inbound connections: accepting them, reading requests and sending responses.
 
 use super::connection::{Inbound, Role};
 use super::http;
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 impl Transport {
-    /// Takes every connection that waits at a listener.
+    /// Accepts all pending connections of a listener.
     pub(super) fn accept(&mut self, origin: Origin) {
         loop {
             self.counts.accepts += 1;
@@ -28,7 +28,7 @@
 
     fn admit(&mut self, stream: TcpStream, origin: Origin) {
         if origin == Origin::Public && self.inbound.len() >= self.inbound_max {
-            // Dropped at once: the balancer then tries another controller.
+            // Dropped immediately, so that the load balancer tries another controller.
             return;
         }
         if stream.set_nonblocking(true).is_err() {
@@ -49,14 +49,14 @@
         }
     }
 
-    /// Takes the next request of a connection, unless one waits for its answer still.
+    /// Handles the next request of a connection, unless an earlier one is still pending.
     pub(super) fn take_request(&mut self, key: ConnectionKey) -> Result<(), Closed> {
         let connection = self.connections.get_mut(&key).ok_or(Closed)?;
         let Role::Inbound(inbound) = &mut connection.role else {
             return Ok(());
         };
         if inbound.is_busy {
-            // Half-closed: the answer is still written.
+            // The client has closed its sending direction only: the response is still sent.
             inbound.closes_after_output |= connection.is_ended && connection.input.is_empty();
             return Ok(());
         }
@@ -91,8 +91,8 @@
         }
     }
 
-    /// Answers a request; the connection may be gone by now. `retry_after_s` are seconds after which
-    /// the client may come back.
+    /// Sends the response to a request, unless its connection has been closed. `retry_after_s` is the value
+    /// of the `Retry-After` header in seconds.
     pub fn respond(
         &mut self,
         id: ConnectionId,
@@ -109,15 +109,15 @@
         if !connection.answer(status, retry_after_s, body) {
             return;
         }
-        // The next request may have come already.
+        // The next request may have arrived already.
         if self.flush(key).is_ok() && self.take_request(key).is_ok() {
             self.update_interest(key);
         }
     }
 }
 
-/// Most bytes of a request's body. A user's request that a peer passes on is a little longer than it
-/// was from the user.
+/// Largest request body in bytes. A user's request that another controller relays is slightly longer than
+/// the original.
 fn body_limit(origin: Origin) -> usize {
     match origin {
         Origin::Public => HTTP_BODY_MAX,
--- a/src/transport/listeners.rs
+++ b/src/transport/listeners.rs
@@ -14,14 +14,14 @@
 /// First key of a connection.
 pub(super) const KEY_FIRST_CONNECTION: usize = 2;
 
-/// Both listeners.
+/// The public listener and the one for other controllers.
 pub(super) struct Listeners {
     public: TcpListener,
     peer: TcpListener,
 }
 
 impl Listeners {
-    /// Opens both and has them watched.
+    /// Opens both listeners and registers them with the poller.
     pub(super) fn open(
         public: SocketAddrV4,
         peer: SocketAddrV4,
@@ -33,7 +33,7 @@
         Ok(listeners)
     }
 
-    /// Takes a connection that waits; an error of kind `WouldBlock` if there is none.
+    /// Accepts a pending connection; fails with `WouldBlock` if there is none.
     pub(super) fn accept(&self, origin: Origin) -> io::Result<TcpStream> {
         let listener = match origin {
             Origin::Public => &self.public,
@@ -42,7 +42,7 @@
         listener.accept().map(|(stream, _)| stream)
     }
 
-    /// Where users and workers connect.
+    /// Address that users and workers connect to.
     pub(super) fn public_address(&self) -> io::Result<SocketAddr> {
         self.public.local_addr()
     }
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -1,15 +1,15 @@
-//! What goes between the transport and its user.
+//! Types exchanged between the transport and its user.
 
 use super::http;
 
-/// Names an inbound connection; never used twice.
+/// Identifier of an inbound connection; never reused.
 pub type ConnectionId = u64;
-/// Names an outbound call; chosen by the caller.
+/// Identifier of an outbound call; chosen by the caller.
 pub type CallId = u64;
-/// Index of a place that calls go to.
+/// Index of a destination in the list given to [`Transport::new`](super::Transport::new).
 pub type Target = usize;
 
-/// Which listener a request came through.
+/// The listener through which a request arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
     /// Users, workers and health checks.
@@ -21,37 +21,37 @@
 /// An outbound request.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Name of the call, chosen by the caller.
+    /// Identifier of the call, chosen by the caller.
     pub id: CallId,
-    /// Where it goes.
+    /// Destination of the call.
     pub target: Target,
     /// HTTP method.
     pub method: &'static str,
-    /// Path with its query.
+    /// Path, including the query.
     pub path: String,
     /// Body; may be empty.
     pub body: Vec<u8>,
-    /// Milliseconds after which it counts as unanswered.
+    /// Milliseconds after which the call counts as unanswered.
     pub timeout_ms: u64,
 }
 
-/// What came in.
+/// A message received, or the failure of a call.
 #[derive(Debug)]
 pub enum Incoming {
-    /// A whole request came in.
+    /// A complete request.
     Request {
-        /// The connection to answer on.
+        /// The connection to respond on.
         connection: ConnectionId,
-        /// The listener it came through.
+        /// The listener through which the request arrived.
         origin: Origin,
         /// The request.
         request: http::Request,
     },
-    /// `None`: no answer; the request may have been carried out, or may be later.
+    /// The end of a call, with or without a response.
     Reply {
-        /// The call that it answers.
+        /// The call that has ended.
         call: CallId,
-        /// The reply, or none.
+        /// The response. Without one the request may still have been executed, or may be executed later.
         reply: Option<http::Response>,
     },
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,12 +1,12 @@
 //! Sockets and HTTP: the only layer that does network I/O.
 //!
-//! [`Transport`] owns every socket of the process and is driven by one thread:
+//! [`Transport`] owns all sockets of the process and is driven by a single thread:
 //!
-//! * `listeners`: where others connect;
-//! * `connection`: one connection with its buffers, whoever opened it;
-//! * `inbound`: admission of connections, requests that come in, and their answers;
-//! * `outbound`: calls, and the connections that are kept for them;
-//! * `deadlines`: what is closed, refused or given up because of the time.
+//! * `listeners`: the listening sockets;
+//! * `connection`: one connection with its buffers, inbound or outbound;
+//! * `inbound`: accepting connections, reading requests and sending responses;
+//! * `outbound`: calls and the pools of connections that carry them;
+//! * `deadlines`: timeouts of connections, requests and calls.
 
 mod connection;
 pub mod counts;
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -1,4 +1,4 @@
-//! The poll loop's sockets: waiting, reading, writing and closing, for connections of either side.
+//! The sockets of the event loop: waiting, reading, writing and closing, for inbound and outbound connections.
 
 use super::connection::{Connection, Role, WriteProgress};
 use super::counts::TransportCounts;
@@ -12,10 +12,10 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Key under which the poller reports a connection; never used twice.
+/// Key that identifies a connection in the poller; never reused.
 pub(super) type ConnectionKey = usize;
 
-/// The connection was closed meanwhile; whoever waited for it was told.
+/// The connection has been closed. The call it carried, if any, has been reported as unanswered.
 #[derive(Debug)]
 pub(super) struct Closed;
 
@@ -27,7 +27,7 @@
     next_key: ConnectionKey,
     pub(super) inbound: HashMap<ConnectionId, ConnectionKey>,
     pub(super) next_connection_id: ConnectionId,
-    /// Most inbound connections that are kept open for users and workers.
+    /// Number of inbound connections from which on new ones of users and workers are dropped.
     pub(super) inbound_max: usize,
     pub(super) destinations: Vec<Destination>,
     pub(super) next_sweep_at: Instant,
@@ -37,7 +37,7 @@
 }
 
 impl Transport {
-    /// Opens the listeners. `targets` are the places that calls go to; `sockets` may be open at most.
+    /// Opens the listeners. `targets` are the destinations of calls; `sockets` is the limit of open sockets.
     pub fn new(
         public: SocketAddrV4,
         peer: SocketAddrV4,
@@ -61,22 +61,22 @@
         })
     }
 
-    /// Where users and workers connect.
+    /// Address that users and workers connect to.
     pub fn public_address(&self) -> io::Result<SocketAddr> {
         self.listeners.public_address()
     }
 
-    /// What was done so far; what the buffers hold is as of the last sweep.
+    /// Counts since the start of the process; the size of the buffers is that of the last sweep.
     pub fn counts(&self) -> TransportCounts {
         TransportCounts { connections: self.connections.len() as u64, ..self.counts }
     }
 
-    /// Whether something came in that [`Transport::poll`] has not given yet.
+    /// Whether something has arrived that [`Transport::poll`] has not returned yet.
     pub fn has_incoming(&self) -> bool {
         !self.incoming.is_empty()
     }
 
-    /// Waits for sockets or for the time to pass; gives what came in.
+    /// Waits until a socket is ready or `wait` has passed, and returns what has arrived.
     pub fn poll(&mut self, wait: Duration) -> io::Result<Vec<Incoming>> {
         let ready = self.readiness.wait(wait)?;
         self.counts.waits += 1;
@@ -92,7 +92,8 @@
         Ok(std::mem::take(&mut self.incoming))
     }
 
-    /// Writes and reads a connection that is ready, unless an earlier one's end has closed it.
+    /// Writes to and reads from a ready connection, unless it was closed while an earlier socket of the
+    /// same wait was handled.
     fn serve(&mut self, socket: Ready) {
         if !self.connections.contains_key(&socket.key) {
             return;
@@ -106,7 +107,7 @@
         self.update_interest(socket.key);
     }
 
-    /// Has a new connection watched and keeps it.
+    /// Registers a new connection with the poller and stores it.
     pub(super) fn add(
         &mut self,
         stream: TcpStream,
@@ -120,6 +121,7 @@
         Some(key)
     }
 
+    /// Tells the poller what to watch a connection for, if that has changed.
     pub(super) fn update_interest(&mut self, key: ConnectionKey) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Sends what waits, and closes the connection if it was to be closed after that.
+    /// Sends pending output, then closes the connection if it is marked to be closed.
     pub(super) fn flush(&mut self, key: ConnectionKey) -> Result<(), Closed> {
         let connection = self.connections.get_mut(&key).ok_or(Closed)?;
         match connection.write_output(&mut self.counts) {
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Reads what there is, and takes the message that it completes.
+    /// Reads the available input and handles the message that it completes.
     fn read(&mut self, key: ConnectionKey) -> Result<(), Closed> {
         let connection = self.connections.get_mut(&key).ok_or(Closed)?;
         let is_inbound = connection.is_inbound();
@@ -155,6 +157,7 @@
         }
     }
 
+    /// Closes a connection. An outbound one reports its call as unanswered.
     pub(super) fn close(&mut self, key: ConnectionKey) -> Closed {
         let Some(connection) = self.connections.remove(&key) else {
             return Closed;
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -1,5 +1,5 @@
-//! Calls: a few connections to each target, kept open between calls, and a queue for calls that
-//! none of them is free for. A connection carries one call at a time.
+//! Outbound calls. Each target has a small pool of connections, which stay open between calls, and a
+//! queue of calls that wait for a free connection. A connection carries one call at a time.
 
 use super::connection::{CallInFlight, Outbound, Role};
 use super::http;
@@ -14,12 +14,12 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A place that calls go to.
+/// A target with its pool of connections and its queue.
 pub(super) struct Destination {
     address: SocketAddrV4,
-    /// Open connections that carry no call.
+    /// Open connections without a call.
     idle: Vec<ConnectionKey>,
-    /// Open connections in all.
+    /// Number of all open connections.
     open: usize,
     queue: VecDeque<QueuedCall>,
 }
@@ -31,12 +31,12 @@
 }
 
 impl Destination {
-    /// A place that nothing was sent to yet.
+    /// Creates a destination without connections.
     pub(super) fn new(address: SocketAddrV4) -> Destination {
         Destination { address, idle: Vec::new(), open: 0, queue: VecDeque::new() }
     }
 
-    /// Takes the calls out of the queue whose time is over.
+    /// Removes the calls from the queue whose deadline has passed, and returns their identifiers.
     pub(super) fn take_late_calls(&mut self, now: Instant) -> Vec<CallId> {
         let is_late = |queued: &QueuedCall| queued.deadline <= now;
         let late = self.queue.iter().filter(|queued| is_late(queued));
@@ -47,7 +47,7 @@
 }
 
 impl Transport {
-    /// Sends a request; its reply comes from [`Transport::poll`].
+    /// Sends a request; [`Transport::poll`] returns its response.
     pub fn call(&mut self, call: Call) {
         let deadline = Instant::now() + Duration::from_millis(call.timeout_ms);
         if let Some(key) = self.take_idle(call.target) {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// The next call of the queue that still has time; those that have none are given up.
+    /// Removes the next call from the queue whose deadline has not passed; earlier ones are reported as
+    /// unanswered.
     fn next_queued(&mut self, target: Target) -> Option<QueuedCall> {
         let now = Instant::now();
         while let Some(queued) = self.destinations[target].queue.pop_front() {
@@ -121,14 +122,14 @@
         }
     }
 
-    /// Takes the reply to the call that a connection carries, once it is whole.
+    /// Handles the response to a connection's call once it is complete.
     pub(super) fn take_reply(&mut self, key: ConnectionKey) -> Result<(), Closed> {
         let connection = self.connections.get_mut(&key).ok_or(Closed)?;
         let Role::Outbound(outbound) = &connection.role else {
             return Ok(());
         };
         if outbound.call.is_none() {
-            // Bytes or an end that nobody asked for.
+            // The target sent bytes without a request, or closed an idle connection.
             return Err(self.close(key));
         }
         match http::take_response(&mut connection.input, connection.is_ended) {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Passes a reply on, and has its connection carry the next call if it can.
+    /// Reports a response and reuses its connection for the next queued call if possible.
     fn finish_call(&mut self, key: ConnectionKey, response: http::Response) -> Result<(), Closed> {
         let connection = self.connections.get_mut(&key).ok_or(Closed)?;
         let Role::Outbound(outbound) = &mut connection.role else {
@@ -161,11 +162,12 @@
             Some(queued) => self.send(key, queued.call, queued.deadline),
             None => self.destinations[target].idle.push(key),
         }
-        // Sending may have found that it is broken.
+        // Sending the next call may have failed and closed the connection.
         self.connections.contains_key(&key).then_some(()).ok_or(Closed)
     }
 
-    /// Gives up the call of a closed connection, and has another one carry the next of the queue.
+    /// Reports the call of a closed connection as unanswered, and starts the next queued call on another
+    /// connection.
     pub(super) fn release(&mut self, key: ConnectionKey, outbound: Outbound) {
         let destination = &mut self.destinations[outbound.target];
         destination.open -= 1;
@@ -179,7 +181,7 @@
     }
 }
 
-/// Starts to connect without waiting; whether it came about shows when the socket can be written.
+/// Starts a non-blocking connect. Its result is available once the socket is writable.
 fn start_connecting(address: SocketAddrV4) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
--- a/src/transport/readiness.rs
+++ b/src/transport/readiness.rs
@@ -1,9 +1,10 @@
-//! Waiting until sockets are ready: `polling`, with a shorter wait on Linux.
+//! Waiting for socket readiness: the `polling` crate, with fewer system calls per wait on Linux.
 //!
-//! `Poller::wait` makes five system calls: it sets a timer, renews its interest in that timer and
-//! in notifications of other threads, and clears the latter. A program of one thread that gives
-//! a timeout needs one of the five. On Linux the poller is an epoll instance, so the wait
-//! is made on its descriptor directly; what sockets are watched for stays with the poller.
+//! `Poller::wait` makes five system calls: besides the wait itself it sets a timer, re-arms its interest
+//! in that timer and in notifications from other threads, and clears the notifications. A
+//! single-threaded program that waits with a timeout needs only the wait. On Linux the poller is an
+//! epoll instance, so this module waits on its file descriptor directly; sockets are still registered
+//! through the poller.
 
 use polling::{Event, PollMode, Poller};
 use std::io;
@@ -14,27 +15,27 @@
 /// A socket that is ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ready {
-    /// The key under which it was added.
+    /// The key under which the socket was added.
     pub key: usize,
-    /// Reading would not block. It may find the end of the stream or an error.
+    /// Reading would not block. It may return the end of the stream or an error.
     pub readable: bool,
-    /// Writing would not block. It may find an error.
+    /// Writing would not block. It may return an error.
     pub writable: bool,
 }
 
 /// What a socket is watched for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Interest {
-    /// Report when it can be read.
+    /// Report when the socket can be read.
     pub read: bool,
-    /// Report when it can be written.
+    /// Report when the socket can be written.
     pub write: bool,
 }
 
 impl Interest {
-    /// Reading alone.
+    /// Reading only.
     pub const READ: Interest = Interest { read: true, write: false };
-    /// Both directions.
+    /// Reading and writing.
     pub const BOTH: Interest = Interest { read: true, write: true };
 
     fn event(self, key: usize) -> Event {
@@ -42,14 +43,14 @@
     }
 }
 
-/// The poller with the sockets that were ready last.
+/// The poller and its buffer of events.
 pub struct Readiness {
     poller: Poller,
     events: wait::Events,
 }
 
 impl Readiness {
-    /// A poller that watches nothing yet.
+    /// Creates a poller without sockets; fails where level-triggered polling is not supported.
     pub fn new() -> io::Result<Readiness> {
         let poller = Poller::new()?;
         if !poller.supports_level() {
@@ -58,10 +59,10 @@
         Ok(Readiness { poller, events: wait::Events::default() })
     }
 
-    /// Watches a socket. It must be removed before it is closed.
+    /// Watches a socket, which must be removed before it is closed.
     pub fn add(&self, socket: &impl AsRawFd, key: usize, interest: Interest) -> io::Result<()> {
-        // SAFETY: callers remove every socket before they close it, or keep it for as long as
-        // the poller lives.
+        // SAFETY: callers remove every socket before closing it, or keep it open for as long as the
+        // poller exists.
         unsafe {
             self.poller.add_with_mode(socket.as_raw_fd(), interest.event(key), PollMode::Level)
         }
@@ -77,8 +78,8 @@
         self.poller.delete(socket)
     }
 
-    /// Waits for a socket or for the time to pass; gives what is ready. A signal ends the wait
-    /// early with nothing ready.
+    /// Waits until a socket is ready or the timeout has passed, and returns the ready sockets. A signal
+    /// ends the wait early with none ready.
     pub fn wait(&mut self, timeout: Duration) -> io::Result<Vec<Ready>> {
         wait::wait(&self.poller, &mut self.events, timeout)
     }
@@ -93,7 +94,7 @@
     use rustix::event::Timespec;
     use rustix::io::Errno;
 
-    /// Room for what one wait reports.
+    /// Buffer for the events of one wait.
     pub(super) struct Events(Vec<epoll::Event>);
 
     impl Default for Events {
@@ -118,7 +119,8 @@
 
     fn ready(event: &epoll::Event) -> Ready {
         let flags = event.flags;
-        // A connection that broke is reported both ways, so that whoever uses it next finds out.
+        // A broken connection is reported as readable and writable, so that the next operation on it
+        // returns the error.
         let broken = EventFlags::HUP | EventFlags::ERR;
         Ready {
             key: event.data.u64() as usize,
@@ -132,7 +134,7 @@
 mod wait {
     use super::{io, Duration, Poller, Ready};
 
-    /// Room for what one wait reports.
+    /// Buffer for the events of one wait.
     #[derive(Default)]
     pub(super) struct Events(polling::Events);
 
