--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! One request to a controller on a connection of its own, waited for.
+//! A blocking HTTP client that sends one request to a controller on a new connection.
 
 use crate::protocol::http::Response;
 use crate::transport::http::{self, HttpError};
@@ -6,32 +6,32 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::Duration;
 
-/// How long a controller may take to send more of its answer.
+/// Longest time that one read waits for more of the response.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes that one read takes.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 4096;
 
-/// Why a controller's answer can't be shown.
+/// Why a request to a controller failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// It can't be connected to, or doesn't answer in time.
+    /// Connecting, sending or receiving failed or timed out.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Its answer is not HTTP.
+    /// The response is not valid HTTP.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// It closed the connection within its answer.
+    /// The controller closed the connection before the response was complete.
     #[error("the connection ended early")]
     EndedEarly,
-    /// It refused the request.
+    /// The controller responded with a status other than 200.
     #[error("answered {status}: {body}")]
     Refused {
         /// HTTP status.
         status: u16,
-        /// Body, as text.
+        /// Body of the response, as text.
         body: String,
     },
-    /// The body is not text.
+    /// The body is not UTF-8.
     #[error(transparent)]
     NotText(#[from] std::string::FromUtf8Error),
     /// The body is not the expected JSON.
@@ -42,7 +42,7 @@
     NoJobsNamed,
 }
 
-/// Sends a request to a controller; gives the body of its answer, whose status is 200.
+/// Sends a request to a controller and returns the body of the response; fails if its status is not 200.
 pub(super) fn request(
     address: SocketAddrV4,
     method: &str,
--- a/src/cli/client/tests.rs
+++ b/src/cli/client/tests.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, TcpListener};
 use std::thread;
 
-/// Answers one request with these bytes, and gives what the client makes of them.
+/// Sends one request to a server that responds with these bytes, and returns the client's result.
 fn answered_with(answer: &'static str) -> Result<Vec<u8>, ClientError> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let port = listener.local_addr().expect("bound").port();
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,6 +1,6 @@
-//! The subcommands that ask a running controller: what they send, and the text that they print.
+//! The subcommands that query a running controller: their requests and the text of their output.
 //!
-//! Nothing here prints or ends the process; arguments and exit codes are `main.rs`'s.
+//! This module neither prints nor ends the process; `main.rs` handles arguments, output and exit codes.
 
 mod client;
 pub mod recovery;
--- a/src/cli/recovery.rs
+++ b/src/cli/recovery.rs
@@ -1,4 +1,5 @@
-//! `mountgap recovery`: what a rebuild of the store could not account for, and operators' decisions on it.
+//! `mountgap recovery`: shows what a rebuild of the store could not account for, and sends operators'
+//! decisions on it.
 
 use super::client::{request, ClientError};
 use crate::protocol::recovery::{
@@ -6,19 +7,19 @@
 };
 use std::net::SocketAddrV4;
 
-/// Asks a controller for its report, as JSON.
+/// Requests a controller's recovery report and returns it as JSON.
 pub fn fetch_json(address: SocketAddrV4) -> Result<String, ClientError> {
     Ok(String::from_utf8(request(address, "GET", RECOVERY_PATH, &[])?)?)
 }
 
-/// Asks a controller for its report, as text for a person.
+/// Requests a controller's recovery report and formats it as readable text.
 pub fn fetch_text(address: SocketAddrV4) -> Result<String, ClientError> {
     let body = request(address, "GET", RECOVERY_PATH, &[])?;
     let report: RecoveryReport = serde_json::from_slice(&body)?;
     Ok(report_lines(&report).join("\n"))
 }
 
-/// Has a controller carry out a decision, and tells what became of it.
+/// Sends a decision to a controller until it has been applied to all jobs, and returns a summary.
 pub fn decide(
     address: SocketAddrV4,
     decision: Decision,
@@ -36,7 +37,7 @@
     })
 }
 
-/// Repeats a request for what did not fit into one transaction.
+/// Repeats a request while jobs are left that did not fit into one transaction.
 fn repeat_until_decided(
     mut send: impl FnMut() -> Result<DecisionAnswer, ClientError>,
 ) -> Result<String, ClientError> {
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,11 +1,11 @@
-//! `mountgap status`: a running controller's view of itself, as it gives it.
+//! `mountgap status`: prints the status of a running controller as received.
 
 use super::client::{request, ClientError};
 use crate::coordination::status::DETAILS_QUERY;
 use crate::protocol::routes::STATUS_PATH;
 use std::net::SocketAddrV4;
 
-/// Asks a controller for its view; with `details` also of single machines and waiting jobs.
+/// Requests the status of a controller; with `details` it lists single machines and waiting jobs.
 pub fn fetch(address: SocketAddrV4, details: bool) -> Result<String, ClientError> {
     let body = request(address, "GET", &path(details), &[])?;
     Ok(String::from_utf8(body)?)
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,7 +1,7 @@
-//! The daemon: the poll loop that joins the core with sockets, clocks and snapshot files.
+//! The daemon: the event loop that connects the controller to sockets, clocks and snapshot files.
 //!
-//! Everything runs on one thread, but for the writing of snapshots. The loop decides nothing: what
-//! comes in is handed to the core, and what the core asks for is carried out.
+//! Everything runs on one thread, except that snapshots are written by another one. The loop makes no
+//! decisions: it passes what arrives to the controller and executes the effects that the controller returns.
 
 use crate::constants::POLL_MAX_MS;
 use crate::coordination::{Clock, Command, Controller, Effect, Service};
@@ -13,10 +13,11 @@
 use std::net::SocketAddrV4;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The steady clock begins ahead of zero, so that differences to "long ago" stay in range.
+/// First value of the monotonic clock in milliseconds: above zero, so that times shortly before the start
+/// can be represented.
 const CLOCK_START_MS: u64 = 1_000;
 
-/// Places that the transport sends calls to, in the order of [`targets`].
+/// Indexes of the transport's targets, in the order of [`targets`].
 const STATE: Target = 0;
 const CLOUD: Target = 1;
 const FIRST_PEER: Target = 2;
@@ -25,13 +26,18 @@
 ///
 /// # Errors
 ///
-/// If a listener can't be opened, or waiting for sockets fails.
+/// Fails if a listener can't be opened, or if waiting for sockets fails.
 pub fn serve(platform: Platform, operator: Operator) -> anyhow::Result<()> {
     let sockets = platform.params.machine_limits.sockets;
     let mut transport =
         Transport::new(platform.listen, platform.peer_bind, targets(&platform), sockets)?;
     let start = Instant::now();
-    log::info!("{} listens on {} and {}", platform.label, platform.listen, platform.peer_bind);
+    log::info!(
+        "listeners opened: {}, public {}, peers {}",
+        platform.label,
+        platform.listen,
+        platform.peer_bind
+    );
     let snapshots = operator
         .recovery
         .snapshots
@@ -68,14 +74,14 @@
     }
 }
 
-/// A seed that differs from one process to the next.
+/// A random seed, different for each process.
 fn process_seed() -> u64 {
     SmallRng::from_os_rng().random()
 }
 
 fn restore_newest_snapshot(core: &mut Controller, directory: &SnapshotDirectory, wall_ms: u64) {
     if let Some((header, image)) = directory.read_newest(wall_ms) {
-        log::info!("snapshot of revision {}, {} keys", header.revision, header.keys);
+        log::info!("snapshot read: revision {}, {} keys", header.revision, header.keys);
         core.restore_snapshot(image);
     }
 }
@@ -90,7 +96,7 @@
     }
 }
 
-/// Waits until something comes in or the core has something due.
+/// Waits until a message arrives or a timer of the controller is due.
 fn wait_for_commands(
     transport: &mut Transport,
     core: &Controller,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! `mountgap`: arguments and exit codes around the library.
+//! `mountgap`: command line, log setup and exit codes.
 
 use clap::{Parser, Subcommand};
 use mountgap::protocol::recovery::{Decision, DecisionRequest};
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use std::process::ExitCode;
 
-/// Exit code for settings that can't be used, as for arguments that can't be used.
+/// Exit code for invalid settings; the same that `clap` uses for invalid arguments.
 const EXIT_BAD_SETTINGS: u8 = 2;
 
 #[derive(Parser)]
