--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -1,16 +1,17 @@
-//! A stand-in for the platform, to try mountgap by hand on one machine: a state service, a
-//! cloud and workers whose tasks only wait. It keeps the protocol's forms and none of its
-//! troubles; nothing of it is meant for real use.
+//! A stand-in for the platform, to try mountgap on one machine: a state service, a cloud, and workers
+//! whose tasks only wait. It speaks the protocol but simulates neither delays nor failures, and is not
+//! meant for production.
 //!
 //!     cargo run --release --example platform
 //!     target/release/mountgap serve --config examples/node.json
 //!
-//! Several controllers, labelled `node-0`, `node-1` and so on: give their addresses in that order.
+//! With several controllers, labelled `node-0`, `node-1` and so on, pass their addresses in that order:
 //!
 //!     cargo run --release --example platform -- 127.0.0.1:8080 127.0.0.1:8082 127.0.0.1:8084
 //!
-//! `--state` and `--cloud` name other addresses than those of `examples/node.json`. The state service can lose
-//! its data: `POST /control/wipe` empties it, `/control/backup` takes a backup, `/control/restore` goes back to it.
+//! `--state` and `--cloud` set other addresses than those in `examples/node.json`. The state service can
+//! lose its data on request: `POST /control/wipe` deletes everything, `POST /control/backup` takes a backup,
+//! and `POST /control/restore` replaces the data by the backup.
 
 #![allow(unreachable_pub, reason = "tests/loopback.rs includes it as a module")]
 
@@ -38,10 +39,10 @@
 use std::thread;
 use world::World;
 
-/// Exit code for arguments that can't be used.
+/// Exit code for invalid arguments.
 const EXIT_BAD_ARGUMENTS: u8 = 2;
 
-/// An address that can't be listened on.
+/// Listening on an address failed.
 #[derive(Debug, thiserror::Error)]
 #[error("can't listen on {address}: {error}")]
 pub struct ListenError {
@@ -77,7 +78,7 @@
     }
 }
 
-/// Listens at these addresses, and serves state service and cloud there.
+/// Listens on these addresses and serves the state service and the cloud there.
 pub fn start(
     controllers: Vec<String>,
     state_address: &str,
@@ -86,7 +87,7 @@
     Ok(serve(controllers, listen(state_address)?, listen(cloud_address)?))
 }
 
-/// Serves state service and cloud for these controllers, in threads of their own.
+/// Serves the state service and the cloud in background threads; the workers report to these controllers.
 pub fn serve(controllers: Vec<String>, state: TcpListener, cloud: TcpListener) -> Shared {
     let world = Shared::new(Mutex::new(World::new(controllers)));
     spawn_server(state, &world, state_service::handle);
--- a/examples/platform/cloud.rs
+++ b/examples/platform/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: one machine type, rentals that always succeed, and a list without delay.
+//! The cloud: a single machine type, rentals that always succeed, and an up-to-date list of machines.
 
 use super::server::{body, path, Answer};
 use super::worker;
@@ -8,10 +8,10 @@
 use std::thread;
 use std::time::Instant;
 
-/// Zone of machines whose rental names none.
+/// Zone of the machine type, and of machines rented without a zone.
 const ZONE: &str = "here";
 
-/// Answers a request to the cloud.
+/// Handles a request to the cloud.
 pub fn handle(world: &Shared, request: &Request) -> Answer {
     match (request.method.as_str(), path(request)) {
         ("GET", "/catalog") => (200, catalog()),
@@ -28,7 +28,7 @@
         "ready_s": worker::BOOT_S as f64, "yards": [ZONE]}]})
 }
 
-/// Rents machines, each with a worker in a thread of its own.
+/// Rents machines and starts a worker thread for each. A repeated request gets the same machines.
 fn rent(world: &Shared, body: &Value) -> Value {
     let request_id = body["hire"].as_str().unwrap_or_default();
     let mut locked = lock(world);
--- a/examples/platform/options.rs
+++ b/examples/platform/options.rs
@@ -1,6 +1,6 @@
-//! The stand-in's command line.
+//! The command line of the platform stand-in.
 
-/// What `--help` prints.
+/// Text printed by `--help`.
 pub const USAGE: &str = "\
 Usage: platform [--state ADDRESS] [--cloud ADDRESS] [CONTROLLER]...
 
@@ -16,7 +16,7 @@
 const CLOUD: &str = "127.0.0.1:8443";
 const CONTROLLER: &str = "127.0.0.1:8080";
 
-/// What the command line asks for.
+/// The action requested on the command line.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Request {
     /// Print the usage.
@@ -25,7 +25,7 @@
     Serve(Options),
 }
 
-/// Addresses.
+/// The addresses to use.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Options {
     /// Address of the state service.
@@ -36,18 +36,18 @@
     pub controllers: Vec<String>,
 }
 
-/// Why the command line can't be used.
+/// Why the command line is invalid.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OptionsError {
+    /// An option lacks its address.
     #[error("{0} needs an address")]
-    /// The option needs an address.
     MissingAddress(String),
-    #[error("unknown option {0}, see --help")]
     /// There is no such option.
+    #[error("unknown option {0}, see --help")]
     UnknownOption(String),
 }
 
-/// Parses the arguments behind the program's name.
+/// Parses the arguments after the program's name.
 pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<Request, OptionsError> {
     let mut options = Options { state: STATE.into(), cloud: CLOUD.into(), controllers: Vec::new() };
     let mut arguments = arguments.into_iter();
--- a/examples/platform/server.rs
+++ b/examples/platform/server.rs
@@ -1,4 +1,4 @@
-//! HTTP for the stand-in: a server with a thread for each connection, and the workers' client.
+//! HTTP for the platform stand-in: a server with a thread per connection, and the workers' client.
 
 use super::world::Shared;
 use mountgap::transport::http::{self, Request};
@@ -8,19 +8,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// Most bytes of a request's body.
+/// Largest request body in bytes.
 const BODY_MAX: usize = 64 * 1024;
-/// Bytes that one read takes.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 4096;
-/// How long a worker waits for the answer to its report.
+/// Longest time that a worker waits for more of the response to its heartbeat.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Status and body.
+/// Status and body of a response.
 pub type Answer = (u16, Value);
-/// Answers the requests to a service.
+/// Handles the requests to a service.
 pub type Handler = fn(&Shared, &Request) -> Answer;
 
-/// Serves every connection of a listener, for ever.
+/// Serves all connections of a listener, each in a thread; never returns.
 pub fn serve(listener: &TcpListener, world: &Shared, handler: Handler) {
     for stream in listener.incoming().flatten() {
         let world = world.clone();
@@ -47,7 +47,7 @@
     }
 }
 
-/// Posts a body on a connection of its own; none if there is no answer.
+/// Sends a POST request on a new connection; `None` if there is no response.
 pub fn post(address: &str, path: &str, body: &Value) -> Option<Answer> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
@@ -69,24 +69,24 @@
     }
 }
 
-/// A request's body; null if it is not JSON.
+/// The JSON body of a request; null if it is not JSON.
 pub fn body(request: &Request) -> Value {
     serde_json::from_slice(&request.body).unwrap_or_default()
 }
 
-/// A request's path without its query.
+/// The path of a request without the query.
 pub fn path(request: &Request) -> &str {
     request.path.split('?').next().unwrap_or_default()
 }
 
-/// A parameter of a request's query.
+/// A query parameter of a request.
 pub fn parameter(request: &Request, name: &str) -> Option<String> {
     let (_, query) = request.path.split_once('?')?;
     let value = |pair: &str| pair.strip_prefix(name)?.strip_prefix('=').map(str::to_string);
     query.split('&').find_map(value)
 }
 
-/// The same as a number; 0 if there is none.
+/// A numeric query parameter of a request; 0 if it is missing or not a number.
 pub fn number_parameter(request: &Request, name: &str) -> u64 {
     parameter(request, name).and_then(|value| value.parse().ok()).unwrap_or(0)
 }
--- a/examples/platform/state_service.rs
+++ b/examples/platform/state_service.rs
@@ -1,4 +1,4 @@
-//! The state service: transactions on conditions, leases, reads and watches, and the loss of its data.
+//! The state service: conditional transactions, leases, reads and watches, and the loss of its data.
 
 use super::server::{body, number_parameter, parameter, path, Answer};
 use super::world::{lock, Change, Lease, Shared, Store, StoredValue, World};
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a watch looks whether something has changed.
+/// Time between a watch's checks for changes.
 const WATCH_PERIOD: Duration = Duration::from_millis(10);
-/// Life of a lease whose request names none, in milliseconds.
+/// Duration in milliseconds of a lease whose request specifies none.
 const LEASE_LIFE_MS: u64 = 1_000;
 
-/// Answers a request to the state service.
+/// Handles a request to the state service.
 pub fn handle(world: &Shared, request: &Request) -> Answer {
     match (request.method.as_str(), path(request)) {
         (_, "/changes") => watch(world, request),
@@ -46,7 +46,8 @@
     (200, json!({}))
 }
 
-/// Waits until something has changed after a revision, or the time of the request is over.
+/// Responds with the changes after a revision: as soon as there are any, or when the time given by the request
+/// has passed.
 fn watch(world: &Shared, request: &Request) -> Answer {
     let since = number_parameter(request, "since");
     let ends_at = Instant::now() + Duration::from_millis(number_parameter(request, "block_ms"));
@@ -143,7 +144,7 @@
         (200, json!({"tenancy": lease_id}))
     }
 
-    /// Ends a lease, and with it its keys, each with a revision of its own.
+    /// Ends a lease and removes its keys, each with a new revision.
     fn end_lease(&mut self, lease_id: u64) -> Answer {
         self.leases.remove(&lease_id);
         let keys = self.store.keys.iter();
@@ -165,15 +166,18 @@
         }
     }
 
-    /// A backup has no keys that end with a lease.
+    /// Takes a backup of the store, without the keys that belong to a lease.
     fn take_backup(&mut self) {
         self.backup = self.store.clone();
         self.backup.keys.retain(|_, stored| stored.lease_id.is_none());
     }
 
-    /// Loses the store's data: what it holds is replaced.
+    /// Replaces the store by another one and drops all leases, as when data has been lost.
     fn replace_store(&mut self, store: Store) {
-        println!("state service: back from revision {} to {}", self.store.revision, store.revision);
+        println!(
+            "state service: data replaced, revision {} -> {}",
+            self.store.revision, store.revision
+        );
         self.store = store;
         self.leases.clear();
     }
--- a/examples/platform/worker.rs
+++ b/examples/platform/worker.rs
@@ -1,5 +1,5 @@
-//! The workers: each reports, and carries out the commands in the answers. A task lasts for its
-//! owner's estimate, a service until it is stopped.
+//! The workers: each sends heartbeats and executes the commands in the responses. A task of a batch job or a
+//! gang runs for the estimated time in its job's spec, a task of a service until it is halted.
 
 use super::server::post;
 use super::world::{lock, Machine, Shared};
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seconds from a rental to the worker's first report.
+/// Seconds from a rental to the worker's first heartbeat.
 pub const BOOT_S: u64 = 2;
-/// Time between a worker's reports.
+/// Time between a worker's heartbeats.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
 /// Runs a machine's worker until the machine is returned.
@@ -41,14 +41,14 @@
     name: &'a str,
     tasks: BTreeMap<TaskAttempt, Task>,
     sequence: u64,
-    /// The highest token seen; answers with a lower one are dropped.
+    /// The highest fencing token seen; responses with a lower one are ignored.
     fencing_token: u64,
     controllers: Vec<String>,
-    /// Index of the controller that it reports to.
+    /// Index of the controller that the worker sends heartbeats to.
     reports_to: usize,
 }
 
-/// Names an attempt of a task.
+/// Identifies an attempt of a task.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct TaskAttempt {
     task_id: String,
@@ -57,13 +57,13 @@
 
 /// A task on a worker.
 struct Task {
-    /// How long it runs; none: until it is stopped.
+    /// How long the task runs; `None` if it runs until it is halted.
     run_time: Option<Duration>,
-    /// When it began; none for a task of a gang that waits for the others.
+    /// When the task began to run; `None` while a gang's task waits for the others.
     began_at: Option<Instant>,
-    /// Tasks of its gang; 0 for other jobs.
+    /// Number of tasks of its gang; 0 for other jobs.
     gang_size: usize,
-    /// Why it has ended.
+    /// Why the task has ended.
     end_cause: Option<&'static str>,
 }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Reports once, and carries out the commands in the answer if it is newer than what was seen.
+    /// Sends a heartbeat and executes the commands in the response, unless its fencing token is outdated.
     fn report(&mut self, machine: &Machine) {
         self.sequence += 1;
         let report = self.heartbeat(machine);
@@ -104,7 +104,7 @@
             "baton": self.fencing_token, "recall_s": null, "loads": tasks})
     }
 
-    /// Follows a redirect, or tries the next controller after one that did not answer.
+    /// Follows a redirect; switches to the next controller if this one did not respond or failed.
     fn choose_controller(&mut self, answer: Option<&(u16, Value)>) {
         let next = self.reports_to + 1;
         let chosen = match answer {
@@ -163,7 +163,7 @@
     }
 }
 
-/// The controller that a redirect names, by its place in the command line.
+/// Index of the controller that a redirect names by its label.
 fn controller_index(label: &Value) -> Option<usize> {
     label.as_str()?.strip_prefix("node-")?.parse().ok()
 }
@@ -172,8 +172,8 @@
     task_id.split('/').next().unwrap_or_default()
 }
 
-/// A task that is told to start. Workers get a job's description from its user; here it is looked up
-/// where the controllers keep it.
+/// Creates the task for a start command. Real workers get the job's spec from its user; this one reads the spec
+/// that the controllers have written to the store.
 fn new_task(world: &Shared, task_id: &str) -> Task {
     let spec = job_spec(world, job_of(task_id));
     let run_time = Duration::from_secs_f64(spec["run_guess_s"].as_f64().unwrap_or(0.0));
@@ -199,7 +199,8 @@
     jobs.find(|spec| spec["uid"] == uid).cloned().unwrap_or_default()
 }
 
-/// When the last task of a gang's attempt came; none while one is missing.
+/// Records that a gang's task has arrived, and returns when the attempt became complete; `None` while a task is
+/// missing.
 fn gang_start(world: &Shared, id: &TaskAttempt, gang_size: usize) -> Option<Instant> {
     let mut world = lock(world);
     let gang = world.gangs.entry((job_of(&id.task_id).to_string(), id.attempt)).or_default();
--- a/examples/platform/world.rs
+++ b/examples/platform/world.rs
@@ -1,33 +1,33 @@
-//! What the stand-in holds: the store, machines, and what workers know of each other's tasks.
+//! State of the platform stand-in: the store, the machines, and the tasks of gangs that have arrived at workers.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The world, shared by the threads that serve it.
+/// The state, shared by all threads.
 pub type Shared = Arc<Mutex<World>>;
 
-/// The state service, the cloud and the workers' side of the controllers.
+/// State of the state service, the cloud and the workers.
 #[derive(Default)]
 pub struct World {
     pub store: Store,
-    /// What the store held when the last backup was taken.
+    /// The store as of the last backup.
     pub backup: Store,
     pub leases: HashMap<u64, Lease>,
-    /// Names of the machines that a rental got, by its id: a repeat gets the same.
+    /// Names of the machines of each rental, by request id: a repeated request gets the same machines.
     pub rentals: HashMap<String, Vec<String>>,
     pub machines: BTreeMap<String, Machine>,
     last_number: u64,
-    /// How often each task was started.
+    /// How often each task has been started.
     pub starts: BTreeMap<String, u32>,
     /// Addresses of the controllers.
     pub controllers: Vec<String>,
-    /// Attempts of gangs, by job and number of the attempt.
+    /// Attempts of gangs, by job id and number of the attempt.
     pub gangs: HashMap<(String, u64), GangAttempt>,
 }
 
-/// Keys with their values, and all changes.
+/// Keys with their values, and the history of changes.
 #[derive(Default, Clone)]
 pub struct Store {
     pub keys: BTreeMap<String, StoredValue>,
@@ -35,16 +35,16 @@
     pub changes: Vec<Change>,
 }
 
-/// The value of a key.
+/// The value of a key, with its metadata.
 #[derive(Clone)]
 pub struct StoredValue {
     pub value: Value,
     pub mod_revision: u64,
-    /// The lease with which the key ends, if any.
+    /// The lease that the key belongs to, if any: the key is removed when the lease ends.
     pub lease_id: Option<u64>,
 }
 
-/// A change of a key; without a value it was removed.
+/// A change of a key; without a value the key was removed.
 #[derive(Clone)]
 pub struct Change {
     pub revision: u64,
@@ -52,7 +52,7 @@
     pub value: Option<Value>,
 }
 
-/// A lease with which keys end unless it is renewed.
+/// A lease: unless it is renewed, it ends and its keys are removed.
 pub struct Lease {
     pub life: Duration,
     pub ends_at: Instant,
@@ -75,26 +75,26 @@
 /// An attempt of a gang.
 #[derive(Default)]
 pub struct GangAttempt {
-    /// Tasks that are there.
+    /// Tasks that have arrived at their workers.
     pub tasks: BTreeSet<String>,
-    /// When the last of them came.
+    /// When the last task arrived; `None` while one is missing.
     pub complete_at: Option<Instant>,
 }
 
 impl World {
-    /// A world whose workers report to these controllers.
+    /// Creates an empty state; the workers report to these controllers.
     pub fn new(controllers: Vec<String>) -> World {
         World { controllers, ..World::default() }
     }
 
-    /// A number that was not given before, for leases and machines.
+    /// A new number for a lease or a machine; never repeated.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 }
 
-/// Locks the world.
+/// Locks the state.
 pub fn lock(world: &Shared) -> MutexGuard<'_, World> {
-    world.lock().expect("no thread panics while it holds the world")
+    world.lock().expect("no thread panics while it holds the lock")
 }
