--- a/build.rs
+++ b/build.rs
@@ -1,4 +1,4 @@
-//! Generates the operators' settings messages from `proto/operator.proto`, in pure Rust.
+//! Generates the Rust types of the operators' settings from `proto/operator.proto`, without `protoc`.
 
 fn main() {
     println!("cargo:rerun-if-changed=proto/operator.proto");
