--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -29,9 +29,9 @@
     pub interest: Interest,
     /// Start of the current timeout: when a request began to arrive or was sent, or when the connection
     /// became idle.
-    pub since: Instant,
+    pub timeout_start: Instant,
     /// The remote side has closed its sending direction, or its input is no longer read.
-    pub is_ended: bool,
+    pub is_read_closed: bool,
 }
 
 /// Which side sends requests.
@@ -45,7 +45,7 @@
     pub id: ConnectionId,
     pub origin: Origin,
     /// A request has been received and not answered yet.
-    pub is_busy: bool,
+    pub has_pending_request: bool,
     /// The client asked to keep the connection open after the current request.
     pub keep_alive: bool,
     /// Close the connection once no request is pending and all output has been sent.
@@ -82,8 +82,8 @@
             output: Vec::new(),
             written: 0,
             interest,
-            since: Instant::now(),
-            is_ended: false,
+            timeout_start: Instant::now(),
+            is_read_closed: false,
         }
     }
 
@@ -139,7 +139,7 @@
             counts.reads += 1;
             let length = match self.stream.read(scratch) {
                 Ok(0) => {
-                    self.is_ended = true;
+                    self.is_read_closed = true;
                     return Ok(());
                 }
                 Ok(length) => length,
@@ -161,7 +161,7 @@
 
     fn append_input(&mut self, bytes: &[u8]) -> io::Result<()> {
         if self.input.is_empty() && self.is_inbound() {
-            self.since = Instant::now();
+            self.timeout_start = Instant::now();
         }
         self.input.extend_from_slice(bytes);
         if self.input.len() > HTTP_REPLY_MAX + HTTP_HEAD_MAX {
@@ -183,7 +183,7 @@
     /// pending.
     pub(super) fn closes_after_output(&self) -> bool {
         match &self.role {
-            Role::Inbound(inbound) => inbound.closes_after_output && !inbound.is_busy,
+            Role::Inbound(inbound) => inbound.closes_after_output && !inbound.has_pending_request,
             Role::Outbound(_) => false,
         }
     }
@@ -194,8 +194,8 @@
         match &self.role {
             Role::Inbound(inbound) => {
                 // Backpressure: while a request is pending, at most about a chunk of further input is read.
-                let has_room = !inbound.is_busy || self.input.len() < READ_CHUNK;
-                Interest { read: !self.is_ended && has_room, write: has_output }
+                let accepts_input = !inbound.has_pending_request || self.input.len() < READ_CHUNK;
+                Interest { read: !self.is_read_closed && accepts_input, write: has_output }
             }
             Role::Outbound(outbound) => {
                 Interest { read: true, write: has_output || outbound.is_connecting }
@@ -204,35 +204,40 @@
     }
 
     /// Writes the response to the pending request; returns false if there is none.
-    pub(super) fn answer(&mut self, status: u16, retry_after_s: Option<u64>, body: &[u8]) -> bool {
+    pub(super) fn write_response(
+        &mut self,
+        status: u16,
+        retry_after_s: Option<u64>,
+        body: &[u8],
+    ) -> bool {
         let Role::Inbound(inbound) = &mut self.role else {
             return false;
         };
-        if !inbound.is_busy {
+        if !inbound.has_pending_request {
             return false;
         }
-        inbound.is_busy = false;
-        let keep_alive = inbound.keep_alive && !inbound.closes_after_output && !self.is_ended;
+        inbound.has_pending_request = false;
+        let keep_alive = inbound.keep_alive && !inbound.closes_after_output && !self.is_read_closed;
         inbound.closes_after_output = !keep_alive;
-        self.since = Instant::now();
+        self.timeout_start = Instant::now();
         http::write_response(&mut self.output, status, retry_after_s, body, keep_alive);
         true
     }
 
     /// Rejects input that is not an acceptable request and closes the connection after the response.
-    pub(super) fn refuse(&mut self, status: u16, reason: &str) {
+    pub(super) fn reject(&mut self, status: u16, reason: &str) {
         if let Role::Inbound(inbound) = &mut self.role {
             inbound.closes_after_output = true;
         }
-        self.is_ended = true;
+        self.is_read_closed = true;
         self.input = Vec::new();
         let body = serde_json::to_vec(&ErrorResponse { error: reason }).unwrap_or_default();
         http::write_response(&mut self.output, status, None, &body, false);
     }
 
     /// Rejects input that the parser did not accept, with the parser's status and reason.
-    pub(super) fn refuse_malformed(&mut self, error: HttpError) {
-        self.refuse(error.status(), &error.to_string());
+    pub(super) fn reject_malformed(&mut self, error: HttpError) {
+        self.reject(error.status(), &error.to_string());
     }
 
     /// Writes the interim response that tells the client to send the request body.
--- a/src/transport/counts.rs
+++ b/src/transport/counts.rs
@@ -43,7 +43,7 @@
 
 impl TransportCounts {
     /// Updates the size of the largest message body.
-    pub(super) fn record_message(&mut self, body_bytes: usize) {
+    pub(super) fn record_body_size(&mut self, body_bytes: usize) {
         self.largest_message = self.largest_message.max(body_bytes as u64);
     }
 
--- a/src/transport/deadlines.rs
+++ b/src/transport/deadlines.rs
@@ -16,11 +16,11 @@
 
 /// What to do with a connection that has timed out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Overdue {
+enum TimeoutAction {
     /// Reject the request, which has taken too long to arrive, and close the connection.
-    Refused,
+    Reject,
     /// Close the connection without a response.
-    Closed,
+    Close,
 }
 
 impl Transport {
@@ -32,38 +32,39 @@
         self.next_sweep_at = now + Duration::from_millis(SWEEP_MS);
         self.counts.buffered_bytes =
             self.connections.values().map(Connection::buffered_bytes).sum();
-        self.end_overdue_connections(now);
-        self.give_up_late_calls(now);
+        self.handle_timed_out_connections(now);
+        self.report_expired_calls(now);
     }
 
-    fn end_overdue_connections(&mut self, now: Instant) {
-        let overdue = self.overdue_connections(now);
-        for (key, _) in overdue.iter().filter(|(_, end)| *end == Overdue::Refused) {
+    fn handle_timed_out_connections(&mut self, now: Instant) {
+        let timed_out = self.timed_out_connections(now);
+        for (key, _) in timed_out.iter().filter(|(_, action)| *action == TimeoutAction::Reject) {
             if let Some(connection) = self.connections.get_mut(key) {
-                connection.refuse(REQUEST_TIMEOUT, "too slow");
+                connection.reject(REQUEST_TIMEOUT, "too slow");
                 let _ = self.flush(*key);
             }
         }
-        for (key, _) in overdue.iter().filter(|(_, end)| *end == Overdue::Closed) {
+        for (key, _) in timed_out.iter().filter(|(_, action)| *action == TimeoutAction::Close) {
             self.close(*key);
         }
     }
 
-    fn overdue_connections(&self, now: Instant) -> Vec<(ConnectionKey, Overdue)> {
-        let idle_ms = if self.is_crowded() { HTTP_IDLE_CROWDED_MS } else { HTTP_IDLE_MS };
-        let end = |connection: &Connection| overdue(connection, now, idle_ms);
+    fn timed_out_connections(&self, now: Instant) -> Vec<(ConnectionKey, TimeoutAction)> {
+        let idle_ms =
+            if self.is_near_connection_limit() { HTTP_IDLE_CROWDED_MS } else { HTTP_IDLE_MS };
+        let action = |connection: &Connection| timeout_action(connection, now, idle_ms);
         let connections = self.connections.iter();
-        connections.filter_map(|(key, connection)| Some((*key, end(connection)?))).collect()
+        connections.filter_map(|(key, connection)| Some((*key, action(connection)?))).collect()
     }
 
     /// Whether the limit of inbound connections is nearly reached, so that idle ones are closed sooner.
-    fn is_crowded(&self) -> bool {
+    fn is_near_connection_limit(&self) -> bool {
         self.inbound.len() as f64 >= self.inbound_max as f64 * CROWDED_SHARE
     }
 
-    fn give_up_late_calls(&mut self, now: Instant) {
+    fn report_expired_calls(&mut self, now: Instant) {
         for target in 0..self.destinations.len() {
-            for call in self.destinations[target].take_late_calls(now) {
+            for call in self.destinations[target].remove_expired_calls(now) {
                 self.report_unanswered(call);
             }
         }
@@ -71,20 +72,24 @@
 }
 
 /// What to do with a connection if it has timed out; an inbound one may be idle for `inbound_idle_ms`.
-fn overdue(connection: &Connection, now: Instant, inbound_idle_ms: u64) -> Option<Overdue> {
-    let age = now.duration_since(connection.since);
-    let closed_after = |ms| (age > Duration::from_millis(ms)).then_some(Overdue::Closed);
+fn timeout_action(
+    connection: &Connection,
+    now: Instant,
+    inbound_idle_ms: u64,
+) -> Option<TimeoutAction> {
+    let age = now.duration_since(connection.timeout_start);
+    let close_after = |ms| (age > Duration::from_millis(ms)).then_some(TimeoutAction::Close);
     match &connection.role {
         // The code that answers the request has its own deadlines.
-        Role::Inbound(inbound) if inbound.is_busy => None,
-        Role::Inbound(_) if !connection.output.is_empty() => closed_after(HTTP_REQUEST_MS),
+        Role::Inbound(inbound) if inbound.has_pending_request => None,
+        Role::Inbound(_) if !connection.output.is_empty() => close_after(HTTP_REQUEST_MS),
         Role::Inbound(_) if !connection.input.is_empty() => {
-            closed_after(HTTP_REQUEST_MS).map(|_| Overdue::Refused)
+            close_after(HTTP_REQUEST_MS).map(|_| TimeoutAction::Reject)
         }
-        Role::Inbound(_) => closed_after(inbound_idle_ms),
+        Role::Inbound(_) => close_after(inbound_idle_ms),
         Role::Outbound(outbound) => match &outbound.call {
-            Some(call) => (now >= call.deadline).then_some(Overdue::Closed),
-            None => closed_after(HTTP_IDLE_MS),
+            Some(call) => (now >= call.deadline).then_some(TimeoutAction::Close),
+            None => close_after(HTTP_IDLE_MS),
         },
     }
 }
--- a/src/transport/deadlines/tests.rs
+++ b/src/transport/deadlines/tests.rs
@@ -15,9 +15,15 @@
     Connection::new(stream, role, Interest::READ)
 }
 
-fn inbound(is_busy: bool) -> Connection {
+fn inbound(has_pending_request: bool) -> Connection {
     let origin = Origin::Public;
-    let inbound = Inbound { id: 1, origin, is_busy, keep_alive: true, closes_after_output: false };
+    let inbound = Inbound {
+        id: 1,
+        origin,
+        has_pending_request,
+        keep_alive: true,
+        closes_after_output: false,
+    };
     connection(Role::Inbound(inbound))
 }
 
@@ -26,44 +32,47 @@
 }
 
 /// What is done with a connection at its limit, and a millisecond later.
-fn at_and_after(connection: &Connection, limit_ms: u64) -> [Option<Overdue>; 2] {
+fn actions_at_and_after(connection: &Connection, limit_ms: u64) -> [Option<TimeoutAction>; 2] {
     [0, 1].map(|more| {
-        let now = connection.since + Duration::from_millis(limit_ms + more);
-        overdue(connection, now, IDLE_MS)
+        let now = connection.timeout_start + Duration::from_millis(limit_ms + more);
+        timeout_action(connection, now, IDLE_MS)
     })
 }
 
 #[test]
-fn an_idle_inbound_connection_is_closed_after_the_time_given() {
-    assert_eq!(at_and_after(&inbound(false), IDLE_MS), [None, Some(Overdue::Closed)]);
+fn an_idle_inbound_connection_is_closed_after_its_limit() {
+    assert_eq!(actions_at_and_after(&inbound(false), IDLE_MS), [None, Some(TimeoutAction::Close)]);
 }
 
 #[test]
-fn a_request_that_arrives_too_slowly_is_refused() {
+fn a_request_that_arrives_too_slowly_is_rejected() {
     let mut slow = inbound(false);
     slow.input = b"POST /".to_vec();
-    assert_eq!(at_and_after(&slow, HTTP_REQUEST_MS), [None, Some(Overdue::Refused)]);
+    assert_eq!(actions_at_and_after(&slow, HTTP_REQUEST_MS), [None, Some(TimeoutAction::Reject)]);
 }
 
 #[test]
-fn an_answer_that_is_not_read_in_time_is_given_up() {
+fn a_connection_whose_response_is_not_read_in_time_is_closed() {
     let mut unread = inbound(false);
     unread.input = b"POST /".to_vec();
     unread.output = b"HTTP/1.1 200 OK".to_vec();
-    assert_eq!(at_and_after(&unread, HTTP_REQUEST_MS), [None, Some(Overdue::Closed)]);
+    assert_eq!(actions_at_and_after(&unread, HTTP_REQUEST_MS), [None, Some(TimeoutAction::Close)]);
 }
 
 #[test]
-fn a_request_that_waits_for_its_answer_has_no_deadline_here() {
-    assert_eq!(at_and_after(&inbound(true), 100 * HTTP_IDLE_MS), [None, None]);
+fn a_connection_with_a_pending_request_does_not_time_out() {
+    assert_eq!(actions_at_and_after(&inbound(true), 100 * HTTP_IDLE_MS), [None, None]);
 }
 
 #[test]
-fn an_idle_connection_for_calls_is_closed_later_than_a_call_without_a_reply() {
-    assert_eq!(at_and_after(&outbound(None), HTTP_IDLE_MS), [None, Some(Overdue::Closed)]);
+fn an_outbound_connection_is_closed_after_its_idle_limit_or_at_the_deadline_of_its_call() {
+    assert_eq!(
+        actions_at_and_after(&outbound(None), HTTP_IDLE_MS),
+        [None, Some(TimeoutAction::Close)]
+    );
     let deadline = Instant::now() + Duration::from_millis(HTTP_IDLE_MS);
     let waiting = outbound(Some(CallInFlight { id: 1, deadline }));
     let before = deadline - Duration::from_millis(1);
-    assert_eq!(overdue(&waiting, before, IDLE_MS), None);
-    assert_eq!(overdue(&waiting, deadline, IDLE_MS), Some(Overdue::Closed));
+    assert_eq!(timeout_action(&waiting, before, IDLE_MS), None);
+    assert_eq!(timeout_action(&waiting, deadline, IDLE_MS), Some(TimeoutAction::Close));
 }
--- a/src/transport/http/body.rs
+++ b/src/transport/http/body.rs
@@ -1,6 +1,6 @@
 //! The body of a message, delimited by its length, by chunks, or by the end of the connection.
 
-use super::head::{find_end, line_end};
+use super::head::{find_empty_line_end, line_ending_length};
 use super::{HttpError, Parsed};
 use crate::constants::HTTP_HEAD_MAX;
 
@@ -123,7 +123,7 @@
 
     fn take_data_end(&mut self) -> Parsed<ChunkState> {
         let rest = self.rest();
-        match line_end(rest) {
+        match line_ending_length(rest) {
             Some(length) => self.position += length,
             None if rest == b"\r" => return Ok(None),
             None => return Err(HttpError::ChunkNotEnded),
@@ -133,7 +133,7 @@
 
     fn take_trailers(&mut self) -> Parsed<ChunkState> {
         let rest = self.rest();
-        match line_end(rest).or_else(|| find_end(rest)) {
+        match line_ending_length(rest).or_else(|| find_empty_line_end(rest)) {
             Some(length) => self.position += length,
             None if rest.len() > HTTP_HEAD_MAX => return Err(HttpError::TrailersTooLong),
             None => return Ok(None),
--- a/src/transport/http/head.rs
+++ b/src/transport/http/head.rs
@@ -22,7 +22,7 @@
     /// Parses the head at the front of the buffer.
     pub(super) fn parse(buffer: &'a [u8]) -> Parsed<Head<'a>> {
         let window = &buffer[..buffer.len().min(HTTP_HEAD_MAX)];
-        let Some(end) = find_end(window) else {
+        let Some(end) = find_empty_line_end(window) else {
             return if buffer.len() >= HTTP_HEAD_MAX {
                 Err(HttpError::HeadTooLong)
             } else {
@@ -100,11 +100,11 @@
 
 /// Index after the first empty line, which ends a head or trailers. Lines may end with or without a
 /// carriage return.
-pub(super) fn find_end(buffer: &[u8]) -> Option<usize> {
+pub(super) fn find_empty_line_end(buffer: &[u8]) -> Option<usize> {
     let mut from = 0;
     while let Some(offset) = buffer[from..].iter().position(|byte| *byte == b'\n') {
         let next_line = from + offset + 1;
-        if let Some(length) = line_end(&buffer[next_line..]) {
+        if let Some(length) = line_ending_length(&buffer[next_line..]) {
             return Some(next_line + length);
         }
         from = next_line;
@@ -113,7 +113,7 @@
 }
 
 /// Length of the line ending at the front of the buffer, if there is one.
-pub(super) fn line_end(buffer: &[u8]) -> Option<usize> {
+pub(super) fn line_ending_length(buffer: &[u8]) -> Option<usize> {
     match buffer {
         [b'\n', ..] => Some(1),
         [b'\r', b'\n', ..] => Some(2),
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -8,21 +8,21 @@
 }
 
 #[test]
-fn a_request_split_at_every_byte_is_whole_only_at_the_end() {
+fn a_request_split_at_every_byte_is_complete_only_at_the_end() {
     let text = b"POST /v1/jobs HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nhelloGET ";
-    let whole = text.len() - 4;
-    for length in 0..whole {
+    let request_length = text.len() - 4;
+    for length in 0..request_length {
         assert_eq!(take_request(&mut text[..length].to_vec(), 100), Ok(None), "{length} bytes");
     }
     let mut buffer = text.to_vec();
     let request = take_request(&mut buffer, 100).unwrap().unwrap();
     let Request { method, body, keep_alive, .. } = &request;
     assert_eq!((method.as_str(), body.as_slice(), *keep_alive), ("POST", &b"hello"[..], true));
-    assert_eq!(buffer, b"GET ", "pipelined bytes stay");
+    assert_eq!(buffer, b"GET ", "pipelined bytes stay in the buffer");
 }
 
 #[test]
-fn chunked_bodies_are_joined() {
+fn chunked_bodies_are_decoded() {
     let chunked = request(
         "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x\r\nde\r\n0\r\n\r\n",
     );
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn limits_have_their_own_answers() {
+fn exceeded_limits_have_their_own_status_codes() {
     let status = |text: &str| request(text).unwrap_err().status();
     assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), 413);
     assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n"), 413);
@@ -63,22 +63,25 @@
         b":",
         b"0\r\n",
     ];
-    let (mut refused, mut whole) = (0, 0);
+    let (mut rejected, mut complete) = (0, 0);
     for _ in 0..20_000 {
-        let mut buf = Vec::new();
+        let mut buffer = Vec::new();
         if rng.random_bool(0.5) {
-            buf.extend_from_slice(b"POST / HTTP/1.1\r\n");
+            buffer.extend_from_slice(b"POST / HTTP/1.1\r\n");
         }
         for _ in 0..rng.random_range(1..14) {
-            buf.extend_from_slice(parts[rng.random_range(0..parts.len())]);
+            buffer.extend_from_slice(parts[rng.random_range(0..parts.len())]);
         }
-        match take_request(&mut buf.clone(), 100) {
-            Err(error) => refused += u32::from(error.status() >= 400),
-            Ok(request) => whole += u32::from(request.is_some()),
+        match take_request(&mut buffer.clone(), 100) {
+            Err(error) => rejected += u32::from(error.status() >= 400),
+            Ok(request) => complete += u32::from(request.is_some()),
         }
-        let _ = take_response(&mut buf, true);
+        let _ = take_response(&mut buffer, true);
     }
-    assert!(refused > 1_000 && whole > 10, "both ends were reached: {refused}, {whole}");
+    assert!(
+        rejected > 1_000 && complete > 10,
+        "both outcomes occur often enough: {rejected}, {complete}"
+    );
 }
 
 #[test]
@@ -91,7 +94,7 @@
 }
 
 #[test]
-fn a_chunked_body_split_at_every_byte_is_whole_only_at_the_end() {
+fn a_chunked_body_split_at_every_byte_is_complete_only_at_the_end() {
     let text = b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x\nde\n0\r\nA: b\r\n\r\n";
     for length in 0..text.len() {
         assert_eq!(take_request(&mut text[..length].to_vec(), 100), Ok(None), "{length} bytes");
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn malformed_messages_are_refused_with_their_reason() {
+fn malformed_messages_are_rejected_with_a_reason() {
     let head = "POST / HTTP/1.1\r\n";
     let chunked = format!("{head}Transfer-Encoding: chunked\r\n\r\n");
     let cases = [
@@ -127,10 +130,10 @@
 }
 
 #[test]
-fn the_connection_stays_open_as_version_and_headers_say() {
+fn version_and_connection_header_determine_whether_the_connection_stays_open() {
     let keeps = |version: &str, header: &str| {
         let text = format!("GET / HTTP/{version}\r\n{header}\r\n");
-        request(&text).expect("it is whole").expect("it is whole").keep_alive
+        request(&text).expect("complete").expect("complete").keep_alive
     };
     assert!(keeps("1.1", "") && !keeps("1.0", ""));
     assert!(keeps("1.0", "Connection: Keep-Alive\r\n"));
--- a/src/transport/http/write.rs
+++ b/src/transport/http/write.rs
@@ -11,7 +11,7 @@
     keep_alive: bool,
 ) {
     // Writing into memory does not fail.
-    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason(status));
+    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     write_content_headers(out, body);
     if let Some(seconds) = retry_after_s {
         let _ = write!(out, "Retry-After: {seconds}\r\n");
@@ -38,7 +38,7 @@
     let _ = write!(out, "Content-Type: application/json\r\nContent-Length: {length}\r\n");
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -40,33 +40,33 @@
         let role = Role::Inbound(Inbound {
             id,
             origin,
-            is_busy: false,
+            has_pending_request: false,
             keep_alive: true,
             closes_after_output: false,
         });
-        if let Some(key) = self.add(stream, role, Interest::READ) {
+        if let Some(key) = self.add_connection(stream, role, Interest::READ) {
             self.inbound.insert(id, key);
         }
     }
 
     /// Handles the next request of a connection, unless an earlier one is still pending.
-    pub(super) fn take_request(&mut self, key: ConnectionKey) -> Result<(), Closed> {
+    pub(super) fn receive_request(&mut self, key: ConnectionKey) -> Result<(), Closed> {
         let connection = self.connections.get_mut(&key).ok_or(Closed)?;
         let Role::Inbound(inbound) = &mut connection.role else {
             return Ok(());
         };
-        if inbound.is_busy {
+        if inbound.has_pending_request {
             // The client has closed its sending direction only: the response is still sent.
-            inbound.closes_after_output |= connection.is_ended && connection.input.is_empty();
+            inbound.closes_after_output |= connection.is_read_closed && connection.input.is_empty();
             return Ok(());
         }
         match http::take_request(&mut connection.input, body_limit(inbound.origin)) {
             Ok(Some(request)) => {
                 self.counts.requests += 1;
-                self.counts.record_message(request.body.len());
-                inbound.is_busy = true;
+                self.counts.record_body_size(request.body.len());
+                inbound.has_pending_request = true;
                 inbound.keep_alive = request.keep_alive;
-                connection.since = Instant::now();
+                connection.timeout_start = Instant::now();
                 if connection.input.is_empty() {
                     connection.input = Vec::new();
                 }
@@ -74,8 +74,10 @@
                 self.incoming.push(Incoming::Request { connection, origin, request });
                 Ok(())
             }
-            Ok(None) if connection.is_ended && connection.output.is_empty() => Err(self.close(key)),
-            Ok(None) if connection.is_ended => {
+            Ok(None) if connection.is_read_closed && connection.output.is_empty() => {
+                Err(self.close(key))
+            }
+            Ok(None) if connection.is_read_closed => {
                 inbound.closes_after_output = true;
                 Ok(())
             }
@@ -85,7 +87,7 @@
             }
             Ok(None) => Ok(()),
             Err(error) => {
-                connection.refuse_malformed(error);
+                connection.reject_malformed(error);
                 self.flush(key)
             }
         }
@@ -106,11 +108,11 @@
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        if !connection.answer(status, retry_after_s, body) {
+        if !connection.write_response(status, retry_after_s, body) {
             return;
         }
         // The next request may have arrived already.
-        if self.flush(key).is_ok() && self.take_request(key).is_ok() {
+        if self.flush(key).is_ok() && self.receive_request(key).is_ok() {
             self.update_interest(key);
         }
     }
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -85,7 +85,7 @@
             match socket.key {
                 KEY_PUBLIC => self.accept(Origin::Public),
                 KEY_PEER => self.accept(Origin::Peer),
-                _ => self.serve(socket),
+                _ => self.handle_ready(socket),
             }
         }
         self.sweep_if_due(Instant::now());
@@ -94,7 +94,7 @@
 
     /// Writes to and reads from a ready connection, unless it was closed while an earlier socket of the
     /// same wait was handled.
-    fn serve(&mut self, socket: Ready) {
+    fn handle_ready(&mut self, socket: Ready) {
         if !self.connections.contains_key(&socket.key) {
             return;
         }
@@ -108,7 +108,7 @@
     }
 
     /// Registers a new connection with the poller and stores it.
-    pub(super) fn add(
+    pub(super) fn add_connection(
         &mut self,
         stream: TcpStream,
         role: Role,
@@ -152,8 +152,8 @@
             return Err(self.close(key));
         }
         match is_inbound {
-            true => self.take_request(key),
-            false => self.take_reply(key),
+            true => self.receive_request(key),
+            false => self.receive_response(key),
         }
     }
 
@@ -168,7 +168,7 @@
             Role::Inbound(inbound) => {
                 self.inbound.remove(&inbound.id);
             }
-            Role::Outbound(outbound) => self.release(key, outbound),
+            Role::Outbound(outbound) => self.on_outbound_closed(key, outbound),
         }
         Closed
     }
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -37,12 +37,12 @@
     }
 
     /// Removes the calls from the queue whose deadline has passed, and returns their identifiers.
-    pub(super) fn take_late_calls(&mut self, now: Instant) -> Vec<CallId> {
-        let is_late = |queued: &QueuedCall| queued.deadline <= now;
-        let late = self.queue.iter().filter(|queued| is_late(queued));
-        let late = late.map(|queued| queued.call.id).collect();
-        self.queue.retain(|queued| !is_late(queued));
-        late
+    pub(super) fn remove_expired_calls(&mut self, now: Instant) -> Vec<CallId> {
+        let is_expired = |queued: &QueuedCall| queued.deadline <= now;
+        let expired = self.queue.iter().filter(|queued| is_expired(queued));
+        let expired = expired.map(|queued| queued.call.id).collect();
+        self.queue.retain(|queued| !is_expired(queued));
+        expired
     }
 }
 
@@ -50,7 +50,7 @@
     /// Sends a request; [`Transport::poll`] returns its response.
     pub fn call(&mut self, call: Call) {
         let deadline = Instant::now() + Duration::from_millis(call.timeout_ms);
-        if let Some(key) = self.take_idle(call.target) {
+        if let Some(key) = self.pop_idle_connection(call.target) {
             return self.send(key, call, deadline);
         }
         if self.destinations[call.target].open >= OUTBOUND_CONNECTIONS_PER_TARGET {
@@ -62,7 +62,7 @@
         }
     }
 
-    fn take_idle(&mut self, target: Target) -> Option<ConnectionKey> {
+    fn pop_idle_connection(&mut self, target: Target) -> Option<ConnectionKey> {
         while let Some(key) = self.destinations[target].idle.pop() {
             if self.connections.contains_key(&key) {
                 return Some(key);
@@ -82,7 +82,7 @@
 
     /// Removes the next call from the queue whose deadline has not passed; earlier ones are reported as
     /// unanswered.
-    fn next_queued(&mut self, target: Target) -> Option<QueuedCall> {
+    fn pop_queued_call(&mut self, target: Target) -> Option<QueuedCall> {
         let now = Instant::now();
         while let Some(queued) = self.destinations[target].queue.pop_front() {
             if queued.deadline > now {
@@ -101,7 +101,7 @@
         self.counts.connects += 1;
         let stream = start_connecting(self.destinations[target].address).ok()?;
         let role = Role::Outbound(Outbound { target, call: None, is_connecting: true });
-        let key = self.add(stream, role, Interest::BOTH)?;
+        let key = self.add_connection(stream, role, Interest::BOTH)?;
         self.destinations[target].open += 1;
         Some(key)
     }
@@ -116,14 +116,14 @@
         };
         outbound.call = Some(CallInFlight { id: call.id, deadline });
         http::write_request(&mut connection.output, call.method, &call.path, &host, &call.body);
-        connection.since = Instant::now();
+        connection.timeout_start = Instant::now();
         if outbound.is_connecting || self.flush(key).is_ok() {
             self.update_interest(key);
         }
     }
 
     /// Handles the response to a connection's call once it is complete.
-    pub(super) fn take_reply(&mut self, key: ConnectionKey) -> Result<(), Closed> {
+    pub(super) fn receive_response(&mut self, key: ConnectionKey) -> Result<(), Closed> {
         let connection = self.connections.get_mut(&key).ok_or(Closed)?;
         let Role::Outbound(outbound) = &connection.role else {
             return Ok(());
@@ -132,9 +132,9 @@
             // The target sent bytes without a request, or closed an idle connection.
             return Err(self.close(key));
         }
-        match http::take_response(&mut connection.input, connection.is_ended) {
+        match http::take_response(&mut connection.input, connection.is_read_closed) {
             Ok(Some(response)) => self.finish_call(key, response),
-            Ok(None) if !connection.is_ended => Ok(()),
+            Ok(None) if !connection.is_read_closed => Ok(()),
             Ok(None) | Err(_) => Err(self.close(key)),
         }
     }
@@ -149,16 +149,16 @@
             return Ok(());
         };
         self.counts.replies += 1;
-        self.counts.record_message(response.body.len());
+        self.counts.record_body_size(response.body.len());
         let is_reusable =
-            response.keep_alive && !connection.is_ended && connection.input.is_empty();
+            response.keep_alive && !connection.is_read_closed && connection.input.is_empty();
         connection.input = Vec::new();
-        connection.since = Instant::now();
+        connection.timeout_start = Instant::now();
         self.incoming.push(Incoming::Reply { call: call.id, reply: Some(response) });
         if !is_reusable {
             return Err(self.close(key));
         }
-        match self.next_queued(target) {
+        match self.pop_queued_call(target) {
             Some(queued) => self.send(key, queued.call, queued.deadline),
             None => self.destinations[target].idle.push(key),
         }
@@ -168,14 +168,14 @@
 
     /// Reports the call of a closed connection as unanswered, and starts the next queued call on another
     /// connection.
-    pub(super) fn release(&mut self, key: ConnectionKey, outbound: Outbound) {
+    pub(super) fn on_outbound_closed(&mut self, key: ConnectionKey, outbound: Outbound) {
         let destination = &mut self.destinations[outbound.target];
         destination.open -= 1;
         destination.idle.retain(|idle| *idle != key);
         if let Some(call) = outbound.call {
             self.report_unanswered(call.id);
         }
-        if let Some(queued) = self.next_queued(outbound.target) {
+        if let Some(queued) = self.pop_queued_call(outbound.target) {
             self.call(queued.call);
         }
     }
@@ -187,12 +187,12 @@
     socket.set_nonblocking(true)?;
     let _ = socket.set_tcp_nodelay(true);
     match socket.connect(&SockAddr::from(address)) {
-        Err(error) if !goes_on(&error) => Err(error),
+        Err(error) if !is_connect_in_progress(&error) => Err(error),
         Ok(()) | Err(_) => Ok(socket.into()),
     }
 }
 
-fn goes_on(error: &io::Error) -> bool {
+fn is_connect_in_progress(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::WouldBlock
         || error.raw_os_error() == Some(Errno::INPROGRESS.raw_os_error())
 }
--- a/src/transport/outbound/tests.rs
+++ b/src/transport/outbound/tests.rs
@@ -10,25 +10,25 @@
 }
 
 #[test]
-fn calls_whose_time_is_over_leave_the_queue_in_its_order() {
+fn expired_calls_are_removed_from_the_queue_in_order() {
     let mut destination = Destination::new(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1));
     let now = Instant::now();
     let later = now + Duration::from_millis(1);
     for (id, deadline) in [(1, now), (2, later), (3, now)] {
         destination.queue.push_back(queued(id, deadline));
     }
-    assert_eq!(destination.take_late_calls(now), [1, 3]);
+    assert_eq!(destination.remove_expired_calls(now), [1, 3]);
     let left: Vec<CallId> = destination.queue.iter().map(|queued| queued.call.id).collect();
     assert_eq!(left, [2]);
-    assert_eq!(destination.take_late_calls(later), [2], "a deadline is over when it comes");
+    assert_eq!(destination.remove_expired_calls(later), [2], "a call expires at its deadline");
 }
 
 #[test]
-fn a_target_that_cannot_be_reached_leaves_its_calls_unanswered() {
+fn a_call_to_an_unreachable_target_is_reported_as_unanswered() {
     let any_port = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
-    let closed = std::net::TcpListener::bind(any_port).expect("a free port");
-    let port = closed.local_addr().expect("bound").port();
-    drop(closed);
+    let unused_listener = std::net::TcpListener::bind(any_port).expect("a free port");
+    let port = unused_listener.local_addr().expect("bound").port();
+    drop(unused_listener);
     let target = SocketAddrV4::new(Ipv4Addr::LOCALHOST, port);
     let mut transport = Transport::new(any_port, any_port, vec![target], 100).expect("it listens");
     transport.call(queued(7, Instant::now()).call);
@@ -36,6 +36,6 @@
         (0..100).find_map(|_| transport.poll(Duration::from_millis(20)).expect("polls").pop());
     match incoming {
         Some(Incoming::Reply { call: 7, reply: None }) => {}
-        other => panic!("not an unanswered call: {other:?}"),
+        other => panic!("expected an unanswered call: {other:?}"),
     }
 }
