--- a/src/cli/recovery.rs
+++ b/src/cli/recovery.rs
@@ -23,22 +23,22 @@
 pub fn decide(
     address: SocketAddrV4,
     decision: Decision,
-    decided: &DecisionRequest,
+    selection: &DecisionRequest,
 ) -> Result<String, ClientError> {
-    let names_jobs = !decided.jobs.is_empty() || decided.all;
+    let names_jobs = !selection.jobs.is_empty() || selection.all;
     if !names_jobs && decision != Decision::CloseGap {
         return Err(ClientError::NoJobsNamed);
     }
     let path = format!("{RECOVERY_PATH}/{}", decision.name());
-    let body = serde_json::to_vec(decided)?;
-    repeat_until_decided(|| {
-        let answer = request(address, "POST", &path, &body)?;
-        Ok(serde_json::from_slice(&answer)?)
+    let body = serde_json::to_vec(selection)?;
+    repeat_until_done(|| {
+        let response = request(address, "POST", &path, &body)?;
+        Ok(serde_json::from_slice(&response)?)
     })
 }
 
 /// Repeats a request while jobs are left that did not fit into one transaction.
-fn repeat_until_decided(
+fn repeat_until_done(
     mut send: impl FnMut() -> Result<DecisionAnswer, ClientError>,
 ) -> Result<String, ClientError> {
     let mut total = 0;
--- a/src/cli/recovery/tests.rs
+++ b/src/cli/recovery/tests.rs
@@ -4,7 +4,7 @@
 use crate::protocol::recovery::{FlaggedJob, UnknownTask};
 use std::net::Ipv4Addr;
 
-fn quiet_report() -> RecoveryReport {
+fn report_without_losses() -> RecoveryReport {
     RecoveryReport {
         controller: "node-0".into(),
         enabled: true,
@@ -21,12 +21,12 @@
 
 #[test]
 fn a_report_without_losses_is_one_line() {
-    let lines = report_lines(&quiet_report());
+    let lines = report_lines(&report_without_losses());
     assert_eq!(lines, ["node-0: following, store without identity, 0 losses seen"]);
 }
 
 #[test]
-fn a_report_names_loss_progress_gap_flagged_jobs_and_unknown_tasks() {
+fn a_report_lists_loss_progress_gap_flagged_jobs_and_unknown_tasks() {
     let report = RecoveryReport {
         loss: Some("empty".into()),
         store: Some("5f".into()),
@@ -46,7 +46,7 @@
             task: "job-9/0".into(),
             attempt: 4,
         }],
-        ..quiet_report()
+        ..report_without_losses()
     };
     let expected = [
         "node-0: following, store 5f, 2 losses seen",
@@ -62,22 +62,23 @@
 }
 
 #[test]
-fn a_decision_is_sent_again_for_what_is_left() {
+fn a_decision_is_repeated_while_jobs_are_left() {
     let answers = [(8, 5), (5, 0)].map(|(decided, left)| DecisionAnswer { decided, left });
     let mut answers = answers.into_iter();
-    let told = repeat_until_decided(|| Ok(answers.next().expect("no request too many")));
-    assert_eq!(told.expect("decided"), "13 jobs decided on, 0 left");
-    let stuck = repeat_until_decided(|| Ok(DecisionAnswer { decided: 0, left: 5 }));
-    assert_eq!(stuck.expect("an answer"), "0 jobs decided on, 5 left");
+    let summary = repeat_until_done(|| Ok(answers.next().expect("one response per request")));
+    assert_eq!(summary.expect("decided"), "13 jobs decided on, 0 left");
+    let stuck = repeat_until_done(|| Ok(DecisionAnswer { decided: 0, left: 5 }));
+    assert_eq!(stuck.expect("a response"), "0 jobs decided on, 5 left");
 }
 
 #[test]
-fn only_closing_the_gap_needs_no_jobs() {
-    let nowhere = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
+fn every_decision_except_closing_the_gap_requires_jobs() {
+    let unreachable = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
     for decision in [Decision::Release, Decision::GiveUp] {
-        let error = decide(nowhere, decision, &DecisionRequest::default()).expect_err("no jobs");
+        let error =
+            decide(unreachable, decision, &DecisionRequest::default()).expect_err("no jobs");
         assert_eq!(error.to_string(), "name jobs, or give --all");
     }
-    let error = decide(nowhere, Decision::CloseGap, &DecisionRequest::default());
-    assert!(matches!(error, Err(ClientError::Io(_))), "it is sent");
+    let error = decide(unreachable, Decision::CloseGap, &DecisionRequest::default());
+    assert!(matches!(error, Err(ClientError::Io(_))), "the request is sent");
 }
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `mountgap status`: prints the status of a running controller as received.
+//! `mountgap status`: requests the status of a running controller and returns it unchanged.
 
 use super::client::{request, ClientError};
 use crate::coordination::status::DETAILS_QUERY;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -18,7 +18,7 @@
 const CLOCK_START_MS: u64 = 1_000;
 
 /// Indexes of the transport's targets, in the order of [`targets`].
-const STATE: Target = 0;
+const STATE_SERVICE: Target = 0;
 const CLOUD: Target = 1;
 const FIRST_PEER: Target = 2;
 
@@ -43,19 +43,19 @@
         .snapshots
         .as_ref()
         .map(|settings| (SnapshotDirectory::new(settings, &platform), settings.period_s));
-    let mut core = Controller::new(platform, operator, clock(start), process_seed());
+    let mut controller = Controller::new(platform, operator, read_clock(start), process_seed());
     let mut snapshot_writer = snapshots.map(|(directory, period_s)| {
-        restore_newest_snapshot(&mut core, &directory, clock(start).wall_ms);
+        restore_newest_snapshot(&mut controller, &directory, read_clock(start).wall_ms);
         SnapshotWriter::start(directory, period_s)
     });
     loop {
-        let commands = wait_for_commands(&mut transport, &core, clock(start))?;
-        core.set_transport_counts(transport.counts());
-        for effect in core.handle_batch(clock(start), commands) {
-            perform(&mut transport, effect);
+        let commands = wait_for_commands(&mut transport, &controller, read_clock(start))?;
+        controller.set_transport_counts(transport.counts());
+        for effect in controller.handle_batch(read_clock(start), commands) {
+            execute_effect(&mut transport, effect);
         }
         if let Some(writer) = &mut snapshot_writer {
-            write_snapshot_if_due(&mut core, writer, clock(start));
+            write_snapshot_if_due(&mut controller, writer, read_clock(start));
         }
     }
 }
@@ -66,7 +66,7 @@
     services.into_iter().chain(peers).collect()
 }
 
-fn clock(start: Instant) -> Clock {
+fn read_clock(start: Instant) -> Clock {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Clock {
         monotonic_ms: start.elapsed().as_millis() as u64 + CLOCK_START_MS,
@@ -79,19 +79,23 @@
     SmallRng::from_os_rng().random()
 }
 
-fn restore_newest_snapshot(core: &mut Controller, directory: &SnapshotDirectory, wall_ms: u64) {
+fn restore_newest_snapshot(
+    controller: &mut Controller,
+    directory: &SnapshotDirectory,
+    wall_ms: u64,
+) {
     if let Some((header, image)) = directory.read_newest(wall_ms) {
         log::info!("snapshot read: revision {}, {} keys", header.revision, header.keys);
-        core.restore_snapshot(image);
+        controller.restore_snapshot(image);
     }
 }
 
-fn write_snapshot_if_due(core: &mut Controller, writer: &mut SnapshotWriter, now: Clock) {
+fn write_snapshot_if_due(controller: &mut Controller, writer: &mut SnapshotWriter, now: Clock) {
     if !writer.is_due(now.monotonic_ms) {
         return;
     }
-    core.note_snapshot(writer.status());
-    if let Some(image) = core.image_for_snapshot() {
+    controller.note_snapshot(writer.status());
+    if let Some(image) = controller.image_for_snapshot() {
         writer.request(image, now.monotonic_ms, now.wall_ms);
     }
 }
@@ -99,18 +103,18 @@
 /// Waits until a message arrives or a timer of the controller is due.
 fn wait_for_commands(
     transport: &mut Transport,
-    core: &Controller,
+    controller: &Controller,
     now: Clock,
 ) -> anyhow::Result<Vec<Command>> {
     let wait_ms = match transport.has_incoming() {
         true => 0,
-        false => core.next_wake().saturating_sub(now.monotonic_ms),
+        false => controller.next_wake().saturating_sub(now.monotonic_ms),
     };
     let incoming = transport.poll(Duration::from_millis(wait_ms.min(POLL_MAX_MS)))?;
-    Ok(incoming.into_iter().map(command).collect())
+    Ok(incoming.into_iter().map(to_command).collect())
 }
 
-fn command(incoming: Incoming) -> Command {
+fn to_command(incoming: Incoming) -> Command {
     match incoming {
         Incoming::Request { connection, origin: Origin::Public, request } => Command::Public {
             connection,
@@ -131,21 +135,21 @@
     }
 }
 
-fn perform(transport: &mut Transport, effect: Effect) {
+fn execute_effect(transport: &mut Transport, effect: Effect) {
     match effect {
         Effect::Respond { connection, status, retry_after_s, body } => {
             transport.respond(connection, status, retry_after_s, &body);
         }
         Effect::Call { id, service, method, path, body, timeout_ms } => {
-            let target = target(service);
+            let target = target_of(service);
             transport.call(Call { id, target, method, path, body, timeout_ms });
         }
     }
 }
 
-fn target(service: Service) -> Target {
+fn target_of(service: Service) -> Target {
     match service {
-        Service::State => STATE,
+        Service::State => STATE_SERVICE,
         Service::Cloud => CLOUD,
         Service::Peer(index) => FIRST_PEER + index,
     }
