--- a/examples/platform.rs
+++ b/examples/platform.rs
@@ -21,23 +21,23 @@
 pub mod options;
 #[path = "platform/server.rs"]
 mod server;
+#[path = "platform/shared_state.rs"]
+mod shared_state;
 #[path = "platform/state_service.rs"]
 mod state_service;
 #[path = "platform/worker.rs"]
 mod worker;
-#[path = "platform/world.rs"]
-mod world;
 
-pub use world::Shared;
+pub use shared_state::Shared;
 
 use options::{Options, Request};
 use server::Handler;
+use shared_state::PlatformState;
 use std::io;
 use std::net::TcpListener;
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::thread;
-use world::World;
 
 /// Exit code for invalid arguments.
 const EXIT_BAD_ARGUMENTS: u8 = 2;
@@ -89,17 +89,17 @@
 
 /// Serves the state service and the cloud in background threads; the workers report to these controllers.
 pub fn serve(controllers: Vec<String>, state: TcpListener, cloud: TcpListener) -> Shared {
-    let world = Shared::new(Mutex::new(World::new(controllers)));
-    spawn_server(state, &world, state_service::handle);
-    spawn_server(cloud, &world, cloud::handle);
-    world
+    let platform = Shared::new(Mutex::new(PlatformState::new(controllers)));
+    spawn_server(state, &platform, state_service::handle);
+    spawn_server(cloud, &platform, cloud::handle);
+    platform
 }
 
 fn listen(address: &str) -> Result<TcpListener, ListenError> {
     TcpListener::bind(address).map_err(|error| ListenError { address: address.into(), error })
 }
 
-fn spawn_server(listener: TcpListener, world: &Shared, handler: Handler) {
-    let world = world.clone();
-    thread::spawn(move || server::serve(&listener, &world, handler));
+fn spawn_server(listener: TcpListener, platform: &Shared, handler: Handler) {
+    let platform = platform.clone();
+    thread::spawn(move || server::serve(&listener, &platform, handler));
 }
--- a/examples/platform/options.rs
+++ b/examples/platform/options.rs
@@ -12,9 +12,9 @@
   --help             print this
 ";
 
-const STATE: &str = "127.0.0.1:2379";
-const CLOUD: &str = "127.0.0.1:8443";
-const CONTROLLER: &str = "127.0.0.1:8080";
+const DEFAULT_STATE: &str = "127.0.0.1:2379";
+const DEFAULT_CLOUD: &str = "127.0.0.1:8443";
+const DEFAULT_CONTROLLER: &str = "127.0.0.1:8080";
 
 /// The action requested on the command line.
 #[derive(Debug, PartialEq, Eq)]
@@ -49,7 +49,11 @@
 
 /// Parses the arguments after the program's name.
 pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<Request, OptionsError> {
-    let mut options = Options { state: STATE.into(), cloud: CLOUD.into(), controllers: Vec::new() };
+    let mut options = Options {
+        state: DEFAULT_STATE.into(),
+        cloud: DEFAULT_CLOUD.into(),
+        controllers: Vec::new(),
+    };
     let mut arguments = arguments.into_iter();
     while let Some(argument) = arguments.next() {
         match argument.as_str() {
@@ -63,7 +67,7 @@
         }
     }
     if options.controllers.is_empty() {
-        options.controllers.push(CONTROLLER.into());
+        options.controllers.push(DEFAULT_CONTROLLER.into());
     }
     Ok(Request::Serve(options))
 }
--- a/examples/platform/server.rs
+++ b/examples/platform/server.rs
@@ -1,6 +1,6 @@
 //! HTTP for the platform stand-in: a server with a thread per connection, and the workers' client.
 
-use super::world::Shared;
+use super::shared_state::Shared;
 use mountgap::transport::http::{self, Request};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -13,27 +13,27 @@
 /// Size of the read buffer in bytes.
 const READ_BYTES: usize = 4096;
 /// Longest time that a worker waits for more of the response to its heartbeat.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+const READ_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Status and body of a response.
-pub type Answer = (u16, Value);
+pub type Response = (u16, Value);
 /// Handles the requests to a service.
-pub type Handler = fn(&Shared, &Request) -> Answer;
+pub type Handler = fn(&Shared, &Request) -> Response;
 
 /// Serves all connections of a listener, each in a thread; never returns.
-pub fn serve(listener: &TcpListener, world: &Shared, handler: Handler) {
+pub fn serve(listener: &TcpListener, platform: &Shared, handler: Handler) {
     for stream in listener.incoming().flatten() {
-        let world = world.clone();
-        thread::spawn(move || serve_connection(stream, &world, handler));
+        let platform = platform.clone();
+        thread::spawn(move || serve_connection(stream, &platform, handler));
     }
 }
 
-fn serve_connection(mut stream: TcpStream, world: &Shared, handler: Handler) {
+fn serve_connection(mut stream: TcpStream, platform: &Shared, handler: Handler) {
     let mut received = Vec::new();
     let mut chunk = [0; READ_BYTES];
     loop {
         while let Ok(Some(request)) = http::take_request(&mut received, BODY_MAX) {
-            let (status, body) = handler(world, &request);
+            let (status, body) = handler(platform, &request);
             let mut out = Vec::new();
             http::write_response(&mut out, status, None, body.to_string().as_bytes(), true);
             if stream.write_all(&out).is_err() {
@@ -48,9 +48,9 @@
 }
 
 /// Sends a POST request on a new connection; `None` if there is no response.
-pub fn post(address: &str, path: &str, body: &Value) -> Option<Answer> {
+pub fn post(address: &str, path: &str, body: &Value) -> Option<Response> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     let mut out = Vec::new();
     http::write_request(&mut out, "POST", path, address, body.to_string().as_bytes());
     stream.write_all(&out).ok()?;
--- a/examples/platform/shared_state.rs
+++ b/examples/platform/shared_state.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 /// The state, shared by all threads.
-pub type Shared = Arc<Mutex<World>>;
+pub type Shared = Arc<Mutex<PlatformState>>;
 
 /// State of the state service, the cloud and the workers.
 #[derive(Default)]
-pub struct World {
+pub struct PlatformState {
     pub store: Store,
     /// The store as of the last backup.
     pub backup: Store,
@@ -54,13 +54,13 @@
 
 /// A lease: unless it is renewed, it ends and its keys are removed.
 pub struct Lease {
-    pub life: Duration,
-    pub ends_at: Instant,
+    pub duration: Duration,
+    pub expires_at: Instant,
 }
 
 impl Lease {
-    pub fn new(life: Duration) -> Lease {
-        Lease { life, ends_at: Instant::now() + life }
+    pub fn new(duration: Duration) -> Lease {
+        Lease { duration, expires_at: Instant::now() + duration }
     }
 }
 
@@ -78,13 +78,13 @@
     /// Tasks that have arrived at their workers.
     pub tasks: BTreeSet<String>,
     /// When the last task arrived; `None` while one is missing.
-    pub complete_at: Option<Instant>,
+    pub complete_since: Option<Instant>,
 }
 
-impl World {
+impl PlatformState {
     /// Creates an empty state; the workers report to these controllers.
-    pub fn new(controllers: Vec<String>) -> World {
-        World { controllers, ..World::default() }
+    pub fn new(controllers: Vec<String>) -> PlatformState {
+        PlatformState { controllers, ..PlatformState::default() }
     }
 
     /// A new number for a lease or a machine; never repeated.
@@ -95,6 +95,6 @@
 }
 
 /// Locks the state.
-pub fn lock(world: &Shared) -> MutexGuard<'_, World> {
-    world.lock().expect("no thread panics while it holds the lock")
+pub fn lock(platform: &Shared) -> MutexGuard<'_, PlatformState> {
+    platform.lock().expect("no thread panics while it holds the lock")
 }
--- a/examples/platform/state_service.rs
+++ b/examples/platform/state_service.rs
@@ -1,7 +1,7 @@
 //! The state service: conditional transactions, leases, reads and watches, and the loss of its data.
 
-use super::server::{body, number_parameter, parameter, path, Answer};
-use super::world::{lock, Change, Lease, Shared, Store, StoredValue, World};
+use super::server::{body, number_parameter, parameter, path, Response};
+use super::shared_state::{lock, Change, Lease, PlatformState, Shared, Store, StoredValue};
 use mountgap::transport::http::Request;
 use serde_json::{json, Value};
 use std::thread;
@@ -10,36 +10,41 @@
 /// Time between a watch's checks for changes.
 const WATCH_PERIOD: Duration = Duration::from_millis(10);
 /// Duration in milliseconds of a lease whose request specifies none.
-const LEASE_LIFE_MS: u64 = 1_000;
+const DEFAULT_LEASE_MS: u64 = 1_000;
 
 /// Handles a request to the state service.
-pub fn handle(world: &Shared, request: &Request) -> Answer {
+pub fn handle(platform: &Shared, request: &Request) -> Response {
     match (request.method.as_str(), path(request)) {
-        (_, "/changes") => watch(world, request),
+        (_, "/changes") => watch(platform, request),
         (method, path) => {
-            let mut world = lock(world);
-            world.expire_leases();
-            handle_at_once(&mut world, method, path, request)
+            let mut platform = lock(platform);
+            platform.expire_leases();
+            handle_without_wait(&mut platform, method, path, request)
         }
     }
 }
 
-fn handle_at_once(world: &mut World, method: &str, path: &str, request: &Request) -> Answer {
+fn handle_without_wait(
+    platform: &mut PlatformState,
+    method: &str,
+    path: &str,
+    request: &Request,
+) -> Response {
     match (method, path) {
-        ("POST", "/control/wipe") => world.replace_store(Store::default()),
-        ("POST", "/control/backup") => world.take_backup(),
-        ("POST", "/control/restore") => world.replace_store(world.backup.clone()),
-        ("POST", "/commit") => return world.commit(&body(request)),
-        ("POST", "/holds") => return world.grant_lease(&body(request)),
+        ("POST", "/control/wipe") => platform.replace_store(Store::default()),
+        ("POST", "/control/backup") => platform.take_backup(),
+        ("POST", "/control/restore") => platform.replace_store(platform.backup.clone()),
+        ("POST", "/commit") => return platform.commit(&body(request)),
+        ("POST", "/holds") => return platform.grant_lease(&body(request)),
         ("GET", "/store") => {
-            return world.list(&parameter(request, "prefix").unwrap_or_default());
+            return platform.list(&parameter(request, "prefix").unwrap_or_default());
         }
         _ => {
             let Some(rest) = path.strip_prefix("/holds/") else { return (404, json!({})) };
             let lease_id = rest.trim_end_matches("/renew").parse().unwrap_or(0);
             return match method {
-                "DELETE" => world.end_lease(lease_id),
-                _ => world.renew_lease(lease_id),
+                "DELETE" => platform.end_lease(lease_id),
+                _ => platform.renew_lease(lease_id),
             };
         }
     }
@@ -48,13 +53,13 @@
 
 /// Responds with the changes after a revision: as soon as there are any, or when the time given by the request
 /// has passed.
-fn watch(world: &Shared, request: &Request) -> Answer {
+fn watch(platform: &Shared, request: &Request) -> Response {
     let since = number_parameter(request, "since");
-    let ends_at = Instant::now() + Duration::from_millis(number_parameter(request, "block_ms"));
+    let deadline = Instant::now() + Duration::from_millis(number_parameter(request, "block_ms"));
     loop {
-        let mut locked = lock(world);
+        let mut locked = lock(platform);
         locked.expire_leases();
-        if locked.store.revision > since || Instant::now() >= ends_at {
+        if locked.store.revision > since || Instant::now() >= deadline {
             return (200, locked.store.changes_after(since));
         }
         drop(locked);
@@ -90,8 +95,8 @@
     }
 }
 
-impl World {
-    fn commit(&mut self, body: &Value) -> Answer {
+impl PlatformState {
+    fn commit(&mut self, body: &Value) -> Response {
         let failed: Vec<&str> = entries(body, "if")
             .filter(|condition| {
                 let mod_revision = self.store.mod_revision(text(&condition["key"]));
@@ -118,7 +123,7 @@
         (200, json!({"ledger_rev": self.store.revision}))
     }
 
-    fn list(&self, prefix: &str) -> Answer {
+    fn list(&self, prefix: &str) -> Response {
         let keys = self.store.keys.iter().filter(|(key, _)| key.starts_with(prefix));
         let items: Vec<Value> = keys
             .map(|(key, stored)| {
@@ -129,23 +134,23 @@
         (200, json!({"items": items, "has_next": false, "ledger_rev": revision}))
     }
 
-    fn grant_lease(&mut self, body: &Value) -> Answer {
-        let life_ms = body["life_ms"].as_u64().unwrap_or(LEASE_LIFE_MS);
+    fn grant_lease(&mut self, body: &Value) -> Response {
+        let duration_ms = body["life_ms"].as_u64().unwrap_or(DEFAULT_LEASE_MS);
         let lease_id = self.next_number();
-        self.leases.insert(lease_id, Lease::new(Duration::from_millis(life_ms)));
+        self.leases.insert(lease_id, Lease::new(Duration::from_millis(duration_ms)));
         (200, json!({"tenancy": lease_id}))
     }
 
-    fn renew_lease(&mut self, lease_id: u64) -> Answer {
+    fn renew_lease(&mut self, lease_id: u64) -> Response {
         let Some(lease) = self.leases.get_mut(&lease_id) else {
             return (404, json!({}));
         };
-        *lease = Lease::new(lease.life);
+        *lease = Lease::new(lease.duration);
         (200, json!({"tenancy": lease_id}))
     }
 
     /// Ends a lease and removes its keys, each with a new revision.
-    fn end_lease(&mut self, lease_id: u64) -> Answer {
+    fn end_lease(&mut self, lease_id: u64) -> Response {
         self.leases.remove(&lease_id);
         let keys = self.store.keys.iter();
         let keys = keys.filter(|(_, stored)| stored.lease_id == Some(lease_id));
@@ -159,7 +164,7 @@
 
     fn expire_leases(&mut self) {
         let now = Instant::now();
-        let expired = self.leases.iter().filter(|(_, lease)| lease.ends_at <= now);
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
         let expired: Vec<u64> = expired.map(|(lease_id, _)| *lease_id).collect();
         for lease_id in expired {
             self.end_lease(lease_id);
