--- a/examples/platform/server.rs
+++ b/examples/platform/server.rs
@@ -1,6 +1,6 @@
-//! HTTP for the stand-in: a server with a thread for each connection, and the workers' client.
+//! HTTP for the platform stand-in: a server with a thread per connection, and the workers' client.
 
-use super::world::Shared;
+use super::shared_state::Shared;
 use mountgap::transport::http::{self, Request};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -8,32 +8,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// Most bytes of a request's body.
+/// Largest request body in bytes.
 const BODY_MAX: usize = 64 * 1024;
-/// Bytes that one read takes.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 4096;
-/// How long a worker waits for the answer to its report.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Longest time that a worker waits for more of the response to its heartbeat.
+const READ_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Status and body.
-pub type Answer = (u16, Value);
-/// Answers the requests to a service.
-pub type Handler = fn(&Shared, &Request) -> Answer;
+/// Status and body of a response.
+pub type Response = (u16, Value);
+/// Handles the requests to a service.
+pub type Handler = fn(&Shared, &Request) -> Response;
 
-/// Serves every connection of a listener, for ever.
-pub fn serve(listener: &TcpListener, world: &Shared, handler: Handler) {
+/// Serves all connections of a listener, each in a thread; never returns.
+pub fn serve(listener: &TcpListener, platform: &Shared, handler: Handler) {
     for stream in listener.incoming().flatten() {
-        let world = world.clone();
-        thread::spawn(move || serve_connection(stream, &world, handler));
+        let platform = platform.clone();
+        thread::spawn(move || serve_connection(stream, &platform, handler));
     }
 }
 
-fn serve_connection(mut stream: TcpStream, world: &Shared, handler: Handler) {
+fn serve_connection(mut stream: TcpStream, platform: &Shared, handler: Handler) {
     let mut received = Vec::new();
     let mut chunk = [0; READ_BYTES];
     loop {
         while let Ok(Some(request)) = http::take_request(&mut received, BODY_MAX) {
-            let (status, body) = handler(world, &request);
+            let (status, body) = handler(platform, &request);
             let mut out = Vec::new();
             http::write_response(&mut out, status, None, body.to_string().as_bytes(), true);
             if stream.write_all(&out).is_err() {
@@ -47,10 +47,10 @@
     }
 }
 
-/// Posts a body on a connection of its own; none if there is no answer.
-pub fn post(address: &str, path: &str, body: &Value) -> Option<Answer> {
+/// Sends a POST request on a new connection; `None` if there is no response.
+pub fn post(address: &str, path: &str, body: &Value) -> Option<Response> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
+    stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
     let mut out = Vec::new();
     http::write_request(&mut out, "POST", path, address, body.to_string().as_bytes());
     stream.write_all(&out).ok()?;
@@ -69,24 +69,24 @@
     }
 }
 
-/// A request's body; null if it is not JSON.
+/// The JSON body of a request; null if it is not JSON.
 pub fn body(request: &Request) -> Value {
     serde_json::from_slice(&request.body).unwrap_or_default()
 }
 
-/// A request's path without its query.
+/// The path of a request without the query.
 pub fn path(request: &Request) -> &str {
     request.path.split('?').next().unwrap_or_default()
 }
 
-/// A parameter of a request's query.
+/// A query parameter of a request.
 pub fn parameter(request: &Request, name: &str) -> Option<String> {
     let (_, query) = request.path.split_once('?')?;
     let value = |pair: &str| pair.strip_prefix(name)?.strip_prefix('=').map(str::to_string);
     query.split('&').find_map(value)
 }
 
-/// The same as a number; 0 if there is none.
+/// A numeric query parameter of a request; 0 if it is missing or not a number.
 pub fn number_parameter(request: &Request, name: &str) -> u64 {
     parameter(request, name).and_then(|value| value.parse().ok()).unwrap_or(0)
 }
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that others open: admission, requests and answers.
+//! Inbound connections: accepting them, reading requests and sending responses.
 
 use super::connection::{Inbound, Role};
 use super::http;
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 impl Transport {
-    /// Takes every connection that waits at a listener.
+    /// Accepts all pending connections of a listener.
     pub(super) fn accept(&mut self, origin: Origin) {
         loop {
             self.counts.accepts += 1;
@@ -28,7 +28,7 @@
 
     fn admit(&mut self, stream: TcpStream, origin: Origin) {
         if origin == Origin::Public && self.inbound.len() >= self.inbound_max {
-            // Dropped at once: the balancer then tries another controller.
+            // Dropped immediately, so that the load balancer tries another controller.
             return;
         }
         if stream.set_nonblocking(true).is_err() {
@@ -40,33 +40,33 @@
         let role = Role::Inbound(Inbound {
             id,
             origin,
-            is_busy: false,
+            has_pending_request: false,
             keep_alive: true,
             closes_after_output: false,
         });
-        if let Some(key) = self.add(stream, role, Interest::READ) {
+        if let Some(key) = self.add_connection(stream, role, Interest::READ) {
             self.inbound.insert(id, key);
         }
     }
 
-    /// Takes the next request of a connection, unless one waits for its answer still.
-    pub(super) fn take_request(&mut self, key: ConnectionKey) -> Result<(), Closed> {
+    /// Handles the next request of a connection, unless an earlier one is still pending.
+    pub(super) fn receive_request(&mut self, key: ConnectionKey) -> Result<(), Closed> {
         let connection = self.connections.get_mut(&key).ok_or(Closed)?;
         let Role::Inbound(inbound) = &mut connection.role else {
             return Ok(());
         };
-        if inbound.is_busy {
-            // Half-closed: the answer is still written.
-            inbound.closes_after_output |= connection.is_ended && connection.input.is_empty();
+        if inbound.has_pending_request {
+            // The client has closed its sending direction only: the response is still sent.
+            inbound.closes_after_output |= connection.is_read_closed && connection.input.is_empty();
             return Ok(());
         }
         match http::take_request(&mut connection.input, body_limit(inbound.origin)) {
             Ok(Some(request)) => {
                 self.counts.requests += 1;
-                self.counts.record_message(request.body.len());
-                inbound.is_busy = true;
+                self.counts.record_body_size(request.body.len());
+                inbound.has_pending_request = true;
                 inbound.keep_alive = request.keep_alive;
-                connection.since = Instant::now();
+                connection.timeout_start = Instant::now();
                 if connection.input.is_empty() {
                     connection.input = Vec::new();
                 }
@@ -74,8 +74,10 @@
                 self.incoming.push(Incoming::Request { connection, origin, request });
                 Ok(())
             }
-            Ok(None) if connection.is_ended && connection.output.is_empty() => Err(self.close(key)),
-            Ok(None) if connection.is_ended => {
+            Ok(None) if connection.is_read_closed && connection.output.is_empty() => {
+                Err(self.close(key))
+            }
+            Ok(None) if connection.is_read_closed => {
                 inbound.closes_after_output = true;
                 Ok(())
             }
@@ -85,14 +87,14 @@
             }
             Ok(None) => Ok(()),
             Err(error) => {
-                connection.refuse_malformed(error);
+                connection.reject_malformed(error);
                 self.flush(key)
             }
         }
     }
 
-    /// Answers a request; the connection may be gone by now. `retry_after_s` are seconds after which
-    /// the client may come back.
+    /// Sends the response to a request, unless its connection has been closed. `retry_after_s` is the value
+    /// of the `Retry-After` header in seconds.
     pub fn respond(
         &mut self,
         id: ConnectionId,
@@ -106,18 +108,18 @@
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        if !connection.answer(status, retry_after_s, body) {
+        if !connection.write_response(status, retry_after_s, body) {
             return;
         }
-        // The next request may have come already.
-        if self.flush(key).is_ok() && self.take_request(key).is_ok() {
+        // The next request may have arrived already.
+        if self.flush(key).is_ok() && self.receive_request(key).is_ok() {
             self.update_interest(key);
         }
     }
 }
 
-/// Most bytes of a request's body. A user's request that a peer passes on is a little longer than it
-/// was from the user.
+/// Largest request body in bytes. A user's request that another controller relays is slightly longer than
+/// the original.
 fn body_limit(origin: Origin) -> usize {
     match origin {
         Origin::Public => HTTP_BODY_MAX,
