--- a/crates/mountgap-records/src/constants.rs
+++ b/crates/mountgap-records/src/constants.rs
@@ -1,14 +1,14 @@
-//! Constants of the stored forms, each with its unit and its reason.
+//! Constants of the storage format.
 
-/// All keys of the service start with this, whatever their layout.
+/// Prefix of all keys in the state service, in every version of the key layout.
 pub const KEY_FAMILY: &str = "mg/";
-/// All keys of this layout of the store. Another layout has another root, and a program that
-/// finds keys of one that it can't read says so and serves nobody.
+/// Prefix of all keys in this version of the key layout. Every version has a prefix of its own; a
+/// controller that finds keys of a version that it can't read logs that and serves no requests.
 pub const KEY_ROOT: &str = "mg/2/";
 
-/// Tasks in one stored bitmap of done tasks; its text form is a quarter of this in bytes
-/// and stays well under the smallest value limit seen.
+/// Tasks in one stored chunk of a bitmap of done tasks. Its text form takes a quarter as many bytes,
+/// which is well below the smallest value size limit that a state service has had.
 pub const DONE_CHUNK_TASKS: u32 = 4_096;
-/// The key of the last rebuild. It lies outside [`KEY_ROOT`] so that a version that doesn't know it
-/// takes it for a key of another layout and serves nobody.
+/// The key of the last rebuild. It doesn't start with [`KEY_ROOT`], so that a program version without
+/// support for rebuilds takes it for a key of another layout and serves no requests.
 pub const REBUILD_KEY: &str = "mg/rebuild";
--- a/crates/mountgap-records/src/lib.rs
+++ b/crates/mountgap-records/src/lib.rs
@@ -1,8 +1,8 @@
-//! The stored forms of mountgap: what controllers keep in the state service.
+//! The storage format of mountgap: what controllers keep in the state service.
 //!
-//! [`records`] are the keys and values, [`job`] the description of a job, [`resources`] what a task takes
-//! or a machine has. The daemon and the packages beside it read and write the same keys and values; this package
-//! holds them, without I/O and without anything of the daemon.
+//! [`records`] has the keys and values, [`job`] the specification of a job, and [`resources`] amounts of
+//! CPU, GPU and memory. The daemon and the other packages of the workspace share these definitions. This
+//! package does no I/O and doesn't depend on the daemon.
 
 pub mod constants;
 pub mod job;
--- a/crates/mountgap-records/src/records.rs
+++ b/crates/mountgap-records/src/records.rs
@@ -1,7 +1,7 @@
-//! The stored forms: keys and values of the state service.
+//! The keys and values that controllers store in the state service.
 //!
-//! What is written here, other versions of the program read: the names and the order of serialized
-//! fields must not change, whatever the fields are called in the code.
+//! Other versions of the program read them, so the names and the order of serialized fields must not
+//! change. A field that is renamed in the code keeps its serialized name by an attribute.
 
 mod bitmap;
 mod ids;
@@ -22,25 +22,25 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Who leads.
+/// The present leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Name of the controller.
     pub label: String,
-    /// Random number of its process.
+    /// Random number that identifies its process.
     pub incarnation: u64,
     /// Its term.
     pub term: u64,
 }
 
-/// The highest term ever taken.
+/// The highest term that a leader has had.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct TermRecord {
     /// The term.
     pub term: u64,
 }
 
-/// Which store this is. A store that was emptied gets another identity, or none.
+/// The identity of the store. A store that has been emptied has another identity, or none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreIdRecord {
     /// A random number.
@@ -51,9 +51,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RebuildPhase {
-    /// Records are being written back: nobody is served.
+    /// Records are being written back; no requests are served.
     Writing,
-    /// All are written; tasks start once every machine that may run one is accounted for.
+    /// All records are written. No task starts until every machine that may run one is accounted for.
     Complete,
     /// Every machine is accounted for.
     Accounted,
@@ -64,132 +64,132 @@
 pub struct RebuildRecord {
     /// How far it has come.
     pub phase: RebuildPhase,
-    /// Label of the controller that does it, or did.
+    /// Label of the controller that runs or ran it.
     pub owner: String,
-    /// Its term.
+    /// The term of that controller.
     pub term: u64,
-    /// Time of day of its begin, in milliseconds.
+    /// Wall-clock time of its start, in milliseconds.
     pub at: u64,
-    /// What showed the loss.
+    /// How the data loss was detected.
     pub loss: String,
-    /// Sources that it drew on.
+    /// Sources that the records were restored from.
     #[serde(default)]
     pub sources: Vec<String>,
-    /// Controllers whose memory did not reach back to before the loss. What they alone had
-    /// confirmed to users is not accounted for, until an operator closes the gap.
+    /// Controllers that had no data in memory from before the loss. Requests that only they had
+    /// confirmed to users may be missing until an operator closes the gap.
     #[serde(default)]
     pub gap: Vec<String>,
 }
 
-/// Why a job is flagged.
+/// Why a rebuild has flagged a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FlagReason {
-    /// It may have been cancelled or completed in the part of the history that is lost.
+    /// The job may have been cancelled or completed in the lost part of the history.
     MayHaveEnded,
 }
 
-/// Jobs that a rebuild could not account for. Nothing of them starts, and users are told nothing of
-/// them, until an operator releases them or gives them up.
+/// Jobs whose state a rebuild could not determine. None of their tasks starts, and users get no status
+/// of them, until an operator releases them or gives them up.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FlaggedJobsRecord {
-    /// Jobs with the reason of each.
+    /// The reason for each job, by job id.
     pub jobs: BTreeMap<String, FlagReason>,
 }
 
-/// Ends of jobs that a rebuild has written together.
+/// Ends of several jobs, written together by a rebuild.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobEndGroupRecord {
-    /// Ends by job.
+    /// Ends by job id.
     pub ends: BTreeMap<String, JobEndRecord>,
 }
 
-/// Where a job stands.
+/// The stage of a job's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStage {
-    /// Accepted, neither done nor cancelled.
+    /// The job is accepted, and neither done nor cancelled.
     Live,
     /// All tasks are done.
     Done,
-    /// Its user has cancelled it.
+    /// Its user has cancelled the job.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
-/// Jobs accepted by one controller with one write: a write a job would allow no more
-/// submissions a second than the state service takes writes.
+/// Jobs that one controller accepted with one write. One write per job would limit the submission
+/// rate to the write rate of the state service.
 ///
-/// The same job may stand in two batches, when its user asked two controllers. The one written
-/// first counts, and no batch is accepted with a job that has ended.
+/// Two batches may contain the same job if its user submitted it to two controllers. The batch that was
+/// written first counts, and no batch is accepted with a job that has ended.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BatchRecord {
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall-clock time of the acceptance, in milliseconds.
     pub at: u64,
-    /// Number of its first job among all that one commit accepted: batches of one commit have
-    /// the same revision, and no two jobs may have the same arrival number.
+    /// Index of its first job among all jobs that the same commit accepted. Batches of one commit
+    /// have the same revision, and no two jobs may have the same arrival number.
     #[serde(default)]
     pub first: u64,
-    /// The jobs, as they were submitted.
+    /// The jobs as submitted.
     pub jobs: Vec<Rc<JobSpec>>,
 }
 
 /// How a job ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobEndRecord {
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall-clock time of the acceptance, in milliseconds.
     pub at: u64,
-    /// How it ended.
+    /// Whether it is done or cancelled.
     pub stage: JobStage,
     /// Number of its tasks.
     #[serde(rename = "loads")]
     pub tasks: u32,
-    /// Tasks that were done.
+    /// Number of tasks that were done.
     pub done: u32,
 }
 
-/// A job, put together from its batch and its end.
+/// The state of a job, combined from its batch and its end.
 #[derive(Debug, Clone)]
 pub struct JobRecord {
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall-clock time of the acceptance, in milliseconds.
     pub at: u64,
     /// Whether it is live, done or cancelled.
     pub stage: JobStage,
     /// Number of its tasks.
     pub tasks: u32,
-    /// Known as long as its batch is kept.
+    /// Its specification; `None` once the batch has been removed.
     pub spec: Option<Rc<JobSpec>>,
-    /// Tasks that were done when it ended.
+    /// Number of tasks that were done when it ended.
     pub done: u32,
     /// Revision at which it ended; 0 while it is live.
     pub end_revision: u64,
 }
 
-/// Bitmaps of done tasks as text, by job and chunk ([`chunk_name`]).
+/// Chunks of bitmaps of done tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DoneTasksRecord {
-    /// Bitmaps in hexadecimal.
+    /// Hexadecimal text of each chunk, by [`chunk_name`].
     pub bits: BTreeMap<String, String>,
 }
 
-/// Name of a job's chunk in a [`DoneTasksRecord`].
+/// Name of a chunk of a job's bitmap in a [`DoneTasksRecord`].
 pub fn chunk_name(uid: &str, chunk: u32) -> String {
     format!("{uid}/{chunk}")
 }
 
-/// Takes such a name apart.
+/// Splits the name of a chunk into job id and chunk number.
 pub fn parse_chunk(name: &str) -> Option<(&str, u32)> {
     let (uid, chunk) = name.rsplit_once('/')?;
     Some((uid, chunk.parse().ok()?))
 }
 
-/// Images that machines hold, for a new leader: hints, written seldom.
+/// Images in the caches of machines. They are hints for a new leader and are written rarely.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImagesRecord {
-    /// Image and size.
+    /// Name and size of each image.
     #[serde(rename = "kits")]
     pub images: Vec<(String, f64)>,
-    /// Per machine the images by index, newest last.
+    /// Cached images by machine, as indices into the list of images; the newest comes last.
     pub held: BTreeMap<String, Vec<usize>>,
 }
 
@@ -198,7 +198,7 @@
 pub struct SharesRecord {
     /// The term in which they were stored.
     pub term: u64,
-    /// Team and thousandths.
+    /// Each team with its thousandths.
     pub teams: Vec<(String, i64)>,
 }
 
--- a/crates/mountgap-records/src/records/bitmap.rs
+++ b/crates/mountgap-records/src/records/bitmap.rs
@@ -1,4 +1,4 @@
-//! Bitmaps of tasks, stored in chunks as hexadecimal text.
+//! Bitmaps of tasks, which are stored in chunks as hexadecimal text.
 
 use crate::constants::DONE_CHUNK_TASKS;
 use crate::job::TASKS_MAX;
@@ -9,10 +9,10 @@
 /// Hexadecimal digits of a word.
 const WORD_DIGITS: usize = 16;
 
-/// Words of a whole chunk.
+/// Words of a full chunk.
 const CHUNK_WORDS: usize = (DONE_CHUNK_TASKS / WORD_TASKS) as usize;
 
-/// A set of tasks, a bit each.
+/// A set of the tasks of a job, with one bit per task.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Bitmap {
     words: Vec<u64>,
@@ -25,7 +25,7 @@
         self.words.get(word).is_some_and(|bits| bits & mask != 0)
     }
 
-    /// Adds a task; false if it was there.
+    /// Adds a task. Returns false if it is in the set already.
     pub fn set(&mut self, index: u32) -> bool {
         let (word, mask) = position(index);
         let bits = self.word_mut(word);
@@ -34,19 +34,20 @@
         is_new
     }
 
-    /// Size of the set.
+    /// Number of tasks in the set.
     pub fn count(&self) -> u32 {
         self.words.iter().map(|bits| bits.count_ones()).sum()
     }
 
-    /// Text form of the tasks of one chunk.
+    /// Hexadecimal text of one chunk, without the trailing words that the set never needed.
     pub fn chunk_text(&self, chunk: u32) -> String {
         let start = (chunk as usize * CHUNK_WORDS).min(self.words.len());
         let end = (start + CHUNK_WORDS).min(self.words.len());
         self.words[start..end].iter().map(|bits| format!("{bits:016x}")).collect()
     }
 
-    /// Adds the tasks of a chunk's text form; text that isn't one adds nothing.
+    /// Adds the tasks of a chunk from its hexadecimal text, up to the first malformed word. Text that is
+    /// not ASCII, or of a chunk that no job has, adds nothing.
     pub fn add_chunk(&mut self, chunk: u32, text: &str) {
         if !text.is_ascii() || chunk > TASKS_MAX / DONE_CHUNK_TASKS {
             return;
@@ -62,7 +63,7 @@
         }
     }
 
-    /// A word, made if it is missing.
+    /// A word, appended if it is missing.
     fn word_mut(&mut self, word: usize) -> &mut u64 {
         if self.words.len() <= word {
             self.words.resize(word + 1, 0);
@@ -71,7 +72,7 @@
     }
 }
 
-/// The word that holds a task's bit, and the mask of the bit.
+/// Index of the word with a task's bit, and the mask of that bit.
 fn position(index: u32) -> (usize, u64) {
     ((index / WORD_TASKS) as usize, 1 << (index % WORD_TASKS))
 }
--- a/crates/mountgap-records/src/records/ids.rs
+++ b/crates/mountgap-records/src/records/ids.rs
@@ -1,7 +1,7 @@
-//! Names of jobs and machines, as types that can't be mixed up.
+//! Types for job ids and machine names, so that the compiler tells them apart.
 //!
-//! Both are shared strings, cheap to clone. They compare, hash and print as the string does, so a
-//! map with such keys is asked with a `&str`.
+//! Both are reference-counted strings that are cheap to clone. They compare, hash and print like the
+//! string, so a map with such keys can be looked up by `&str`.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -55,12 +55,12 @@
 }
 
 shared_name! {
-    /// The id of a job, which its user has chosen.
+    /// The id of a job, chosen by its user.
     JobId
 }
 
 shared_name! {
-    /// The name of a machine, given by the cloud.
+    /// The name of a machine, assigned by the cloud.
     MachineName
 }
 
--- a/crates/mountgap-records/src/records/keys.rs
+++ b/crates/mountgap-records/src/records/keys.rs
@@ -1,18 +1,18 @@
-//! Keys of the store: how they are made and taken apart.
+//! Building and parsing the keys of the store.
 
 use crate::constants::{KEY_FAMILY, KEY_ROOT, REBUILD_KEY};
 
-/// The leased key that names the leader.
+/// The key of the present leader, which has a lease.
 pub fn leader_key() -> String {
     format!("{KEY_ROOT}leader")
 }
 
-/// The key that holds the term, which only grows.
+/// The key of the highest term, which never decreases.
 pub fn term_key() -> String {
     format!("{KEY_ROOT}term")
 }
 
-/// The key of the last known catalogue, so that submissions can be judged without the cloud.
+/// The key of the last known catalog, with which submissions are checked while the cloud is unavailable.
 pub fn catalog_key() -> String {
     format!("{KEY_ROOT}catalog")
 }
@@ -22,21 +22,21 @@
     format!("{KEY_ROOT}shares")
 }
 
-/// The key of a batch of jobs that were accepted together. Written once, never changed.
+/// The key of a batch of jobs that were accepted together. Its value never changes.
 pub fn batch_key(id: &str) -> String {
     format!("{KEY_ROOT}jobs/{id}")
 }
 
-/// The key of a batch of gangs that were accepted together, written once like a batch of other jobs.
+/// The key of a batch of gangs that were accepted together. Its value never changes.
 ///
-/// The key stands beside those of other jobs because a program from before gangs fails to read a
-/// batch with a kind of job that it doesn't know, and with it every other job of that batch. Keys of
-/// a family that it doesn't know it ignores.
+/// Gangs have batches of their own because a program version without gangs can't parse a batch with a
+/// job of an unknown kind, and would lose all other jobs of that batch. It ignores keys of unknown kinds.
 pub fn gang_batch_key(id: &str) -> String {
     format!("{KEY_ROOT}gangs/{id}")
 }
 
-/// The key of how a job ended. It exists once the job is done or withdrawn, and only then.
+/// The key of a job's end. It exists only if the job is done or cancelled. The end may be in a group that
+/// a rebuild has written instead.
 pub fn job_end_key(uid: &str) -> String {
     format!("{KEY_ROOT}end/{uid}")
 }
@@ -51,30 +51,30 @@
     format!("{KEY_ROOT}place/{group:04}")
 }
 
-/// The key of a part of the list of images that machines hold.
+/// The key of a part of the list of images in the caches of machines.
 pub fn images_key(part: u32) -> String {
     format!("{KEY_ROOT}kits/{part:04}")
 }
 
-/// The key of the store's identity, written once by the first leader.
+/// The key of the store's identity. The first leader writes it, and a rebuild replaces it.
 pub fn store_key() -> String {
     format!("{KEY_ROOT}store")
 }
 
-/// The key of a group of ends that a rebuild has written: a write an end would take hours.
+/// The key of a group of job ends, written by a rebuild: with one write per end it would take hours.
 pub fn job_end_group_key(group: u32) -> String {
     format!("{KEY_ROOT}ends/{group:05}")
 }
 
-/// The key of a group of jobs that a rebuild could not account for.
+/// The key of a group of jobs whose state a rebuild could not determine.
 pub fn flagged_jobs_key(group: u32) -> String {
     format!("{KEY_ROOT}flagged/{group:04}")
 }
 
-/// A key, taken apart.
+/// A parsed key.
 #[derive(Debug, PartialEq)]
 pub enum Key<'a> {
-    /// The leader's name.
+    /// The present leader.
     Leader,
     /// The highest term.
     Term,
@@ -86,25 +86,25 @@
     Batch(&'a str),
     /// Gangs that were accepted together.
     GangBatch(&'a str),
-    /// How a job ended.
+    /// The end of a job.
     End(&'a str),
     /// A group of bitmaps of done tasks.
     Done(u32),
     /// A group of placements.
     Place(u32),
-    /// A part of the images on machines.
+    /// A part of the list of images in the caches of machines.
     Images(u32),
     /// The store's identity.
     Store,
-    /// How far the last rebuild has come.
+    /// The last rebuild.
     Rebuild,
-    /// Ends of jobs, written together by a rebuild.
+    /// A group of job ends.
     EndGroup(u32),
-    /// Jobs that a rebuild could not account for.
+    /// A group of jobs whose state a rebuild could not determine.
     Flagged(u32),
 }
 
-/// Takes a key apart; `None` for keys of others.
+/// Parses a key; `None` if it isn't one of the keys above.
 pub fn parse_key(key: &str) -> Option<Key<'_>> {
     if key == REBUILD_KEY {
         return Some(Key::Rebuild);
@@ -120,7 +120,7 @@
     })
 }
 
-/// Takes a key apart that has a name or a number after its kind.
+/// Parses a key that has a name or a number after its kind.
 fn parse_named_key(rest: &str) -> Option<Key<'_>> {
     let (kind, name) = rest.split_once('/')?;
     Some(match kind {
@@ -136,11 +136,10 @@
     })
 }
 
-/// Whether a key belongs to a layout of the store that this program can't read: every layout
-/// has a root of its own below the family's.
+/// Whether a key belongs to a version of the key layout that this program can't read.
 ///
-/// The key of a rebuild looks like one to versions from before rebuilds, so that they serve nobody
-/// from a store that is half rebuilt, nor from one whose ends they could not all read.
+/// The key of a rebuild looks like such a key to program versions without support for rebuilds. So they
+/// serve no requests from a half rebuilt store, nor from one with job ends that they can't read.
 pub fn foreign_layout(key: &str) -> bool {
     key.starts_with(KEY_FAMILY) && !key.starts_with(KEY_ROOT) && key != REBUILD_KEY
 }
--- a/crates/mountgap-records/src/records/placement.rs
+++ b/crates/mountgap-records/src/records/placement.rs
@@ -1,40 +1,40 @@
-//! The text form of placements in the store.
+//! The stored form of placements.
 
 use super::JobId;
 use crate::job::UID_PREFIX;
 use serde::{Deserialize, Serialize};
 
-/// Placements of any jobs on any machines, one text after the other ([`StoredPlacement`]). One value
-/// holds hundreds, so that one write starts and settles many tasks.
+/// A group of placements of any jobs on any machines. One value holds hundreds of them, so that one
+/// write can start and settle many tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlacementsRecord {
-    /// The texts, separated by spaces.
+    /// The text form of each [`StoredPlacement`], separated by spaces.
     pub tasks: String,
 }
 
 impl PlacementsRecord {
-    /// The placements; what can't be read is left out with a log line.
+    /// The placements. Those that can't be parsed are logged and skipped.
     pub fn placed(&self) -> impl Iterator<Item = StoredPlacement<'_>> {
         self.tasks.split_ascii_whitespace().filter_map(|text| {
             let placement = StoredPlacement::parse(text);
             if placement.is_none() {
-                log::error!("stored placement {text} can't be read");
+                log::error!("stored placement malformed: {text}, it is ignored");
             }
             placement
         })
     }
 }
 
-/// A task on a machine, as stored: `000412/3@n-000231#28000001`, the attempt in hexadecimal.
+/// A placement as stored, such as `000412/3@n-000231#28000001`, with the attempt in hexadecimal.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StoredPlacement<'a> {
-    /// The job's id without its [`UID_PREFIX`].
+    /// The job id without its [`UID_PREFIX`].
     pub digits: &'a str,
-    /// The task's number.
+    /// The task's index within its job.
     pub task: u32,
     /// The machine's name.
     pub machine: &'a str,
-    /// The attempt.
+    /// Number of the attempt.
     pub attempt: u64,
 }
 
@@ -47,7 +47,7 @@
         Some(StoredPlacement { digits, task: task.parse().ok()?, machine, attempt })
     }
 
-    /// The text form; `None` for a machine whose name can't stand in one.
+    /// The text form; `None` if the job id or the machine's name has none.
     pub fn text(uid: &str, task: u32, machine: &str, attempt: u64) -> Option<String> {
         let digits = uid.strip_prefix(UID_PREFIX)?;
         if !machine.bytes().all(may_stand_in_text) {
@@ -56,13 +56,13 @@
         Some(format!("{digits}/{task}@{machine}#{attempt:x}"))
     }
 
-    /// The job's id.
+    /// The job id.
     pub fn job_id(&self) -> JobId {
         format!("{UID_PREFIX}{}", self.digits).into()
     }
 }
 
-/// Whether a byte of a machine's name can stand in a JSON string as it is, and is no separator.
+/// Whether a byte of a machine's name is visible ASCII that needs no escape in a JSON string.
 fn may_stand_in_text(byte: u8) -> bool {
     byte.is_ascii_graphic() && byte != b'"' && byte != b'\\'
 }
--- a/crates/mountgap-records/src/resources.rs
+++ b/crates/mountgap-records/src/resources.rs
@@ -1,9 +1,9 @@
-//! What a task takes or a machine has.
+//! Amounts of CPU, GPU and memory.
 
-/// Amounts on the wire are decimal; inside they are whole thousandths.
+/// Thousandths in one unit. Amounts on the wire are decimal; internally they are whole thousandths.
 pub const MILLI: f64 = 1000.0;
 
-/// What a task takes or a machine has, in thousandths.
+/// Amounts that a task needs or a machine has, in thousandths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Resources {
     /// Thousandths of a core.
@@ -15,29 +15,29 @@
 }
 
 impl Resources {
-    /// From decimal amounts.
+    /// Converts decimal amounts, rounded to thousandths.
     pub fn new(cores: f64, gpus: f64, ram_gb: f64) -> Resources {
         let thousandths = |amount: f64| (amount * MILLI).round() as i64;
         Resources { cpu: thousandths(cores), gpu: thousandths(gpus), ram: thousandths(ram_gb) }
     }
 
-    /// Whether `need` fits into what is here.
+    /// Whether `need` fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cpu <= self.cpu && need.gpu <= self.gpu && need.ram <= self.ram
     }
 
-    /// Whether it keeps a cap on cores and GPUs, of which 0 means none.
+    /// Whether cores and GPUs are at most those of `cap`, where 0 means no cap. Memory isn't compared.
     pub fn under(&self, cap: &Resources) -> bool {
         (cap.cpu == 0 || self.cpu <= cap.cpu) && (cap.gpu == 0 || self.gpu <= cap.gpu)
     }
 
-    /// How many times `need` fits; `i64::MAX` if nothing is needed.
+    /// How many tasks with this `need` fit; `i64::MAX` if the need is empty.
     pub fn times(&self, need: &Resources) -> i64 {
         let times = |have: i64, need: i64| if need > 0 { have.max(0) / need } else { i64::MAX };
         times(self.cpu, need.cpu).min(times(self.gpu, need.gpu)).min(times(self.ram, need.ram))
     }
 
-    /// The largest share of `whole` that this is, in any dimension.
+    /// The dominant share: the largest fraction of `whole` over CPU, GPU and memory.
     pub fn share_of(&self, whole: &Resources) -> f64 {
         let share =
             |part: i64, whole: i64| if whole > 0 { part as f64 / whole as f64 } else { 0.0 };
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -1,12 +1,13 @@
 //! The leader's state of the cluster: jobs, machines, placements and what teams use.
 //!
-//! A task has at most one placement that is not settled; a placement counts for place and quota
-//! until evidence settles it, and what settled it is committed before anything else is done with
-//! the task. Nothing here talks to the state service or to machines: the state is told what happened.
+//! A placement is settled once there is proof that its task no longer runs. A task has at most one
+//! unsettled placement. A placement uses its machine's capacity and its team's quota until it is
+//! settled, and the settlement is committed to the store before the task may be placed again. This
+//! module sends nothing to the state service or to machines: callers tell it what has happened.
 //!
-//! `restore` builds it from the store when a term begins, `jobs` follows jobs from acceptance to end,
-//! `placements` is the life cycle of a placement, `adoption` finds a place for tasks that run
-//! unrecorded, `gangs` holds for tasks that run together, `resources` adds up what is used and free.
+//! `restore` builds the state from the store when a term begins, `jobs` handles jobs from acceptance to
+//! end, `placements` is the life cycle of a placement, `adoption` records placements of tasks that run
+//! without one, `gangs` handles tasks that run together, and `resources` sums up what is used and free.
 
 mod adoption;
 mod gangs;
@@ -27,46 +28,46 @@
 use crate::protocol::users::JobKind;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A key of the store that nobody needs any more.
+/// A key of the store that is no longer needed.
 #[derive(Debug, Clone)]
 pub struct StaleKey {
-    /// The key.
+    /// Name of the key.
     pub key: String,
-    /// Revision of its last change when it was found.
+    /// Revision of its last change at the time when it was found.
     pub mod_revision: u64,
 }
 
-/// The state of the cluster, as the leader of a term sees it.
+/// The state of the cluster as the leader of a term knows it.
 #[derive(Debug)]
 pub struct ClusterState {
     /// Jobs that are live, or still have tasks on machines.
     pub jobs: HashMap<JobId, Job>,
-    /// Live jobs by arrival.
+    /// Live jobs by arrival number.
     pub queue: BTreeMap<u64, JobId>,
-    /// Machines that are known.
+    /// Known machines.
     pub machines: BTreeMap<MachineName, Machine>,
-    /// What each team uses.
+    /// Resources that each team uses.
     pub usage: Usage,
     /// Stored groups of placements, by number.
     pub groups: BTreeMap<u32, PlacementGroup>,
-    /// Stored groups of bitmaps, by number.
+    /// Stored groups of bitmaps of done tasks, by number.
     pub done_groups: BTreeMap<u32, DoneTasksGroup>,
-    /// Placements that wait to be stored, in the order decided.
+    /// Placements that are not stored yet, in the order in which they were decided.
     pub proposals: VecDeque<(MachineName, TaskId)>,
-    /// A gang among the proposals did not fit into the last commit beside other changes.
+    /// Whether a proposed gang did not fit into the last commit together with the other changes.
     pub gang_is_deferred: bool,
-    /// Placements that ended without being in any group.
+    /// Settled placements that are in no stored group.
     pub unstored_settlements: Vec<(MachineName, TaskId)>,
     /// Live jobs whose tasks are all done.
     pub completed_jobs: BTreeSet<JobId>,
-    /// Images, with their size in gigabytes, on machines that are not known yet in this term.
+    /// Images and their sizes in gigabytes on machines that this term doesn't know yet.
     pub stored_images: HashMap<MachineName, Vec<(String, f64)>>,
-    /// Keys to remove when there is room in a commit.
+    /// Keys to remove when a commit has capacity for it.
     pub stale_keys: Vec<StaleKey>,
 }
 
 impl ClusterState {
-    /// A cluster of which nothing is known yet.
+    /// An empty state.
     pub fn new(keys: HashKeys) -> ClusterState {
         ClusterState {
             jobs: keys.map(),
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The keys of its hash maps.
+    /// The hash keys of its maps.
     pub fn hash_keys(&self) -> HashKeys {
         *self.jobs.hasher()
     }
@@ -94,7 +95,7 @@
         self.queue.values().filter_map(|id| self.jobs.get(id)).any(|job| job.waiting() > 0)
     }
 
-    /// A machine by name, made if it is new.
+    /// A machine by name, added if it is not known yet.
     pub fn machine_entry(&mut self, name: &MachineName, now: u64) -> &mut Machine {
         if !self.machines.contains_key(name) {
             let mut machine = Machine::new(name.clone(), now);
@@ -104,12 +105,12 @@
         self.machines.get_mut(name).expect("inserted above if it was missing")
     }
 
-    /// A task's placement on a machine, settled or not.
+    /// The placement of a task on a machine, settled or not.
     pub(crate) fn placement(&self, machine: &MachineName, id: &TaskId) -> Option<&Placement> {
         self.machines.get(machine)?.placements.get(id)
     }
 
-    /// The same, to be changed.
+    /// Mutable access to the placement of a task on a machine, settled or not.
     pub(crate) fn placement_mut(
         &mut self,
         machine: &MachineName,
@@ -125,7 +126,7 @@
         })
     }
 
-    /// Whether a job's tasks run until it is cancelled.
+    /// Whether a job is a service, whose tasks run until it is cancelled.
     pub fn is_service(&self, id: &str) -> bool {
         let spec = self.jobs.get(id).and_then(|job| job.spec.as_ref());
         spec.is_some_and(|spec| spec.kind == JobKind::Service)
--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -1,7 +1,8 @@
-//! Tasks that run with no placement that is known: adopted where they run.
+//! Adoption of tasks that run without a known placement.
 //!
-//! Before a store has been rebuilt there are none. After it a task may have been placed in the part
-//! of the history that is lost, and a report with the present term shows where it runs.
+//! Such tasks exist only after a rebuild of the store, when they were placed in the lost part of the
+//! history. A heartbeat with the present term as its fencing token shows where such a task runs, and a
+//! placement is recorded for it there.
 
 use super::ClusterState;
 use crate::protocol::workers::{EndCause, TaskStatus};
@@ -9,19 +10,19 @@
 use crate::storage::machine::{AttemptId, PlacementPhase, StopReason, TaskId};
 use crate::storage::records::{JobId, MachineName};
 
-/// What becomes of a task that runs and has no placement that we know of.
+/// What happens to a task that runs without a known placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adoption {
-    /// It is placed where it runs.
+    /// A placement is recorded where it runs.
     Adopted,
-    /// An earlier placement of it has to be settled first.
+    /// The settlement of an earlier placement of it must be committed first.
     Waits,
-    /// Its job has no use for it.
+    /// Its job is not known, is over, or doesn't need the task.
     Refused,
 }
 
 impl ClusterState {
-    /// Unsettled placements of a job that is not known yet.
+    /// Unsettled placements of a job that has not been added yet.
     pub(super) fn placed_tasks_of(&self, job: &JobId) -> Vec<PlacedTask> {
         let tasks = TaskId::new(job.clone(), 0)..=TaskId::new(job.clone(), u32::MAX);
         let mut placed = Vec::new();
@@ -36,7 +37,7 @@
         placed
     }
 
-    /// A job is known by now whose tasks were found running before.
+    /// Adopts the running tasks of a job that has just been added.
     pub(super) fn adopt_tasks_of(&mut self, job: &JobId, now: u64) {
         let mut found: Vec<(MachineName, AttemptId)> = Vec::new();
         for machine in self.machines.values_mut() {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// A task runs with no placement that we know of, as a report with our token shows. After a
-    /// rebuild it may have been placed in the part of the history that is lost.
+    /// Adopts a task that runs without a known placement, according to a heartbeat with the present
+    /// term. After a rebuild, such a task may have been placed in the lost part of the history.
     pub fn adopt(&mut self, machine: &MachineName, attempt: &AttemptId, now: u64) -> Adoption {
         let id = &attempt.task;
         let Some(job) = self.jobs.get(&id.job) else { return Adoption::Refused };
@@ -68,8 +69,8 @@
         Adoption::Adopted
     }
 
-    /// A task runs with no placement that we know of: counted where it is, so that it is not started
-    /// elsewhere, and stopped.
+    /// Records a placement for a task that runs without a known one, so that the task is not started
+    /// elsewhere meanwhile, and stops it.
     pub fn add_untracked_task(&mut self, machine: &MachineName, attempt: &AttemptId, now: u64) {
         let id = &attempt.task;
         let Some(job) = self.jobs.get(&id.job) else { return };
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Records a placement for a task that runs already.
+    /// Records a committed placement for a task that already runs.
     fn place_running_task(
         &mut self,
         machine: &MachineName,
@@ -102,8 +103,9 @@
         }
     }
 
-    /// A task that is placed runs with another attempt. Attempts rise, and the next is placed only once the
-    /// last is settled and that is committed: a higher one proves that ours is over.
+    /// Settles the known placement of a task that runs elsewhere with another attempt, if that proves the
+    /// placement over. Attempt numbers increase, and the next attempt is placed only once the settlement
+    /// of the last one is committed: so a higher number proves that the known attempt is over.
     fn settle_earlier(&mut self, machine: &MachineName, attempt: &AttemptId) -> Adoption {
         let id = &attempt.task;
         let is_earlier = self.placement(machine, id).is_some_and(|placement| {
--- a/src/storage/cluster/gangs.rs
+++ b/src/storage/cluster/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs among the jobs: attempts are placed whole and stopped whole.
+//! Gangs: all tasks of an attempt are placed together and stopped together.
 
 use super::ClusterState;
 use crate::protocol::workers::EndCause;
@@ -8,7 +8,7 @@
 use crate::storage::records::{JobId, MachineName};
 
 impl ClusterState {
-    /// Where a gang stands.
+    /// The phase of a gang.
     pub fn gang_phase(&self, job: &Job) -> GangPhase {
         if job.attempt_is_over() {
             return GangPhase::Unplaced;
@@ -27,8 +27,8 @@
         GangPhase::Running
     }
 
-    /// Proposes an attempt of a gang: task by task on the machines given. Nothing is proposed
-    /// unless all its tasks wait and each gets a machine.
+    /// Proposes an attempt of a gang, with the task of each index on the machine of the same index.
+    /// Proposes nothing and returns false unless all tasks wait and there is a machine for each.
     pub fn propose_gang(
         &mut self,
         id: &JobId,
@@ -47,7 +47,8 @@
         true
     }
 
-    /// Stops all tasks of a gang. Those that have been told to save are left to it.
+    /// Stops all tasks of a gang. Tasks that are being stopped already keep their reason, so that a task
+    /// can finish its checkpoint.
     pub fn stop_gang(&mut self, id: &JobId, reason: StopReason) {
         let Some(job) = self.jobs.get(id) else { return };
         for task in job.placed_tasks() {
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Evidence has settled a task of a gang. One that is done shows that all are; with any other
-    /// end the attempt is over.
+    /// Handles the settlement of a task of a gang. If it is done, all tasks of the gang are; any other
+    /// cause ends the attempt.
     pub(super) fn gang_task_settled(&mut self, id: &JobId, cause: EndCause) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else {
             return;
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Stops gangs of which the store has only a part: an earlier leader has seen a task gone.
+    /// Stops gangs of which only a part is in the store: an earlier leader has settled some of the tasks.
     pub fn stop_incomplete_gangs(&mut self) {
         let incomplete = |job: &&Job| {
             job.is_gang() && !job.attempt_is_over() && job.placed_on.len() < job.tasks as usize
--- a/src/storage/cluster/gangs/tests.rs
+++ b/src/storage/cluster/gangs/tests.rs
@@ -36,7 +36,7 @@
     machines.flat_map(|m| m.placements.values()).map(|p| p.stop_reason).collect()
 }
 
-/// Settles a task and, if `stored`, takes it out of the store.
+/// Settles a task and, if `stored`, reports the settlement as committed.
 fn settle(cluster: &mut ClusterState, task: u32, cause: EndCause, stored: bool) {
     let machine = cluster.jobs[&job_id()].placed_on[&task].clone();
     let id = TaskId::new(job_id(), task);
@@ -63,13 +63,13 @@
     assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "one task is left");
     assert_eq!(stop_reasons(&cluster), vec![Some(StopReason::NotNeeded)]);
     settle(&mut cluster, 1, EndCause::MatesGone, false);
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "and stands in the store");
+    assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "the settlement is not committed yet");
     let machines: Vec<MachineName> = vec!["n-a".into(), "n-b".into()];
     assert!(!cluster.propose_gang(&job_id(), &machines, 8, 0));
     let on: MachineName = "n-b".into();
     cluster.settlement_committed(&on, &AttemptId::new(TaskId::new(job_id(), 1), 7));
     assert_eq!(cluster.jobs[&job_id()].waiting(), 2);
-    assert!(!cluster.propose_gang(&job_id(), &machines[..1], 8, 0), "not a part of it");
+    assert!(!cluster.propose_gang(&job_id(), &machines[..1], 8, 0), "too few machines");
     assert!(cluster.propose_gang(&job_id(), &machines, 8, 0));
     assert_eq!(cluster.jobs[&job_id()].placed_on.len(), 2);
     assert_eq!(cluster.gang_phase(&cluster.jobs[&job_id()]), GangPhase::Storing);
@@ -82,7 +82,7 @@
     assert!(cluster.jobs[&job_id()].is_complete());
     assert!(cluster.completed_jobs.contains(&job_id()));
     settle(&mut cluster, 0, EndCause::Lost, false);
-    assert!(cluster.jobs[&job_id()].is_complete(), "a machine that is lost later changes nothing");
+    assert!(cluster.jobs[&job_id()].is_complete(), "a later loss changes nothing");
 }
 
 #[test]
--- a/src/storage/cluster/jobs.rs
+++ b/src/storage/cluster/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from acceptance to end, as the store tells of them.
+//! Jobs from acceptance to end, according to the store.
 
 use super::resources::charge;
 use super::ClusterState;
@@ -8,7 +8,7 @@
 use crate::storage::replica::Replica;
 
 impl ClusterState {
-    /// Adds a job of the replica; `placed_tasks` are its tasks on machines.
+    /// Adds a job of the replica; `placed_tasks` are its unsettled placements.
     pub fn add_job(&mut self, replica: &Replica, id: &JobId, placed_tasks: &[PlacedTask]) {
         let Some(record) = replica.jobs.get(id) else { return };
         let done = replica.done_bitmap(id);
@@ -30,7 +30,7 @@
         self.jobs.insert(id.clone(), job);
     }
 
-    /// A job changed in the store: a new one, or one that is over.
+    /// Applies a change of a job in the store: the job is new, has ended, or its flag has changed.
     pub fn job_changed(&mut self, replica: &Replica, id: &JobId, now: u64) {
         let Some(record) = replica.jobs.get(id) else { return };
         if !self.jobs.contains_key(id) {
@@ -53,15 +53,15 @@
     }
 
     fn add_new_job(&mut self, replica: &Replica, id: &JobId, now: u64) {
-        // Only a store that has lost data names placements of a job that it doesn't know. They were
-        // once left out when its description came back, and tasks ran twice.
+        // After a data loss, the store may have had placements of this job before the job itself was
+        // restored. Ignoring them would let tasks run twice.
         let placed_tasks =
             if replica.store.is_some() { self.placed_tasks_of(id) } else { Vec::new() };
         self.add_job(replica, id, &placed_tasks);
         self.adopt_tasks_of(id, now);
     }
 
-    /// A job is over: what waits is dropped, what runs is stopped.
+    /// Ends a job: its waiting tasks are dropped, its running tasks are stopped.
     pub fn end_job(&mut self, id: &JobId, stage: JobStage) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else { return };
         self.queue.remove(&job.arrival);
@@ -75,8 +75,8 @@
                 group.remove(id, chunk);
             }
         }
-        // A placement that is only proposed is stopped too: if the commit under way stores
-        // it, it must not be ordered any more.
+        // Proposed placements are stopped too: the commit in flight may store them, and their tasks
+        // must not be started then.
         for task in job.placed_tasks() {
             self.stop_task(id, &task, StopReason::NotNeeded);
         }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Forgets a job that is over and has nothing on machines.
+    /// Removes a job that is over and has no placements left.
     pub fn forget_if_finished(&mut self, id: &JobId) {
         if self.jobs.get(id).is_some_and(|job| !job.is_live() && job.attempt_is_over()) {
             self.jobs.remove(id);
@@ -98,7 +98,7 @@
     }
 }
 
-/// Why a task that the store has placed is to be stopped, if it is.
+/// The reason to stop a task with a stored placement, if there is one.
 fn stop_reason(job: &Job, index: u32) -> Option<StopReason> {
     if !job.is_unfinished(index) {
         return Some(StopReason::NotNeeded);
--- a/src/storage/cluster/placements.rs
+++ b/src/storage/cluster/placements.rs
@@ -1,4 +1,4 @@
-//! The life cycle of a placement: proposed, committed, settled, taken out.
+//! The life cycle of a placement: proposed, committed, settled, removed.
 
 use super::resources::{charge, release};
 use super::ClusterState;
@@ -7,7 +7,7 @@
 use crate::storage::records::{JobId, MachineName};
 
 impl ClusterState {
-    /// Proposes a placement. It counts for place and quota at once, and waits to be stored.
+    /// Proposes a placement. It uses capacity and quota at once and is stored with a later commit.
     pub fn propose(
         &mut self,
         job_id: &JobId,
@@ -29,7 +29,7 @@
         self.proposals.push_back((machine_name.clone(), id));
     }
 
-    /// Takes back a proposal that never reached the store.
+    /// Withdraws a proposal that was not stored.
     pub fn retract(&mut self, machine: &MachineName, id: &TaskId) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
         machine.uncommitted_placements = machine.uncommitted_placements.saturating_sub(1);
@@ -47,7 +47,7 @@
         self.forget_if_finished(&id.job);
     }
 
-    /// A placement is in the store.
+    /// Handles the commit that has stored a placement.
     pub fn committed(&mut self, machine: &MachineName, attempt: &AttemptId, group: u32) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
         machine.uncommitted_placements = machine.uncommitted_placements.saturating_sub(1);
@@ -56,14 +56,14 @@
         let Some(placement) = placement.filter(is_same) else { return };
         placement.phase = PlacementPhase::Committed;
         placement.group = Some(group);
-        // Settled while the commit was under way.
+        // The placement may have been settled while the commit was in flight.
         if let (Some(cause), Some(group)) = (placement.settled, self.groups.get_mut(&group)) {
             group.settle(attempt.clone(), cause != EndCause::Done);
         }
     }
 
-    /// Evidence has settled a placement: it no longer counts for place and quota, and its
-    /// task is free again once the settlement is committed.
+    /// Settles a placement: its task is proved to run no longer. It uses no more capacity and quota,
+    /// and the task may be placed again once the settlement is committed.
     pub fn settle(&mut self, machine_name: &MachineName, id: &TaskId, cause: EndCause) {
         let placement = self.placement_mut(machine_name, id);
         let Some(placement) = placement.filter(|placement| placement.settled.is_none()) else {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Marks a settled placement to be taken out of the store, or as one that never was there.
+    /// Marks a settled placement for removal from its stored group, or as never stored.
     fn mark_for_removal(
         &mut self,
         machine: &MachineName,
@@ -98,7 +98,7 @@
     ) {
         match group.and_then(|number| self.groups.get_mut(&number)) {
             Some(group) => {
-                // Its task may start again only once this is in the store.
+                // The task can start again only once the settlement is committed.
                 let starts_again = self.jobs.get(&id.job).is_some_and(|job| job.is_live());
                 let is_urgent = starts_again && cause != EndCause::Done;
                 group.settle(AttemptId::new(id.clone(), attempt), is_urgent);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A task of a live job has ended well.
+    /// Records that a task of a live job has completed successfully.
     fn count_success(&mut self, machine: &MachineName, id: &TaskId) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.successes += 1;
@@ -122,11 +122,11 @@
         }
     }
 
-    /// A settlement is committed: the placement is taken out and the task, unless it is
-    /// done or not wanted any more, waits again.
+    /// Handles the commit of a settlement: the placement is removed, and the task waits again unless
+    /// it is done or its job is over.
     ///
-    /// Only the attempt that was settled: its task may have been placed again since, even on
-    /// the same machine. Settling one attempt twice once let a task wait that was placed.
+    /// Applies only to the attempt that was settled, since the task may have been placed again, even on
+    /// the same machine. Handling an attempt twice would requeue a task that is placed.
     pub fn settlement_committed(&mut self, machine: &MachineName, attempt: &AttemptId) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
         let AttemptId { task: id, number } = attempt;
@@ -144,13 +144,13 @@
         self.forget_if_finished(&id.job);
     }
 
-    /// Takes out placements that ended without ever being in the store. Tells whether there were any.
+    /// Removes settled placements that were never stored. Returns whether there were any.
     pub fn drop_unstored_settlements(&mut self) -> bool {
         let settlements = std::mem::take(&mut self.unstored_settlements);
         let any = !settlements.is_empty();
         for (machine, id) in settlements {
             let placement = self.placement(&machine, &id);
-            // One that was stored meanwhile is taken out of its group first.
+            // A placement that has been stored meanwhile must be removed from its group first.
             let unstored = placement.filter(|placement| placement.group.is_none());
             if let Some(attempt) = unstored.map(|placement| placement.attempt) {
                 self.settlement_committed(&machine, &AttemptId::new(id, attempt));
@@ -159,7 +159,7 @@
         any
     }
 
-    /// Settles all placements of a machine: they are surely gone.
+    /// Settles all committed placements on a machine that is certainly gone.
     pub fn settle_machine(&mut self, machine_name: &MachineName) {
         let Some(machine) = self.machines.get(machine_name) else { return };
         let is_open = |placement: &Placement| {
--- a/src/storage/cluster/resources.rs
+++ b/src/storage/cluster/resources.rs
@@ -1,4 +1,4 @@
-//! What is used and what is free: by team, and on each machine.
+//! Resources that teams use, and that are free on machines.
 
 use super::ClusterState;
 use crate::protocol::Resources;
@@ -6,17 +6,17 @@
 use crate::storage::job::Job;
 use crate::storage::machine::Machine;
 
-/// What a team uses, unsettled work included.
+/// Resources that each team uses, with all unsettled placements.
 pub type Usage = HashMap<String, Resources>;
 
-/// Counts `tasks` placements of a job towards its team.
+/// Adds `tasks` placements of a job to the usage of its team.
 pub(super) fn charge(usage: &mut Usage, job: &Job, tasks: i64) {
     if let Some(spec) = &job.spec {
         *usage.entry(spec.team.clone()).or_default() += job.need * tasks;
     }
 }
 
-/// Counts one placement of a job towards its team no more.
+/// Subtracts one placement of a job from the usage of its team.
 pub(super) fn release(usage: &mut Usage, job: &Job) {
     if let Some(used) = job.spec.as_ref().and_then(|spec| usage.get_mut(&spec.team)) {
         *used -= job.need;
@@ -24,7 +24,7 @@
 }
 
 impl ClusterState {
-    /// What is free on a machine, all unsettled placements counted.
+    /// Resources of a machine that no unsettled placement uses.
     pub fn free(&self, machine: &Machine) -> Resources {
         let mut free = machine.total;
         for job in self.jobs_on(machine) {
@@ -33,8 +33,8 @@
         free
     }
 
-    /// What tasks of unknown jobs may use at the most. Their teams are not known, so it counts for
-    /// each: a team may not use more than its limit whoever they belong to.
+    /// Upper bound of what tasks of unknown jobs use. Their teams are not known either, so it is added
+    /// to the usage of each team: none may exceed its limit, whichever team they belong to.
     pub fn used_by_unknown_tasks(&self) -> Resources {
         let mut used = Resources::default();
         for machine in self.machines.values().filter(|machine| !machine.unknown_tasks.is_empty()) {
@@ -43,8 +43,8 @@
         used
     }
 
-    /// Room for services on a machine: what is free, and what tasks hold that may be stopped
-    /// for them.
+    /// Capacity of a machine for services: what is free, and what tasks use that may be preempted by
+    /// services.
     pub fn room_for_services(&self, machine: &Machine) -> Resources {
         let mut room = self.free(machine);
         for job in self.jobs_on(machine).filter(|job| !job.is_service()) {
@@ -53,7 +53,7 @@
         room
     }
 
-    /// The jobs of a machine's unsettled placements, each as often as it has one there.
+    /// The job of each unsettled placement on a machine.
     fn jobs_on<'a>(&'a self, machine: &'a Machine) -> impl Iterator<Item = &'a Job> {
         let unsettled =
             machine.placements.iter().filter(|(_, placement)| placement.settled.is_none());
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -1,4 +1,4 @@
-//! Building the state from a replica of the store, when a term begins.
+//! Restores the leader's state from the replica of the store when a term begins.
 
 use super::ClusterState;
 use crate::storage::done_tasks_group::DoneTasksGroup;
@@ -11,11 +11,11 @@
 };
 use crate::storage::replica::{Replica, Versioned};
 
-/// Tasks on machines, by job.
+/// Placed tasks by job.
 type PlacedTasks = HashMap<JobId, Vec<PlacedTask>>;
 
 impl ClusterState {
-    /// Builds the state at the start of a term. Every placement counts as possibly running.
+    /// Builds the state at the start of a term. The task of every placement is assumed to run.
     pub fn from_replica(replica: &Replica, now: u64) -> ClusterState {
         let mut cluster = ClusterState::new(replica.hash_keys());
         cluster.restore_images(replica);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Restores a group with its placements, and adds these to `placed`.
+    /// Restores a group and its placements, and adds their tasks to `placed`.
     fn restore_placement_group(
         &mut self,
         number: u32,
@@ -64,14 +64,14 @@
                 let task = PlacedTask { index: id.index, machine };
                 placed.entry(id.job).or_default().push(task);
             } else {
-                log::error!("{id}: stored twice on {machine}");
+                log::error!("placement duplicated: {id} is stored twice on {machine}");
                 group.settled.insert(attempt);
             }
         }
         self.groups.insert(number, group);
     }
 
-    /// Puts a stored placement on its machine; false if another attempt of the task is there.
+    /// Adds a stored placement to its machine; false if the machine has another attempt of the task.
     fn restore_placement(
         &mut self,
         machine: &MachineName,
--- a/src/storage/cluster/restore/tests.rs
+++ b/src/storage/cluster/restore/tests.rs
@@ -11,7 +11,7 @@
 };
 use crate::storage::testing::batch_of;
 
-/// A replica with one job of three tasks, of which the last one is done.
+/// A replica with one job of three tasks, the last of which is done.
 fn replica_with_a_job() -> Replica {
     let mut replica = Replica::new(HashKeys::from_seed(1));
     replica.write(&batch_key("a"), &raw_json(&batch_of("job-1", 3)), 3);
@@ -63,5 +63,9 @@
     replica.write(&images_key(0), &raw_json(&record), 5);
     let mut cluster = ClusterState::from_replica(&replica, 100);
     let machine = cluster.machine_entry(&"n-b".into(), 200);
-    assert_eq!(machine.images, vec![("img".to_string(), 1.5)], "an index of none is left out");
+    assert_eq!(
+        machine.images,
+        vec![("img".to_string(), 1.5)],
+        "an index without an image is skipped"
+    );
 }
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -12,22 +12,22 @@
 fn enough_undelivered_signs_in_a_row_make_a_machine_unreachable_and_a_delivery_ends_it() {
     let mut machine = Machine::new("n-a".into(), 0);
     assert!(!machine.note_response_delivery(1, false, 1_000, 20_000));
-    assert!(!machine.note_response_delivery(1, true, 2_000, 20_000), "delivered after all");
+    assert!(!machine.note_response_delivery(1, true, 2_000, 20_000), "a delivery resets the count");
     assert!(!machine.note_response_delivery(1, false, 3_000, 20_000));
     assert!(machine.note_response_delivery(2, false, 5_000, 20_000), "three in a row");
     assert!(
         !machine.note_response_delivery(0, false, 6_000, 20_000)
             && machine.unreachable_since.is_some(),
-        "no sign yet"
+        "no further sign, but too early"
     );
     machine.note_response_delivery(0, false, 30_000, 20_000);
-    assert!(machine.unreachable_since.is_none(), "calm for long");
+    assert!(machine.unreachable_since.is_none(), "no further sign for long");
 }
 
 #[test]
 fn a_placement_settled_while_its_commit_is_under_way_is_settled_once() {
-    // Once as never stored and once more when its group gave it up, its task came to wait
-    // while it was placed anew, and ran twice.
+    // Guards against handling the settlement twice, first as one of a placement that was never stored
+    // and then as one of its group: that requeued a task that was already placed again, and it ran twice.
     let mut replica = Replica::new(HashKeys::from_seed(1));
     replica.write(&batch_key("a"), &raw_json(&batch_of("job-1", 1)), 3);
     let mut cluster = ClusterState::from_replica(&replica, 0);
@@ -43,7 +43,7 @@
     cluster.groups.entry(0).or_default().insert(key.clone(), first.clone(), 20);
     cluster.committed(&first, &key, 0);
     cluster.drop_unstored_settlements();
-    assert_eq!(cluster.jobs[&job].next_waiting(), None, "its group still names it");
+    assert_eq!(cluster.jobs[&job].next_waiting(), None, "the group still contains it");
     assert!(cluster.groups[&0].settled.contains(&key));
     cluster.settlement_committed(&first, &key);
     assert_eq!(cluster.jobs[&job].next_waiting(), Some(0));
--- a/src/storage/done_tasks_group.rs
+++ b/src/storage/done_tasks_group.rs
@@ -1,18 +1,18 @@
-//! Groups of bitmaps of done tasks: each is one key of the store, as the leader knows it.
+//! Groups of bitmaps of done tasks. Each group is stored under one key.
 
 use super::records::JobId;
 use std::collections::BTreeMap;
 
-/// A stored group of bitmaps: one key of the store.
+/// A stored group of chunks of bitmaps.
 #[derive(Debug, Default)]
 pub struct DoneTasksGroup {
     /// Revision of its key.
     pub mod_revision: u64,
-    /// Job and chunk, with the bytes that it takes at the most.
+    /// Maximum size in bytes of each chunk, by job and chunk number.
     pub chunks: BTreeMap<(JobId, u32), usize>,
-    /// Bytes of the value at the most.
+    /// Maximum size of the value in bytes.
     pub bytes: usize,
-    /// It has changed since it was stored.
+    /// Whether it has changed since it was stored.
     pub dirty: bool,
 }
 
@@ -22,13 +22,13 @@
         DoneTasksGroup { mod_revision, ..DoneTasksGroup::default() }
     }
 
-    /// Adds a chunk of a job's bitmap, which takes `bytes` at the most.
+    /// Adds a chunk of a job's bitmap that takes at most `bytes`.
     pub fn insert(&mut self, job: JobId, chunk: u32, bytes: usize) {
         self.bytes += bytes;
         self.chunks.insert((job, chunk), bytes);
     }
 
-    /// Takes a chunk of a job's bitmap out, if it is there.
+    /// Removes a chunk of a job's bitmap, if the group has it.
     pub fn remove(&mut self, job: &JobId, chunk: u32) {
         self.bytes -= self.chunks.remove(&(job.clone(), chunk)).unwrap_or(0);
     }
--- a/src/storage/done_tasks_group/tests.rs
+++ b/src/storage/done_tasks_group/tests.rs
@@ -10,7 +10,7 @@
     group.insert(job.clone(), 1, 40);
     assert_eq!((group.mod_revision, group.bytes), (4, 140));
     group.remove(&job, 2);
-    assert_eq!(group.bytes, 140, "a chunk that is not there takes nothing out");
+    assert_eq!(group.bytes, 140, "removing an absent chunk changes nothing");
     group.remove(&job, 0);
     assert_eq!((group.bytes, group.chunks.len()), (40, 1));
 }
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -1,41 +1,41 @@
 //! Gangs: jobs whose tasks all run at the same time.
 //!
-//! A gang is placed whole, all tasks with the same attempt number and by one commit. An attempt that
-//! has lost a task is stopped as a whole, and the next one is placed only once every task of the
-//! last is proved gone and that is in the store. So an attempt never gets a replacement, and an
-//! attempt number is still used only once on a machine for a task.
+//! All tasks of a gang are placed with the same attempt number and by one commit. If a task is lost,
+//! the whole attempt is stopped, and the next attempt is placed only once the settlements of all
+//! placements of the last one are committed. So no task of an attempt is ever replaced, and every
+//! attempt number is used at most once per task.
 
 use crate::constants::{GANG_RETRY_BACKOFF_MAX_MS, GANG_RETRY_BACKOFF_MS};
 
-/// What a leader knows of a gang beside what it knows of any job.
+/// State of a gang, in addition to that of any job.
 #[derive(Debug, Clone, Default)]
 pub struct GangState {
-    /// A task of the present attempt was seen running, so all of them had started.
+    /// Whether a task of the present attempt was seen running. Then all its tasks have started.
     pub running: bool,
-    /// Attempts placed since one was last seen running.
+    /// Number of attempts placed since one was last seen running.
     pub attempts: u32,
     /// When the next attempt may be placed.
     pub retry_at: u64,
 }
 
-/// Where a gang stands.
+/// The phase of a gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GangPhase {
-    /// Room for all its tasks at once, or its team's limit.
+    /// Not placed: it waits for capacity for all its tasks at once, or for its team's limit.
     Unplaced,
-    /// Its placements are not all in the store yet.
+    /// Placed, but not all placements are stored yet.
     Storing,
-    /// Images and the start of its other tasks.
+    /// Stored: machines fetch the image, and not all tasks run yet.
     Assembling,
-    /// All its tasks run.
+    /// All tasks run.
     Running,
-    /// Tasks of an attempt that is over, until they are proved gone.
+    /// The attempt is over, but not all its placements are settled.
     Stopping,
 }
 
 impl GangState {
-    /// Notes that an attempt is placed, and when the next one may be if this one fails before it
-    /// runs: at once after the first, later after each further one.
+    /// Records that an attempt is placed, and computes when the next one may be placed if this one fails
+    /// before it runs: at once after the first attempt, with exponential backoff after that.
     pub fn note_attempt(&mut self, now: u64) {
         self.running = false;
         self.attempts = self.attempts.saturating_add(1);
@@ -46,13 +46,13 @@
         };
     }
 
-    /// Notes that an attempt was never stored: it does not count.
+    /// Takes back an attempt that was never stored: it does not count for the backoff.
     pub fn forget_attempt(&mut self) {
         self.attempts = self.attempts.saturating_sub(1);
         self.retry_at = 0;
     }
 
-    /// Notes that a task of the present attempt was seen running.
+    /// Records that a task of the present attempt was seen running.
     pub fn note_running(&mut self) {
         self.running = true;
         self.attempts = 0;
--- a/src/storage/gangs/tests.rs
+++ b/src/storage/gangs/tests.rs
@@ -6,7 +6,7 @@
 fn attempts_that_fail_before_they_run_are_placed_less_and_less_often() {
     let mut gang = GangState::default();
     gang.note_attempt(1_000);
-    assert_eq!(gang.retry_at, 1_000, "the second one at once");
+    assert_eq!(gang.retry_at, 1_000, "the second attempt has no delay");
     let mut last = 0;
     for _ in 0..40 {
         gang.note_attempt(1_000);
@@ -15,8 +15,8 @@
     }
     assert_eq!(last, 1_000 + GANG_RETRY_BACKOFF_MAX_MS);
     gang.forget_attempt();
-    assert_eq!(gang.retry_at, 0, "one that was not stored is tried again at once");
+    assert_eq!(gang.retry_at, 0, "an attempt that was not stored is retried without delay");
     gang.note_running();
     gang.note_attempt(5_000);
-    assert_eq!(gang.retry_at, 5_000, "one that ran begins anew");
+    assert_eq!(gang.retry_at, 5_000, "an attempt that ran resets the backoff");
 }
--- a/src/storage/hashing.rs
+++ b/src/storage/hashing.rs
@@ -1,24 +1,25 @@
-//! Hash maps whose iteration order repeats with the seed of a controller.
+//! Hash maps whose iteration order depends only on their contents and the seed of the controller.
 //!
-//! `std`'s maps draw their keys from the operating system, so a run with the same seed would iterate in
-//! another order and decide otherwise. All maps of the core share one pair of keys instead, drawn from the
-//! seed that is passed in: random in production, where job ids come from users and a fixed key would let
-//! them choose colliding ones, and repeatable in the simulation.
+//! The maps of `std` get their hash keys from the operating system, so two runs with the same seed would
+//! iterate in different orders and make different decisions. All maps of a controller share one pair of hash
+//! keys instead, derived from the controller's seed. In simulations the seed is fixed. In production it
+//! is random: job ids come from users, who could choose colliding ones if the keys were known.
 
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use siphasher::sip::SipHasher13;
 use std::hash::BuildHasher;
 
-/// A hash map of the core.
+/// A hash map with a repeatable iteration order.
 pub type HashMap<K, V> = std::collections::HashMap<K, V, HashKeys>;
 
-/// A hash set of the core.
+/// A hash set with a repeatable iteration order.
 pub type HashSet<T> = std::collections::HashSet<T, HashKeys>;
 
-/// Keeps the draws of the keys apart from the controller's other draws, which start from the same seed.
+/// Separates the random numbers for the hash keys from the controller's others, which have the same seed.
 const KEY_STREAM: u64 = 0x6861_7368_2d6b_6579;
 
-/// Keys of SipHash-1-3, the hash function that `std` uses. There is no default on purpose.
+/// Keys of SipHash-1-3, the hash function that `std` uses. There is deliberately no `Default`, so that
+/// every map gets the keys of its controller.
 #[derive(Debug, Clone, Copy)]
 pub struct HashKeys {
     first: u64,
@@ -26,7 +27,7 @@
 }
 
 impl HashKeys {
-    /// The keys that belong to a controller's seed.
+    /// The hash keys for a controller's seed.
     pub fn from_seed(seed: u64) -> HashKeys {
         let mut rng = SmallRng::seed_from_u64(seed ^ KEY_STREAM);
         HashKeys { first: rng.random(), second: rng.random() }
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as the leader of a term knows them: which tasks wait, are placed, or are done.
+//! Jobs as the leader of a term knows them, with the tasks that wait, are placed or are done.
 
 use super::gangs::GangState;
 use super::hashing::{HashKeys, HashMap, HashSet};
@@ -13,72 +13,73 @@
 /// Tasks in one word of a bitmap's text form.
 const WORD_TASKS: u32 = 64;
 
-/// Bytes of such a word, in hexadecimal digits.
+/// Hexadecimal digits of a word, each of which is one byte.
 const WORD_TEXT_BYTES: usize = 16;
 
-/// Bytes that quotes, colon and comma take around a chunk's name and text in a stored group.
+/// Bytes of the quotes, the colon and the comma around a chunk's name and text in a stored group.
 const CHUNK_FRAME_BYTES: usize = 6;
 
-/// A task of a job, and the machine that it is placed on.
+/// A task of a job and the machine that it is placed on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacedTask {
-    /// The task's number within its job.
+    /// The task's index within its job.
     pub index: u32,
     /// The machine.
     pub machine: MachineName,
 }
 
-/// A job that is not over, or still has tasks on machines.
+/// A job that is live or still has placements.
 #[derive(Debug)]
 pub struct Job {
-    /// Its id.
+    /// The job id.
     pub id: JobId,
-    /// None only for a job whose record was reduced at its end.
+    /// Its specification; `None` only for a job that is over and whose batch has been removed.
     pub spec: Option<Rc<JobSpec>>,
-    /// What each task takes.
+    /// Resources that each task needs.
     pub need: Resources,
     /// Whether it is live, done or cancelled.
     pub stage: JobStage,
-    /// Grows from job to job.
+    /// Arrival number: unique, and higher for jobs that were accepted later.
     pub arrival: u64,
-    /// Time of day of its acceptance.
+    /// Wall-clock time of its acceptance, in milliseconds.
     pub accepted_at_wall_ms: u64,
     /// Number of its tasks.
     pub tasks: u32,
     /// Tasks that are done.
     pub done: Bitmap,
-    /// How many that are.
+    /// Number of done tasks.
     pub done_count: u32,
-    /// Chunks of the bitmap that the store does not have as they are.
+    /// Chunks of the bitmap whose present contents are not stored yet.
     pub dirty_chunks: BTreeSet<u32>,
-    /// The group of bitmaps that holds a chunk.
+    /// Number of the stored group that holds a chunk, by chunk number.
     pub chunk_groups: HashMap<u32, u32>,
-    /// Tasks from here on were never placed.
+    /// The first task that was never placed; nor was any task after it.
     pub first_never_placed: u32,
-    /// Tasks below that wait again.
+    /// Tasks before `first_never_placed` that wait.
     pub requeued: BTreeSet<u32>,
-    /// Unsettled placements: task to machine.
+    /// The machine of each unsettled placement, by task index.
     pub placed_on: BTreeMap<u32, MachineName>,
-    /// Tasks whose end is settled but not committed.
+    /// Tasks whose last placement is settled, but the settlement is not committed yet.
     pub settling: HashSet<u32>,
-    /// Machines on which a task failed since the last success.
+    /// Machines on which a task has failed since a task of the job last succeeded.
     pub failed_on: HashSet<MachineName>,
-    /// How long the next pause after a failure lasts, in milliseconds.
+    /// Length of the last pause after failures, in milliseconds; 0 after a success.
     pub fail_pause_ms: u64,
-    /// Until when none of its tasks is started.
+    /// Time until which none of its tasks is started.
     pub paused_until: u64,
-    /// Tasks that ended well.
+    /// Number of tasks that completed successfully in this term.
     pub successes: u32,
-    /// A task of it was seen running.
+    /// Whether any of its tasks was seen running.
     pub has_started: bool,
-    /// A rebuild could not account for it: nothing of it starts or ends until an operator decides.
+    /// Whether a rebuild could not determine its state. Then no task starts and the job doesn't end
+    /// until an operator decides.
     pub quarantined: bool,
-    /// What is known of it as a gang; none for other jobs.
+    /// State of a gang; `None` for other jobs.
     pub gang: Option<GangState>,
 }
 
 impl Job {
-    /// A job of the store, none of whose tasks is placed yet.
+    /// A job from the store, without placements.
     pub fn new(
         id: JobId,
         record: &Versioned<JobRecord>,
@@ -113,42 +114,42 @@
         }
     }
 
-    /// Whether it is neither done nor cancelled.
+    /// Whether the job is neither done nor cancelled.
     pub fn is_live(&self) -> bool {
         self.stage == JobStage::Live
     }
 
-    /// Whether a task of it is still to be done: the job is live, and the task not done.
+    /// Whether a task is still to be done: the job is live and the task is not done.
     pub fn is_unfinished(&self, index: u32) -> bool {
         self.is_live() && !self.done.get(index)
     }
 
-    /// Whether its tasks run until it is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     pub fn is_service(&self) -> bool {
         self.spec.as_ref().is_some_and(|spec| spec.kind == JobKind::Service)
     }
 
-    /// Whether its tasks all run at the same time.
+    /// Whether the tasks all run at the same time.
     pub fn is_gang(&self) -> bool {
         self.gang.is_some()
     }
 
-    /// Whether every task is done.
+    /// Whether all tasks of a live job are done. False while an operator has to decide on the job.
     pub fn is_complete(&self) -> bool {
         self.is_live() && !self.quarantined && self.done_count >= self.tasks
     }
 
-    /// Whether nothing of an earlier attempt is left, neither on machines nor in the store.
+    /// Whether the job has no placements left, neither on machines nor in the store.
     pub fn attempt_is_over(&self) -> bool {
         self.placed_on.is_empty() && self.settling.is_empty()
     }
 
-    /// Whether the job failed on several machines and nowhere succeeded since.
+    /// Whether tasks failed on several machines and none has succeeded since.
     pub fn fails_everywhere(&self) -> bool {
         self.failed_on.len() >= FAILING_JOB_MACHINES
     }
 
-    /// Its unsettled placements.
+    /// The tasks with unsettled placements.
     pub fn placed_tasks(&self) -> Vec<PlacedTask> {
         let placed = self.placed_on.iter();
         placed
@@ -156,7 +157,7 @@
             .collect()
     }
 
-    /// How many tasks wait for a machine.
+    /// Number of tasks that wait for a machine.
     pub fn waiting(&self) -> u32 {
         if !self.is_live() || self.quarantined {
             return 0;
@@ -167,7 +168,7 @@
         self.requeued.len() as u32 + (self.tasks - self.first_never_placed)
     }
 
-    /// Tasks of a gang that wait for machines: all or none.
+    /// Number of tasks of a gang that wait for machines: all or none.
     fn gang_waiting(&self) -> u32 {
         match self.attempt_is_over() && self.done_count == 0 {
             true => self.tasks,
@@ -185,7 +186,7 @@
         self.requeued.first().copied().or(never_placed)
     }
 
-    /// A waiting task gets a machine.
+    /// Removes a task that gets a machine from the waiting tasks.
     pub(super) fn take_from_waiting(&mut self, index: u32) {
         if self.requeued.remove(&index) || index != self.first_never_placed {
             return;
@@ -196,14 +197,14 @@
         }
     }
 
-    /// A task that was placed waits again, unless it is done or the job is over.
+    /// Lets a task that was placed wait again, unless it is done or the job is over.
     pub(super) fn requeue(&mut self, index: u32) {
         if self.is_unfinished(index) {
             self.requeued.insert(index);
         }
     }
 
-    /// Tasks that were never placed, up to and including this one, wait like requeued ones.
+    /// Moves the never placed tasks up to and including this one to the requeued ones.
     pub(super) fn requeue_up_to(&mut self, index: u32) {
         while self.first_never_placed <= index {
             if !self.done.get(self.first_never_placed) {
@@ -213,8 +214,8 @@
         }
     }
 
-    /// Works out which tasks wait, once `done` and `placed_on` are known: those below the last task
-    /// that is either have been placed before.
+    /// Determines the waiting tasks from `done` and `placed_on`. Tasks before the last one that is done
+    /// or placed have all been placed before.
     pub(super) fn requeue_unplaced(&mut self) {
         let is_known = |index: &u32| self.done.get(*index) || self.placed_on.contains_key(index);
         self.first_never_placed = (0..self.tasks).rev().find(is_known).map_or(0, |last| last + 1);
@@ -225,7 +226,7 @@
         }
     }
 
-    /// A task is done: its chunk of the bitmap has to be stored.
+    /// Marks a task as done and its chunk of the bitmap as not stored yet.
     pub(super) fn mark_done(&mut self, index: u32) {
         if self.done.set(index) {
             self.done_count += 1;
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Bytes that a chunk of its bitmap takes in the store, at the most.
+    /// Maximum size in bytes of a chunk of its bitmap in the store.
     pub fn chunk_bytes(&self, chunk: u32) -> usize {
         let tasks = self.tasks.saturating_sub(chunk * DONE_CHUNK_TASKS).min(DONE_CHUNK_TASKS);
         let text_bytes = WORD_TEXT_BYTES * tasks.div_ceil(WORD_TASKS) as usize;
--- a/src/storage/limits.rs
+++ b/src/storage/limits.rs
@@ -1,29 +1,29 @@
-//! Sizes and rates that the state service allows, as far as they are known.
+//! Size and rate limits of the state service.
 //!
-//! The settings may announce lower limits that come into force at some moment without notice. Sizes
-//! keep to the lower ones from the start, since one value that is too large blocks its commit. Rates
-//! go down once the service has answered that it is asked too often.
+//! The settings may announce lower limits that take effect later without notice. The lower sizes are
+//! respected from the start, since a commit with a value that is too large always fails. The lower rates
+//! are used once the service has rejected a request because of its rate.
 
 use crate::constants::{STORE_VALUE_BYTES_MIN, TRANSACTION_OPS_MIN};
 use crate::settings::StateLimits;
 
-/// The limits to keep to.
+/// The limits to respect.
 #[derive(Debug, Clone)]
 pub struct StoreLimits {
-    /// Bytes of one value.
+    /// Maximum size of a value in bytes.
     pub value_bytes: usize,
-    /// Puts and deletes of one transaction.
+    /// Maximum number of puts and deletes of a transaction.
     pub transaction_ops: usize,
-    /// Requests a second.
+    /// Maximum number of requests per second.
     pub requests_per_s: f64,
-    /// Puts and deletes a second.
+    /// Maximum number of puts and deletes per second.
     pub writes_per_s: f64,
     lowest_requests_per_s: f64,
     lowest_writes_per_s: f64,
 }
 
 impl StoreLimits {
-    /// The limits that the settings give.
+    /// The limits according to the settings.
     pub fn new(settings: &StateLimits) -> StoreLimits {
         StoreLimits {
             value_bytes: settings.value_bytes(),
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Puts and deletes a second that are allowed now and later.
+    /// The lower of the present and the announced number of puts and deletes per second.
     pub fn lowest_writes_per_s(&self) -> f64 {
         self.lowest_writes_per_s
     }
 
-    /// The service has refused a request as one too many. Tells whether lower rates are in force
-    /// from now on.
+    /// Switches to the lower rates, after the service has rejected a request because of its rate. Returns
+    /// whether that lowers any rate.
     pub fn lower_rates(&mut self) -> bool {
         let lower = self.requests_per_s > self.lowest_requests_per_s
             || self.writes_per_s > self.lowest_writes_per_s;
@@ -50,8 +50,8 @@
         lower
     }
 
-    /// The service has refused a commit as malformed although it is not: its limits must be lower
-    /// than the settings say.
+    /// Halves the size limits, after the service has rejected a well-formed commit as malformed: its
+    /// limits must be lower than the settings say.
     pub fn halve_sizes(&mut self) {
         self.value_bytes = (self.value_bytes / 2).max(STORE_VALUE_BYTES_MIN);
         self.transaction_ops = (self.transaction_ops / 2).max(TRANSACTION_OPS_MIN);
--- a/src/storage/limits/tests.rs
+++ b/src/storage/limits/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!((limits.requests_per_s, limits.writes_per_s), (200.0, 25.0));
     assert!(limits.lower_rates());
     assert_eq!((limits.requests_per_s, limits.writes_per_s), (200.0, 18.0));
-    assert!(!limits.lower_rates(), "they are down already");
+    assert!(!limits.lower_rates(), "they are lowered already");
 }
 
 #[test]
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -1,4 +1,4 @@
-//! Machines, and tasks placed on them, as the leader of a term knows them.
+//! Machines and the placements on them, as the leader of a term knows them.
 
 use super::records::{JobId, MachineName, StoredPlacement};
 use crate::constants::{ATTEMPT_COUNTER_BITS, IMAGES_PER_MACHINE_MAX, UNREACHABLE_AFTER_SIGNS};
@@ -7,72 +7,74 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How far a placement has come.
+/// Whether a placement is stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementPhase {
-    /// Decided, not yet in the store: must not be ordered.
+    /// Decided, but not stored yet: the task must not be started.
     Proposed,
-    /// In the store.
+    /// Stored.
     Committed,
 }
 
-/// Why a task is to be stopped.
+/// Why a task is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopReason {
-    /// To make room, or because its machine is emptied: progress is saved where it can be.
+    /// It is preempted, or its machine is drained. Its progress is saved if possible.
     Eviction,
-    /// Its result is not wanted any more.
+    /// Its result is no longer needed.
     NotNeeded,
 }
 
-/// Identifies a heartbeat of a machine. Of two heartbeats the greater is the newer one.
+/// Identifies a heartbeat of a machine. The newer of two heartbeats has the greater id.
 ///
-/// The order of the fields matters: a worker's sequence numbers start again with each incarnation.
+/// The order of the fields matters for the comparison: a worker's sequence numbers start again with each
+/// incarnation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatId {
-    /// The session of the worker that sent it.
+    /// Incarnation of the worker that sent it.
     pub incarnation: u64,
-    /// Its number within the session.
+    /// Sequence number within the incarnation.
     pub sequence: u64,
 }
 
 impl HeartbeatId {
-    /// The id of a worker's heartbeat.
+    /// The id of a heartbeat.
     pub fn of(heartbeat: &Heartbeat) -> HeartbeatId {
         HeartbeatId { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence }
     }
 
-    /// The id that the same session's next heartbeat has.
+    /// The id of the next heartbeat of the same incarnation.
     pub fn next(self) -> HeartbeatId {
         HeartbeatId { sequence: self.sequence.saturating_add(1), ..self }
     }
 }
 
-/// A task on a machine.
+/// A task placed on a machine.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// Number of this attempt, never used for another one.
+    /// Number of the attempt; no other attempt of the task has it.
     pub attempt: u64,
-    /// Whether it is in the store.
+    /// Whether it is stored.
     pub phase: PlacementPhase,
-    /// The report in whose answer the start went out last.
+    /// The heartbeat whose response last carried the command to start the task.
     pub start_sent_after: Option<HeartbeatId>,
-    /// As last shown by the worker.
+    /// Status of the task as the worker last reported it.
     pub reported_status: Option<TaskStatus>,
-    /// When it was first shown running.
+    /// When it was first reported as running.
     pub running_since: Option<u64>,
-    /// When it was decided.
+    /// When the placement was decided.
     pub placed_at: u64,
-    /// Why it is to be stopped, if it is.
+    /// Why the task is to be stopped; `None` if it is not.
     pub stop_reason: Option<StopReason>,
-    /// Settled by evidence; taken out once that is committed.
+    /// How the task ended, once the placement is settled. The placement is removed once the settlement
+    /// is committed.
     pub settled: Option<EndCause>,
-    /// The number of the stored group that names it.
+    /// Number of the stored group that contains it.
     pub group: Option<u32>,
 }
 
 impl Placement {
-    /// A placement of which nothing has been shown yet.
+    /// A placement that no heartbeat has reported yet.
     pub fn new(attempt: u64, phase: PlacementPhase, now: u64) -> Placement {
         Placement {
             attempt,
@@ -87,24 +89,24 @@
         }
     }
 
-    /// The term of the leader that made it.
+    /// The term of the leader that decided it.
     pub fn term(&self) -> u64 {
         self.attempt >> ATTEMPT_COUNTER_BITS
     }
 }
 
-/// Identifies a task. Ordered by job, then by number; its text form, such as `job-000412/3`, is the task's
-/// name on the wire.
+/// Identifies a task. Ordered by job, then by index. Its text form, such as `job-000412/3`, identifies the
+/// task on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job that it belongs to.
+    /// The job id.
     pub job: JobId,
-    /// Its number within the job, from 0.
+    /// Index within the job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// The task `index` of a job.
+    /// The id of the task `index` of a job.
     pub fn new(job: JobId, index: u32) -> TaskId {
         TaskId { job, index }
     }
@@ -115,7 +117,8 @@
 pub struct AttemptId {
     /// The task.
     pub task: TaskId,
-    /// Number of the attempt, never used for another one; holds the term of the leader that made it.
+    /// Number of the attempt; no other attempt of the task has it. Its upper bits are the term of the
+    /// leader that decided it.
     pub number: u64,
 }
 
@@ -125,7 +128,8 @@
         AttemptId { task, number }
     }
 
-    /// How a placement of it on a machine is stored; none for a job id that has no stored form.
+    /// The stored form of a placement of this attempt on a machine; `None` if the job id or the
+    /// machine's name has none.
     pub fn stored_text(&self, machine: &str) -> Option<String> {
         StoredPlacement::text(&self.task.job, self.task.index, machine, self.number)
     }
@@ -137,87 +141,87 @@
     }
 }
 
-/// Where a machine stands between rental and deletion.
+/// The state of a machine between rental and deletion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// Rented, not yet up.
+    /// Rented, but not up yet.
     Booting,
-    /// Up as far as the store or the list tells, but its worker has not reported in this
-    /// term. It may be busy with another controller, or cut off.
+    /// Up according to the store or the cloud's list, but this term has had no heartbeat of its worker.
+    /// The worker may be sending its heartbeats to another controller, or be cut off.
     AwaitingHeartbeat,
-    /// Its worker has reported.
+    /// Its worker has sent a heartbeat.
     Up,
-    /// A deletion was asked for.
+    /// Its deletion was requested.
     Deleting,
-    /// Surely gone, with all that was on it.
+    /// Certainly gone, with all tasks that ran on it.
     Terminated,
 }
 
 /// A machine.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the machine.
     pub name: MachineName,
-    /// Name of its type.
+    /// Name of its machine type.
     pub type_name: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// What it has in all.
+    /// Total resources.
     pub total: Resources,
-    /// Where it stands in its life.
+    /// Its state.
     pub state: MachineState,
-    /// When it was rented, as well as we know.
+    /// When it was rented, as far as known.
     pub rented_at: u64,
-    /// When this term first knew of it.
+    /// When this term first learned of it.
     pub first_known_at: u64,
-    /// When it was first seen up.
+    /// When it was first known to be up.
     pub up_at: Option<u64>,
-    /// When a list first named it.
+    /// When the cloud's list first contained it.
     pub listed_at: Option<u64>,
-    /// The newest heartbeat.
+    /// Id of the newest heartbeat.
     pub newest_heartbeat: HeartbeatId,
-    /// The worker has shown our token.
+    /// Whether a heartbeat has had the present term as its fencing token.
     pub has_our_token: bool,
-    /// When it was last surely alive: a heartbeat that may be a late copy from before our term
-    /// doesn't count here, as it does for [`Machine::last_heartbeat_at`].
+    /// When it was last certainly alive. Unlike for [`Machine::last_heartbeat_at`], a heartbeat that may
+    /// have been sent before this term and delivered late doesn't count.
     pub last_alive_at: Option<u64>,
-    /// When the newest report came, whoever's token it shows.
+    /// When the newest heartbeat was received, whatever its fencing token.
     pub last_heartbeat_at: Option<u64>,
-    /// When we last answered it with 200.
+    /// When a heartbeat of it was last answered with status 200.
     pub last_response_at: Option<u64>,
-    /// When the cloud takes it.
+    /// When the cloud will reclaim it, if that is announced.
     pub reclaim_at: Option<u64>,
-    /// Its lease has run out and its tasks are settled, until it reports again.
+    /// Whether its lease has expired and its placements are settled; false again after a heartbeat.
     pub lease_expired: bool,
-    /// Signs in a row that our answers do not reach it.
+    /// Number of consecutive signs that responses do not reach the worker.
     pub undelivered_signs: u32,
-    /// When the last such sign was seen.
+    /// When the last such sign was found.
     pub undelivered_sign_at: u64,
-    /// Since when it counts as unreachable: it reports, but what we answer has no effect.
+    /// Since when it is considered unreachable: its heartbeats arrive, but responses do not reach it.
     pub unreachable_since: Option<u64>,
-    /// Placements on it that are not taken out yet.
+    /// Placements on it, settled ones included until their settlement is committed.
     pub placements: BTreeMap<TaskId, Placement>,
-    /// Tasks that run on it and belong to no job that is known, with their attempts: after a rebuild
-    /// of the store they are left alone.
+    /// Attempts that run on it and belong to no known job. After a rebuild of the store they are left
+    /// running.
     pub unknown_tasks: BTreeSet<AttemptId>,
-    /// Images it holds, newest last, with their size in gigabytes.
+    /// Images in its cache with their sizes in gigabytes; the newest comes last.
     pub images: Vec<(String, f64)>,
-    /// Placements on it that are not in the store yet.
+    /// Number of placements on it that are not stored yet.
     pub uncommitted_placements: u32,
-    /// It gets no new tasks and is returned when empty.
+    /// Whether it gets no new tasks and is returned once it is empty.
     pub cordoned: bool,
-    /// The cloud lists it as failed: nothing runs there any more.
+    /// Whether the cloud lists it as failed: nothing runs on it any more.
     pub failed: bool,
-    /// Being emptied because the others have room for its work; opened again when they
-    /// have not.
+    /// Whether it is being drained because other machines have capacity for its tasks. It is undrained
+    /// if they no longer have.
     pub draining: bool,
-    /// Recent failures of tasks on it: when, and of which job.
+    /// Time and job of recent failures of tasks on it.
     pub failures: Vec<(u64, JobId)>,
-    /// Since when nothing is on it.
+    /// Since when it is empty.
     pub idle_since: Option<u64>,
-    /// Tasks that ended well on it.
+    /// Number of tasks that completed successfully on it.
     pub successes: u32,
 }
 
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Whether it is up and may be used for new work: nothing speaks against it.
+    /// Whether it is up and may get new tasks.
     pub fn is_usable(&self) -> bool {
         self.state == MachineState::Up
             && !self.cordoned
@@ -268,14 +272,14 @@
             && self.reclaim_at.is_none()
     }
 
-    /// Whether nothing is on it.
+    /// Whether it has neither placements nor unknown tasks.
     pub fn is_empty(&self) -> bool {
         self.placements.is_empty() && self.unknown_tasks.is_empty()
     }
 
-    /// Takes note of signs that our answers do not reach it, or that one was `delivered`. Enough signs
-    /// in a row make it unreachable; a delivered answer, or no more signs for `calm_ms`, ends that.
-    /// Tells whether it has become unreachable just now.
+    /// Records new signs that responses do not reach the worker, or that one was `delivered`. Enough
+    /// consecutive signs make the machine unreachable. A delivered response, or no further sign for
+    /// `calm_ms`, ends that. Returns whether the machine has just become unreachable.
     pub fn note_response_delivery(
         &mut self,
         undelivered_signs: u32,
@@ -301,8 +305,8 @@
         true
     }
 
-    /// Remembers that it holds an image of `size_gb`, and forgets the oldest beyond what fits into
-    /// its cache; a `cache_gb` of 0 means that its size is not known.
+    /// Records that its cache holds an image of `size_gb`, and drops the oldest images that no longer
+    /// fit. If `cache_gb` is 0, the size of the cache is not known.
     pub fn note_image(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
         if self.images.last().is_some_and(|(newest, _)| newest == image) {
             return;
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,12 +1,13 @@
-//! What a controller knows of the store, and what its leader builds on that.
+//! A controller's replica of the store, and the leader's state of the cluster.
 //!
-//! [`records`] are the stored forms and their keys, [`replica`] is a controller's copy of the store.
-//! [`cluster`] is the leader's state on top of it, made of [`job`]s, [`machine`]s with the placements on
-//! them, [`gangs`], and the stored groups of [`placement_group`] and [`done_tasks_group`].
-//! [`reservation`] is the planner's table of running tasks and estimated ends, [`token_bucket`] keeps
-//! request rates, [`limits`] is what the state service allows, and [`hashing`] makes runs repeatable.
+//! [`records`] has the stored keys and values, and [`replica`] is a controller's copy of the store.
+//! [`cluster`] is the state that a leader builds from it. It consists of [`job`]s, [`machine`]s with the
+//! placements on them, [`gangs`], and the stored groups of [`placement_group`] and [`done_tasks_group`].
+//! [`reservation`] is the planner's table of running tasks and their estimated ends, [`token_bucket`]
+//! limits request rates, [`limits`] has the limits of the state service, and [`hashing`] makes the
+//! iteration order of hash maps repeatable.
 //!
-//! Nothing here does I/O or reads a clock: times are passed in, in milliseconds of the steady clock
+//! Nothing here does I/O or reads a clock: times are passed in, in milliseconds of the monotonic clock
 //! unless a name says otherwise.
 
 pub mod cluster;
--- a/src/storage/placement_group.rs
+++ b/src/storage/placement_group.rs
@@ -1,30 +1,30 @@
-//! Groups of placements: each is one key of the store, as the leader knows it.
+//! Groups of placements. Each group is stored under one key.
 
 use super::machine::AttemptId;
 use super::records::MachineName;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a group holds of one placement.
+/// A placement in a stored group.
 #[derive(Debug, Clone)]
 pub struct GroupedPlacement {
-    /// The machine that it is on.
+    /// Its machine.
     pub machine: MachineName,
-    /// Bytes that its text takes in the value.
+    /// Size of its text in the value, in bytes.
     pub bytes: usize,
 }
 
-/// A stored group of placements: one key of the store.
+/// A stored group of placements.
 #[derive(Debug, Default)]
 pub struct PlacementGroup {
     /// Revision of its key.
     pub mod_revision: u64,
-    /// What the store has, by attempt.
+    /// The stored placements, by attempt.
     pub placements: BTreeMap<AttemptId, GroupedPlacement>,
-    /// Bytes of the value.
+    /// Size of the value in bytes.
     pub bytes: usize,
-    /// Settled placements to take out.
+    /// Settled placements, to be removed from the store.
     pub settled: BTreeSet<AttemptId>,
-    /// A settled one must be out soon: its task waits for that.
+    /// Whether a settled placement must be removed soon because its task is to be placed again.
     pub urgent: bool,
 }
 
@@ -40,7 +40,7 @@
         self.placements.insert(id, GroupedPlacement { machine, bytes });
     }
 
-    /// Takes a placement out, if it is there. Tells whether it was settled.
+    /// Removes a placement, if the group has it. Returns whether it was settled.
     pub fn remove(&mut self, id: &AttemptId) -> bool {
         if let Some(placement) = self.placements.remove(id) {
             self.bytes -= placement.bytes;
@@ -48,7 +48,7 @@
         self.settled.remove(id)
     }
 
-    /// Notes that a placement is settled and is to be taken out, soon if it is `urgent`.
+    /// Records that a placement is settled and has to be removed, soon if `urgent`.
     pub fn settle(&mut self, id: AttemptId, urgent: bool) {
         self.settled.insert(id);
         self.urgent |= urgent;
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -1,9 +1,9 @@
-//! A controller's copy of the store, kept up by watches and zero-wait reads.
+//! A controller's copy of the store, kept up to date by watches and fresh reads.
 //!
-//! Answers overlap and come out of order. Every answer holds all changes after the
-//! revision it was asked for, so changes at or below the revision reached are old and
-//! skipped. Own commits are put in at once, ahead of the watch; what they removed is
-//! remembered until the revision has passed.
+//! Responses overlap and may arrive out of order. Each has all changes after the revision that its
+//! request named, so changes up to the revision of the replica are already applied and are skipped. The
+//! controller's own commits are applied at once, before the watch has them. Keys that they removed are
+//! remembered until the replica has reached the revision of the removal.
 
 mod changes;
 
@@ -19,7 +19,7 @@
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// A stored value with the revision of its key.
+/// A value with the revision of its key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Versioned<T> {
     /// Revision of the key's last change.
@@ -31,9 +31,9 @@
 /// A controller's copy of the store.
 #[derive(Debug)]
 pub struct Replica {
-    /// All changes up to this revision are in.
+    /// All changes up to this revision are applied.
     pub revision: u64,
-    /// Who leads, while the lease lasts.
+    /// The present leader, until the lease on its key expires.
     pub leader: Option<Versioned<LeaderRecord>>,
     /// The highest term.
     pub term: Option<Versioned<TermRecord>>,
@@ -41,9 +41,9 @@
     pub catalog: Option<Versioned<Catalog>>,
     /// The teams' shares.
     pub shares: Option<Versioned<SharesRecord>>,
-    /// Every job that was ever accepted. Its revision is its arrival number.
+    /// All jobs that were ever accepted. The revision of each is its arrival number.
     pub jobs: HashMap<JobId, Versioned<JobRecord>>,
-    /// Batches that are still kept, by key, with their jobs.
+    /// Job ids of each stored batch, by key.
     pub batches: HashMap<String, Versioned<Vec<JobId>>>,
     /// Groups of bitmaps of done tasks.
     pub done_groups: BTreeMap<u32, Versioned<DoneTasksRecord>>,
@@ -53,22 +53,22 @@
     pub store: Option<Versioned<StoreIdRecord>>,
     /// The last rebuild of the store.
     pub rebuild: Option<Versioned<RebuildRecord>>,
-    /// Revisions of groups of ends.
+    /// Revisions of the groups of job ends, by number.
     end_groups: BTreeMap<u32, u64>,
-    /// Jobs that a rebuild could not account for, in groups.
+    /// Groups of jobs whose state a rebuild could not determine.
     pub flagged: BTreeMap<u32, Versioned<FlaggedJobsRecord>>,
-    /// Images on machines, in parts.
+    /// Parts of the list of images in the caches of machines.
     pub images: BTreeMap<u32, Versioned<ImagesRecord>>,
-    /// Tasks placed per job, for users' polls.
+    /// Number of stored placements by job, for the status that users poll.
     placed: HashMap<JobId, u32>,
-    /// Keys removed ahead of the watch, with the revision of the removal.
+    /// Keys that own commits removed, with the revision of the removal, until the watch has it.
     removed: HashMap<String, u64>,
-    /// A key of a layout that this program can't read was seen.
+    /// The first key found that belongs to a layout that this program can't read.
     pub foreign_key: Option<String>,
 }
 
 impl Replica {
-    /// An empty copy, from before the first read.
+    /// An empty replica, before the first read.
     pub fn new(keys: HashKeys) -> Replica {
         Replica {
             revision: 0,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The keys of its hash maps.
+    /// The hash keys of its maps.
     pub fn hash_keys(&self) -> HashKeys {
         *self.jobs.hasher()
     }
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Whether a key of the leader's own making holds just this value.
+    /// Whether a key that only leaders write has this value. Compares only the stage of a job's end, and
+    /// takes every catalog as equal.
     pub fn holds(&self, key: &str, data: &RawValue) -> bool {
         fn same<T: DeserializeOwned + PartialEq>(
             held: Option<&Versioned<T>>,
@@ -153,17 +154,17 @@
         }
     }
 
-    /// Whether a rebuild could not account for a job, and no operator has decided on it.
+    /// Whether a rebuild could not determine the state of a job, and no operator has decided on it yet.
     pub fn is_flagged(&self, id: &str) -> bool {
         self.flagged.values().any(|group| group.value.jobs.contains_key(id))
     }
 
-    /// Tasks of a job that are on machines, as far as the store tells.
+    /// Number of stored placements of a job.
     pub fn placed(&self, id: &str) -> u32 {
         self.placed.get(id).copied().unwrap_or(0)
     }
 
-    /// Done tasks of a live job.
+    /// The done tasks of a live job.
     pub fn done_bitmap(&self, id: &str) -> Bitmap {
         let mut done = Bitmap::default();
         let tasks = self.jobs.get(id).map_or(0, |job| job.value.tasks);
@@ -176,17 +177,17 @@
         done
     }
 
-    /// How far the last rebuild of the store has come, if there was one.
+    /// The phase of the last rebuild of the store, if there was one.
     pub fn rebuild_phase(&self) -> Option<RebuildPhase> {
         self.rebuild.as_ref().map(|record| record.value.phase)
     }
 
-    /// The term in which the last rebuild of the store was begun; 0 if there was none.
+    /// The term in which the last rebuild of the store was started; 0 if there was none.
     pub fn rebuild_term(&self) -> u64 {
         self.rebuild.as_ref().map_or(0, |record| record.value.term)
     }
 
-    /// The highest term known from the store.
+    /// The highest term in the store; 0 if there is none.
     pub fn term(&self) -> u64 {
         self.term.as_ref().map_or(0, |term| term.value.term)
     }
--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -1,7 +1,7 @@
-//! Changes of the store, put into the replica.
+//! Applies changes of the store to the replica.
 //!
-//! A change that is older than what is held is skipped, so the order in which answers arrive doesn't
-//! matter. A value that can't be read leaves a log line and never stops the rest.
+//! A change that is older than the value in the replica is skipped, so the order in which responses
+//! arrive doesn't matter. A malformed value is logged, and the other changes are still applied.
 
 use super::{Replica, Versioned};
 use crate::constants::ARRIVAL_INDEX_BITS;
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 
-/// A value of the store as it came, with its key.
+/// A key of the store with its unparsed value.
 struct StoredValue<'a> {
     key: &'a str,
     data: &'a RawValue,
@@ -21,30 +21,30 @@
 }
 
 impl StoredValue<'_> {
-    /// The record; none, with a log line, if it can't be read.
+    /// Parses the value. If it is malformed, logs that and returns `None`.
     fn read<T: DeserializeOwned>(&self) -> Option<T> {
         match serde_json::from_str(self.data.get()) {
             Ok(record) => Some(record),
             Err(error) => {
-                log::error!("stored value of {} can't be read: {error}", self.key);
+                log::error!("stored value malformed: {}, {error}", self.key);
                 None
             }
         }
     }
 
-    /// The same, with the revision of its key.
+    /// Parses the value, like [`StoredValue::read`], and adds the revision of its key.
     fn read_versioned<T: DeserializeOwned>(&self) -> Option<Versioned<T>> {
         self.read().map(|value| Versioned { mod_revision: self.mod_revision, value })
     }
 }
 
 impl Replica {
-    /// Puts in a page of the whole store.
+    /// Applies an item of a page of the whole store.
     pub fn apply_item(&mut self, item: &KeyValue) {
         self.write(&item.key, &item.value, item.mod_revision);
     }
 
-    /// Puts in an answer of a watch or a read; gives the jobs that changed.
+    /// Applies the response to a watch or a fresh read. Returns the jobs that changed.
     pub fn apply(&mut self, changes: &WatchResponse) -> Vec<JobId> {
         let mut changed = Vec::new();
         let reached = self.revision;
@@ -71,7 +71,7 @@
         Vec::new()
     }
 
-    /// Puts in one value; older ones than what is held are skipped. Gives the jobs that changed.
+    /// Applies a put, unless it is older than the value in the replica. Returns the jobs that changed.
     pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<JobId> {
         if foreign_layout(key) && self.foreign_key.is_none() {
             self.foreign_key = Some(key.to_string());
@@ -128,7 +128,7 @@
         ends.map(|(id, end)| self.apply_end(&id, end, stored.mod_revision)).collect()
     }
 
-    /// A batch of accepted jobs.
+    /// Applies a batch of accepted jobs. Returns the jobs that changed.
     fn write_batch(&mut self, stored: &StoredValue<'_>) -> Vec<JobId> {
         let Some(batch) = stored.read::<BatchRecord>() else { return Vec::new() };
         let mod_revision = stored.mod_revision;
@@ -154,15 +154,15 @@
         changed
     }
 
-    /// Puts in a job of a batch. Of a job that stands in two batches the earlier one counts. Tells
-    /// whether anything changed.
+    /// Applies a job of a batch. If two batches contain the job, the earlier one counts. Returns whether
+    /// anything changed.
     fn accept_job(&mut self, id: &JobId, accepted: Versioned<JobRecord>) -> bool {
         let Some(known) = self.jobs.get_mut(id) else {
             self.jobs.insert(id.clone(), accepted);
             return true;
         };
         if known.value.spec.is_none() {
-            // Its end was read first.
+            // The job's end was read before its batch.
             known.mod_revision = accepted.mod_revision;
             known.value.at = accepted.value.at;
             known.value.tasks = accepted.value.tasks;
@@ -177,7 +177,7 @@
         false
     }
 
-    /// Puts in how a job ended.
+    /// Applies the end of a job.
     fn apply_end(&mut self, id: &str, end: JobEndRecord, mod_revision: u64) -> JobId {
         let id = self.shared_id(id);
         let job = self.jobs.entry(id.clone()).or_insert_with(|| Versioned {
@@ -197,12 +197,12 @@
         id
     }
 
-    /// A job's id, shared with the job's entry if there is one.
+    /// The job id, sharing the string of the job's entry if there is one.
     fn shared_id(&self, id: &str) -> JobId {
         self.jobs.get_key_value(id).map_or_else(|| id.into(), |(known, _)| known.clone())
     }
 
-    /// Takes out a key that was removed at `mod_revision`.
+    /// Applies the removal of a key at `mod_revision`.
     pub fn remove(&mut self, key: &str, mod_revision: u64) {
         if self.mod_revision(key) >= mod_revision {
             return;
@@ -226,13 +226,13 @@
                     self.count_placed(&previous.value, -1);
                 }
             }
-            // Ends are kept for ever.
+            // Job ends are never removed.
             Some(Key::End(_) | Key::EndGroup(_)) | None => {}
         }
     }
 
-    /// A batch is removed when all its jobs are over: how they ended is kept, what they were is not
-    /// needed any more.
+    /// Applies the removal of a batch, which happens once all its jobs are over. The jobs' ends are kept,
+    /// their specifications are dropped.
     fn remove_batch(&mut self, key: &str) {
         for id in self.batches.remove(key).into_iter().flat_map(|batch| batch.value) {
             let job = self.jobs.get_mut(&id);
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Adds `change` per placement of a record to the tasks placed of its job.
+    /// Adds `change` to the number of stored placements of a job, for each placement of a record.
     fn count_placed(&mut self, record: &PlacementsRecord, change: i64) {
         for placement in record.placed() {
             let id = placement.job_id();
@@ -255,7 +255,7 @@
     }
 }
 
-/// A record with the number of its key; none if it can't be read.
+/// Parses a value and adds the number of its key; `None` if the value is malformed.
 fn numbered<T: DeserializeOwned>(
     number: u32,
     stored: &StoredValue<'_>,
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -43,14 +43,14 @@
     assert_eq!(
         (replica.placement_groups.len(), replica.placed("job-1")),
         (1, 1),
-        "a later write counts"
+        "a later write is applied"
     );
 }
 
 #[test]
 fn jobs_of_one_commit_have_arrival_numbers_of_their_own() {
-    // Two batches of one commit once gave their jobs the same numbers, and of two jobs with
-    // one number only one was ever planned.
+    // Guards against equal arrival numbers in two batches of one commit: of two jobs with the same
+    // number, only one would ever be placed.
     let mut replica = Replica::new(HashKeys::from_seed(1));
     let mut two = batch_of("job-2", 1);
     two.first = 1;
@@ -81,6 +81,9 @@
             assert_eq!(job.tasks, 3, "read in order {order:?}");
         }
         replica.remove(&batch_key("a"), 12);
-        assert!(replica.jobs["job-1"].value.spec.is_none(), "how it ended is kept");
+        assert!(
+            replica.jobs["job-1"].value.spec.is_none(),
+            "the end is kept without the specification"
+        );
     }
 }
--- a/src/storage/reservation.rs
+++ b/src/storage/reservation.rs
@@ -1,32 +1,33 @@
-//! The reservation table: what runs on each machine until when, and what sharing costs.
+//! The planner's reservation table: running tasks of each machine with their estimated ends, and the
+//! slowdown of tasks that share a machine's bandwidth.
 //!
-//! After the paper, sections 3.2 and 3.3: the ends of running tasks cut a machine's time
-//! into shared windows; in each, the demand beyond capacity is a penalty, and the
-//! penalized time is the penalty times the window's length. All times are in milliseconds on the
-//! planner's clock.
+//! Follows sections 3.2 and 3.3 of the paper. The estimated ends of running tasks divide a machine's
+//! time into shared windows. In each window, the penalty is the relative excess of the bandwidth demand
+//! over the capacity, and the penalized time is the penalty times the length of the window. All times
+//! are in milliseconds on the planner's clock.
 
 use crate::protocol::Resources;
 
-/// The paper's bucket (section 3.2): a task on a machine until an estimated end.
+/// A task on a machine until its estimated end; the "bucket" of section 3.2 of the paper.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bucket {
-    /// Estimated end.
+    /// Estimated end of the task.
     pub end_ms: u64,
-    /// What it takes.
+    /// Resources that the task needs.
     pub need: Resources,
-    /// Shared bandwidth taken, in cores' worth.
+    /// Shared bandwidth that it uses, in core equivalents.
     pub bandwidth: f64,
 }
 
-/// A place that a waiting task counts on, until its estimated end. It holds nothing: it only tells
-/// others that they would not be alone.
+/// A slot that a waiting task is expected to use later. It is advisory: it does not reduce what is
+/// free now, but is considered when later starts of other tasks are planned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Claim {
-    /// When the task is expected to start.
+    /// Expected start of the task.
     pub start_ms: u64,
-    /// When it is expected to end.
+    /// Expected end of the task.
     pub end_ms: u64,
-    /// What it takes.
+    /// Resources that the task needs.
     pub need: Resources,
 }
 
@@ -36,26 +37,26 @@
     }
 }
 
-/// One machine's row of the table.
+/// The row of a machine in the table.
 #[derive(Debug, Clone, Default)]
 pub struct ReservationRow {
-    /// What is free now.
+    /// Resources that are free now.
     pub free: Resources,
-    /// Shared bandwidth there is, in cores' worth.
+    /// Total shared bandwidth, in core equivalents.
     pub bandwidth_capacity: f64,
-    /// Shared bandwidth that all tasks together take, in cores' worth.
+    /// Shared bandwidth that all running tasks use together, in core equivalents.
     pub bandwidth_demand: f64,
-    /// Tasks that run.
+    /// Running tasks.
     pub buckets: Vec<Bucket>,
-    /// Places that waiting tasks count on.
+    /// Slots that waiting tasks are expected to use.
     pub claims: Vec<Claim>,
-    /// The times at which room may come up, in order: every end of the above.
+    /// The times at which resources may become free, in order: all ends of the above.
     pub change_times_ms: Vec<u64>,
 }
 
 impl ReservationRow {
-    /// Whether a task would fit from `start_ms` for `length_ms`, beside what runs and what is
-    /// claimed by then.
+    /// Whether a task would fit from `start_ms` on for `length_ms`, together with the tasks that still
+    /// run then and with all reservations.
     pub fn fits_later(&self, start_ms: u64, length_ms: u64, need: &Resources) -> bool {
         let end_ms = start_ms + length_ms;
         self.unclaimed_at(start_ms).fits(need)
@@ -66,7 +67,7 @@
                 .all(|claim| self.unclaimed_at(claim.start_ms).fits(need))
     }
 
-    /// What is free at a time not before now, when nothing more is added.
+    /// Resources that are free at a time from now on, if no further task is added. Ignores reservations.
     pub fn free_at(&self, time_ms: u64) -> Resources {
         let mut free = self.free;
         for bucket in self.buckets.iter().filter(|bucket| bucket.end_ms <= time_ms) {
@@ -75,7 +76,7 @@
         free
     }
 
-    /// What is free at a time not before now, beside what is claimed.
+    /// Resources that are free and not reserved at a time from now on.
     fn unclaimed_at(&self, time_ms: u64) -> Resources {
         let mut free = self.free_at(time_ms);
         for claim in self.claims.iter().filter(|claim| claim.covers(time_ms)) {
@@ -84,7 +85,7 @@
         free
     }
 
-    /// Adds a task from now on.
+    /// Adds a task that runs from now on.
     pub fn add(&mut self, bucket: Bucket) {
         self.free -= bucket.need;
         self.bandwidth_demand += bucket.bandwidth;
@@ -92,14 +93,14 @@
         self.buckets.push(bucket);
     }
 
-    /// Adds a place that a waiting task counts on.
+    /// Reserves a slot for a waiting task.
     pub fn claim(&mut self, start_ms: u64, length_ms: u64, need: Resources) {
         let end_ms = start_ms + length_ms;
         self.note_change(end_ms);
         self.claims.push(Claim { start_ms, end_ms, need });
     }
 
-    /// A task ends at another time than was thought.
+    /// Changes the estimated end of a running task.
     pub fn end_at(&mut self, bucket: usize, end_ms: u64) {
         self.note_change(end_ms);
         self.buckets[bucket].end_ms = end_ms;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Penalized milliseconds of a task that would run in `[start_ms, start_ms + length_ms]`.
+    /// Penalized time, in milliseconds, of a task that would run for `length_ms` from `start_ms` on.
     pub fn penalized_ms(&self, start_ms: u64, length_ms: u64, bandwidth: f64) -> f64 {
         if self.bandwidth_capacity <= 0.0
             || self.bandwidth_demand + bandwidth <= self.bandwidth_capacity
--- a/src/storage/testing.rs
+++ b/src/storage/testing.rs
@@ -1,8 +1,8 @@
-//! Records that unit tests of several modules use.
+//! Records for unit tests of several modules.
 
 use super::records::BatchRecord;
 
-/// A batch of one job, for tests.
+/// A batch of one job.
 pub(crate) fn batch_of(uid: &str, tasks: u32) -> BatchRecord {
     let description = serde_json::json!({"uid": uid, "duty": "d", "crew": "c", "shape": "batch",
         "rank": "high", "loads": tasks, "cores": 1.0, "gpus": 0.0, "ram_gb": 1.0,
--- a/src/storage/token_bucket.rs
+++ b/src/storage/token_bucket.rs
@@ -1,17 +1,17 @@
-//! Token buckets that keep the request rates of the state service and the cloud.
+//! Token buckets that limit the rates of requests to the state service and the cloud.
 
 use crate::constants::MS_PER_S;
 
-/// What floating-point sums may be short of a full bucket.
+/// Tolerance for floating-point rounding when a bucket is checked for being full.
 const ROUNDING: f64 = 1e-9;
 
-/// A token bucket with a burst of one second's worth.
+/// A token bucket that holds the tokens of one second, and at least one token.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     per_s: f64,
     burst: f64,
     tokens: f64,
-    /// Until when the bucket was filled up.
+    /// When the bucket was last refilled.
     refilled_at_ms: u64,
 }
 
@@ -36,10 +36,10 @@
         self.tokens = (self.tokens + elapsed_s * self.per_s).min(self.burst);
     }
 
-    /// Takes `tokens` if that leaves `keep` of them.
+    /// Takes `tokens` if at least `keep` remain after that. Returns whether it has taken them.
     pub fn take(&mut self, tokens: f64, keep: f64, now: u64) -> bool {
         self.refill(now);
-        // A request larger than the burst passes when the bucket is full.
+        // Without this, a request for more than the burst could never succeed.
         if self.tokens - tokens >= keep || self.tokens >= self.burst - ROUNDING {
             self.tokens -= tokens;
             return true;
@@ -47,24 +47,25 @@
         false
     }
 
-    /// How many tokens there are now.
+    /// Number of tokens now; negative after a request for more than there were.
     pub fn left(&mut self, now: u64) -> f64 {
         self.refill(now);
         self.tokens
     }
 
-    /// When so many tokens may be taken, if none are taken before: in whole milliseconds, rounded up.
+    /// When so many tokens will be there if none are taken before, rounded up to whole milliseconds.
     pub fn available_at(&self, tokens: f64) -> u64 {
         let missing = (tokens.min(self.burst) - self.tokens).max(0.0);
         self.refilled_at_ms.saturating_add((missing / self.per_s * MS_PER_S).ceil() as u64)
     }
 
-    /// How many tokens there are at the most.
+    /// Maximum number of tokens.
     pub fn burst(&self) -> f64 {
         self.burst
     }
 
-    /// The service said that it was asked too often, so our count is behind: takes all tokens.
+    /// Removes all tokens, after the service has rejected a request because of its rate: it counts more
+    /// requests than this bucket.
     pub fn drain(&mut self, now: u64) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
--- a/src/storage/token_bucket/tests.rs
+++ b/src/storage/token_bucket/tests.rs
@@ -12,8 +12,5 @@
     assert!((29..=31).contains(&given), "burst of 10 and 10 a second: {given}");
     assert!(!bucket.take(1.0, 5.0, 2_000), "the reserve is kept");
     let at = bucket.available_at(6.0);
-    assert!(
-        !bucket.take(1.0, 5.0, at - 1) && bucket.take(1.0, 5.0, at),
-        "neither later nor sooner"
-    );
+    assert!(!bucket.take(1.0, 5.0, at - 1) && bucket.take(1.0, 5.0, at), "available exactly then");
 }
