--- a/crates/mountgap-records/src/constants.rs
+++ b/crates/mountgap-records/src/constants.rs
@@ -1,7 +1,7 @@
 //! Constants of the storage format.
 
 /// Prefix of all keys in the state service, in every version of the key layout.
-pub const KEY_FAMILY: &str = "mg/";
+pub const KEY_NAMESPACE: &str = "mg/";
 /// Prefix of all keys in this version of the key layout. Every version has a prefix of its own; a
 /// controller that finds keys of a version that it can't read logs that and serves no requests.
 pub const KEY_ROOT: &str = "mg/2/";
--- a/crates/mountgap-records/src/job.rs
+++ b/crates/mountgap-records/src/job.rs
@@ -7,14 +7,14 @@
 /// Maximum number of tasks of a job (protocol).
 pub const TASKS_MAX: u32 = 100_000;
 /// Prefix of every job id.
-pub const UID_PREFIX: &str = "job-";
+pub const JOB_ID_PREFIX: &str = "job-";
 /// Allowed number of digits after the prefix (protocol).
-const UID_DIGITS: RangeInclusive<usize> = 1..=19;
+const JOB_ID_DIGITS: RangeInclusive<usize> = 1..=19;
 
 /// Whether a job id has the form that the protocol requires.
-pub fn valid_uid(uid: &str) -> bool {
-    uid.strip_prefix(UID_PREFIX).is_some_and(|digits| {
-        UID_DIGITS.contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
+pub fn is_valid_job_id(job_id: &str) -> bool {
+    job_id.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
+        JOB_ID_DIGITS.contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
     })
 }
 
@@ -135,7 +135,7 @@
     }
 
     /// Whether the tasks write checkpoints, so that a stopped task can keep its progress.
-    pub fn saves(&self) -> bool {
+    pub fn writes_checkpoints(&self) -> bool {
         self.checkpoint_interval_s > 0.0
     }
 
--- a/crates/mountgap-records/src/records.rs
+++ b/crates/mountgap-records/src/records.rs
@@ -11,9 +11,9 @@
 pub use bitmap::Bitmap;
 pub use ids::{JobId, MachineName};
 pub use keys::{
-    batch_key, catalog_key, done_tasks_key, flagged_jobs_key, foreign_layout, gang_batch_key,
-    images_key, job_end_group_key, job_end_key, leader_key, parse_key, placements_key, shares_key,
-    store_key, term_key, Key,
+    batch_key, catalog_key, done_tasks_key, flagged_jobs_key, gang_batch_key, images_key,
+    is_foreign_layout, job_end_group_key, job_end_key, leader_key, parse_key, placements_key,
+    shares_key, store_key, term_key, Key,
 };
 pub use placement::{PlacementsRecord, StoredPlacement};
 
@@ -173,14 +173,14 @@
 }
 
 /// Name of a chunk of a job's bitmap in a [`DoneTasksRecord`].
-pub fn chunk_name(uid: &str, chunk: u32) -> String {
-    format!("{uid}/{chunk}")
+pub fn chunk_name(job_id: &str, chunk: u32) -> String {
+    format!("{job_id}/{chunk}")
 }
 
 /// Splits the name of a chunk into job id and chunk number.
-pub fn parse_chunk(name: &str) -> Option<(&str, u32)> {
-    let (uid, chunk) = name.rsplit_once('/')?;
-    Some((uid, chunk.parse().ok()?))
+pub fn parse_chunk_name(name: &str) -> Option<(&str, u32)> {
+    let (job_id, chunk) = name.rsplit_once('/')?;
+    Some((job_id, chunk.parse().ok()?))
 }
 
 /// Images in the caches of machines. They are hints for a new leader and are written rarely.
--- a/crates/mountgap-records/src/records/bitmap.rs
+++ b/crates/mountgap-records/src/records/bitmap.rs
@@ -21,13 +21,13 @@
 impl Bitmap {
     /// Whether the task is in the set.
     pub fn get(&self, index: u32) -> bool {
-        let (word, mask) = position(index);
+        let (word, mask) = bit_position(index);
         self.words.get(word).is_some_and(|bits| bits & mask != 0)
     }
 
     /// Adds a task. Returns false if it is in the set already.
     pub fn set(&mut self, index: u32) -> bool {
-        let (word, mask) = position(index);
+        let (word, mask) = bit_position(index);
         let bits = self.word_mut(word);
         let is_new = *bits & mask == 0;
         *bits |= mask;
@@ -73,6 +73,6 @@
 }
 
 /// Index of the word with a task's bit, and the mask of that bit.
-fn position(index: u32) -> (usize, u64) {
+fn bit_position(index: u32) -> (usize, u64) {
     ((index / WORD_TASKS) as usize, 1 << (index % WORD_TASKS))
 }
--- a/crates/mountgap-records/src/records/keys.rs
+++ b/crates/mountgap-records/src/records/keys.rs
@@ -1,6 +1,6 @@
 //! Building and parsing the keys of the store.
 
-use crate::constants::{KEY_FAMILY, KEY_ROOT, REBUILD_KEY};
+use crate::constants::{KEY_NAMESPACE, KEY_ROOT, REBUILD_KEY};
 
 /// The key of the present leader, which has a lease.
 pub fn leader_key() -> String {
@@ -37,8 +37,8 @@
 
 /// The key of a job's end. It exists only if the job is done or cancelled. The end may be in a group that
 /// a rebuild has written instead.
-pub fn job_end_key(uid: &str) -> String {
-    format!("{KEY_ROOT}end/{uid}")
+pub fn job_end_key(job_id: &str) -> String {
+    format!("{KEY_ROOT}end/{job_id}")
 }
 
 /// The key of a group of bitmaps of done tasks.
@@ -87,11 +87,11 @@
     /// Gangs that were accepted together.
     GangBatch(&'a str),
     /// The end of a job.
-    End(&'a str),
+    JobEnd(&'a str),
     /// A group of bitmaps of done tasks.
-    Done(u32),
+    DoneTasks(u32),
     /// A group of placements.
-    Place(u32),
+    Placements(u32),
     /// A part of the list of images in the caches of machines.
     Images(u32),
     /// The store's identity.
@@ -99,9 +99,9 @@
     /// The last rebuild.
     Rebuild,
     /// A group of job ends.
-    EndGroup(u32),
+    JobEndGroup(u32),
     /// A group of jobs whose state a rebuild could not determine.
-    Flagged(u32),
+    FlaggedJobs(u32),
 }
 
 /// Parses a key; `None` if it isn't one of the keys above.
@@ -126,12 +126,12 @@
     Some(match kind {
         "jobs" => Key::Batch(name),
         "gangs" => Key::GangBatch(name),
-        "end" => Key::End(name),
-        "done" => Key::Done(name.parse().ok()?),
-        "place" => Key::Place(name.parse().ok()?),
+        "end" => Key::JobEnd(name),
+        "done" => Key::DoneTasks(name.parse().ok()?),
+        "place" => Key::Placements(name.parse().ok()?),
         "kits" => Key::Images(name.parse().ok()?),
-        "ends" => Key::EndGroup(name.parse().ok()?),
-        "flagged" => Key::Flagged(name.parse().ok()?),
+        "ends" => Key::JobEndGroup(name.parse().ok()?),
+        "flagged" => Key::FlaggedJobs(name.parse().ok()?),
         _ => return None,
     })
 }
@@ -140,6 +140,6 @@
 ///
 /// The key of a rebuild looks like such a key to program versions without support for rebuilds. So they
 /// serve no requests from a half rebuilt store, nor from one with job ends that they can't read.
-pub fn foreign_layout(key: &str) -> bool {
-    key.starts_with(KEY_FAMILY) && !key.starts_with(KEY_ROOT) && key != REBUILD_KEY
+pub fn is_foreign_layout(key: &str) -> bool {
+    key.starts_with(KEY_NAMESPACE) && !key.starts_with(KEY_ROOT) && key != REBUILD_KEY
 }
--- a/crates/mountgap-records/src/records/tests.rs
+++ b/crates/mountgap-records/src/records/tests.rs
@@ -23,11 +23,11 @@
 #[test]
 fn keys_are_taken_apart_as_they_are_made() {
     assert_eq!(parse_key(&batch_key("1-2")), Some(Key::Batch("1-2")));
-    assert_eq!(parse_key(&job_end_key("job-1")), Some(Key::End("job-1")));
-    assert_eq!(parse_key(&done_tasks_key(3)), Some(Key::Done(3)));
-    assert_eq!(parse_key(&placements_key(12)), Some(Key::Place(12)));
+    assert_eq!(parse_key(&job_end_key("job-1")), Some(Key::JobEnd("job-1")));
+    assert_eq!(parse_key(&done_tasks_key(3)), Some(Key::DoneTasks(3)));
+    assert_eq!(parse_key(&placements_key(12)), Some(Key::Placements(12)));
     assert_eq!(parse_key("mg/2/new/thing"), None);
-    assert!(foreign_layout("mg/job/job-1") && !foreign_layout(&placements_key(0)));
+    assert!(is_foreign_layout("mg/job/job-1") && !is_foreign_layout(&placements_key(0)));
 }
 
 #[test]
@@ -35,9 +35,13 @@
     let text =
         StoredPlacement::text("job-000412", 99_999, "n-1#odd", 7 << 26).expect("can be written");
     let rec = PlacementsRecord { tasks: format!("nonsense {text} 1/2@x") };
-    let all: Vec<StoredPlacement<'_>> = rec.placed().collect();
-    let one =
-        StoredPlacement { digits: "000412", task: 99_999, machine: "n-1#odd", attempt: 7 << 26 };
+    let all: Vec<StoredPlacement<'_>> = rec.placements().collect();
+    let one = StoredPlacement {
+        job_digits: "000412",
+        index: 99_999,
+        machine: "n-1#odd",
+        attempt: 7 << 26,
+    };
     assert_eq!(all, vec![one]);
     assert_eq!(&*one.job_id(), "job-000412");
     assert_eq!(StoredPlacement::text("job-1", 0, "two words", 1), None);
--- a/crates/mountgap-records/src/resources.rs
+++ b/crates/mountgap-records/src/resources.rs
@@ -1,7 +1,7 @@
 //! Amounts of CPU, GPU and memory.
 
 /// Thousandths in one unit. Amounts on the wire are decimal; internally they are whole thousandths.
-pub const MILLI: f64 = 1000.0;
+pub const MILLI_PER_UNIT: f64 = 1000.0;
 
 /// Amounts that a task needs or a machine has, in thousandths.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -17,7 +17,7 @@
 impl Resources {
     /// Converts decimal amounts, rounded to thousandths.
     pub fn new(cores: f64, gpus: f64, ram_gb: f64) -> Resources {
-        let thousandths = |amount: f64| (amount * MILLI).round() as i64;
+        let thousandths = |amount: f64| (amount * MILLI_PER_UNIT).round() as i64;
         Resources { cpu: thousandths(cores), gpu: thousandths(gpus), ram: thousandths(ram_gb) }
     }
 
@@ -27,14 +27,14 @@
     }
 
     /// Whether cores and GPUs are at most those of `cap`, where 0 means no cap. Memory isn't compared.
-    pub fn under(&self, cap: &Resources) -> bool {
+    pub fn is_within(&self, cap: &Resources) -> bool {
         (cap.cpu == 0 || self.cpu <= cap.cpu) && (cap.gpu == 0 || self.gpu <= cap.gpu)
     }
 
     /// How many tasks with this `need` fit; `i64::MAX` if the need is empty.
-    pub fn times(&self, need: &Resources) -> i64 {
-        let times = |have: i64, need: i64| if need > 0 { have.max(0) / need } else { i64::MAX };
-        times(self.cpu, need.cpu).min(times(self.gpu, need.gpu)).min(times(self.ram, need.ram))
+    pub fn fit_count(&self, need: &Resources) -> i64 {
+        let count = |have: i64, need: i64| if need > 0 { have.max(0) / need } else { i64::MAX };
+        count(self.cpu, need.cpu).min(count(self.gpu, need.gpu)).min(count(self.ram, need.ram))
     }
 
     /// The dominant share: the largest fraction of `whole` over CPU, GPU and memory.
--- a/crates/mountgap-recovery/src/audit.rs
+++ b/crates/mountgap-recovery/src/audit.rs
@@ -123,7 +123,7 @@
         return mismatch();
     }
     match parse_key(key) {
-        Some(Key::End(job)) if now.is_none_or(|now| now.mod_revision != known.mod_revision) => {
+        Some(Key::JobEnd(job)) if now.is_none_or(|now| now.mod_revision != known.mod_revision) => {
             Err(DataLoss::JobEndMissing { job: job.to_string() })
         }
         Some(Key::Batch(_) | Key::GangBatch(_)) if now.is_none() => {
@@ -151,10 +151,10 @@
     let mut ended = BTreeSet::new();
     for (key, value) in image.iter() {
         match parse_key(key) {
-            Some(Key::End(job)) => {
+            Some(Key::JobEnd(job)) => {
                 ended.insert(job.to_string());
             }
-            Some(Key::EndGroup(_)) => {
+            Some(Key::JobEndGroup(_)) => {
                 let group = serde_json::from_str::<JobEndGroupRecord>(&value.data);
                 ended.extend(group.unwrap_or_default().ends.into_keys());
             }
--- a/crates/mountgap-recovery/src/merged_state.rs
+++ b/crates/mountgap-recovery/src/merged_state.rs
@@ -10,7 +10,7 @@
 use mountgap_records::constants::DONE_CHUNK_TASKS;
 use mountgap_records::job::JobSpec;
 use mountgap_records::records::{
-    chunk_name, parse_chunk, parse_key, BatchRecord, Bitmap, DoneTasksRecord, FlagReason,
+    chunk_name, parse_chunk_name, parse_key, BatchRecord, Bitmap, DoneTasksRecord, FlagReason,
     FlaggedJobsRecord, JobEndGroupRecord, JobEndRecord, JobStage, Key, PlacementsRecord,
     RebuildRecord, SharesRecord, TermRecord,
 };
@@ -98,27 +98,27 @@
                 let record = read(data)?;
                 self.add_batch(key, AcceptedBatch { record, mod_revision });
             }
-            Some(Key::End(job)) => self.add_end(job, read(data)?),
-            Some(Key::EndGroup(_)) => {
+            Some(Key::JobEnd(job)) => self.add_end(job, read(data)?),
+            Some(Key::JobEndGroup(_)) => {
                 let group: JobEndGroupRecord = read(data)?;
                 group.ends.into_iter().for_each(|(job, end)| self.add_end(&job, end));
             }
-            Some(Key::Done(_)) => {
+            Some(Key::DoneTasks(_)) => {
                 let group: DoneTasksRecord = read(data)?;
                 for (name, text) in &group.bits {
-                    let (job, chunk) = parse_chunk(name)?;
+                    let (job, chunk) = parse_chunk_name(name)?;
                     self.add_done(job, chunk, text);
                 }
             }
-            Some(Key::Place(_)) => {
+            Some(Key::Placements(_)) => {
                 let group: PlacementsRecord = read(data)?;
-                for placed in group.placed() {
-                    let task = (placed.job_id().to_string(), placed.task);
+                for placed in group.placements() {
+                    let task = (placed.job_id().to_string(), placed.index);
                     let machine = placed.machine.to_string();
                     self.add_placement(task, PlacedTask { attempt: placed.attempt, machine });
                 }
             }
-            Some(Key::Flagged(_)) => {
+            Some(Key::FlaggedJobs(_)) => {
                 let group: FlaggedJobsRecord = read(data)?;
                 group.jobs.into_iter().for_each(|(job, reason)| self.add_flag(&job, reason));
             }
--- a/crates/mountgap-recovery/src/write_back.rs
+++ b/crates/mountgap-recovery/src/write_back.rs
@@ -360,10 +360,10 @@
         Some(
             Key::Batch(_)
                 | Key::GangBatch(_)
-                | Key::Done(_)
-                | Key::Place(_)
-                | Key::EndGroup(_)
-                | Key::Flagged(_)
+                | Key::DoneTasks(_)
+                | Key::Placements(_)
+                | Key::JobEndGroup(_)
+                | Key::FlaggedJobs(_)
         )
     )
 }
--- a/src/constants/state_service.rs
+++ b/src/constants/state_service.rs
@@ -1,6 +1,6 @@
 //! Calls to the state service: timeouts, request and write rates, and sizes of stored values.
 
-pub use mountgap_records::constants::{DONE_CHUNK_TASKS, KEY_FAMILY, KEY_ROOT};
+pub use mountgap_records::constants::{DONE_CHUNK_TASKS, KEY_NAMESPACE, KEY_ROOT};
 /// Milliseconds to wait for an ordinary answer. Answers take 10 ms, at times a few hundred, and a
 /// user's poll gives up after 2 s.
 pub const STATE_TIMEOUT_MS: u64 = 1_200;
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -113,9 +113,9 @@
         let headroom = leader.service_headroom(now, catalog);
         let mut free_slots = 0.0;
         for machine in leader.usable_on_demand_machines() {
-            free_slots += headroom
-                .as_ref()
-                .map_or(0.0, |headroom| leader.cluster.free(machine).times(&headroom.need) as f64);
+            free_slots += headroom.as_ref().map_or(0.0, |headroom| {
+                leader.cluster.free(machine).fit_count(&headroom.need) as f64
+            });
         }
         ServiceCapacity { headroom, free_slots }
     }
@@ -123,7 +123,7 @@
     /// Subtracts an empty machine's capacity if the rest is enough for the headroom. Returns whether it is.
     fn try_release(&mut self, machine: &Machine) -> bool {
         let Some(headroom) = self.headroom.as_ref().filter(|_| !machine.spot) else { return true };
-        let machine_slots = machine.total.times(&headroom.need) as f64;
+        let machine_slots = machine.total.fit_count(&headroom.need) as f64;
         let is_enough = self.free_slots - machine_slots >= headroom.slots;
         if is_enough {
             self.free_slots -= machine_slots;
@@ -301,7 +301,7 @@
     let Some(need) = services.first() else { return false };
     let mut slots = 0;
     for target in targets {
-        slots += cluster.room_for_services(target).times(need);
+        slots += cluster.room_for_services(target).fit_count(need);
     }
     slots >= services.len() as i64
 }
--- a/src/coordination/fleet/scale_out/rental_plan.rs
+++ b/src/coordination/fleet/scale_out/rental_plan.rs
@@ -189,7 +189,7 @@
 
     fn candidate(&self, kind: CatalogKind, tasks: &UnplacedTasks) -> Candidate {
         let machine_type = &self.catalog.machine_types[kind.type_index];
-        let tasks_per_machine = machine_type.total().times(&tasks.need).max(1) as f64;
+        let tasks_per_machine = machine_type.total().fit_count(&tasks.need).max(1) as f64;
         let price = if kind.spot { machine_type.spot_price } else { machine_type.rate };
         let zone_key = (kind.zone.as_str(), kind.spot);
         let similar_machines = self.machine_counts.get(&zone_key).copied().unwrap_or(0)
--- a/src/coordination/gang_rules.rs
+++ b/src/coordination/gang_rules.rs
@@ -31,7 +31,7 @@
 pub(super) fn keeps_progress_when_stopped(spec: &JobSpec, workers: &Workers) -> bool {
     let told_within_s = workers.report_s * (1.0 + HEARTBEAT_JITTER_SHARE);
     let in_time = workers.gang_peer_s <= 0.0 || told_within_s <= workers.gang_peer_s;
-    spec.saves() && (!spec.is_gang() || in_time)
+    spec.writes_checkpoints() && (!spec.is_gang() || in_time)
 }
 
 #[cfg(test)]
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -214,7 +214,7 @@
                 false => Decision::NoCommand,
             };
         }
-        let spec = job.and_then(|job| job.spec.as_ref()).filter(|spec| spec.saves());
+        let spec = job.and_then(|job| job.spec.as_ref()).filter(|spec| spec.writes_checkpoints());
         let grace_s = match (stop_reason, spec) {
             (StopReason::Eviction, Some(spec)) => spec.checkpoint_cost_s + GRACE_EXTRA_S,
             _ => 0.0,
--- a/src/coordination/leader/summary.rs
+++ b/src/coordination/leader/summary.rs
@@ -3,7 +3,7 @@
 use super::Leader;
 use crate::constants::SUMMARY_LOG_PERIOD_MS;
 use crate::coordination::Controller;
-use crate::protocol::{Resources, MILLI};
+use crate::protocol::{Resources, MILLI_PER_UNIT};
 use crate::storage::machine::{Machine, MachineState, Placement};
 
 impl Controller {
@@ -35,8 +35,8 @@
             self.count_open_placements(is_starting),
             self.count_open_placements(|placement| placement.stop_reason.is_some()),
             waiting_tasks,
-            free.cpu / MILLI as i64,
-            free.gpu / MILLI as i64,
+            free.cpu / MILLI_PER_UNIT as i64,
+            free.gpu / MILLI_PER_UNIT as i64,
         );
     }
 
--- a/src/coordination/planner/gang.rs
+++ b/src/coordination/planner/gang.rs
@@ -187,12 +187,12 @@
         let view = self.job_view(job);
         let host = &self.machines[machine];
         let end_ms = start_ms + length_ms;
-        let mut slots = self.free_for(view, machine, start_ms).times(&view.need);
+        let mut slots = self.free_for(view, machine, start_ms).fit_count(&view.need);
         for reserved in &self.reserved_capacity {
             if reserved.machine == machine && end_ms > reserved.start_ms {
                 let mut free_at_start = host.row.free_at(reserved.start_ms);
                 free_at_start -= reserved.need;
-                slots = slots.min(free_at_start.times(&view.need));
+                slots = slots.min(free_at_start.fit_count(&view.need));
             }
         }
         let slots = slots.clamp(0, host.free_task_slots as i64);
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -5,7 +5,7 @@
 use super::plan::{Plan, Reservation};
 use super::snapshot::{CachedImage, JobOnMachine, JobView, MachineView, Snapshot};
 use crate::constants::{PLACEMENTS_PER_MACHINE, PLACEMENTS_PER_PASS};
-use crate::protocol::{Resources, MILLI};
+use crate::protocol::{Resources, MILLI_PER_UNIT};
 use crate::storage::reservation::{Bucket, ReservationRow};
 use std::cell::Cell;
 
@@ -56,7 +56,7 @@
     fn new(view: &MachineView, now_ms: u64) -> PlannedMachine {
         let mut row = ReservationRow {
             free: view.total,
-            bandwidth_capacity: view.total.cpu as f64 / MILLI,
+            bandwidth_capacity: view.total.cpu as f64 / MILLI_PER_UNIT,
             ..ReservationRow::default()
         };
         for task in &view.running {
@@ -180,7 +180,7 @@
     /// Whether the job's team stays within its limit if `tasks` more tasks of the job are placed.
     pub(super) fn is_within_limit(&self, job: usize, tasks: u32) -> bool {
         let limit = &self.snapshot.teams[self.job_view(job).team].limit;
-        self.usage_with(job, tasks).under(limit)
+        self.usage_with(job, tasks).is_within(limit)
     }
 
     /// Places the job's next task.
--- a/src/coordination/planner/preemption.rs
+++ b/src/coordination/planner/preemption.rs
@@ -117,7 +117,7 @@
             available: available.collect(),
             stopped: stopped.map(Iterator::collect).collect(),
             team_usage: self.team_usage.clone(),
-            exceeds_guarantee: teams.map(|(team, used)| !used.under(&team.guarantee)).collect(),
+            exceeds_guarantee: teams.map(|(team, used)| !used.is_within(&team.guarantee)).collect(),
         }
     }
 
@@ -132,7 +132,7 @@
         let view = self.job_view(job);
         let mut usage = state.team_usage[view.team];
         usage += view.need;
-        if !usage.under(&self.snapshot.teams[view.team].limit) {
+        if !usage.is_within(&self.snapshot.teams[view.team].limit) {
             return false;
         }
         let Some(choice) = self.cheapest_machine(job, state, preemptible) else { return false };
--- a/src/coordination/planner/queue.rs
+++ b/src/coordination/planner/queue.rs
@@ -67,8 +67,9 @@
     /// Number of free slots, each with the minimum that any waiting task takes.
     fn free_slots(&self) -> usize {
         let least_need = self.snapshot.least_need();
-        let slots =
-            |machine: &usize| self.machines[*machine].row.free.times(&least_need).max(0) as usize;
+        let slots = |machine: &usize| {
+            self.machines[*machine].row.free.fit_count(&least_need).max(0) as usize
+        };
         self.machines_with_capacity.iter().map(slots).sum()
     }
 
--- a/src/coordination/planner/shares.rs
+++ b/src/coordination/planner/shares.rs
@@ -66,5 +66,5 @@
 
 /// Whether a usage is within a guarantee; without a guarantee, it never is.
 pub fn is_within_guarantee(used: &Resources, guarantee: &Resources) -> bool {
-    (guarantee.cpu != 0 || guarantee.gpu != 0) && used.under(guarantee)
+    (guarantee.cpu != 0 || guarantee.gpu != 0) && used.is_within(guarantee)
 }
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -7,7 +7,7 @@
 use crate::protocol::http::Response;
 use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest};
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied};
-use crate::protocol::users::valid_uid;
+use crate::protocol::users::is_valid_job_id;
 use crate::storage::records::{flagged_jobs_key, FlaggedJobsRecord, RebuildRecord};
 use mountgap_records::constants::REBUILD_KEY;
 use std::collections::BTreeSet;
@@ -39,7 +39,7 @@
             Ok(request) => request,
             Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
-        if let Some(job) = request.jobs.iter().find(|job| !valid_uid(job)) {
+        if let Some(job) = request.jobs.iter().find(|job| !is_valid_job_id(job)) {
             return self.refuse(requester, 400, &format!("{job}: must look like job-000412"), None);
         }
         if !self.store_is_usable() {
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -6,7 +6,7 @@
 //! compared with the image of what was known.
 
 use super::phase::RecoveryPhase;
-use crate::constants::KEY_FAMILY;
+use crate::constants::KEY_NAMESPACE;
 use crate::coordination::Controller;
 use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::storage::records::{RebuildPhase, RebuildRecord};
@@ -78,7 +78,7 @@
 
     /// Puts a key of the whole store into the image as it is read.
     pub(in crate::coordination) fn record_item(&mut self, item: &KeyValue) {
-        if self.recovery.notices_losses() && item.key.starts_with(KEY_FAMILY) {
+        if self.recovery.notices_losses() && item.key.starts_with(KEY_NAMESPACE) {
             let epoch = self.store.epoch();
             self.recovery.record_value(&item.key, item.mod_revision, item.value.get(), epoch);
         }
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -7,13 +7,13 @@
 use crate::protocol::http::Response;
 use crate::protocol::routes::cancel_path;
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied};
-use crate::protocol::users::{valid_uid, JobStatus, JobStatusResponse};
+use crate::protocol::users::{is_valid_job_id, JobStatus, JobStatusResponse};
 use crate::storage::records::{job_end_key, JobEndRecord, JobStage};
 
 impl Controller {
     pub(super) fn cancel(&mut self, requester: Requester, uid: &str) {
         self.metrics.work.cancellations += 1;
-        if !valid_uid(uid) {
+        if !is_valid_job_id(uid) {
             return self.refuse(requester, 404, "no such job", None);
         }
         if !self.admit(requester, "POST", &cancel_path(uid), &[]) {
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -4,12 +4,12 @@
 use crate::coordination::store_client::FreshReadWaiter;
 use crate::coordination::Controller;
 use crate::protocol::routes::job_path;
-use crate::protocol::users::{valid_uid, JobProgressResponse, JobStatus};
+use crate::protocol::users::{is_valid_job_id, JobProgressResponse, JobStatus};
 
 impl Controller {
     pub(super) fn poll_job(&mut self, requester: Requester, uid: &str) {
         self.metrics.work.polls += 1;
-        if !valid_uid(uid) {
+        if !is_valid_job_id(uid) {
             return self.refuse(requester, 404, "no such job", None);
         }
         // While data loss is suspected, the end of the job may stand only in the lost store: a
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -64,7 +64,7 @@
         }
         let at_once = need * i64::from(spec.tasks_at_once());
         let limit = team.limit();
-        if !at_once.under(&limit) {
+        if !at_once.is_within(&limit) {
             return Err(Rejection::OverTeamLimit);
         }
         if spec.is_gang() {
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -2,7 +2,7 @@
 
 use super::{is_store_call, Listing, ReadPoint};
 use crate::constants::{
-    FRESH_READ_INTERVAL_MIN_MS, FRESH_READ_PERIOD_MS, KEY_FAMILY, KEY_ROOT, LIST_PAGE_KEYS,
+    FRESH_READ_INTERVAL_MIN_MS, FRESH_READ_PERIOD_MS, KEY_NAMESPACE, KEY_ROOT, LIST_PAGE_KEYS,
     LIST_TIMEOUT_MS, STATE_TIMEOUT_MS, UNREADABLE_LAYOUT_RECHECK_MS, WATCH_BLOCK_MS,
     WATCH_TIMEOUT_MS,
 };
@@ -138,14 +138,14 @@
             return;
         }
         self.store.listing.in_flight = true;
-        let path = list_path(KEY_FAMILY, self.store.listing.last_key.as_deref(), LIST_PAGE_KEYS);
+        let path = list_path(KEY_NAMESPACE, self.store.listing.last_key.as_deref(), LIST_PAGE_KEYS);
         let purpose = CallPurpose::List { epoch: self.store.epoch };
         self.state_call("GET", path, vec![], LIST_TIMEOUT_MS, purpose);
     }
 
     fn open_watch(&mut self) {
         self.store.watching = true;
-        let path = changes_path(KEY_FAMILY, self.store.replica.revision, WATCH_BLOCK_MS);
+        let path = changes_path(KEY_NAMESPACE, self.store.replica.revision, WATCH_BLOCK_MS);
         let purpose = CallPurpose::Watch { read_point: self.store.read_point() };
         self.state_call("GET", path, vec![], WATCH_TIMEOUT_MS, purpose);
     }
@@ -165,7 +165,7 @@
         }
         reads.in_flight = Some(std::mem::take(&mut reads.waiting));
         reads.begun_at = now;
-        let path = changes_path(KEY_FAMILY, self.store.replica.revision, 0);
+        let path = changes_path(KEY_NAMESPACE, self.store.replica.revision, 0);
         let purpose = CallPurpose::FreshRead { begun_at: now, read_point: self.store.read_point() };
         self.state_call("GET", path, vec![], STATE_TIMEOUT_MS, purpose);
     }
--- a/src/coordination/transactions/placements/tests.rs
+++ b/src/coordination/transactions/placements/tests.rs
@@ -130,5 +130,5 @@
 fn stored_placements(write: &crate::protocol::state::Mutation) -> usize {
     let crate::protocol::state::Mutation::Put { value, .. } = write else { return 0 };
     let record: PlacementsRecord = serde_json::from_str(value.get()).expect("a record");
-    record.placed().count()
+    record.placements().count()
 }
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -120,6 +120,6 @@
         let min_tasks = if job.is_gang() { i64::from(job.tasks) } else { 1 };
         let mut usage = leader.cluster.usage.get(&spec.team).copied().unwrap_or_default();
         usage += job.need * min_tasks;
-        !usage.under(&limit)
+        !usage.is_within(&limit)
     }
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -10,4 +10,4 @@
 pub mod workers;
 
 pub use mountgap_records::job::parse_task;
-pub use mountgap_records::resources::{Resources, MILLI};
+pub use mountgap_records::resources::{Resources, MILLI_PER_UNIT};
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -6,7 +6,9 @@
 use super::Resources;
 use serde::{Deserialize, Serialize};
 
-pub use mountgap_records::job::{valid_uid, JobKind, JobSpec, Priority, TASKS_MAX, UID_PREFIX};
+pub use mountgap_records::job::{
+    is_valid_job_id, JobKind, JobSpec, Priority, JOB_ID_PREFIX, TASKS_MAX,
+};
 
 /// Longest name of a class, team, image, type or zone, in bytes.
 const NAME_MAX: usize = 100;
@@ -83,7 +85,7 @@
         let object = fields.as_object().ok_or(SubmissionError::NotAnObject)?;
         let uid = object.get("uid").and_then(|uid| uid.as_str());
         let uid = uid.ok_or(FieldProblem::NotAString.of("uid"))?.to_string();
-        if !valid_uid(&uid) {
+        if !is_valid_job_id(&uid) {
             return Err(FieldProblem::NotAJobId.of("uid"));
         }
         Ok(Submission { uid, fields })
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -7,7 +7,7 @@
 use crate::storage::machine::{AttemptId, MachineState, Placement, PlacementPhase, TaskId};
 use crate::storage::placement_group::PlacementGroup;
 use crate::storage::records::{
-    parse_chunk, DoneTasksRecord, JobId, JobStage, MachineName, PlacementsRecord,
+    parse_chunk_name, DoneTasksRecord, JobId, JobStage, MachineName, PlacementsRecord,
 };
 use crate::storage::replica::{Replica, Versioned};
 
@@ -54,8 +54,8 @@
         now: u64,
     ) {
         let mut group = PlacementGroup::new(record.mod_revision);
-        for stored in record.value.placed() {
-            let id = TaskId::new(stored.job_id(), stored.task);
+        for stored in record.value.placements() {
+            let id = TaskId::new(stored.job_id(), stored.index);
             let machine: MachineName = stored.machine.into();
             let attempt = AttemptId::new(id.clone(), stored.attempt);
             let bytes = attempt.stored_text(stored.machine).unwrap_or_default().len() + 1;
@@ -93,7 +93,7 @@
 
     fn restore_done_group(&mut self, number: u32, record: &Versioned<DoneTasksRecord>) {
         let mut group = DoneTasksGroup::new(record.mod_revision);
-        for (id, chunk) in record.value.bits.keys().filter_map(|name| parse_chunk(name)) {
+        for (id, chunk) in record.value.bits.keys().filter_map(|name| parse_chunk_name(name)) {
             let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else { continue };
             job.chunk_groups.insert(chunk, number);
             group.insert(job.id.clone(), chunk, job.chunk_bytes(chunk));
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -117,14 +117,14 @@
             Some(Key::Catalog) => of(self.catalog.as_ref()),
             Some(Key::Shares) => of(self.shares.as_ref()),
             Some(Key::Batch(_) | Key::GangBatch(_)) => of(self.batches.get(key)),
-            Some(Key::End(id)) => self.jobs.get(id).map_or(0, |job| job.value.end_revision),
-            Some(Key::Done(group)) => of(self.done_groups.get(&group)),
-            Some(Key::Place(group)) => of(self.placement_groups.get(&group)),
+            Some(Key::JobEnd(id)) => self.jobs.get(id).map_or(0, |job| job.value.end_revision),
+            Some(Key::DoneTasks(group)) => of(self.done_groups.get(&group)),
+            Some(Key::Placements(group)) => of(self.placement_groups.get(&group)),
             Some(Key::Images(part)) => of(self.images.get(&part)),
             Some(Key::Store) => of(self.store.as_ref()),
             Some(Key::Rebuild) => of(self.rebuild.as_ref()),
-            Some(Key::EndGroup(group)) => self.end_groups.get(&group).copied().unwrap_or(0),
-            Some(Key::Flagged(group)) => of(self.flagged.get(&group)),
+            Some(Key::JobEndGroup(group)) => self.end_groups.get(&group).copied().unwrap_or(0),
+            Some(Key::FlaggedJobs(group)) => of(self.flagged.get(&group)),
             None => 0,
         }
     }
@@ -141,11 +141,11 @@
             })
         }
         match parse_key(key) {
-            Some(Key::Place(group)) => same(self.placement_groups.get(&group), data),
-            Some(Key::Done(group)) => same(self.done_groups.get(&group), data),
+            Some(Key::Placements(group)) => same(self.placement_groups.get(&group), data),
+            Some(Key::DoneTasks(group)) => same(self.done_groups.get(&group), data),
             Some(Key::Images(part)) => same(self.images.get(&part), data),
             Some(Key::Shares) => same(self.shares.as_ref(), data),
-            Some(Key::End(id)) => {
+            Some(Key::JobEnd(id)) => {
                 let end: Option<JobEndRecord> = serde_json::from_str(data.get()).ok();
                 self.jobs.get(id).map(|job| job.value.stage) == end.map(|end| end.stage)
             }
--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -7,7 +7,7 @@
 use crate::constants::ARRIVAL_INDEX_BITS;
 use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::storage::records::{
-    foreign_layout, parse_key, BatchRecord, FlaggedJobsRecord, JobEndGroupRecord, JobEndRecord,
+    is_foreign_layout, parse_key, BatchRecord, FlaggedJobsRecord, JobEndGroupRecord, JobEndRecord,
     JobId, JobRecord, JobStage, Key, PlacementsRecord,
 };
 use serde::de::DeserializeOwned;
@@ -73,7 +73,7 @@
 
     /// Applies a put, unless it is older than the value in the replica. Returns the jobs that changed.
     pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<JobId> {
-        if foreign_layout(key) && self.foreign_key.is_none() {
+        if is_foreign_layout(key) && self.foreign_key.is_none() {
             self.foreign_key = Some(key.to_string());
         }
         if self.mod_revision(key) >= mod_revision {
@@ -87,13 +87,13 @@
             Some(Key::Shares) => self.shares = stored.read_versioned(),
             Some(Key::Store) => self.store = stored.read_versioned(),
             Some(Key::Rebuild) => self.rebuild = stored.read_versioned(),
-            Some(Key::Done(group)) => self.done_groups.extend(numbered(group, &stored)),
+            Some(Key::DoneTasks(group)) => self.done_groups.extend(numbered(group, &stored)),
             Some(Key::Images(part)) => self.images.extend(numbered(part, &stored)),
-            Some(Key::Place(group)) => self.write_placement_group(group, &stored),
+            Some(Key::Placements(group)) => self.write_placement_group(group, &stored),
             Some(Key::Batch(_) | Key::GangBatch(_)) => return self.write_batch(&stored),
-            Some(Key::End(id)) => return self.write_end(id, &stored),
-            Some(Key::EndGroup(group)) => return self.write_end_group(group, &stored),
-            Some(Key::Flagged(group)) => return self.write_flagged_group(group, &stored),
+            Some(Key::JobEnd(id)) => return self.write_end(id, &stored),
+            Some(Key::JobEndGroup(group)) => return self.write_end_group(group, &stored),
+            Some(Key::FlaggedJobs(group)) => return self.write_flagged_group(group, &stored),
             None => {}
         }
         Vec::new()
@@ -218,16 +218,16 @@
             Some(Key::Store) => self.store = None,
             Some(Key::Rebuild) => self.rebuild = None,
             Some(Key::Batch(_) | Key::GangBatch(_)) => self.remove_batch(key),
-            Some(Key::Flagged(group)) => drop(self.flagged.remove(&group)),
-            Some(Key::Done(group)) => drop(self.done_groups.remove(&group)),
+            Some(Key::FlaggedJobs(group)) => drop(self.flagged.remove(&group)),
+            Some(Key::DoneTasks(group)) => drop(self.done_groups.remove(&group)),
             Some(Key::Images(part)) => drop(self.images.remove(&part)),
-            Some(Key::Place(group)) => {
+            Some(Key::Placements(group)) => {
                 if let Some(previous) = self.placement_groups.remove(&group) {
                     self.count_placed(&previous.value, -1);
                 }
             }
             // Job ends are never removed.
-            Some(Key::End(_) | Key::EndGroup(_)) | None => {}
+            Some(Key::JobEnd(_) | Key::JobEndGroup(_)) | None => {}
         }
     }
 
@@ -244,7 +244,7 @@
 
     /// Adds `change` to the number of stored placements of a job, for each placement of a record.
     fn count_placed(&mut self, record: &PlacementsRecord, change: i64) {
-        for placement in record.placed() {
+        for placement in record.placements() {
             let id = placement.job_id();
             let count = self.placed.entry(id.clone()).or_default();
             *count = (i64::from(*count) + change).max(0) as u32;
--- a/tests/state_loss.rs
+++ b/tests/state_loss.rs
@@ -354,9 +354,9 @@
 
 #[test]
 fn a_version_from_before_rebuilds_serves_nobody_from_a_half_written_store() {
-    use mountgap_records::constants::{KEY_FAMILY, KEY_ROOT, REBUILD_KEY};
+    use mountgap_records::constants::{KEY_NAMESPACE, KEY_ROOT, REBUILD_KEY};
     // That version refuses to serve where it finds such a key.
-    assert!(REBUILD_KEY.starts_with(KEY_FAMILY) && !REBUILD_KEY.starts_with(KEY_ROOT));
+    assert!(REBUILD_KEY.starts_with(KEY_NAMESPACE) && !REBUILD_KEY.starts_with(KEY_ROOT));
 }
 
 #[test]
