--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -45,7 +45,7 @@
 
     /// Takes one request out of the budget if that leaves at least `min_remaining`; returns whether it was taken.
     pub(super) fn take_request(&mut self, min_remaining: f64, now: u64) -> bool {
-        self.budget.take(1.0, min_remaining, now)
+        self.budget.try_take(1.0, min_remaining, now)
     }
 
     /// The last known catalogue of machine types.
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -183,7 +183,7 @@
         let headroom = self.service_headroom(now, catalog);
         let service_slots = |machine: &Machine| match &headroom {
             Some(headroom) if !machine.spot => {
-                self.cluster.room_for_services(machine).fit_count(&headroom.need) as f64
+                self.cluster.capacity_for_services(machine).fit_count(&headroom.need) as f64
             }
             _ => 0.0,
         };
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -301,7 +301,7 @@
     let Some(need) = services.first() else { return false };
     let mut slots = 0;
     for target in targets {
-        slots += cluster.room_for_services(target).fit_count(need);
+        slots += cluster.capacity_for_services(target).fit_count(need);
     }
     slots >= services.len() as i64
 }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -160,7 +160,7 @@
         let headroom = self.service_headroom(now, catalog)?;
         let mut slots = 0.0;
         for machine in self.usable_on_demand_machines() {
-            slots += self.cluster.room_for_services(machine).fit_count(&headroom.need) as f64;
+            slots += self.cluster.capacity_for_services(machine).fit_count(&headroom.need) as f64;
         }
         let missing = headroom.slots - slots;
         (missing > 0.0).then(|| UnplacedTasks {
--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -65,7 +65,7 @@
         }
         let skipped_numbers = id.sequence > previous.next().sequence;
         undelivered_signs += u32::from(answered_last && skipped_numbers);
-        let shows_token_first = has_our_token && !machine.has_our_token;
+        let shows_token_first = has_our_token && !machine.has_current_token;
         ResponseDelivery { delivered: follows_promptly || shows_token_first, undelivered_signs }
     }
 }
@@ -104,7 +104,7 @@
         machine.last_alive_at = Some(now);
     }
     machine.lease_expired = false;
-    machine.has_our_token |= has_our_token;
+    machine.has_current_token |= has_our_token;
     update_reclaim_time(machine, heartbeat.reclaim_s, now);
 }
 
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -121,7 +121,7 @@
                 tasks_of_unknown_jobs.insert(id);
                 continue;
             }
-            if was_rebuilt && leader.cluster.adopt(name, &id, now) != Adoption::Refused {
+            if was_rebuilt && leader.cluster.adopt(name, &id, now) != Adoption::Rejected {
                 continue;
             }
             log::info!(
@@ -166,7 +166,7 @@
 ) {
     let undelivered_signs = delivery.undelivered_signs + u32::from(evidence.start_missed);
     let delivered = delivery.delivered || evidence.start_arrived;
-    if machine.note_response_delivery(undelivered_signs, delivered, now, reset_after_ms) {
+    if machine.record_response_delivery(undelivered_signs, delivered, now, reset_after_ms) {
         log::info!(
             "machine unreachable: {} sends heartbeats but gets no response, so it gets no new tasks",
             machine.name
@@ -194,13 +194,13 @@
         let Some(job) = self.cluster.jobs.get_mut(&started.id.job) else { return false };
         job.has_started = true;
         if let Some(gang) = &mut job.gang {
-            gang.note_running();
+            gang.record_running();
         }
         let Some(spec) = job.spec.clone() else { return false };
         let Some(machine) = self.cluster.machines.get_mut(machine_name) else { return false };
         let machine_type = catalog.and_then(|catalog| catalog.machine_type(&machine.type_name));
         let cache_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
-        machine.note_image(&spec.image, spec.size_gb, cache_gb);
+        machine.record_image(&spec.image, spec.size_gb, cache_gb);
         true
     }
 
--- a/src/coordination/heartbeats/task_outcomes.rs
+++ b/src/coordination/heartbeats/task_outcomes.rs
@@ -63,11 +63,11 @@
         let Some(job) = self.cluster.jobs.get_mut(&id.job) else { return };
         let Some(machine) = self.cluster.machines.get_mut(machine_name) else { return };
         job.failed_on.insert(machine_name.clone());
-        if job.fails_everywhere() {
-            job.fail_pause_ms =
-                (job.fail_pause_ms * 2).clamp(FAILURE_BACKOFF_MS, FAILURE_BACKOFF_MAX_MS);
-            job.paused_until = now + job.fail_pause_ms;
-            let pause_ms = job.fail_pause_ms;
+        if job.fails_on_several_machines() {
+            job.failure_backoff_ms =
+                (job.failure_backoff_ms * 2).clamp(FAILURE_BACKOFF_MS, FAILURE_BACKOFF_MAX_MS);
+            job.paused_until = now + job.failure_backoff_ms;
+            let pause_ms = job.failure_backoff_ms;
             return log::debug!(
                 "job paused: {} failed on several machines, paused for {pause_ms} ms",
                 id.job
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -78,7 +78,7 @@
             let is_to_start =
                 placement.is_some_and(|p| p.reported_status.is_none() && p.stop_reason.is_none());
             // Until its worker reports in this term, a task that an earlier leader placed may run there.
-            let is_known = machine.has_our_token || now > self.term_began_at + silent_ms * 2;
+            let is_known = machine.has_current_token || now > self.term_began_at + silent_ms * 2;
             is_to_start && is_known && cannot_start_tasks_soon(machine, silent_ms, now)
         })
     }
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -148,7 +148,7 @@
 
     fn propose_task(&mut self, job_id: &JobId, machine: &MachineName, now: u64) {
         let job = self.cluster.jobs.get(job_id);
-        let Some(task) = job.and_then(|job| job.next_waiting()) else { return };
+        let Some(task) = job.and_then(|job| job.next_waiting_task()) else { return };
         let attempt = self.next_unique_number();
         self.cluster.propose(job_id, task, machine, attempt, now);
         log::debug!("task placed: {job_id}/{task} on {machine}, attempt {attempt}");
--- a/src/coordination/leader/summary.rs
+++ b/src/coordination/leader/summary.rs
@@ -23,7 +23,7 @@
         let is_running = |p: &Placement| p.running_since.is_some() && p.stop_reason.is_none();
         let is_starting = |p: &Placement| p.running_since.is_none() && p.stop_reason.is_none();
         let waiting_tasks: u64 =
-            self.cluster.jobs.values().map(|job| u64::from(job.waiting())).sum();
+            self.cluster.jobs.values().map(|job| u64::from(job.waiting_tasks())).sum();
         let free = self.free_resources();
         log::info!(
             "cluster summary: {} ordinary and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -89,6 +89,6 @@
 fn last_lease_activity_at(machine: &Machine) -> Option<u64> {
     let last_response_at = machine.last_response_at?;
     let is_ours =
-        machine.has_our_token && !machine.lease_expired && machine.state == MachineState::Up;
+        machine.has_current_token && !machine.lease_expired && machine.state == MachineState::Up;
     is_ours.then(|| last_response_at.max(machine.last_heartbeat_at.unwrap_or(0)))
 }
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -227,7 +227,7 @@
     /// call.
     pub(super) fn claim(&mut self, job: usize, machine: usize, start_ms: u64, length_ms: u64) {
         let need = self.job_view(job).need;
-        self.machines[machine].row.claim(start_ms, length_ms, need);
+        self.machines[machine].row.reserve(start_ms, length_ms, need);
         self.machines[machine].version += 1;
     }
 }
--- a/src/coordination/planner/preemption.rs
+++ b/src/coordination/planner/preemption.rs
@@ -278,7 +278,7 @@
             let task = &self.machine_view(machine).running[victim];
             state.stopped[machine][victim] = true;
             state.available[machine] += task.need;
-            self.machines[machine].row.end_at(victim, now_ms + task.stop_ms.max(1));
+            self.machines[machine].row.set_end(victim, now_ms + task.stop_ms.max(1));
             wait_ms = wait_ms.max(task.stop_ms);
             if let Some(team) = task.team {
                 state.team_usage[team] -= task.need;
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -126,9 +126,9 @@
 /// Tasks of a job that are offered to the planner.
 pub(super) fn waiting_tasks(job: &Job) -> u32 {
     // A job that failed on several machines in a row is retried one task at a time.
-    match job.fails_everywhere() && !job.is_gang() {
-        true => job.waiting().min(1),
-        false => job.waiting(),
+    match job.fails_on_several_machines() && !job.is_gang() {
+        true => job.waiting_tasks().min(1),
+        false => job.waiting_tasks(),
     }
 }
 
@@ -148,7 +148,7 @@
 fn avoided_machines(job: &Job, machine_indices: &HashMap<&MachineName, usize>) -> Vec<usize> {
     let tries_everywhere = match job.is_gang() {
         true => job.failed_on.len() > GANG_AVOIDED_MACHINES_MAX,
-        false => job.fails_everywhere(),
+        false => job.fails_on_several_machines(),
     };
     if tries_everywhere {
         return Vec::new();
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -108,7 +108,7 @@
     machine.is_usable()
         // A report without this leader's fencing token may be a late duplicate from a machine that
         // is gone, or come from one that receives no responses.
-        && machine.has_our_token
+        && machine.has_current_token
         // The resources that a task of an unknown job takes are not known.
         && machine.unknown_tasks.is_empty()
         && machine.last_alive_at.is_some_and(|at| now_ms - at <= silent_ms)
--- a/src/coordination/planner_input/tests.rs
+++ b/src/coordination/planner_input/tests.rs
@@ -18,7 +18,7 @@
 fn schedulable_machine() -> Machine {
     Machine {
         state: MachineState::Up,
-        has_our_token: true,
+        has_current_token: true,
         last_alive_at: Some(NOW_MS),
         last_heartbeat_at: Some(NOW_MS),
         ..Machine::new("m-1".into(), 0)
@@ -72,7 +72,7 @@
         |machine| machine.draining = true,
         |machine| machine.lease_expired = true,
         |machine| machine.reclaim_at = Some(NOW_MS + 60_000),
-        |machine| machine.has_our_token = false,
+        |machine| machine.has_current_token = false,
         |machine| machine.unreachable_since = Some(NOW_MS),
         |machine| machine.last_alive_at = Some(NOW_MS - 10_001),
     ];
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -13,7 +13,7 @@
 
 /// Whether a machine's tasks are known: its worker has shown our term, or nothing runs there.
 fn is_reconciled(machine: &Machine) -> bool {
-    machine.has_our_token || machine.failed || machine.state == MachineState::Terminated
+    machine.has_current_token || machine.failed || machine.state == MachineState::Terminated
 }
 
 impl Controller {
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -117,7 +117,7 @@
         match job.value.stage {
             JobStage::Done => JobStatus::Done,
             JobStage::Cancelled => JobStatus::Cancelled,
-            JobStage::Live if self.store.replica().placed(uid) > 0 => JobStatus::Running,
+            JobStage::Live if self.store.replica().placed_task_count(uid) > 0 => JobStatus::Running,
             JobStage::Live => JobStatus::Queued,
         }
     }
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -36,7 +36,7 @@
         let (done, running) = match status {
             JobStatus::Done => (job.value.tasks, 0),
             JobStatus::Cancelled => (job.value.done, 0),
-            _ => (replica.done_bitmap(uid).count(), replica.placed(uid)),
+            _ => (replica.done_bitmap(uid).count(), replica.placed_task_count(uid)),
         };
         self.answer_json(requester, 200, &JobProgressResponse { uid, status, done, running });
     }
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -197,7 +197,7 @@
         let jobs = cluster.queue.values().filter_map(|uid| cluster.jobs.get(uid));
         let summary = |job: &Job| {
             let why = self.wait_reason(leader, job)?.to_string();
-            let (waiting, done, tasks) = (job.waiting(), job.done_count, job.tasks);
+            let (waiting, done, tasks) = (job.waiting_tasks(), job.done_count, job.tasks);
             Some(WaitingJobSummary { uid: job.id.to_string(), waiting, done, tasks, why })
         };
         jobs.filter_map(summary).take(WAITING_JOBS_SHOWN_MAX).collect()
@@ -236,9 +236,9 @@
             counts.spot += usize::from(machine.spot);
             counts.tasks += machine.placements.len();
         }
-        for job in self.cluster.jobs.values().filter(|job| job.waiting() > 0) {
+        for job in self.cluster.jobs.values().filter(|job| job.waiting_tasks() > 0) {
             counts.waiting_jobs += 1;
-            counts.waiting_tasks += u64::from(job.waiting());
+            counts.waiting_tasks += u64::from(job.waiting_tasks());
         }
         counts
     }
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -133,17 +133,17 @@
 
     /// Writes that this controller may make now.
     pub(super) fn writes_left(&mut self, now: u64) -> f64 {
-        self.write_budget.left(now)
+        self.write_budget.available(now)
     }
 
     /// Whether so little of the write budget is left that writes which can wait should.
     pub(super) fn is_write_budget_low(&mut self, now: u64) -> bool {
-        self.write_budget.left(now) < self.write_budget.burst() * LOW_WRITE_BUDGET_SHARE
+        self.write_budget.available(now) < self.write_budget.burst() * LOW_WRITE_BUDGET_SHARE
     }
 
     /// Takes writes out of the budget if at least `reserve` remain; returns whether it did.
     pub(super) fn take_writes(&mut self, writes: f64, reserve: f64, now: u64) -> bool {
-        self.write_budget.take(writes, reserve, now)
+        self.write_budget.try_take(writes, reserve, now)
     }
 
     /// Sets this controller's rates to its share of what the state service allows all controllers.
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -104,7 +104,7 @@
             _ if path == COMMIT_PATH => work.state_commits += 1,
             _ => {}
         }
-        self.store.read_budget.take(1.0, f64::MIN, self.now.monotonic_ms);
+        self.store.read_budget.try_take(1.0, f64::MIN, self.now.monotonic_ms);
         self.call(Service::State, method, path, body, timeout_ms, purpose);
     }
 
@@ -160,7 +160,7 @@
         if reads.in_flight.is_some() || !(periodic || wanted) {
             return;
         }
-        if !self.store.read_budget.take(0.0, 1.0, now) && !periodic {
+        if !self.store.read_budget.try_take(0.0, 1.0, now) && !periodic {
             return;
         }
         reads.in_flight = Some(std::mem::take(&mut reads.waiting));
@@ -191,7 +191,7 @@
             self.store.replica.apply_item(item);
             self.record_item(item);
         }
-        if self.store.replica.foreign_key.is_some() {
+        if self.store.replica.foreign_layout_key.is_some() {
             return self.reject_foreign_layout();
         }
         if page.has_next {
@@ -205,7 +205,7 @@
     /// store, and neither may touch the other's keys.
     fn reject_foreign_layout(&mut self) {
         let replica = &mut self.store.replica;
-        let key = replica.foreign_key.as_deref().unwrap_or_default();
+        let key = replica.foreign_layout_key.as_deref().unwrap_or_default();
         log::error!(
             "store layout not supported: {key} is not under {KEY_ROOT}; no requests are served"
         );
@@ -292,7 +292,7 @@
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) else { return };
         for uid in changed_jobs {
-            leader.cluster.job_changed(&self.store.replica, uid, now);
+            leader.cluster.on_job_changed(&self.store.replica, uid, now);
         }
         if !changed_jobs.is_empty() {
             leader.plan_soon(now);
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -184,7 +184,8 @@
             };
             let condition = self.transaction.conditions.iter().find(|c| c.key == *key)?;
             let mod_revision = replica.mod_revision(key);
-            let was_written = mod_revision > condition.mod_revision && replica.holds(key, value);
+            let was_written =
+                mod_revision > condition.mod_revision && replica.has_value(key, value);
             was_written.then_some(mod_revision)
         })
     }
@@ -217,7 +218,7 @@
         for uid in jobs {
             let job = self.cluster.jobs.get_mut(uid);
             if let Some(gang) = job.and_then(|job| job.gang.as_mut()) {
-                gang.forget_attempt();
+                gang.undo_attempt();
             }
         }
     }
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -246,14 +246,14 @@
         if let Some(group) = self.groups.get_mut(&entry.group) {
             group.remove(&entry.attempt);
         }
-        self.settlement_committed(&entry.machine, &entry.attempt);
+        self.on_settlement_committed(&entry.machine, &entry.attempt);
     }
 
     /// Applies the committed addition of a placement.
     pub(super) fn apply_addition(&mut self, entry: &PlacementEntry) {
         let group = self.groups.entry(entry.group).or_default();
         group.insert(entry.attempt.clone(), entry.machine.clone(), entry.bytes);
-        self.committed(&entry.machine, &entry.attempt, entry.group);
+        self.on_placement_committed(&entry.machine, &entry.attempt, entry.group);
     }
 }
 
--- a/src/coordination/transactions/placements/tests.rs
+++ b/src/coordination/transactions/placements/tests.rs
@@ -76,7 +76,7 @@
     let (mut builder, mut pending) = (builder_with_writes(1), PendingTransaction::default());
     cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::StoreGang);
     assert!(cluster.proposals.is_empty() && !cluster.gang_is_deferred);
-    assert_eq!(cluster.jobs["job-1"].waiting(), 50);
+    assert_eq!(cluster.jobs["job-1"].waiting_tasks(), 50);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     let (mut builder, mut pending) = (builder_with_writes(8), PendingTransaction::default());
     cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::Everything);
     assert!(pending.additions.is_empty() && builder.writes.is_empty());
-    assert_eq!(cluster.jobs["job-1"].waiting(), 6);
+    assert_eq!(cluster.jobs["job-1"].waiting_tasks(), 6);
     assert!(cluster.machines.values().all(|m| m.placements.is_empty()));
 }
 
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -72,7 +72,7 @@
         if let Some(reason) = self.gang_wait_reason(leader, job) {
             return Some(reason);
         }
-        if job.waiting() == 0 {
+        if job.waiting_tasks() == 0 {
             return None;
         }
         let reserved = leader.reservation.as_ref().filter(|(uid, _)| *uid == job.id);
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -92,7 +92,7 @@
 
     /// Whether any task waits for a machine.
     pub fn has_waiting_tasks(&self) -> bool {
-        self.queue.values().filter_map(|id| self.jobs.get(id)).any(|job| job.waiting() > 0)
+        self.queue.values().filter_map(|id| self.jobs.get(id)).any(|job| job.waiting_tasks() > 0)
     }
 
     /// A machine by name, added if it is not known yet.
--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -16,9 +16,9 @@
     /// A placement is recorded where it runs.
     Adopted,
     /// The settlement of an earlier placement of it must be committed first.
-    Waits,
+    Deferred,
     /// Its job is not known, is over, or doesn't need the task.
-    Refused,
+    Rejected,
 }
 
 impl ClusterState {
@@ -54,15 +54,15 @@
     /// term. After a rebuild, such a task may have been placed in the lost part of the history.
     pub fn adopt(&mut self, machine: &MachineName, attempt: &AttemptId, now: u64) -> Adoption {
         let id = &attempt.task;
-        let Some(job) = self.jobs.get(&id.job) else { return Adoption::Refused };
+        let Some(job) = self.jobs.get(&id.job) else { return Adoption::Rejected };
         if !job.is_unfinished(id.index) || id.index >= job.tasks {
-            return Adoption::Refused;
+            return Adoption::Rejected;
         }
         if job.settling.contains(&id.index) {
-            return Adoption::Waits;
+            return Adoption::Deferred;
         }
         if let Some(other) = job.placed_on.get(&id.index).cloned() {
-            return self.settle_earlier(&other, attempt);
+            return self.settle_earlier_attempt(&other, attempt);
         }
         let stop_reason = job.quarantined.then_some(StopReason::Eviction);
         self.place_running_task(machine, attempt, stop_reason, now);
@@ -106,15 +106,15 @@
     /// Settles the known placement of a task that runs elsewhere with another attempt, if that proves the
     /// placement over. Attempt numbers increase, and the next attempt is placed only once the settlement
     /// of the last one is committed: so a higher number proves that the known attempt is over.
-    fn settle_earlier(&mut self, machine: &MachineName, attempt: &AttemptId) -> Adoption {
+    fn settle_earlier_attempt(&mut self, machine: &MachineName, attempt: &AttemptId) -> Adoption {
         let id = &attempt.task;
         let is_earlier = self.placement(machine, id).is_some_and(|placement| {
             placement.attempt < attempt.number && placement.phase == PlacementPhase::Committed
         });
         if !is_earlier {
-            return Adoption::Refused;
+            return Adoption::Rejected;
         }
         self.settle(machine, id, EndCause::Lost);
-        Adoption::Waits
+        Adoption::Deferred
     }
 }
--- a/src/storage/cluster/gangs.rs
+++ b/src/storage/cluster/gangs.rs
@@ -37,10 +37,10 @@
         now: u64,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
-        let whole = job.waiting() == job.tasks && machines.len() == job.tasks as usize;
+        let whole = job.waiting_tasks() == job.tasks && machines.len() == job.tasks as usize;
         let known = machines.iter().all(|name| self.machines.contains_key(name));
         let Some(gang) = job.gang.as_mut().filter(|_| whole && known) else { return false };
-        gang.note_attempt(now);
+        gang.record_attempt(now);
         for (index, machine) in machines.iter().enumerate() {
             self.propose(id, index as u32, machine, attempt, now);
         }
@@ -61,7 +61,7 @@
 
     /// Handles the settlement of a task of a gang. If it is done, all tasks of the gang are; any other
     /// cause ends the attempt.
-    pub(super) fn gang_task_settled(&mut self, id: &JobId, cause: EndCause) {
+    pub(super) fn on_gang_task_settled(&mut self, id: &JobId, cause: EndCause) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else {
             return;
         };
--- a/src/storage/cluster/gangs/tests.rs
+++ b/src/storage/cluster/gangs/tests.rs
@@ -43,7 +43,7 @@
     let attempt = cluster.machines[&machine].placements[&id].attempt;
     cluster.settle(&machine, &id, cause);
     if stored {
-        cluster.settlement_committed(&machine, &AttemptId::new(id, attempt));
+        cluster.on_settlement_committed(&machine, &AttemptId::new(id, attempt));
     }
 }
 
@@ -58,17 +58,17 @@
 #[test]
 fn the_next_attempt_waits_until_the_last_is_out_of_the_store() {
     let mut cluster = ClusterState::from_replica(&replica(2, 2), 0);
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 0);
+    assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 0);
     settle(&mut cluster, 0, EndCause::Lost, true);
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "one task is left");
+    assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 0, "one task is left");
     assert_eq!(stop_reasons(&cluster), vec![Some(StopReason::NotNeeded)]);
     settle(&mut cluster, 1, EndCause::MatesGone, false);
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "the settlement is not committed yet");
+    assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 0, "the settlement is not committed yet");
     let machines: Vec<MachineName> = vec!["n-a".into(), "n-b".into()];
     assert!(!cluster.propose_gang(&job_id(), &machines, 8, 0));
     let on: MachineName = "n-b".into();
-    cluster.settlement_committed(&on, &AttemptId::new(TaskId::new(job_id(), 1), 7));
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 2);
+    cluster.on_settlement_committed(&on, &AttemptId::new(TaskId::new(job_id(), 1), 7));
+    assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 2);
     assert!(!cluster.propose_gang(&job_id(), &machines[..1], 8, 0), "too few machines");
     assert!(cluster.propose_gang(&job_id(), &machines, 8, 0));
     assert_eq!(cluster.jobs[&job_id()].placed_on.len(), 2);
@@ -99,7 +99,7 @@
     let mut cluster = ClusterState::from_replica(&replica, 0);
     let end = JobEndRecord { at: 0, stage: JobStage::Cancelled, tasks: 2, done: 0 };
     replica.write(&job_end_key("job-1"), &raw_json(&end), 9);
-    cluster.job_changed(&replica, &job_id(), 0);
+    cluster.on_job_changed(&replica, &job_id(), 0);
     assert_eq!(stop_reasons(&cluster), vec![Some(StopReason::NotNeeded); 2]);
     settle(&mut cluster, 0, EndCause::Halted, true);
     settle(&mut cluster, 1, EndCause::Halted, true);
--- a/src/storage/cluster/jobs.rs
+++ b/src/storage/cluster/jobs.rs
@@ -31,7 +31,7 @@
     }
 
     /// Applies a change of a job in the store: the job is new, has ended, or its flag has changed.
-    pub fn job_changed(&mut self, replica: &Replica, id: &JobId, now: u64) {
+    pub fn on_job_changed(&mut self, replica: &Replica, id: &JobId, now: u64) {
         let Some(record) = replica.jobs.get(id) else { return };
         if !self.jobs.contains_key(id) {
             if record.value.stage == JobStage::Live {
@@ -80,7 +80,7 @@
         for task in job.placed_tasks() {
             self.stop_task(id, &task, StopReason::NotNeeded);
         }
-        self.forget_if_finished(id);
+        self.remove_if_finished(id);
     }
 
     fn stop_task(&mut self, job: &JobId, task: &PlacedTask, reason: StopReason) {
@@ -91,7 +91,7 @@
     }
 
     /// Removes a job that is over and has no placements left.
-    pub fn forget_if_finished(&mut self, id: &JobId) {
+    pub fn remove_if_finished(&mut self, id: &JobId) {
         if self.jobs.get(id).is_some_and(|job| !job.is_live() && job.attempt_is_over()) {
             self.jobs.remove(id);
         }
--- a/src/storage/cluster/placements.rs
+++ b/src/storage/cluster/placements.rs
@@ -18,7 +18,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         let Some(machine) = self.machines.get_mut(machine_name) else { return };
-        job.take_from_waiting(index);
+        job.dequeue(index);
         job.placed_on.insert(index, machine_name.clone());
         charge(&mut self.usage, job, 1);
         let id = TaskId::new(job_id.clone(), index);
@@ -33,10 +33,10 @@
     pub fn retract(&mut self, machine: &MachineName, id: &TaskId) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
         machine.uncommitted_placements = machine.uncommitted_placements.saturating_sub(1);
-        let is_open = |placement: &Placement| {
+        let is_unsettled_proposal = |placement: &Placement| {
             placement.phase == PlacementPhase::Proposed && placement.settled.is_none()
         };
-        if !machine.placements.get(id).is_some_and(is_open) {
+        if !machine.placements.get(id).is_some_and(is_unsettled_proposal) {
             return;
         }
         machine.placements.remove(id);
@@ -44,11 +44,16 @@
         job.placed_on.remove(&id.index);
         release(&mut self.usage, job);
         job.requeue(id.index);
-        self.forget_if_finished(&id.job);
+        self.remove_if_finished(&id.job);
     }
 
     /// Handles the commit that has stored a placement.
-    pub fn committed(&mut self, machine: &MachineName, attempt: &AttemptId, group: u32) {
+    pub fn on_placement_committed(
+        &mut self,
+        machine: &MachineName,
+        attempt: &AttemptId,
+        group: u32,
+    ) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
         machine.uncommitted_placements = machine.uncommitted_placements.saturating_sub(1);
         let placement = machine.placements.get_mut(&attempt.task);
@@ -80,10 +85,10 @@
         release(&mut self.usage, job);
         let is_gang = job.is_gang();
         if cause == EndCause::Done && job.is_live() {
-            self.count_success(machine_name, id);
+            self.record_success(machine_name, id);
         }
         if is_gang {
-            self.gang_task_settled(&id.job, cause);
+            self.on_gang_task_settled(&id.job, cause);
         }
     }
 
@@ -108,7 +113,7 @@
     }
 
     /// Records that a task of a live job has completed successfully.
-    fn count_success(&mut self, machine: &MachineName, id: &TaskId) {
+    fn record_success(&mut self, machine: &MachineName, id: &TaskId) {
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.successes += 1;
         }
@@ -116,7 +121,7 @@
         job.mark_done(id.index);
         job.successes += 1;
         job.failed_on.clear();
-        job.fail_pause_ms = 0;
+        job.failure_backoff_ms = 0;
         if job.is_complete() {
             self.completed_jobs.insert(job.id.clone());
         }
@@ -127,7 +132,7 @@
     ///
     /// Applies only to the attempt that was settled, since the task may have been placed again, even on
     /// the same machine. Handling an attempt twice would requeue a task that is placed.
-    pub fn settlement_committed(&mut self, machine: &MachineName, attempt: &AttemptId) {
+    pub fn on_settlement_committed(&mut self, machine: &MachineName, attempt: &AttemptId) {
         let Some(machine) = self.machines.get_mut(machine) else { return };
         let AttemptId { task: id, number } = attempt;
         let is_over =
@@ -141,7 +146,7 @@
                 job.requeue(id.index);
             }
         }
-        self.forget_if_finished(&id.job);
+        self.remove_if_finished(&id.job);
     }
 
     /// Removes settled placements that were never stored. Returns whether there were any.
@@ -153,7 +158,7 @@
             // A placement that has been stored meanwhile must be removed from its group first.
             let unstored = placement.filter(|placement| placement.group.is_none());
             if let Some(attempt) = unstored.map(|placement| placement.attempt) {
-                self.settlement_committed(&machine, &AttemptId::new(id, attempt));
+                self.on_settlement_committed(&machine, &AttemptId::new(id, attempt));
             }
         }
         any
@@ -162,11 +167,12 @@
     /// Settles all committed placements on a machine that is certainly gone.
     pub fn settle_machine(&mut self, machine_name: &MachineName) {
         let Some(machine) = self.machines.get(machine_name) else { return };
-        let is_open = |placement: &Placement| {
+        let needs_settlement = |placement: &Placement| {
             placement.settled.is_none() && placement.phase == PlacementPhase::Committed
         };
-        let open = machine.placements.iter().filter(|(_, placement)| is_open(placement));
-        let ids: Vec<TaskId> = open.map(|(id, _)| id.clone()).collect();
+        let unsettled =
+            machine.placements.iter().filter(|(_, placement)| needs_settlement(placement));
+        let ids: Vec<TaskId> = unsettled.map(|(id, _)| id.clone()).collect();
         for id in ids {
             self.settle(machine_name, &id, EndCause::Lost);
         }
--- a/src/storage/cluster/resources.rs
+++ b/src/storage/cluster/resources.rs
@@ -45,12 +45,12 @@
 
     /// Capacity of a machine for services: what is free, and what tasks use that may be preempted by
     /// services.
-    pub fn room_for_services(&self, machine: &Machine) -> Resources {
-        let mut room = self.free(machine);
+    pub fn capacity_for_services(&self, machine: &Machine) -> Resources {
+        let mut capacity = self.free(machine);
         for job in self.jobs_on(machine).filter(|job| !job.is_service()) {
-            room += job.need;
+            capacity += job.need;
         }
-        room
+        capacity
     }
 
     /// The job of each unsettled placement on a machine.
--- a/src/storage/cluster/restore/tests.rs
+++ b/src/storage/cluster/restore/tests.rs
@@ -47,7 +47,7 @@
     store_placement(&mut replica, 0, 2, "n-a", 7);
     let cluster = ClusterState::from_replica(&replica, 100);
     let job = &cluster.jobs["job-1"];
-    assert_eq!((job.done_count, job.waiting(), job.next_waiting()), (1, 2, Some(0)));
+    assert_eq!((job.done_count, job.waiting_tasks(), job.next_waiting_task()), (1, 2, Some(0)));
     assert_eq!(job.chunk_groups.get(&0), Some(&2));
     let machine = &cluster.machines["n-a"];
     assert_eq!(machine.state, MachineState::AwaitingHeartbeat);
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -11,16 +11,19 @@
 #[test]
 fn enough_undelivered_signs_in_a_row_make_a_machine_unreachable_and_a_delivery_ends_it() {
     let mut machine = Machine::new("n-a".into(), 0);
-    assert!(!machine.note_response_delivery(1, false, 1_000, 20_000));
-    assert!(!machine.note_response_delivery(1, true, 2_000, 20_000), "a delivery resets the count");
-    assert!(!machine.note_response_delivery(1, false, 3_000, 20_000));
-    assert!(machine.note_response_delivery(2, false, 5_000, 20_000), "three in a row");
+    assert!(!machine.record_response_delivery(1, false, 1_000, 20_000));
     assert!(
-        !machine.note_response_delivery(0, false, 6_000, 20_000)
+        !machine.record_response_delivery(1, true, 2_000, 20_000),
+        "a delivery resets the count"
+    );
+    assert!(!machine.record_response_delivery(1, false, 3_000, 20_000));
+    assert!(machine.record_response_delivery(2, false, 5_000, 20_000), "three in a row");
+    assert!(
+        !machine.record_response_delivery(0, false, 6_000, 20_000)
             && machine.unreachable_since.is_some(),
         "no further sign, but too early"
     );
-    machine.note_response_delivery(0, false, 30_000, 20_000);
+    machine.record_response_delivery(0, false, 30_000, 20_000);
     assert!(machine.unreachable_since.is_none(), "no further sign for long");
 }
 
@@ -41,13 +44,13 @@
     cluster.settle(&first, &id, EndCause::Lost);
     let key = AttemptId::new(id.clone(), 7);
     cluster.groups.entry(0).or_default().insert(key.clone(), first.clone(), 20);
-    cluster.committed(&first, &key, 0);
+    cluster.on_placement_committed(&first, &key, 0);
     cluster.drop_unstored_settlements();
-    assert_eq!(cluster.jobs[&job].next_waiting(), None, "the group still contains it");
+    assert_eq!(cluster.jobs[&job].next_waiting_task(), None, "the group still contains it");
     assert!(cluster.groups[&0].settled.contains(&key));
-    cluster.settlement_committed(&first, &key);
-    assert_eq!(cluster.jobs[&job].next_waiting(), Some(0));
+    cluster.on_settlement_committed(&first, &key);
+    assert_eq!(cluster.jobs[&job].next_waiting_task(), Some(0));
     cluster.propose(&job, 0, &second, 8, 0);
-    cluster.settlement_committed(&first, &key);
-    assert_eq!(cluster.jobs[&job].next_waiting(), None, "it is placed");
+    cluster.on_settlement_committed(&first, &key);
+    assert_eq!(cluster.jobs[&job].next_waiting_task(), None, "it is placed");
 }
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -36,7 +36,7 @@
 impl GangState {
     /// Records that an attempt is placed, and computes when the next one may be placed if this one fails
     /// before it runs: at once after the first attempt, with exponential backoff after that.
-    pub fn note_attempt(&mut self, now: u64) {
+    pub fn record_attempt(&mut self, now: u64) {
         self.running = false;
         self.attempts = self.attempts.saturating_add(1);
         let doubled = GANG_RETRY_BACKOFF_MS.saturating_mul(1 << (self.attempts - 1).min(16));
@@ -47,13 +47,13 @@
     }
 
     /// Takes back an attempt that was never stored: it does not count for the backoff.
-    pub fn forget_attempt(&mut self) {
+    pub fn undo_attempt(&mut self) {
         self.attempts = self.attempts.saturating_sub(1);
         self.retry_at = 0;
     }
 
     /// Records that a task of the present attempt was seen running.
-    pub fn note_running(&mut self) {
+    pub fn record_running(&mut self) {
         self.running = true;
         self.attempts = 0;
     }
--- a/src/storage/hashing.rs
+++ b/src/storage/hashing.rs
@@ -16,7 +16,7 @@
 pub type HashSet<T> = std::collections::HashSet<T, HashKeys>;
 
 /// Separates the random numbers for the hash keys from the controller's others, which have the same seed.
-const KEY_STREAM: u64 = 0x6861_7368_2d6b_6579;
+const HASH_KEY_SEED_MASK: u64 = 0x6861_7368_2d6b_6579;
 
 /// Keys of SipHash-1-3, the hash function that `std` uses. There is deliberately no `Default`, so that
 /// every map gets the keys of its controller.
@@ -29,7 +29,7 @@
 impl HashKeys {
     /// The hash keys for a controller's seed.
     pub fn from_seed(seed: u64) -> HashKeys {
-        let mut rng = SmallRng::seed_from_u64(seed ^ KEY_STREAM);
+        let mut rng = SmallRng::seed_from_u64(seed ^ HASH_KEY_SEED_MASK);
         HashKeys { first: rng.random(), second: rng.random() }
     }
 
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -17,7 +17,7 @@
 const WORD_TEXT_BYTES: usize = 16;
 
 /// Bytes of the quotes, the colon and the comma around a chunk's name and text in a stored group.
-const CHUNK_FRAME_BYTES: usize = 6;
+const CHUNK_OVERHEAD_BYTES: usize = 6;
 
 /// A task of a job and the machine that it is placed on.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     /// Machines on which a task has failed since a task of the job last succeeded.
     pub failed_on: HashSet<MachineName>,
     /// Length of the last pause after failures, in milliseconds; 0 after a success.
-    pub fail_pause_ms: u64,
+    pub failure_backoff_ms: u64,
     /// Time until which none of its tasks is started.
     pub paused_until: u64,
     /// Number of tasks that completed successfully in this term.
@@ -106,7 +106,7 @@
             placed_on: BTreeMap::new(),
             settling: keys.set(),
             failed_on: keys.set(),
-            fail_pause_ms: 0,
+            failure_backoff_ms: 0,
             paused_until: 0,
             successes: 0,
             has_started: false,
@@ -145,7 +145,7 @@
     }
 
     /// Whether tasks failed on several machines and none has succeeded since.
-    pub fn fails_everywhere(&self) -> bool {
+    pub fn fails_on_several_machines(&self) -> bool {
         self.failed_on.len() >= FAILING_JOB_MACHINES
     }
 
@@ -158,18 +158,18 @@
     }
 
     /// Number of tasks that wait for a machine.
-    pub fn waiting(&self) -> u32 {
+    pub fn waiting_tasks(&self) -> u32 {
         if !self.is_live() || self.quarantined {
             return 0;
         }
         if self.is_gang() {
-            return self.gang_waiting();
+            return self.waiting_gang_tasks();
         }
         self.requeued.len() as u32 + (self.tasks - self.first_never_placed)
     }
 
     /// Number of tasks of a gang that wait for machines: all or none.
-    fn gang_waiting(&self) -> u32 {
+    fn waiting_gang_tasks(&self) -> u32 {
         match self.attempt_is_over() && self.done_count == 0 {
             true => self.tasks,
             false => 0,
@@ -177,7 +177,7 @@
     }
 
     /// The next waiting task.
-    pub fn next_waiting(&self) -> Option<u32> {
+    pub fn next_waiting_task(&self) -> Option<u32> {
         if !self.is_live() || self.quarantined {
             return None;
         }
@@ -187,7 +187,7 @@
     }
 
     /// Removes a task that gets a machine from the waiting tasks.
-    pub(super) fn take_from_waiting(&mut self, index: u32) {
+    pub(super) fn dequeue(&mut self, index: u32) {
         if self.requeued.remove(&index) || index != self.first_never_placed {
             return;
         }
@@ -238,6 +238,6 @@
     pub fn chunk_bytes(&self, chunk: u32) -> usize {
         let tasks = self.tasks.saturating_sub(chunk * DONE_CHUNK_TASKS).min(DONE_CHUNK_TASKS);
         let text_bytes = WORD_TEXT_BYTES * tasks.div_ceil(WORD_TASKS) as usize;
-        chunk_name(&self.id, chunk).len() + text_bytes + CHUNK_FRAME_BYTES
+        chunk_name(&self.id, chunk).len() + text_bytes + CHUNK_OVERHEAD_BYTES
     }
 }
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -183,7 +183,7 @@
     /// Id of the newest heartbeat.
     pub newest_heartbeat: HeartbeatId,
     /// Whether a heartbeat has had the present term as its fencing token.
-    pub has_our_token: bool,
+    pub has_current_token: bool,
     /// When it was last certainly alive. Unlike for [`Machine::last_heartbeat_at`], a heartbeat that may
     /// have been sent before this term and delivered late doesn't count.
     pub last_alive_at: Option<u64>,
@@ -196,9 +196,9 @@
     /// Whether its lease has expired and its placements are settled; false again after a heartbeat.
     pub lease_expired: bool,
     /// Number of consecutive signs that responses do not reach the worker.
-    pub undelivered_signs: u32,
+    pub missed_response_signs: u32,
     /// When the last such sign was found.
-    pub undelivered_sign_at: u64,
+    pub last_missed_response_sign_at: u64,
     /// Since when it is considered unreachable: its heartbeats arrive, but responses do not reach it.
     pub unreachable_since: Option<u64>,
     /// Placements on it, settled ones included until their settlement is committed.
@@ -240,14 +240,14 @@
             up_at: None,
             listed_at: None,
             newest_heartbeat: HeartbeatId::default(),
-            has_our_token: false,
+            has_current_token: false,
             last_alive_at: None,
             last_heartbeat_at: None,
             last_response_at: None,
             reclaim_at: None,
             lease_expired: false,
-            undelivered_signs: 0,
-            undelivered_sign_at: 0,
+            missed_response_signs: 0,
+            last_missed_response_sign_at: 0,
             unreachable_since: None,
             placements: BTreeMap::new(),
             unknown_tasks: BTreeSet::new(),
@@ -279,26 +279,28 @@
 
     /// Records new signs that responses do not reach the worker, or that one was `delivered`. Enough
     /// consecutive signs make the machine unreachable. A delivered response, or no further sign for
-    /// `calm_ms`, ends that. Returns whether the machine has just become unreachable.
-    pub fn note_response_delivery(
+    /// `reset_after_ms`, ends that. Returns whether the machine has just become unreachable.
+    pub fn record_response_delivery(
         &mut self,
-        undelivered_signs: u32,
+        missed_response_signs: u32,
         delivered: bool,
         now: u64,
-        calm_ms: u64,
+        reset_after_ms: u64,
     ) -> bool {
-        let is_calm = self.undelivered_signs > 0 && now > self.undelivered_sign_at + calm_ms;
-        if delivered || (undelivered_signs == 0 && is_calm) {
-            self.undelivered_signs = 0;
+        let is_reset_due = self.missed_response_signs > 0
+            && now > self.last_missed_response_sign_at + reset_after_ms;
+        if delivered || (missed_response_signs == 0 && is_reset_due) {
+            self.missed_response_signs = 0;
             self.unreachable_since = None;
             return false;
         }
-        if undelivered_signs == 0 {
+        if missed_response_signs == 0 {
             return false;
         }
-        self.undelivered_signs += undelivered_signs;
-        self.undelivered_sign_at = now;
-        if self.undelivered_signs < UNREACHABLE_AFTER_SIGNS || self.unreachable_since.is_some() {
+        self.missed_response_signs += missed_response_signs;
+        self.last_missed_response_sign_at = now;
+        if self.missed_response_signs < UNREACHABLE_AFTER_SIGNS || self.unreachable_since.is_some()
+        {
             return false;
         }
         self.unreachable_since = Some(now);
@@ -307,7 +309,7 @@
 
     /// Records that its cache holds an image of `size_gb`, and drops the oldest images that no longer
     /// fit. If `cache_gb` is 0, the size of the cache is not known.
-    pub fn note_image(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
+    pub fn record_image(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
         if self.images.last().is_some_and(|(newest, _)| newest == image) {
             return;
         }
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -54,17 +54,17 @@
     /// The last rebuild of the store.
     pub rebuild: Option<Versioned<RebuildRecord>>,
     /// Revisions of the groups of job ends, by number.
-    end_groups: BTreeMap<u32, u64>,
+    end_group_revisions: BTreeMap<u32, u64>,
     /// Groups of jobs whose state a rebuild could not determine.
     pub flagged: BTreeMap<u32, Versioned<FlaggedJobsRecord>>,
     /// Parts of the list of images in the caches of machines.
     pub images: BTreeMap<u32, Versioned<ImagesRecord>>,
     /// Number of stored placements by job, for the status that users poll.
-    placed: HashMap<JobId, u32>,
+    placed_counts: HashMap<JobId, u32>,
     /// Keys that own commits removed, with the revision of the removal, until the watch has it.
-    removed: HashMap<String, u64>,
+    removed_keys: HashMap<String, u64>,
     /// The first key found that belongs to a layout that this program can't read.
-    pub foreign_key: Option<String>,
+    pub foreign_layout_key: Option<String>,
 }
 
 impl Replica {
@@ -82,12 +82,12 @@
             placement_groups: BTreeMap::new(),
             store: None,
             rebuild: None,
-            end_groups: BTreeMap::new(),
+            end_group_revisions: BTreeMap::new(),
             flagged: BTreeMap::new(),
             images: BTreeMap::new(),
-            placed: keys.map(),
-            removed: keys.map(),
-            foreign_key: None,
+            placed_counts: keys.map(),
+            removed_keys: keys.map(),
+            foreign_layout_key: None,
         }
     }
 
@@ -123,7 +123,9 @@
             Some(Key::Images(part)) => of(self.images.get(&part)),
             Some(Key::Store) => of(self.store.as_ref()),
             Some(Key::Rebuild) => of(self.rebuild.as_ref()),
-            Some(Key::JobEndGroup(group)) => self.end_groups.get(&group).copied().unwrap_or(0),
+            Some(Key::JobEndGroup(group)) => {
+                self.end_group_revisions.get(&group).copied().unwrap_or(0)
+            }
             Some(Key::FlaggedJobs(group)) => of(self.flagged.get(&group)),
             None => 0,
         }
@@ -131,7 +133,7 @@
 
     /// Whether a key that only leaders write has this value. Compares only the stage of a job's end, and
     /// takes every catalog as equal.
-    pub fn holds(&self, key: &str, data: &RawValue) -> bool {
+    pub fn has_value(&self, key: &str, data: &RawValue) -> bool {
         fn same<T: DeserializeOwned + PartialEq>(
             held: Option<&Versioned<T>>,
             data: &RawValue,
@@ -160,8 +162,8 @@
     }
 
     /// Number of stored placements of a job.
-    pub fn placed(&self, id: &str) -> u32 {
-        self.placed.get(id).copied().unwrap_or(0)
+    pub fn placed_task_count(&self, id: &str) -> u32 {
+        self.placed_counts.get(id).copied().unwrap_or(0)
     }
 
     /// The done tasks of a live job.
--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -53,13 +53,13 @@
         }
         self.revision = reached.max(changes.revision);
         let reached = self.revision;
-        self.removed.retain(|_, removed_at| *removed_at > reached);
+        self.removed_keys.retain(|_, removed_at| *removed_at > reached);
         changed
     }
 
     fn apply_event(&mut self, event: &WatchEvent) -> Vec<JobId> {
         if let (Some(key), Some(data)) = (&event.put_key, &event.value) {
-            let removed_at = self.removed.get(key);
+            let removed_at = self.removed_keys.get(key);
             if removed_at.is_some_and(|removed_at| *removed_at >= event.mod_revision) {
                 return Vec::new();
             }
@@ -73,8 +73,8 @@
 
     /// Applies a put, unless it is older than the value in the replica. Returns the jobs that changed.
     pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<JobId> {
-        if is_foreign_layout(key) && self.foreign_key.is_none() {
-            self.foreign_key = Some(key.to_string());
+        if is_foreign_layout(key) && self.foreign_layout_key.is_none() {
+            self.foreign_layout_key = Some(key.to_string());
         }
         if self.mod_revision(key) >= mod_revision {
             return Vec::new();
@@ -87,8 +87,8 @@
             Some(Key::Shares) => self.shares = stored.read_versioned(),
             Some(Key::Store) => self.store = stored.read_versioned(),
             Some(Key::Rebuild) => self.rebuild = stored.read_versioned(),
-            Some(Key::DoneTasks(group)) => self.done_groups.extend(numbered(group, &stored)),
-            Some(Key::Images(part)) => self.images.extend(numbered(part, &stored)),
+            Some(Key::DoneTasks(group)) => self.done_groups.extend(read_numbered(group, &stored)),
+            Some(Key::Images(part)) => self.images.extend(read_numbered(part, &stored)),
             Some(Key::Placements(group)) => self.write_placement_group(group, &stored),
             Some(Key::Batch(_) | Key::GangBatch(_)) => return self.write_batch(&stored),
             Some(Key::JobEnd(id)) => return self.write_end(id, &stored),
@@ -101,9 +101,9 @@
 
     fn write_placement_group(&mut self, group: u32, stored: &StoredValue<'_>) {
         let Some(record) = stored.read_versioned::<PlacementsRecord>() else { return };
-        self.count_placed(&record.value, 1);
+        self.add_to_placed_counts(&record.value, 1);
         if let Some(previous) = self.placement_groups.insert(group, record) {
-            self.count_placed(&previous.value, -1);
+            self.add_to_placed_counts(&previous.value, -1);
         }
     }
 
@@ -123,7 +123,7 @@
 
     fn write_end_group(&mut self, group: u32, stored: &StoredValue<'_>) -> Vec<JobId> {
         let record: JobEndGroupRecord = stored.read().unwrap_or_default();
-        self.end_groups.insert(group, stored.mod_revision);
+        self.end_group_revisions.insert(group, stored.mod_revision);
         let ends = record.ends.into_iter();
         ends.map(|(id, end)| self.apply_end(&id, end, stored.mod_revision)).collect()
     }
@@ -208,7 +208,7 @@
             return;
         }
         if mod_revision > self.revision {
-            self.removed.insert(key.to_string(), mod_revision);
+            self.removed_keys.insert(key.to_string(), mod_revision);
         }
         match parse_key(key) {
             Some(Key::Leader) => self.leader = None,
@@ -223,7 +223,7 @@
             Some(Key::Images(part)) => drop(self.images.remove(&part)),
             Some(Key::Placements(group)) => {
                 if let Some(previous) = self.placement_groups.remove(&group) {
-                    self.count_placed(&previous.value, -1);
+                    self.add_to_placed_counts(&previous.value, -1);
                 }
             }
             // Job ends are never removed.
@@ -243,20 +243,20 @@
     }
 
     /// Adds `change` to the number of stored placements of a job, for each placement of a record.
-    fn count_placed(&mut self, record: &PlacementsRecord, change: i64) {
+    fn add_to_placed_counts(&mut self, record: &PlacementsRecord, change: i64) {
         for placement in record.placements() {
             let id = placement.job_id();
-            let count = self.placed.entry(id.clone()).or_default();
+            let count = self.placed_counts.entry(id.clone()).or_default();
             *count = (i64::from(*count) + change).max(0) as u32;
             if *count == 0 {
-                self.placed.remove(&id);
+                self.placed_counts.remove(&id);
             }
         }
     }
 }
 
 /// Parses a value and adds the number of its key; `None` if the value is malformed.
-fn numbered<T: DeserializeOwned>(
+fn read_numbered<T: DeserializeOwned>(
     number: u32,
     stored: &StoredValue<'_>,
 ) -> Option<(u32, Versioned<T>)> {
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -28,7 +28,7 @@
     replica.apply(&new);
     replica.apply(&old);
     assert_eq!(replica.placement_groups[&0].value, none);
-    assert_eq!((replica.revision, replica.placed("job-1")), (9, 0));
+    assert_eq!((replica.revision, replica.placed_task_count("job-1")), (9, 0));
 }
 
 #[test]
@@ -38,10 +38,10 @@
     replica.remove(&placements_key(0), 6);
     replica.apply(&WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
     assert!(replica.placement_groups.is_empty(), "the write at 4 is older than the removal at 6");
-    assert_eq!(replica.placed("job-1"), 0);
+    assert_eq!(replica.placed_task_count("job-1"), 0);
     replica.apply(&WatchResponse { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
     assert_eq!(
-        (replica.placement_groups.len(), replica.placed("job-1")),
+        (replica.placement_groups.len(), replica.placed_task_count("job-1")),
         (1, 1),
         "a later write is applied"
     );
--- a/src/storage/reservation.rs
+++ b/src/storage/reservation.rs
@@ -22,7 +22,7 @@
 /// A slot that a waiting task is expected to use later. It is advisory: it does not reduce what is
 /// free now, but is considered when later starts of other tasks are planned.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Claim {
+pub struct Reservation {
     /// Expected start of the task.
     pub start_ms: u64,
     /// Expected end of the task.
@@ -31,7 +31,7 @@
     pub need: Resources,
 }
 
-impl Claim {
+impl Reservation {
     fn covers(&self, time_ms: u64) -> bool {
         self.start_ms <= time_ms && time_ms < self.end_ms
     }
@@ -49,7 +49,7 @@
     /// Running tasks.
     pub buckets: Vec<Bucket>,
     /// Slots that waiting tasks are expected to use.
-    pub claims: Vec<Claim>,
+    pub reservations: Vec<Reservation>,
     /// The times at which resources may become free, in order: all ends of the above.
     pub change_times_ms: Vec<u64>,
 }
@@ -59,12 +59,14 @@
     /// run then and with all reservations.
     pub fn fits_later(&self, start_ms: u64, length_ms: u64, need: &Resources) -> bool {
         let end_ms = start_ms + length_ms;
-        self.unclaimed_at(start_ms).fits(need)
+        self.unreserved_at(start_ms).fits(need)
             && self
-                .claims
+                .reservations
                 .iter()
-                .filter(|claim| claim.start_ms > start_ms && claim.start_ms < end_ms)
-                .all(|claim| self.unclaimed_at(claim.start_ms).fits(need))
+                .filter(|reservation| {
+                    reservation.start_ms > start_ms && reservation.start_ms < end_ms
+                })
+                .all(|reservation| self.unreserved_at(reservation.start_ms).fits(need))
     }
 
     /// Resources that are free at a time from now on, if no further task is added. Ignores reservations.
@@ -77,10 +79,12 @@
     }
 
     /// Resources that are free and not reserved at a time from now on.
-    fn unclaimed_at(&self, time_ms: u64) -> Resources {
+    fn unreserved_at(&self, time_ms: u64) -> Resources {
         let mut free = self.free_at(time_ms);
-        for claim in self.claims.iter().filter(|claim| claim.covers(time_ms)) {
-            free -= claim.need;
+        for reservation in
+            self.reservations.iter().filter(|reservation| reservation.covers(time_ms))
+        {
+            free -= reservation.need;
         }
         free
     }
@@ -89,24 +93,24 @@
     pub fn add(&mut self, bucket: Bucket) {
         self.free -= bucket.need;
         self.bandwidth_demand += bucket.bandwidth;
-        self.note_change(bucket.end_ms);
+        self.add_change_time(bucket.end_ms);
         self.buckets.push(bucket);
     }
 
     /// Reserves a slot for a waiting task.
-    pub fn claim(&mut self, start_ms: u64, length_ms: u64, need: Resources) {
+    pub fn reserve(&mut self, start_ms: u64, length_ms: u64, need: Resources) {
         let end_ms = start_ms + length_ms;
-        self.note_change(end_ms);
-        self.claims.push(Claim { start_ms, end_ms, need });
+        self.add_change_time(end_ms);
+        self.reservations.push(Reservation { start_ms, end_ms, need });
     }
 
     /// Changes the estimated end of a running task.
-    pub fn end_at(&mut self, bucket: usize, end_ms: u64) {
-        self.note_change(end_ms);
+    pub fn set_end(&mut self, bucket: usize, end_ms: u64) {
+        self.add_change_time(end_ms);
         self.buckets[bucket].end_ms = end_ms;
     }
 
-    fn note_change(&mut self, time_ms: u64) {
+    fn add_change_time(&mut self, time_ms: u64) {
         if let Err(position) = self.change_times_ms.binary_search(&time_ms) {
             self.change_times_ms.insert(position, time_ms);
         }
--- a/src/storage/reservation/tests.rs
+++ b/src/storage/reservation/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(row.penalized_ms(0, 5_000, 1.0), 500.0);
     assert_eq!(row.penalized_ms(1_000, 1_000, 1.0), 0.0);
     assert_eq!(row.free_at(1_000).cpu, 7_000);
-    row.claim(3_000, 500, need);
-    row.end_at(1, 2_000);
+    row.reserve(3_000, 500, need);
+    row.set_end(1, 2_000);
     assert_eq!(row.change_times_ms, vec![1_000, 2_000, 3_000, 3_500]);
 }
--- a/src/storage/token_bucket.rs
+++ b/src/storage/token_bucket.rs
@@ -36,11 +36,11 @@
         self.tokens = (self.tokens + elapsed_s * self.per_s).min(self.burst);
     }
 
-    /// Takes `tokens` if at least `keep` remain after that. Returns whether it has taken them.
-    pub fn take(&mut self, tokens: f64, keep: f64, now: u64) -> bool {
+    /// Takes `tokens` if at least `reserve` remain after that. Returns whether it has taken them.
+    pub fn try_take(&mut self, tokens: f64, reserve: f64, now: u64) -> bool {
         self.refill(now);
         // Without this, a request for more than the burst could never succeed.
-        if self.tokens - tokens >= keep || self.tokens >= self.burst - ROUNDING {
+        if self.tokens - tokens >= reserve || self.tokens >= self.burst - ROUNDING {
             self.tokens -= tokens;
             return true;
         }
@@ -48,7 +48,7 @@
     }
 
     /// Number of tokens now; negative after a request for more than there were.
-    pub fn left(&mut self, now: u64) -> f64 {
+    pub fn available(&mut self, now: u64) -> f64 {
         self.refill(now);
         self.tokens
     }
