--- a/crates/mountgap-records/src/records/tests.rs
+++ b/crates/mountgap-records/src/records/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn keys_are_taken_apart_as_they_are_made() {
+fn keys_are_parsed_as_they_are_built() {
     assert_eq!(parse_key(&batch_key("1-2")), Some(Key::Batch("1-2")));
     assert_eq!(parse_key(&job_end_key("job-1")), Some(Key::JobEnd("job-1")));
     assert_eq!(parse_key(&done_tasks_key(3)), Some(Key::DoneTasks(3)));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn placements_survive_their_text_form_and_nonsense_is_left_out() {
+fn placements_survive_their_text_form_and_malformed_ones_are_skipped() {
     let text =
         StoredPlacement::text("job-000412", 99_999, "n-1#odd", 7 << 26).expect("can be written");
     let rec = PlacementsRecord { tasks: format!("nonsense {text} 1/2@x") };
--- a/src/storage/cluster/gangs/tests.rs
+++ b/src/storage/cluster/gangs/tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_gang_that_is_stored_whole_goes_on_and_one_that_is_not_is_stopped() {
+fn a_completely_stored_gang_continues_and_an_incomplete_one_is_stopped() {
     let whole = ClusterState::from_replica(&replica(4, 4), 0);
     assert_eq!(stop_reasons(&whole), vec![None; 4]);
     let part = ClusterState::from_replica(&replica(4, 3), 0);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_next_attempt_waits_until_the_last_is_out_of_the_store() {
+fn the_next_attempt_waits_until_all_settlements_of_the_last_one_are_committed() {
     let mut cluster = ClusterState::from_replica(&replica(2, 2), 0);
     assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 0);
     settle(&mut cluster, 0, EndCause::Lost, true);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn one_task_that_is_done_shows_that_all_are() {
+fn a_done_task_marks_all_tasks_of_its_gang_as_done() {
     let mut cluster = ClusterState::from_replica(&replica(4, 4), 0);
     settle(&mut cluster, 2, EndCause::Done, false);
     assert!(cluster.jobs[&job_id()].is_complete());
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_stop_that_saves_is_not_cut_short_by_the_first_task_that_has_saved() {
+fn an_eviction_is_kept_when_the_first_task_has_saved() {
     let mut cluster = ClusterState::from_replica(&replica(4, 4), 0);
     cluster.stop_gang(&job_id(), StopReason::Eviction);
     settle(&mut cluster, 1, EndCause::Halted, true);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_gang_that_is_cancelled_stops_and_starts_no_more() {
+fn a_cancelled_gang_is_stopped_and_removed() {
     let mut replica = replica(2, 2);
     let mut cluster = ClusterState::from_replica(&replica, 0);
     let end = JobEndRecord { at: 0, stage: JobStage::Cancelled, tasks: 2, done: 0 };
--- a/src/storage/cluster/restore/tests.rs
+++ b/src/storage/cluster/restore/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_task_that_is_stored_twice_on_a_machine_is_placed_once_and_the_other_taken_out() {
+fn of_two_stored_placements_of_a_task_on_a_machine_one_is_removed() {
     let mut replica = replica_with_a_job();
     store_placement(&mut replica, 0, 0, "n-a", 7);
     store_placement(&mut replica, 1, 0, "n-a", 8);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_waits_is_neither_placed_nor_done_and_a_done_task_is_stopped() {
+fn unplaced_tasks_wait_and_a_placed_task_that_is_done_is_stopped() {
     let mut replica = replica_with_a_job();
     store_placement(&mut replica, 0, 2, "n-a", 7);
     let cluster = ClusterState::from_replica(&replica, 100);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn images_of_the_last_term_are_known_once_their_machine_is() {
+fn stored_images_are_assigned_once_their_machine_is_known() {
     let mut replica = replica_with_a_job();
     let mut record = ImagesRecord { images: vec![("img".into(), 1.5)], ..Default::default() };
     record.held.insert("n-b".into(), vec![0, 9]);
--- a/src/storage/gangs/tests.rs
+++ b/src/storage/gangs/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn attempts_that_fail_before_they_run_are_placed_less_and_less_often() {
+fn attempts_that_fail_before_they_run_are_retried_with_growing_delay() {
     let mut gang = GangState::default();
     gang.record_attempt(1_000);
     assert_eq!(gang.retry_at, 1_000, "the second attempt has no delay");
--- a/src/storage/limits/tests.rs
+++ b/src/storage/limits/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn sizes_keep_to_the_limits_to_come_and_rates_go_down_once_refused() {
+fn announced_limits_apply_to_sizes_at_once_and_to_rates_after_a_rejection() {
     let next =
         NextStateLimits { rps: None, write_rps: Some(18.0), value_kb: Some(2.0), txn_ops: Some(5) };
     let mut limits = StoreLimits::new(&settings(Some(next)));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn without_limits_to_come_all_stays_as_the_settings_say() {
+fn without_announced_limits_the_settings_stay_in_force() {
     let mut limits = StoreLimits::new(&settings(None));
     assert_eq!((limits.value_bytes, limits.transaction_ops), (8_192, 16));
     assert!(!limits.lower_rates());
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn larger_limits_to_come_change_nothing() {
+fn larger_announced_limits_change_nothing() {
     let next = NextStateLimits { value_kb: Some(16.0), txn_ops: Some(64), ..Default::default() };
     let limits = StoreLimits::new(&settings(Some(next)));
     assert_eq!((limits.value_bytes, limits.transaction_ops), (8_192, 16));
 }
 
 #[test]
-fn sizes_are_halved_down_to_what_the_stored_forms_need() {
+fn sizes_are_halved_down_to_the_minimum() {
     let mut limits = StoreLimits::new(&settings(None));
     (0..20).for_each(|_| limits.halve_sizes());
     assert_eq!(limits.value_bytes, STORE_VALUE_BYTES_MIN);
--- a/src/storage/placement_group/tests.rs
+++ b/src/storage/placement_group/tests.rs
@@ -4,7 +4,7 @@
 use crate::storage::machine::TaskId;
 
 #[test]
-fn a_group_counts_the_bytes_of_its_placements_and_knows_what_was_settled() {
+fn a_group_counts_the_bytes_of_its_placements_and_records_settled_ones() {
     let attempt = |index, number| AttemptId::new(TaskId::new("job-1".into(), index), number);
     let (first, second) = (attempt(0, 7), attempt(1, 7));
     let mut group = PlacementGroup::new(4);
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_older_answer_that_comes_late_changes_nothing() {
+fn a_late_response_of_an_older_revision_changes_nothing() {
     let mut replica = Replica::new(HashKeys::from_seed(1));
     let none = PlacementsRecord::default();
     let new = WatchResponse { revision: 9, events: vec![put(placements_key(0), &none, 8)] };
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn jobs_of_one_commit_have_arrival_numbers_of_their_own() {
+fn jobs_of_one_commit_have_distinct_arrival_numbers() {
     // Guards against equal arrival numbers in two batches of one commit: of two jobs with the same
     // number, only one would ever be placed.
     let mut replica = Replica::new(HashKeys::from_seed(1));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn of_a_job_in_two_batches_the_first_counts_in_whatever_order_they_are_read() {
+fn of_a_job_in_two_batches_the_earlier_counts_in_any_read_order() {
     let end = JobEndRecord { at: 5, stage: JobStage::Done, tasks: 3, done: 3 };
     let all = [
         (batch_key("a"), raw_json(&batch_of("job-1", 3)), 4),
--- a/src/storage/token_bucket/tests.rs
+++ b/src/storage/token_bucket/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_bucket_gives_its_rate_and_no_more() {
+fn a_bucket_allows_its_burst_and_rate_and_no_more() {
     let mut bucket = TokenBucket::new(10.0, 0);
     let mut given = 0;
     for ms in 0..2_000 {
