--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Settles the known placement of a task that runs elsewhere with another attempt, if that proves the
-    /// placement over. Attempt numbers increase, and the next attempt is placed only once the settlement
-    /// of the last one is committed: so a higher number proves that the known attempt is over.
+    /// Settles the known placement of a task that runs with another attempt, if that proves the known
+    /// attempt over. Attempt numbers increase, and an attempt is placed only once the settlement of the
+    /// previous one is committed, so a higher number is such a proof.
     fn settle_earlier_attempt(&mut self, machine: &MachineName, attempt: &AttemptId) -> Adoption {
         let id = &attempt.task;
         let is_earlier = self.placement(machine, id).is_some_and(|placement| {
