--- a/src/storage/cluster/gangs.rs
+++ b/src/storage/cluster/gangs.rs
@@ -13,15 +13,15 @@
         if job.attempt_is_over() {
             return GangPhase::Unplaced;
         }
-        let all = job.placed_on.len() == job.tasks as usize;
-        let any = |test: &dyn Fn(&Placement) -> bool| self.placements_of(job).any(test);
-        if !all || any(&|placement| placement.stop_reason.is_some()) {
+        let all_placed = job.placed_on.len() == job.tasks as usize;
+        let any_placement = |test: &dyn Fn(&Placement) -> bool| self.placements_of(job).any(test);
+        if !all_placed || any_placement(&|placement| placement.stop_reason.is_some()) {
             return GangPhase::Stopping;
         }
-        if any(&|placement| placement.phase == PlacementPhase::Proposed) {
+        if any_placement(&|placement| placement.phase == PlacementPhase::Proposed) {
             return GangPhase::Storing;
         }
-        if any(&|placement| placement.running_since.is_none()) {
+        if any_placement(&|placement| placement.running_since.is_none()) {
             return GangPhase::Assembling;
         }
         GangPhase::Running
@@ -37,9 +37,12 @@
         now: u64,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
-        let whole = job.waiting_tasks() == job.tasks && machines.len() == job.tasks as usize;
-        let known = machines.iter().all(|name| self.machines.contains_key(name));
-        let Some(gang) = job.gang.as_mut().filter(|_| whole && known) else { return false };
+        let has_machine_per_task =
+            job.waiting_tasks() == job.tasks && machines.len() == job.tasks as usize;
+        let all_known = machines.iter().all(|name| self.machines.contains_key(name));
+        let Some(gang) = job.gang.as_mut().filter(|_| has_machine_per_task && all_known) else {
+            return false;
+        };
         gang.record_attempt(now);
         for (index, machine) in machines.iter().enumerate() {
             self.propose(id, index as u32, machine, attempt, now);
--- a/src/storage/cluster/gangs/tests.rs
+++ b/src/storage/cluster/gangs/tests.rs
@@ -49,10 +49,10 @@
 
 #[test]
 fn a_completely_stored_gang_continues_and_an_incomplete_one_is_stopped() {
-    let whole = ClusterState::from_replica(&replica(4, 4), 0);
-    assert_eq!(stop_reasons(&whole), vec![None; 4]);
-    let part = ClusterState::from_replica(&replica(4, 3), 0);
-    assert_eq!(stop_reasons(&part), vec![Some(StopReason::NotNeeded); 3]);
+    let complete = ClusterState::from_replica(&replica(4, 4), 0);
+    assert_eq!(stop_reasons(&complete), vec![None; 4]);
+    let incomplete = ClusterState::from_replica(&replica(4, 3), 0);
+    assert_eq!(stop_reasons(&incomplete), vec![Some(StopReason::NotNeeded); 3]);
 }
 
 #[test]
@@ -66,8 +66,8 @@
     assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 0, "the settlement is not committed yet");
     let machines: Vec<MachineName> = vec!["n-a".into(), "n-b".into()];
     assert!(!cluster.propose_gang(&job_id(), &machines, 8, 0));
-    let on: MachineName = "n-b".into();
-    cluster.on_settlement_committed(&on, &AttemptId::new(TaskId::new(job_id(), 1), 7));
+    let last_machine: MachineName = "n-b".into();
+    cluster.on_settlement_committed(&last_machine, &AttemptId::new(TaskId::new(job_id(), 1), 7));
     assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 2);
     assert!(!cluster.propose_gang(&job_id(), &machines[..1], 8, 0), "too few machines");
     assert!(cluster.propose_gang(&job_id(), &machines, 8, 0));
--- a/src/storage/reservation.rs
+++ b/src/storage/reservation.rs
@@ -140,11 +140,11 @@
     /// The ends of the shared windows between two times, in order.
     fn window_ends(&self, start_ms: u64, end_ms: u64) -> Vec<u64> {
         let ends_ms = self.buckets.iter().map(|bucket| bucket.end_ms);
-        let mut cuts: Vec<u64> =
-            ends_ms.filter(|cut_ms| *cut_ms > start_ms && *cut_ms < end_ms).collect();
-        cuts.push(end_ms);
-        cuts.sort_unstable();
-        cuts
+        let mut window_ends_ms: Vec<u64> =
+            ends_ms.filter(|time_ms| *time_ms > start_ms && *time_ms < end_ms).collect();
+        window_ends_ms.push(end_ms);
+        window_ends_ms.sort_unstable();
+        window_ends_ms
     }
 }
 
