--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -6,7 +6,7 @@
 //! listed again and compared with the image from before the suspicion.
 
 use super::phase::RecoveryPhase;
-use crate::constants::KEY_FAMILY;
+use crate::constants::KEY_NAMESPACE;
 use crate::coordination::Controller;
 use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::storage::records::{RebuildPhase, RebuildRecord};
@@ -81,7 +81,7 @@
 
     /// Adds a listed key to the image.
     pub(in crate::coordination) fn record_item(&mut self, item: &KeyValue) {
-        if self.recovery.is_enabled() && item.key.starts_with(KEY_FAMILY) {
+        if self.recovery.is_enabled() && item.key.starts_with(KEY_NAMESPACE) {
             let epoch = self.store.epoch();
             self.recovery.record_value(&item.key, item.mod_revision, item.value.get(), epoch);
         }
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -14,7 +14,7 @@
 /// Whether it is known which tasks a machine runs: its worker has sent our fencing token, or the machine no
 /// longer runs any.
 fn is_reconciled(machine: &Machine) -> bool {
-    machine.has_our_token || machine.failed || machine.state == MachineState::Terminated
+    machine.has_current_token || machine.failed || machine.state == MachineState::Terminated
 }
 
 impl Controller {
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -72,7 +72,7 @@
         if let Some(reason) = self.gang_wait_reason(leader, job) {
             return Some(reason);
         }
-        if job.waiting() == 0 {
+        if job.waiting_tasks() == 0 {
             return None;
         }
         let reserved = leader.reservation.as_ref().filter(|(uid, _)| *uid == job.id);
@@ -120,6 +120,6 @@
         let min_tasks = if job.is_gang() { i64::from(job.tasks) } else { 1 };
         let mut usage = leader.cluster.usage.get(&spec.team).copied().unwrap_or_default();
         usage += job.need * min_tasks;
-        !usage.under(&limit)
+        !usage.is_within(&limit)
     }
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -6,7 +6,9 @@
 use super::Resources;
 use serde::{Deserialize, Serialize};
 
-pub use mountgap_records::job::{valid_uid, JobKind, JobSpec, Priority, TASKS_MAX, UID_PREFIX};
+pub use mountgap_records::job::{
+    is_valid_job_id, JobKind, JobSpec, Priority, JOB_ID_PREFIX, TASKS_MAX,
+};
 
 /// Maximum length in bytes of the name of a class, team, image, machine type or zone.
 const NAME_MAX: usize = 100;
@@ -85,7 +87,7 @@
         let object = fields.as_object().ok_or(SubmissionError::NotAnObject)?;
         let job_id = object.get("uid").and_then(|job_id| job_id.as_str());
         let job_id = job_id.ok_or(FieldProblem::NotAString.in_field("uid"))?.to_string();
-        if !valid_uid(&job_id) {
+        if !is_valid_job_id(&job_id) {
             return Err(FieldProblem::NotAJobId.in_field("uid"));
         }
         Ok(Submission { job_id, fields })
--- a/src/storage/cluster/gangs.rs
+++ b/src/storage/cluster/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs among the jobs: attempts are placed whole and stopped whole.
+//! Gangs: all tasks of an attempt are placed together and stopped together.
 
 use super::ClusterState;
 use crate::protocol::workers::EndCause;
@@ -8,27 +8,27 @@
 use crate::storage::records::{JobId, MachineName};
 
 impl ClusterState {
-    /// Where a gang stands.
+    /// The phase of a gang.
     pub fn gang_phase(&self, job: &Job) -> GangPhase {
         if job.attempt_is_over() {
             return GangPhase::Unplaced;
         }
-        let all = job.placed_on.len() == job.tasks as usize;
-        let any = |test: &dyn Fn(&Placement) -> bool| self.placements_of(job).any(test);
-        if !all || any(&|placement| placement.stop_reason.is_some()) {
+        let all_placed = job.placed_on.len() == job.tasks as usize;
+        let any_placement = |test: &dyn Fn(&Placement) -> bool| self.placements_of(job).any(test);
+        if !all_placed || any_placement(&|placement| placement.stop_reason.is_some()) {
             return GangPhase::Stopping;
         }
-        if any(&|placement| placement.phase == PlacementPhase::Proposed) {
+        if any_placement(&|placement| placement.phase == PlacementPhase::Proposed) {
             return GangPhase::Storing;
         }
-        if any(&|placement| placement.running_since.is_none()) {
+        if any_placement(&|placement| placement.running_since.is_none()) {
             return GangPhase::Assembling;
         }
         GangPhase::Running
     }
 
-    /// Proposes an attempt of a gang: task by task on the machines given. Nothing is proposed
-    /// unless all its tasks wait and each gets a machine.
+    /// Proposes an attempt of a gang, with the task of each index on the machine of the same index.
+    /// Proposes nothing and returns false unless all tasks wait and there is a machine for each.
     pub fn propose_gang(
         &mut self,
         id: &JobId,
@@ -37,17 +37,21 @@
         now: u64,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
-        let whole = job.waiting() == job.tasks && machines.len() == job.tasks as usize;
-        let known = machines.iter().all(|name| self.machines.contains_key(name));
-        let Some(gang) = job.gang.as_mut().filter(|_| whole && known) else { return false };
-        gang.note_attempt(now);
+        let has_machine_per_task =
+            job.waiting_tasks() == job.tasks && machines.len() == job.tasks as usize;
+        let all_known = machines.iter().all(|name| self.machines.contains_key(name));
+        let Some(gang) = job.gang.as_mut().filter(|_| has_machine_per_task && all_known) else {
+            return false;
+        };
+        gang.record_attempt(now);
         for (index, machine) in machines.iter().enumerate() {
             self.propose(id, index as u32, machine, attempt, now);
         }
         true
     }
 
-    /// Stops all tasks of a gang. Those that have been told to save are left to it.
+    /// Stops all tasks of a gang. Tasks that are being stopped already keep their reason, so that a task
+    /// can finish its checkpoint.
     pub fn stop_gang(&mut self, id: &JobId, reason: StopReason) {
         let Some(job) = self.jobs.get(id) else { return };
         for task in job.placed_tasks() {
@@ -58,9 +62,9 @@
         }
     }
 
-    /// Evidence has settled a task of a gang. One that is done shows that all are; with any other
-    /// end the attempt is over.
-    pub(super) fn gang_task_settled(&mut self, id: &JobId, cause: EndCause) {
+    /// Handles the settlement of a task of a gang. If it is done, all tasks of the gang are; any other
+    /// cause ends the attempt.
+    pub(super) fn on_gang_task_settled(&mut self, id: &JobId, cause: EndCause) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else {
             return;
         };
@@ -78,7 +82,7 @@
         }
     }
 
-    /// Stops gangs of which the store has only a part: an earlier leader has seen a task gone.
+    /// Stops gangs of which only a part is in the store: an earlier leader has settled some of the tasks.
     pub fn stop_incomplete_gangs(&mut self) {
         let incomplete = |job: &&Job| {
             job.is_gang() && !job.attempt_is_over() && job.placed_on.len() < job.tasks as usize
