--- a/tests/fairness.rs
+++ b/tests/fairness.rs
@@ -1,10 +1,10 @@
 //! Who is served when there is more work than room: every class, every team and the largest jobs
 //! of each class get their part. One scenario for each reading, asserted by the world's rules.
 
-mod world;
+mod simulation;
 
 use serde_json::json;
-use world::*;
+use simulation::*;
 
 const JOBS: u64 = 200;
 const GAP_MS: u64 = 2_000;
@@ -13,49 +13,50 @@
 type Kind = fn(u64) -> (&'static str, &'static str, u32, &'static str);
 
 /// Work that comes faster than the fleet can run it, and goes on coming.
-fn overloaded(kind: Kind) -> World {
-    let mut w = World::new(3);
-    w.until(10_000, "a leader", |w| w.leader().is_some());
-    w.run(3_000);
+fn overloaded(kind: Kind) -> Simulation {
+    let mut sim = Simulation::new(3);
+    sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
+    sim.run(3_000);
     for n in 1..=JOBS {
         let (class, team, tasks, priority) = kind(n);
-        let mut spec = w.spec(n, "batch", tasks);
+        let mut spec = sim.job_spec(n, "batch", tasks);
         spec["duty"] = json!(class);
         spec["crew"] = json!(team);
         spec["rank"] = json!(priority);
         spec["due_s"] = json!(30.0);
-        w.submit(spec, 9_000, n as usize % 3);
-        w.run(GAP_MS);
+        sim.submit(spec, 9_000, n as usize % 3);
+        sim.run(GAP_MS);
     }
-    let waiting = w.jobs.values().filter(|j| j.accepted_at.is_some() && j.begun_at.is_none());
+    let waiting =
+        sim.jobs.values().filter(|j| j.accepted_at.is_some() && j.first_started_at.is_none());
     assert!(waiting.count() > 0, "there is more work than room");
-    w
+    sim
 }
 
 #[test]
 fn half_of_each_class_is_served_whatever_their_priorities() {
-    let w = overloaded(|n| match n % 3 {
+    let sim = overloaded(|n| match n % 3 {
         0 => ("urgent", "blue", 12, "high"),
         1 => ("usual", "blue", 8, "standard"),
         _ => ("leftover", "blue", 8, "best_effort"),
     });
-    w.assert_all_kinds_are_served("three classes");
+    sim.assert_fair_service("three classes");
 }
 
 #[test]
 fn half_of_each_team_is_served_though_one_asks_for_much_more() {
-    let w = overloaded(|n| match n % 6 {
+    let sim = overloaded(|n| match n % 6 {
         0 => ("plain", "red", 6, "standard"),
         _ => ("plain", "blue", 11, "high"),
     });
-    w.assert_all_kinds_are_served("two teams");
+    sim.assert_fair_service("two teams");
 }
 
 #[test]
 fn the_largest_jobs_of_a_class_are_served_under_a_stream_of_small_ones() {
-    let w = overloaded(|n| match n % 8 {
+    let sim = overloaded(|n| match n % 8 {
         2 => ("mixed", "blue", 60, "standard"),
         _ => ("mixed", "blue", 9, "high"),
     });
-    w.assert_all_kinds_are_served("large among small");
+    sim.assert_fair_service("large among small");
 }
--- a/tests/measure_rebuild.rs
+++ b/tests/measure_rebuild.rs
@@ -2,33 +2,33 @@
 //!
 //!     cargo test --release --test measure_rebuild -- --ignored --nocapture
 
-mod world;
+mod simulation;
 
 use mountgap_recovery::image::{StoreId, StoreImage};
 use mountgap_recovery::merged_state::MergedState;
 use mountgap_recovery::snapshot::{encode, SnapshotHeader};
 use mountgap_recovery::write_back::{DesiredState, TransactionLimits};
+use simulation::*;
 use std::time::Instant;
-use world::*;
 
 /// A world in which so many machines run tasks; gives the time of the loss.
-fn loses_all(machines: usize) -> (World, u64) {
-    let mut w = World::fleet(1, machines);
-    w.operator.recovery.enabled = true;
-    w.until(60_000, "a leader", |w| w.leader().is_some());
+fn loses_all(machines: usize) -> (Simulation, u64) {
+    let mut sim = Simulation::with_machines(1, machines);
+    sim.operator.recovery.enabled = true;
+    sim.run_until(60_000, "a leader", |sim| sim.leader().is_some());
     let jobs = (machines / 8).max(1) as u64;
     for n in 1..=jobs {
-        let mut job = w.spec(n, "batch", 16);
+        let mut job = sim.job_spec(n, "batch", 16);
         job["crew"] = "blue".into();
-        w.submit(job, 600_000, (n % 3) as usize);
-        w.run(10);
+        sim.submit(job, 600_000, (n % 3) as usize);
+        sim.run(10);
     }
     let tasks = jobs as usize * 16;
-    w.until(600_000, "all run", |w| w.running() >= tasks);
-    w.run(3_000);
-    w.state.wipe();
-    let at = w.now;
-    (w, at)
+    sim.run_until(600_000, "all run", |sim| sim.running_tasks() >= tasks);
+    sim.run(3_000);
+    sim.state.wipe();
+    let at = sim.now;
+    (sim, at)
 }
 
 #[test]
@@ -36,24 +36,25 @@
 fn time_and_commits_from_wipe_to_first_placement() {
     println!("simulated; machines, tasks running, seconds from wipe: noticed, written, first placement; commits");
     for machines in [50, 250, 1_000, 4_000] {
-        let (mut w, at) = loses_all(machines);
-        let running = w.running();
-        let since = |w: &World| (w.now - at) as f64 / 1_000.0;
-        w.until(60_000, "noticed", |w| w.state.get("mg/rebuild").is_some());
-        let noticed = since(&w);
-        let phase = |w: &World| w.state.get("mg/rebuild").map(|mark| mark["phase"].clone());
-        w.until(600_000, "written", |w| phase(w).is_some_and(|p| p != "writing"));
-        let (written, commits) = (since(&w), w.state.rev);
-        let mut job = w.spec(900_000, "batch", 1);
+        let (mut sim, at) = loses_all(machines);
+        let running = sim.running_tasks();
+        let since = |sim: &Simulation| (sim.now - at) as f64 / 1_000.0;
+        sim.run_until(60_000, "noticed", |sim| sim.state.get("mg/rebuild").is_some());
+        let noticed = since(&sim);
+        let phase =
+            |sim: &Simulation| sim.state.get("mg/rebuild").map(|mark| mark["phase"].clone());
+        sim.run_until(600_000, "written", |sim| phase(sim).is_some_and(|p| p != "writing"));
+        let (written, commits) = (since(&sim), sim.state.revision);
+        let mut job = sim.job_spec(900_000, "batch", 1);
         job["crew"] = "blue".into();
-        while w.jobs.get("job-900000").is_none_or(|job| job.accepted_at.is_none()) {
-            w.submit(job.clone(), 1_000, 0);
-            w.run(500);
+        while sim.jobs.get("job-900000").is_none_or(|job| job.accepted_at.is_none()) {
+            sim.submit(job.clone(), 1_000, 0);
+            sim.run(500);
         }
-        w.until(600_000, "first placement", |w| w.jobs["job-900000"].starts > 0);
-        let placed = since(&w);
+        sim.run_until(600_000, "first placement", |sim| sim.jobs["job-900000"].starts > 0);
+        let placed = since(&sim);
         println!("{machines:6} {running:6} {noticed:8.1} {written:8.1} {placed:8.1} {commits:6}");
-        assert_eq!(w.jobs.values().map(|job| job.starts as usize).sum::<usize>(), running + 1);
+        assert_eq!(sim.jobs.values().map(|job| job.starts as usize).sum::<usize>(), running + 1);
     }
 }
 
@@ -116,37 +117,38 @@
 #[test]
 #[ignore = "a measurement"]
 fn without_the_rebuild() {
-    let mut w = World::new(1);
-    w.until(20_000, "a leader", |w| w.leader().is_some());
+    let mut sim = Simulation::new(1);
+    sim.run_until(20_000, "a leader", |sim| sim.leader().is_some());
     for n in 1..=4 {
-        let job = w.spec(n, "standing", 2);
-        w.submit(job, u64::MAX, (n % 3) as usize);
+        let job = sim.job_spec(n, "standing", 2);
+        sim.submit(job, u64::MAX, (n % 3) as usize);
     }
-    w.until(60_000, "all run", |w| w.running() == 8);
-    w.run(2_000);
-    w.state.wipe();
-    let served = |w: &mut World| {
+    sim.run_until(60_000, "all run", |sim| sim.running_tasks() == 8);
+    sim.run(2_000);
+    sim.state.wipe();
+    let served = |sim: &mut Simulation| {
         let mut answers: Vec<u64> = Vec::new();
         for n in 1..=4 {
-            let polls = (0..3).map(|node| w.poll(&format!("job-{n:06}"), node));
+            let polls = (0..3).map(|node| sim.poll(&format!("job-{n:06}"), node));
             answers.extend(polls.collect::<Vec<_>>());
         }
-        (0..300).for_each(|_| w.step());
-        let known = answers.iter().filter(|request| w.status(**request) == 200).count();
-        let unknown = answers.iter().filter(|request| w.status(**request) == 404).count();
+        (0..300).for_each(|_| sim.step());
+        let known = answers.iter().filter(|request| sim.response_status(**request) == 200).count();
+        let unknown =
+            answers.iter().filter(|request| sim.response_status(**request) == 404).count();
         (known, unknown, answers.len())
     };
     for minute in 1..=3 {
-        (0..6_000).for_each(|_| w.step());
-        let (known, unknown, asked) = served(&mut w);
-        let (leader, running) = (w.leader(), w.running());
+        (0..6_000).for_each(|_| sim.step());
+        let (known, unknown, asked) = served(&mut sim);
+        let (leader, running) = (sim.leader(), sim.running_tasks());
         println!("{minute} min: leader {leader:?}, {running} of 8 tasks run; of {asked} polls {known} known, {unknown} 404");
     }
-    (0..3).for_each(|node| w.crash(node, 500));
-    (0..3_000).for_each(|_| w.step());
-    let (known, unknown, asked) = served(&mut w);
+    (0..3).for_each(|node| sim.crash(node, 500));
+    (0..3_000).for_each(|_| sim.step());
+    let (known, unknown, asked) = served(&mut sim);
     let broken: std::collections::BTreeSet<&str> =
-        w.broken.iter().filter_map(|rule| rule.split(' ').next()).collect();
-    let running = w.running();
+        sim.violations.iter().filter_map(|rule| rule.split(' ').next()).collect();
+    let running = sim.running_tasks();
     println!("all restarted: {running} of 8 tasks run; of {asked} polls {known} known, {unknown} 404; broken: {broken:?}");
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -8,11 +8,11 @@
     reason = "one match over all troubles, and one run from begin to end"
 )]
 
-mod world;
+mod simulation;
 
 use rand::Rng;
 use serde_json::json;
-use world::*;
+use simulation::*;
 
 const SEEDS: u64 = 200;
 /// Names a variable with the number of seeds of a long search.
@@ -27,170 +27,186 @@
 const TROUBLED_MS: u64 = 90_000;
 
 /// Users cancel so many unfinished jobs at one controller.
-fn cancel(w: &mut World, n: usize, node: usize) -> Vec<String> {
-    let live = |j: &Job| j.accepted_at.is_some() && j.done_told.is_none() && !j.asked_withdraw;
+fn cancel(sim: &mut Simulation, n: usize, node: usize) -> Vec<String> {
+    let live =
+        |j: &Job| j.accepted_at.is_some() && j.reported_done_at.is_none() && !j.cancel_requested;
     let found: Vec<String> =
-        w.jobs.iter().filter(|(_, j)| live(j)).map(|(uid, _)| uid.clone()).take(n).collect();
+        sim.jobs.iter().filter(|(_, j)| live(j)).map(|(uid, _)| uid.clone()).take(n).collect();
     for uid in &found {
-        w.withdraw(uid, node);
+        sim.cancel(uid, node);
     }
     found
 }
 
-fn trouble(w: &mut World) {
-    let i = w.rng.random_range(0..3);
-    match w.rng.random_range(0..31) {
+fn trouble(sim: &mut Simulation) {
+    let i = sim.rng.random_range(0..3);
+    match sim.rng.random_range(0..31) {
         0 => {
-            let back = if w.rng.random_bool(0.3) { 100 } else { w.rng.random_range(500..8_000) };
-            w.crash(i, back);
+            let back =
+                if sim.rng.random_bool(0.3) { 100 } else { sim.rng.random_range(500..8_000) };
+            sim.crash(i, back);
         }
         1 => {
-            if let Some(l) = w.leader() {
-                let back = w.rng.random_range(50..6_000);
-                w.crash(l, back);
+            if let Some(l) = sim.leader() {
+                let back = sim.rng.random_range(50..6_000);
+                sim.crash(l, back);
             }
         }
-        2 if w.rng.random_bool(0.3) => (0..3).for_each(|i| w.crash(i, 2_000 + 300 * i as u64)),
-        3 => w.nodes[i].refused ^= true,
-        4 => w.nodes[i].cut_state ^= true,
-        5 => w.nodes[i].cut_workers ^= true,
-        6 => w.nodes[i].cut_peers ^= true,
+        2 if sim.rng.random_bool(0.3) => (0..3).for_each(|i| sim.crash(i, 2_000 + 300 * i as u64)),
+        3 => sim.nodes[i].refused_by_state ^= true,
+        4 => sim.nodes[i].partitioned_from_state ^= true,
+        5 => sim.nodes[i].partitioned_from_workers ^= true,
+        6 => sim.nodes[i].partitioned_from_peers ^= true,
         7 => {
-            if w.state.outage {
-                w.end_outage();
-            } else if w.rng.random_bool(0.5) {
-                w.state.outage = true;
+            if sim.state.outage {
+                sim.end_outage();
+            } else if sim.rng.random_bool(0.5) {
+                sim.state.outage = true;
             }
         }
-        8 => w.state.late_commits = if w.state.late_commits > 0.0 { 0.0 } else { 0.3 },
-        9 => w.state.lost_answers = if w.state.lost_answers > 0.0 { 0.0 } else { 0.2 },
-        10 => w.late_reports = if w.late_reports > 0.0 { 0.0 } else { 0.2 },
-        11 => w.cloud.down ^= true,
+        8 => {
+            sim.state.delayed_commit_rate =
+                if sim.state.delayed_commit_rate > 0.0 { 0.0 } else { 0.3 }
+        }
+        9 => {
+            sim.state.lost_response_rate =
+                if sim.state.lost_response_rate > 0.0 { 0.0 } else { 0.2 }
+        }
+        10 => sim.delayed_heartbeat_rate = if sim.delayed_heartbeat_rate > 0.0 { 0.0 } else { 0.2 },
+        11 => sim.cloud.unavailable ^= true,
         // Only its workers are left to it.
         17 => {
-            let cut = !(w.nodes[i].cut_state && w.nodes[i].cut_peers);
-            w.nodes[i].cut_state = cut;
-            w.nodes[i].cut_peers = cut;
+            let cut = !(sim.nodes[i].partitioned_from_state && sim.nodes[i].partitioned_from_peers);
+            sim.nodes[i].partitioned_from_state = cut;
+            sim.nodes[i].partitioned_from_peers = cut;
         }
-        20 => match w.zone_cut {
-            Some(_) => w.join_zone(),
+        20 => match sim.zone_partition {
+            Some(_) => sim.heal_zone_partition(),
             None => {
-                let zone = if w.rng.random_bool(0.5) { "a" } else { "b" };
-                w.cut_zone(zone, i);
+                let zone = if sim.rng.random_bool(0.5) { "a" } else { "b" };
+                sim.partition_zone(zone, i);
             }
         },
         18 => {
-            w.copies = if w.copies > 0.0 { 0.0 } else { 0.2 };
-            w.copies_ms = w.rng.random_range(3_000..LEASE_MS * 4);
+            sim.duplicate_heartbeat_rate =
+                if sim.duplicate_heartbeat_rate > 0.0 { 0.0 } else { 0.2 };
+            sim.duplicate_delay_max_ms = sim.rng.random_range(3_000..LEASE_MS * 4);
+        }
+        21 => {
+            sim.state.unanswered_commit_rate =
+                if sim.state.unanswered_commit_rate > 0.0 { 0.0 } else { 0.3 }
         }
-        21 => w.state.late_writes = if w.state.late_writes > 0.0 { 0.0 } else { 0.3 },
         // The state service refuses the leader alone, and soon after it is out for all.
         22 => {
-            if let Some(l) = w.leader() {
-                w.nodes[l].refused = true;
-                w.nodes[l].cut_peers |= w.rng.random_bool(0.5);
-                let pause = w.rng.random_range(0..3_000);
-                w.run(pause);
-                cancel(w, 3, (l + 1) % 3);
-                w.run(100);
-                if w.rng.random_bool(0.3) {
-                    w.crash((l + 1) % 3, 50);
+            if let Some(l) = sim.leader() {
+                sim.nodes[l].refused_by_state = true;
+                sim.nodes[l].partitioned_from_peers |= sim.rng.random_bool(0.5);
+                let pause = sim.rng.random_range(0..3_000);
+                sim.run(pause);
+                cancel(sim, 3, (l + 1) % 3);
+                sim.run(100);
+                if sim.rng.random_bool(0.3) {
+                    sim.crash((l + 1) % 3, 50);
                 }
-                w.state.outage = true;
-                let long = w.rng.random_range(0..CANCEL_MS + 10_000);
-                w.run(long);
+                sim.state.outage = true;
+                let long = sim.rng.random_range(0..CANCEL_MS + 10_000);
+                sim.run(long);
             }
         }
         23 => {
-            let ms = w.rng.random_range(500..LEASE_MS * 3 / 2);
-            w.nodes[i].frozen_until = w.now + ms;
+            let ms = sim.rng.random_range(500..LEASE_MS * 3 / 2);
+            sim.nodes[i].paused_until = sim.now + ms;
         }
         24 => {
-            let ms = w.rng.random_range(1_000..20_000);
-            w.nodes[i].held_until = w.now + ms;
+            let ms = sim.rng.random_range(1_000..20_000);
+            sim.nodes[i].peer_requests_delayed_until = sim.now + ms;
         }
         // Leaders change one after the other.
         25 => {
             for _ in 0..3 {
-                if let Some(l) = w.leader() {
-                    let back = w.rng.random_range(20..3_000);
-                    w.crash(l, back);
+                if let Some(l) = sim.leader() {
+                    let back = sim.rng.random_range(20..3_000);
+                    sim.crash(l, back);
                 }
-                let pause = w.rng.random_range(200..5_000);
-                w.run(pause);
+                let pause = sim.rng.random_range(200..5_000);
+                sim.run(pause);
             }
         }
         // Jobs are cancelled and some of their machines hang.
         26 => {
-            let hang = w.rng.random_range(0..CANCEL_MS * 3 / 2);
-            let until = w.now + hang;
-            for uid in cancel(w, 2, i) {
-                let on = w.workers.values_mut().filter(|x| x.is_on(&uid));
+            let hang = sim.rng.random_range(0..CANCEL_MS * 3 / 2);
+            let until = sim.now + hang;
+            for uid in cancel(sim, 2, i) {
+                let on = sim.workers.values_mut().filter(|x| x.holds_task_of(&uid));
                 on.for_each(|x| x.hung_until = until);
             }
         }
         // It falls seconds behind.
         30 => {
-            let ms = if w.nodes[i].turn_ms > 0 { 0 } else { w.rng.random_range(100..4_000) };
-            w.nodes[i].turn_ms = ms;
+            let ms = if sim.nodes[i].batch_duration_ms > 0 {
+                0
+            } else {
+                sim.rng.random_range(100..4_000)
+            };
+            sim.nodes[i].batch_duration_ms = ms;
         }
         // Beyond the wait for an answer: rentals and deletions are carried out late.
-        16 => w.cloud.slow_ms = if w.cloud.slow_ms > 0 { 0 } else { 7_000 },
+        16 => sim.cloud.extra_latency_ms = if sim.cloud.extra_latency_ms > 0 { 0 } else { 7_000 },
         k => {
             let names: Vec<String> =
-                w.workers.iter().filter(|(_, x)| !x.dead).map(|(n, _)| n.clone()).collect();
+                sim.workers.iter().filter(|(_, x)| !x.stopped).map(|(n, _)| n.clone()).collect();
             if names.is_empty() {
                 return;
             }
-            let name = names[w.rng.random_range(0..names.len())].clone();
-            let now = w.now;
+            let name = names[sim.rng.random_range(0..names.len())].clone();
+            let now = sim.now;
             match k {
-                12 => w.workers.get_mut(&name).unwrap().cut ^= true,
-                13 => w.workers.get_mut(&name).unwrap().sick ^= true,
-                19 => w.workers.get_mut(&name).unwrap().deaf ^= true,
-                27 => w.workers.get_mut(&name).unwrap().mute ^= true,
+                12 => sim.workers.get_mut(&name).unwrap().partitioned ^= true,
+                13 => sim.workers.get_mut(&name).unwrap().fails_all_tasks ^= true,
+                19 => sim.workers.get_mut(&name).unwrap().responses_lost ^= true,
+                27 => sim.workers.get_mut(&name).unwrap().heartbeats_lost ^= true,
                 28 => {
-                    let ms = w.rng.random_range(500..LEASE_MS * 2);
-                    w.workers.get_mut(&name).unwrap().hung_until = now + ms;
+                    let ms = sim.rng.random_range(500..LEASE_MS * 2);
+                    sim.workers.get_mut(&name).unwrap().hung_until = now + ms;
                 }
                 29 => {
-                    let ms = w.rng.random_range(500..LEASE_MS * 2);
-                    w.workers.get_mut(&name).unwrap().held_until = Some(now + ms);
+                    let ms = sim.rng.random_range(500..LEASE_MS * 2);
+                    sim.workers.get_mut(&name).unwrap().heartbeats_delayed_until = Some(now + ms);
                 }
-                14 => w.kill_machine(&name),
-                _ => w.workers.get_mut(&name).unwrap().recall_at = Some(now + 6_000),
+                14 => sim.remove_machine(&name),
+                _ => sim.workers.get_mut(&name).unwrap().reclaim_at = Some(now + 6_000),
             }
         }
     }
 }
 
-fn calm(w: &mut World) {
-    for n in &mut w.nodes {
-        n.refused = false;
-        n.cut_state = false;
-        n.cut_workers = false;
-        n.cut_peers = false;
-        n.frozen_until = 0;
-        n.turn_ms = 0;
+fn calm(sim: &mut Simulation) {
+    for n in &mut sim.nodes {
+        n.refused_by_state = false;
+        n.partitioned_from_state = false;
+        n.partitioned_from_workers = false;
+        n.partitioned_from_peers = false;
+        n.paused_until = 0;
+        n.batch_duration_ms = 0;
     }
-    w.zone_cut = None;
-    if w.state.outage {
-        w.end_outage();
+    sim.zone_partition = None;
+    if sim.state.outage {
+        sim.end_outage();
     }
-    w.state.late_commits = 0.0;
-    w.state.late_writes = 0.0;
-    w.state.lost_answers = 0.0;
-    w.late_reports = 0.0;
+    sim.state.delayed_commit_rate = 0.0;
+    sim.state.unanswered_commit_rate = 0.0;
+    sim.state.lost_response_rate = 0.0;
+    sim.delayed_heartbeat_rate = 0.0;
     // Copies on their way still come.
-    w.copies = 0.0;
-    w.cloud.down = false;
-    w.cloud.slow_ms = 0;
-    w.calm_since = Some(w.now);
-    for x in w.workers.values_mut() {
-        x.cut = false;
-        x.sick = false;
-        x.deaf = false;
-        x.mute = false;
+    sim.duplicate_heartbeat_rate = 0.0;
+    sim.cloud.unavailable = false;
+    sim.cloud.extra_latency_ms = 0;
+    sim.faults_ended_at = Some(sim.now);
+    for x in sim.workers.values_mut() {
+        x.partitioned = false;
+        x.fails_all_tasks = false;
+        x.responses_lost = false;
+        x.heartbeats_lost = false;
         x.hung_until = 0;
     }
 }
@@ -209,46 +225,46 @@
 /// Share of the jobs that are gangs, where there are any.
 const GANG_SHARE: f64 = 0.4;
 
-fn job(w: &mut World, n: u64, mix: Mix) {
-    let shape = if mix != Mix::Plain && w.rng.random_bool(GANG_SHARE) {
+fn job(sim: &mut Simulation, n: u64, mix: Mix) {
+    let shape = if mix != Mix::Plain && sim.rng.random_bool(GANG_SHARE) {
         "ensemble"
-    } else if w.rng.random_bool(0.3) {
+    } else if sim.rng.random_bool(0.3) {
         "standing"
     } else {
         "batch"
     };
-    let loads = w.rng.random_range(1..6);
-    let mut s = w.spec(n, shape, loads);
+    let loads = sim.rng.random_range(1..6);
+    let mut s = sim.job_spec(n, shape, loads);
     if shape == "ensemble" {
-        s["lendables"] = json!(w.rng.random_bool(0.5));
-        s["mark_every_s"] = json!(if w.rng.random_bool(0.5) { 2.0 } else { 0.0 });
+        s["lendables"] = json!(sim.rng.random_bool(0.5));
+        s["mark_every_s"] = json!(if sim.rng.random_bool(0.5) { 2.0 } else { 0.0 });
         s["mark_cost_s"] = json!(1.0);
     }
-    if w.rng.random_bool(0.3) {
+    if sim.rng.random_bool(0.3) {
         s["apart"] = json!(true);
-    } else if w.rng.random_bool(0.2) {
+    } else if sim.rng.random_bool(0.2) {
         s["together"] = json!(true);
     }
-    if w.rng.random_bool(0.2) {
+    if sim.rng.random_bool(0.2) {
         s["yard"] = json!("b");
         s["apart"] = json!(false);
     }
     if shape == "ensemble" && s["yard"] == "b" {
         s["together"] = json!(true);
     }
-    let run = if shape == "standing" { u64::MAX } else { w.rng.random_range(500..9_000) };
-    let node = w.rng.random_range(0..3);
-    w.submit(s, run, node);
+    let run = if shape == "standing" { u64::MAX } else { sim.rng.random_range(500..9_000) };
+    let node = sim.rng.random_range(0..3);
+    sim.submit(s, run, node);
 }
 
 /// A job that can't run or lacks a field, or what is no job at all.
-fn odd(w: &mut World, n: u64) {
+fn odd(sim: &mut Simulation, n: u64) {
     let uid = 900_000 + n;
-    let mut s = w.spec(uid, "batch", 2);
+    let mut s = sim.job_spec(uid, "batch", 2);
     let fields: Vec<String> = s.as_object().expect("an object").keys().cloned().collect();
     let nullable = ["uid", "builds", "yard", "due_s"];
-    let field = fields[w.rng.random_range(0..fields.len())].clone();
-    match w.rng.random_range(0..4) {
+    let field = fields[sim.rng.random_range(0..fields.len())].clone();
+    match sim.rng.random_range(0..4) {
         0 => s["gpus"] = json!(9.0),
         1 => s["crew"] = json!("nobody"),
         2 => s["yard"] = json!("nowhere"),
@@ -257,10 +273,10 @@
             s.as_object_mut().expect("an object").remove(&field);
         }
     }
-    let node = w.rng.random_range(0..3);
+    let node = sim.rng.random_range(0..3);
     let name = s["uid"].as_str().expect("an id").to_string();
-    w.submit(s, 1_000, node);
-    w.jobs.get_mut(&name).expect("just asked").odd = true;
+    sim.submit(s, 1_000, node);
+    sim.jobs.get_mut(&name).expect("just asked").invalid = true;
 }
 
 /// The state service loses its data: all of it, or what came after a backup; its revisions may have grown past
@@ -268,86 +284,87 @@
 ///
 /// Controllers that have all started since, or can't read the store, have no way to notice it: all are up and
 /// reach the store until one has begun to rebuild it. After that anything may happen again.
-fn lose_state(w: &mut World) {
-    for node in &mut w.nodes {
-        node.refused = false;
-        node.cut_state = false;
-        node.frozen_until = 0;
-        node.turn_ms = 0;
+fn lose_state(sim: &mut Simulation) {
+    for node in &mut sim.nodes {
+        node.refused_by_state = false;
+        node.partitioned_from_state = false;
+        node.paused_until = 0;
+        node.batch_duration_ms = 0;
     }
-    w.zone_cut = None;
-    if w.state.outage {
-        w.end_outage();
+    sim.zone_partition = None;
+    if sim.state.outage {
+        sim.end_outage();
     }
     // A crashed one is back, and all have read the store.
-    w.run(9_000);
-    let rebuilds = |w: &World| w.state.get("mg/rebuild").map(|mark| mark["term"].clone());
-    match w.rng.random_range(0..3) {
-        0 => w.state.wipe(),
-        1 => w.state.restore_kept(0),
-        _ => w.state.restore_kept(5_000),
+    sim.run(9_000);
+    let rebuilds = |sim: &Simulation| sim.state.get("mg/rebuild").map(|mark| mark["term"].clone());
+    match sim.rng.random_range(0..3) {
+        0 => sim.state.wipe(),
+        1 => sim.state.restore_saved_backup(0),
+        _ => sim.state.restore_saved_backup(5_000),
     }
     // Where the backup held all there was nothing is lost, and nothing is to be noticed.
-    let before = rebuilds(w);
-    let end = w.now + 30_000;
-    while w.now < end && (rebuilds(w).is_none() || rebuilds(w) == before) {
-        w.run(100);
+    let before = rebuilds(sim);
+    let end = sim.now + 30_000;
+    while sim.now < end && (rebuilds(sim).is_none() || rebuilds(sim) == before) {
+        sim.run(100);
     }
 }
 
 /// Operators decide on what could not be accounted for: jobs go on unless their users were told of an end, and
 /// users submit again what nobody knows any more. Gives the jobs that no decision mends.
-fn settle_accounts(w: &mut World) -> Vec<String> {
+fn settle_accounts(sim: &mut Simulation) -> Vec<String> {
     // What is flagged waits for the decision, however much room there is.
-    w.calm_since = None;
-    w.run(60_000);
-    let report = w.recovery_report(0);
+    sim.faults_ended_at = None;
+    sim.run(60_000);
+    let report = sim.recovery_report(0);
     let flagged = report["flagged"].as_array().cloned().unwrap_or_default();
     let flagged: Vec<String> =
         flagged.iter().map(|f| f["job"].as_str().expect("a name").to_string()).collect();
-    let told = |j: &Job| j.done_told.is_some() || j.withdrawn_told.is_some();
+    let told = |j: &Job| j.reported_done_at.is_some() || j.reported_cancelled_at.is_some();
     let (mut over, open): (Vec<String>, Vec<String>) =
-        flagged.into_iter().partition(|uid| told(&w.jobs[uid]));
+        flagged.into_iter().partition(|uid| told(&sim.jobs[uid]));
     let mut left = open.clone();
     for _ in 0..20 {
         if left.is_empty() {
             break;
         }
-        let request = w.decide(0, "release", json!({"jobs": left}));
-        w.run(1_500);
-        if w.status(request) == 200 {
-            let decided = w.answer(request)["decided"].as_u64().expect("a number") as usize;
+        let request = sim.send_recovery_decision(0, "release", json!({"jobs": left}));
+        sim.run(1_500);
+        if sim.response_status(request) == 200 {
+            let decided =
+                sim.response_body(request)["decided"].as_u64().expect("a number") as usize;
             left.drain(..decided.min(left.len()));
         }
     }
-    assert!(left.is_empty(), "{}", w.view());
+    assert!(left.is_empty(), "{}", sim.describe());
     if report["last_rebuild"]["gap"].as_array().is_some_and(|gap| !gap.is_empty()) {
-        let accepted = w.jobs.iter().filter(|(_, j)| j.accepted_at.is_some() && !told(j));
+        let accepted = sim.jobs.iter().filter(|(_, j)| j.accepted_at.is_some() && !told(j));
         let specs: Vec<_> = accepted.map(|(_, j)| (j.spec.clone(), j.run_ms)).collect();
         for (spec, run_ms) in specs {
-            w.submit(spec, run_ms, 0);
-            w.run(200);
+            sim.submit(spec, run_ms, 0);
+            sim.run(200);
         }
-        w.run(5_000);
+        sim.run(5_000);
         // Of ends that only a lost controller knew nothing is left.
-        let ended = w.jobs.iter().filter(|(_, j)| j.accepted_at.is_some() && told(j));
+        let ended = sim.jobs.iter().filter(|(_, j)| j.accepted_at.is_some() && told(j));
         let ended: Vec<String> = ended.map(|(uid, _)| uid.clone()).collect();
         for uid in ended {
-            let request = w.poll(&uid, 0);
-            w.run(1_000);
-            if w.status(request) == 503 {
-                w.jobs.get_mut(&uid).expect("a job").accepted_at = None;
+            let request = sim.poll(&uid, 0);
+            sim.run(1_000);
+            if sim.response_status(request) == 503 {
+                sim.jobs.get_mut(&uid).expect("a job").accepted_at = None;
                 over.push(uid);
             }
         }
         let closed = (0..5).any(|_| {
-            let request = w.decide(0, "close-gap", json!({}));
-            w.run(1_500);
-            w.status(request) == 200
+            let request = sim.send_recovery_decision(0, "close-gap", json!({}));
+            sim.run(1_500);
+            sim.response_status(request) == 200
         });
-        assert!(closed, "{}", w.view());
+        assert!(closed, "{}", sim.describe());
     }
-    w.calm_since = Some(w.now);
+    sim.faults_ended_at = Some(sim.now);
     over
 }
 
@@ -362,116 +379,121 @@
 }
 
 fn scenario(seed: u64, mix: Mix) -> Outcome {
-    let mut w = match mix {
-        Mix::WithStateLoss => World::with_recovery(seed),
-        _ => World::new(seed),
+    let mut sim = match mix {
+        Mix::WithStateLoss => Simulation::with_recovery(seed),
+        _ => Simulation::new(seed),
     };
     if mix == Mix::WithGangs {
-        w.next_limits = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 30.0});
+        sim.next_state_limits = json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 30.0});
     }
-    w.run(3_000);
-    let end = w.now + TROUBLED_MS;
+    sim.run(3_000);
+    let end = sim.now + TROUBLED_MS;
     let mut n = 0;
-    w.state.keep_backup();
-    let mut loss_at = w.now + w.rng.random_range(5_000..TROUBLED_MS / 2);
-    while w.now < end {
+    sim.state.save_backup();
+    let mut loss_at = sim.now + sim.rng.random_range(5_000..TROUBLED_MS / 2);
+    while sim.now < end {
         if mix == Mix::WithStateLoss {
-            if w.rng.random_bool(0.1) {
-                w.state.keep_backup();
+            if sim.rng.random_bool(0.1) {
+                sim.state.save_backup();
             }
-            if w.now >= loss_at {
-                lose_state(&mut w);
-                loss_at += w.rng.random_range(1_000..TROUBLED_MS);
+            if sim.now >= loss_at {
+                lose_state(&mut sim);
+                loss_at += sim.rng.random_range(1_000..TROUBLED_MS);
             }
         }
-        let pause = w.rng.random_range(100..1_500);
-        w.run(pause);
-        if mix == Mix::WithGangs && w.now > end - TROUBLED_MS / 2 {
+        let pause = sim.rng.random_range(100..1_500);
+        sim.run(pause);
+        if mix == Mix::WithGangs && sim.now > end - TROUBLED_MS / 2 {
             // The limits that were announced, without notice.
-            w.state.lowered = Some((2_048, 4));
+            sim.state.lowered_limits = Some((2_048, 4));
         }
-        match w.rng.random_range(0..10) {
-            0..=2 => trouble(&mut w),
+        match sim.rng.random_range(0..10) {
+            0..=2 => trouble(&mut sim),
             3 | 4 if n < 25 => {
                 n += 1;
-                job(&mut w, n, mix);
+                job(&mut sim, n, mix);
             }
-            5 if n > 0 && w.rng.random_bool(0.5) => {
-                let uid = format!("job-{:06}", w.rng.random_range(1..=n));
-                let node = w.rng.random_range(0..3);
-                w.withdraw(&uid, node);
+            5 if n > 0 && sim.rng.random_bool(0.5) => {
+                let uid = format!("job-{:06}", sim.rng.random_range(1..=n));
+                let node = sim.rng.random_range(0..3);
+                sim.cancel(&uid, node);
             }
             6 if n > 0 => {
                 // A retry of a submission, at any time.
-                let uid = format!("job-{:06}", w.rng.random_range(1..=n));
-                let (spec, run) = (w.jobs[&uid].spec.clone(), w.jobs[&uid].run_ms);
-                let node = w.rng.random_range(0..3);
+                let uid = format!("job-{:06}", sim.rng.random_range(1..=n));
+                let (spec, run) = (sim.jobs[&uid].spec.clone(), sim.jobs[&uid].run_ms);
+                let node = sim.rng.random_range(0..3);
                 // Where all that knew of its end is lost, it would be taken for a new job: see
                 // docs/recovery-design.md, what is lost at worst.
-                let over = w.jobs[&uid].done_told.or(w.jobs[&uid].withdrawn_told).is_some();
+                let over = sim.jobs[&uid]
+                    .reported_done_at
+                    .or(sim.jobs[&uid].reported_cancelled_at)
+                    .is_some();
                 if mix != Mix::WithStateLoss || !over {
-                    w.submit(spec, run, node);
+                    sim.submit(spec, run, node);
                 }
             }
-            7 if w.rng.random_bool(0.3) => odd(&mut w, n),
+            7 if sim.rng.random_bool(0.3) => odd(&mut sim, n),
             // A cancellation, a question and a repeat at the end of a job's last task.
             8 if n > 0 => {
-                let ends = |j: &Job| j.done_tasks.len() as u32 >= j.loads && j.done_told.is_none();
-                let found = w.jobs.iter().find(|(_, j)| ends(j)).map(|(u, _)| u.clone());
+                let ends =
+                    |j: &Job| j.done_tasks.len() as u32 >= j.tasks && j.reported_done_at.is_none();
+                let found = sim.jobs.iter().find(|(_, j)| ends(j)).map(|(u, _)| u.clone());
                 if let Some(uid) = found {
-                    let node = w.rng.random_range(0..3);
-                    w.withdraw(&uid, node);
-                    w.poll(&uid, (node + 1) % 3);
+                    let node = sim.rng.random_range(0..3);
+                    sim.cancel(&uid, node);
+                    sim.poll(&uid, (node + 1) % 3);
                 }
             }
             _ => {
-                let uid = format!("job-{:06}", w.rng.random_range(1..=n + 2));
-                let node = w.rng.random_range(0..3);
-                w.poll(&uid, node);
+                let uid = format!("job-{:06}", sim.rng.random_range(1..=n + 2));
+                let node = sim.rng.random_range(0..3);
+                sim.poll(&uid, node);
             }
         }
     }
-    calm(&mut w);
+    calm(&mut sim);
     // Services are withdrawn in the end, and every batch job comes to its end.
     // Longer than a crashed controller takes to come back.
-    w.run(10_000);
+    sim.run(10_000);
     let mended = |uid: &String, over: &[String]| !over.contains(uid);
     let over = match mix {
-        Mix::WithStateLoss => settle_accounts(&mut w),
+        Mix::WithStateLoss => settle_accounts(&mut sim),
         _ => Vec::new(),
     };
     // Of these no controller may say anything any more.
     for uid in &over {
-        w.jobs.get_mut(uid).expect("a job").accepted_at = None;
+        sim.jobs.get_mut(uid).expect("a job").accepted_at = None;
     }
-    let uids: Vec<String> = w.jobs.keys().filter(|uid| mended(uid, &over)).cloned().collect();
-    w.all_stay_known(&format!("seed {seed}"));
+    let uids: Vec<String> = sim.jobs.keys().filter(|uid| mended(uid, &over)).cloned().collect();
+    sim.assert_accepted_jobs_known(&format!("seed {seed}"));
     for uid in &uids {
-        if w.jobs[uid].spec["shape"] == "standing" {
+        if sim.jobs[uid].spec["shape"] == "standing" {
             // Its user may not have heard that it was accepted.
-            let accepted = w.jobs[uid].accepted_at.is_some();
-            let r = w.withdraw(uid, 0);
-            w.run(2_000);
-            let status = w.status(r);
+            let accepted = sim.jobs[uid].accepted_at.is_some();
+            let r = sim.cancel(uid, 0);
+            sim.run(2_000);
+            let status = sim.response_status(r);
             assert!(status == 200 || status == 404 && !accepted, "seed {seed}: {uid}: {status}");
         }
     }
     for uid in &uids {
-        let j = &w.jobs[uid];
+        let j = &sim.jobs[uid];
         if j.spec["shape"] == "standing" || j.accepted_at.is_none() {
             continue;
         }
-        if j.done_told.is_none() && j.withdrawn_told.is_none() && !j.asked_withdraw {
-            w.until_done(uid, 240_000);
+        if j.reported_done_at.is_none() && j.reported_cancelled_at.is_none() && !j.cancel_requested
+        {
+            sim.run_until_done(uid, 240_000);
         }
     }
-    w.run(CANCEL_MS + 1_000);
-    assert_eq!(w.state.too_large, 0, "seed {seed}: announced limits are kept");
-    w.assert_all_kinds_are_served(&format!("seed {seed}"));
+    sim.run(CANCEL_MS + 1_000);
+    assert_eq!(sim.state.rejected_for_size, 0, "seed {seed}: announced limits are kept");
+    sim.assert_fair_service(&format!("seed {seed}"));
     Outcome {
-        starts: w.jobs.values().map(|j| j.starts).sum(),
-        done: w.jobs.values().filter(|j| j.done_told.is_some()).count(),
-        digest: w.recorder.digest(),
+        starts: sim.jobs.values().map(|j| j.starts).sum(),
+        done: sim.jobs.values().filter(|j| j.reported_done_at.is_some()).count(),
+        digest: sim.recorder.digest(),
     }
 }
 
--- a/tests/world/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-pub(super) struct Host {
-    pub(super) yard: String,
+pub(super) struct Machine {
+    pub(super) zone: String,
     pub(super) spot: bool,
-    pub(super) rented: u64,
-    pub(super) up: Option<u64>,
-    pub(super) gone: Option<u64>,
+    pub(super) rented_at: u64,
+    pub(super) boots_at: Option<u64>,
+    pub(super) gone_at: Option<u64>,
     /// Stopped on its own; listed as failed until it is deleted.
     pub(super) failed: bool,
 }
@@ -15,56 +15,68 @@
 /// The cloud.
 #[derive(Default)]
 pub struct Cloud {
-    pub(super) hosts: BTreeMap<String, Host>,
-    pub(super) hires: BTreeMap<String, Vec<String>>,
-    pub(super) next: u64,
+    pub(super) machines: BTreeMap<String, Machine>,
+    pub(super) rentals: BTreeMap<String, Vec<String>>,
+    pub(super) next_machine: u64,
     pub boot_ms: u64,
     pub capacity: usize,
-    pub down: bool,
+    pub unavailable: bool,
     /// Answers 429.
-    pub busy: bool,
+    pub rate_limited: bool,
     /// Milliseconds by which it takes longer, also to carry requests out.
-    pub slow_ms: u64,
+    pub extra_latency_ms: u64,
 }
 
-pub(super) const LAG_MS: u64 = 2_000;
+pub(super) const LIST_LAG_MS: u64 = 2_000;
 
-impl World {
-    pub(super) fn add_host(&mut self, zone: usize, spot: bool, up: Option<u64>) -> String {
-        let name = format!("n-{:06}", self.cloud.next);
-        self.cloud.next += 1;
-        let yard = self.zones[zone].clone();
-        let up = up.unwrap_or(self.now + self.cloud.boot_ms);
-        let host = Host { yard, spot, rented: self.now, up: Some(up), gone: None, failed: false };
-        self.cloud.hosts.insert(name.clone(), host);
+impl Simulation {
+    pub(super) fn add_machine(
+        &mut self,
+        zone_index: usize,
+        spot: bool,
+        boots_at: Option<u64>,
+    ) -> String {
+        let name = format!("n-{:06}", self.cloud.next_machine);
+        self.cloud.next_machine += 1;
+        let zone = self.zones[zone_index].clone();
+        let boots_at = boots_at.unwrap_or(self.now + self.cloud.boot_ms);
+        let machine = Machine {
+            zone,
+            spot,
+            rented_at: self.now,
+            boots_at: Some(boots_at),
+            gone_at: None,
+            failed: false,
+        };
+        self.cloud.machines.insert(name.clone(), machine);
         name
     }
 
     /// Machines that are there, and all that were ever rented.
-    pub fn machines(&self) -> (usize, usize) {
-        let there = self.cloud.hosts.values().filter(|h| h.gone.is_none()).count();
-        (there, self.cloud.hosts.len())
+    pub fn machine_counts(&self) -> (usize, usize) {
+        let there = self.cloud.machines.values().filter(|h| h.gone_at.is_none()).count();
+        (there, self.cloud.machines.len())
     }
 
     /// A machine stops on its own and is listed so.
     pub fn fail_machine(&mut self, name: &str) {
         let w = self.workers.get_mut(name).expect("a machine");
-        w.dead = true;
+        w.stopped = true;
         w.tasks.clear();
-        self.cloud.hosts.get_mut(name).expect("a machine").failed = true;
+        self.cloud.machines.get_mut(name).expect("a machine").failed = true;
     }
 
     pub fn is_returned(&self, name: &str) -> bool {
-        self.cloud.hosts[name].gone.is_some()
+        self.cloud.machines[name].gone_at.is_some()
     }
 
-    pub fn kill_machine(&mut self, name: &str) {
+    pub fn remove_machine(&mut self, name: &str) {
         if let Some(w) = self.workers.get_mut(name) {
-            w.dead = true;
+            w.stopped = true;
             w.tasks.clear();
         }
-        if let Some(h) = self.cloud.hosts.get_mut(name) {
-            h.gone = Some(self.now);
+        if let Some(h) = self.cloud.machines.get_mut(name) {
+            h.gone_at = Some(self.now);
         }
     }
 
@@ -72,47 +84,49 @@
         let now = self.now;
         let due: Vec<String> = self
             .cloud
-            .hosts
+            .machines
             .iter()
             .filter(|(n, h)| {
-                h.gone.is_none() && h.up.is_some_and(|t| t <= now) && !self.workers.contains_key(*n)
+                h.gone_at.is_none()
+                    && h.boots_at.is_some_and(|t| t <= now)
+                    && !self.workers.contains_key(*n)
             })
             .map(|(n, _)| n.clone())
             .collect();
         for name in due {
-            let h = &self.cloud.hosts[&name];
+            let h = &self.cloud.machines[&name];
             let w = Worker {
-                yard: h.yard.clone(),
+                zone: h.zone.clone(),
                 spot: h.spot,
-                tenure: 1,
-                tally: 0,
-                baton: 0,
-                lease_from: now,
+                incarnation: 1,
+                sequence: 0,
+                fencing_token: 0,
+                lease_started_at: now,
                 node: self.rng.random_range(0..3),
                 in_flight: None,
-                next_at: now,
-                last_at: 0,
+                next_heartbeat_at: now,
+                last_heartbeat_at: 0,
                 changed: false,
                 tasks: BTreeMap::new(),
-                kits: BTreeSet::new(),
-                recall_at: None,
-                cut: false,
-                held_until: None,
-                deaf: false,
-                mute: false,
+                images: BTreeSet::new(),
+                reclaim_at: None,
+                partitioned: false,
+                heartbeats_delayed_until: None,
+                responses_lost: false,
+                heartbeats_lost: false,
                 hung_until: 0,
-                sick: false,
-                dead: false,
+                fails_all_tasks: false,
+                stopped: false,
             };
             self.workers.insert(name, w);
         }
     }
 
     pub(super) fn cloud_request(&mut self, method: &str, path: &str, body: &[u8]) -> (u16, Value) {
-        if self.cloud.down {
+        if self.cloud.unavailable {
             return (503, json!({"error": "trouble"}));
         }
-        if self.cloud.busy {
+        if self.cloud.rate_limited {
             return (429, json!({}));
         }
         let now = self.now;
@@ -125,10 +139,10 @@
             ),
             ("POST", "/hosts") => {
                 let hire = body["hire"].as_str().unwrap().to_string();
-                if let Some(names) = self.cloud.hires.get(&hire) {
+                if let Some(names) = self.cloud.rentals.get(&hire) {
                     return (200, json!({"steads": names}));
                 }
-                let alive = self.cloud.hosts.values().filter(|h| h.gone.is_none()).count();
+                let alive = self.cloud.machines.values().filter(|h| h.gone_at.is_none()).count();
                 let n = (body["number"].as_u64().unwrap() as usize)
                     .min(self.cloud.capacity.saturating_sub(alive));
                 if n == 0 {
@@ -137,35 +151,36 @@
                 let zone =
                     self.zones.iter().position(|z| *z == body["yard"].as_str().unwrap()).unwrap();
                 let spot = body["lendables"].as_bool().unwrap();
-                let names: Vec<String> = (0..n).map(|_| self.add_host(zone, spot, None)).collect();
-                self.cloud.hires.insert(hire, names.clone());
+                let names: Vec<String> =
+                    (0..n).map(|_| self.add_machine(zone, spot, None)).collect();
+                self.cloud.rentals.insert(hire, names.clone());
                 (200, json!({"steads": names}))
             }
             ("POST", "/hosts/delete") => {
                 for name in body["steads"].as_array().unwrap() {
                     let name = name.as_str().unwrap();
-                    if let Some(h) = self.cloud.hosts.get_mut(name) {
-                        h.gone.get_or_insert(now);
+                    if let Some(h) = self.cloud.machines.get_mut(name) {
+                        h.gone_at.get_or_insert(now);
                     }
                     if let Some(w) = self.workers.get_mut(name) {
-                        w.dead = true;
+                        w.stopped = true;
                         w.tasks.clear();
                     }
                 }
                 (200, json!({}))
             }
             _ if path.starts_with("/hosts?") => {
-                let lag = self.rng.random_range(0..LAG_MS * 2);
+                let lag = self.rng.random_range(0..LIST_LAG_MS * 2);
                 let at = now.saturating_sub(lag);
                 let list: Vec<Value> = self
                     .cloud
-                    .hosts
+                    .machines
                     .iter()
-                    .filter(|(_, h)| h.rented <= at && h.gone.is_none_or(|g| g > at))
+                    .filter(|(_, h)| h.rented_at <= at && h.gone_at.is_none_or(|g| g > at))
                     .map(|(n, h)| {
-                        let up = h.up.is_some_and(|t| t <= at);
-                        json!({"uid": n, "address": "x", "build": "g4", "yard": h.yard, "lendables": h.spot,
-                            "status": if h.failed { "failed" } else if up { "running" } else { "starting" }, "age_s": (at - h.rented) as f64 / 1000.0})
+                        let up = h.boots_at.is_some_and(|t| t <= at);
+                        json!({"uid": n, "address": "x", "build": "g4", "yard": h.zone, "lendables": h.spot,
+                            "status": if h.failed { "failed" } else if up { "running" } else { "starting" }, "age_s": (at - h.rented_at) as f64 / 1000.0})
                     })
                     .collect();
                 (200, json!({"steads": list, "has_next": false}))
--- /dev/null
+++ b/tests/simulation/mod.rs
@@ -0,0 +1,618 @@
+//! A small world in memory: state service, cloud, workers, users and a network between
+//! them, on one simulated clock, with a checker for every rule of the protocol.
+//!
+//! Faults are fields and methods; stories set them by hand, the random story by its seed.
+
+#![allow(dead_code, reason = "each test program uses a part of the world")]
+#![allow(unreachable_pub, reason = "several test programs include the world as a module")]
+#![allow(clippy::unwrap_used, reason = "a scenario ends where the world lacks what it names")]
+#![allow(
+    clippy::too_many_lines,
+    reason = "one match over everything that a part of the world does"
+)]
+
+mod behaviour;
+mod cloud;
+mod gangs;
+mod invariants;
+mod scenario;
+mod state_service;
+mod user;
+mod worker;
+
+pub use cloud::Cloud;
+pub use state_service::StateService;
+pub use user::{GangAttempt, Job, UserRequest};
+pub use worker::Worker;
+
+use behaviour::Recorder;
+use cloud::LIST_LAG_MS;
+
+use mountgap::coordination::{Clock, Command, Controller, Effect, Service};
+use mountgap::protocol::http::Response;
+use mountgap::settings::{Operator, Platform};
+use rand::{rngs::SmallRng, Rng, SeedableRng};
+use serde_json::{json, Value};
+use std::collections::{BTreeMap, BTreeSet};
+
+pub const STEP_MS: u64 = 10;
+pub const HEARTBEAT_MS: u64 = 2_000;
+pub const LEASE_MS: u64 = 12_000;
+pub const CANCEL_MS: u64 = 30_000;
+/// Milliseconds for which a task of a gang waits for the others.
+pub const GANG_WAIT_MS: u64 = 15_000;
+/// Milliseconds within which tasks of a gang notice that one is gone, and in which all have to be told
+/// to stop.
+pub const GANG_PEER_MS: u64 = 4_000;
+/// Milliseconds after a cancellation was confirmed within which a start order for its tasks may
+/// still arrive: controllers read the store within 2 s, or know that they did not.
+const LATE_START_MS: u64 = 2_100;
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
+/// Milliseconds for which a job may wait beside room for it once troubles are over.
+const STARVATION_LIMIT_MS: u64 = 90_000;
+/// Milliseconds after the last trouble by which a question about a job is answered: users hold
+/// it for forgotten after 75 s.
+const POLL_TIMEOUT_MS: u64 = 5_000;
+
+/// Bodies with missing or impossible fields.
+pub const MALFORMED_BODIES: [&str; 12] = [
+    "",
+    "null",
+    "[]",
+    "{}",
+    "3",
+    "\u{fffd}",
+    r#"{"ledger_rev":-1,"events":[]}"#,
+    r#"{"ledger_rev":"7","events":{}}"#,
+    r#"{"ledger_rev":1e300,"items":[{}],"has_next":true}"#,
+    r#"{"items":[{"key":"mg/2/jobs/x","data":7,"stamp":-3}],"has_next":1}"#,
+    r#"{"tenancy":null,"failed":3}"#,
+    r#"{"steads":[{"uid":3}],"builds":[{"sku":null}],"has_next":false}"#,
+];
+
+/// What is on its way to whom.
+enum Message {
+    StateRequest {
+        node: usize,
+        incarnation: u64,
+        call: u64,
+        method: String,
+        path: String,
+        body: Vec<u8>,
+    },
+    CloudRequest {
+        node: usize,
+        incarnation: u64,
+        call: u64,
+        method: String,
+        path: String,
+        body: Vec<u8>,
+    },
+    PeerRequest {
+        node: usize,
+        incarnation: u64,
+        call: u64,
+        to: usize,
+        path: String,
+        body: Vec<u8>,
+    },
+    Reply {
+        node: usize,
+        incarnation: u64,
+        call: u64,
+        status: u16,
+        body: Vec<u8>,
+    },
+    Heartbeat {
+        worker: String,
+        request: u64,
+        node: usize,
+        body: Vec<u8>,
+    },
+    HeartbeatResponse {
+        worker: String,
+        request: u64,
+        status: u16,
+        body: Vec<u8>,
+    },
+    UserRequest {
+        request: u64,
+        node: usize,
+        method: &'static str,
+        path: String,
+        body: Vec<u8>,
+    },
+    UserResponse {
+        request: u64,
+        status: u16,
+        body: Vec<u8>,
+    },
+}
+
+enum Connection {
+    Worker { name: String, request: u64 },
+    User { request: u64 },
+    Peer { node: usize, incarnation: u64, call: u64 },
+}
+
+/// A controller's process and its place in the network.
+pub struct Node {
+    pub controller: Option<Controller>,
+    incarnation: u64,
+    start_at: Option<u64>,
+    inbox: Vec<Command>,
+    connections: BTreeMap<u64, Connection>,
+    next_connection: u64,
+    deadlines: BTreeMap<u64, u64>,
+    next_wake: u64,
+    /// The state service refuses it.
+    pub refused_by_state: bool,
+    /// Nothing passes between it and the workers.
+    pub partitioned_from_workers: bool,
+    /// Nothing passes between it and the state service.
+    pub partitioned_from_state: bool,
+    /// Nothing passes between it and its peers.
+    pub partitioned_from_peers: bool,
+    /// What it asks of its peers is held on the way until then.
+    pub peer_requests_delayed_until: u64,
+    /// It stands still until then: nothing is read, no timer fires.
+    pub paused_until: u64,
+    /// Milliseconds that each of its turns takes: it falls behind. What a turn decides goes out
+    /// when it ends.
+    pub batch_duration_ms: u64,
+}
+
+pub struct Simulation {
+    seed: u64,
+    pub now: u64,
+    pub rng: SmallRng,
+    pub state: StateService,
+    pub cloud: Cloud,
+    pub nodes: Vec<Node>,
+    pub workers: BTreeMap<String, Worker>,
+    pub jobs: BTreeMap<String, Job>,
+    pub user_requests: BTreeMap<u64, UserRequest>,
+    pub violations: Vec<String>,
+    network: BTreeMap<(u64, u64), Message>,
+    next_sequence: u64,
+    next_request: u64,
+    zones: Vec<String>,
+    /// A zone that is cut off, and the controller in it: of all that passes, only reports of the
+    /// zone's workers to that controller and its answers get through.
+    pub zone_partition: Option<(String, usize)>,
+    /// Share of reports that come late, after their worker gave up.
+    pub delayed_heartbeat_rate: f64,
+    /// Share of reports of which a copy comes late, by up to so many milliseconds.
+    pub duplicate_heartbeat_rate: f64,
+    pub duplicate_delay_max_ms: u64,
+    /// Since when all troubles are over: no job is to wait beside room for it any more.
+    pub faults_ended_at: Option<u64>,
+    /// Bytes of the longest answer of a controller to another.
+    pub peer_response_bytes_max: usize,
+    team_gpus_max: f64,
+    /// Limits of the state service to come, as controllers that start find them in their settings.
+    pub next_state_limits: Value,
+    /// A gang was ever submitted.
+    gang_submitted: bool,
+    /// The operators' settings of controllers that start.
+    pub operator: Operator,
+    /// What the run has sent.
+    pub recorder: Recorder,
+}
+
+fn config(i: usize, n: usize, team_gpus_max: f64, next: &Value) -> Platform {
+    let peers: Vec<Value> = (0..n)
+        .filter(|p| *p != i)
+        .map(|p| json!({"label": format!("c-{p}"), "zone": "a", "address": format!("10.0.0.{}:81", p + 1)}))
+        .collect();
+    let v = json!({
+        "label": format!("c-{i}"), "zone": "a", "listen": "10.0.0.1:80", "peer_bind": "10.0.0.1:81",
+        "peers": peers, "services": {"cloud": "10.0.1.1:80", "state": "10.0.1.2:80"},
+        "params": {"nodes": n, "zones": ["a", "b"],
+            "teams": [{"name": "red", "gpus": 8.0, "gpus_max": team_gpus_max}, {"name": "blue"}],
+            "workers": {"report_s": HEARTBEAT_MS as f64 / 1000.0, "lease_s": LEASE_MS as f64 / 1000.0,
+                        "cancel_s": CANCEL_MS as f64 / 1000.0,
+                        "gang_wait_s": GANG_WAIT_MS as f64 / 1000.0,
+                        "gang_peer_s": GANG_PEER_MS as f64 / 1000.0},
+            "state": {"rps": 200.0, "write_rps": 60.0, "value_kb": 4.0, "txn_ops": 8, "next": next},
+            "cloud": {"rps": 8.0, "list_lag_s": LIST_LAG_MS as f64 / 1000.0},
+            "machine_limits": {"core_share": 0.2, "mem_mb": 100.0, "sockets": 1000}}
+    });
+    Platform::parse(&v.to_string()).expect("the world's settings are fine")
+}
+
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
+        let mut w = Simulation {
+            seed,
+            now: 10_000,
+            rng: SmallRng::seed_from_u64(seed),
+            state: StateService { next_lease: 1, ..StateService::default() },
+            cloud: Cloud { boot_ms: 4_000, capacity: 8, ..Cloud::default() },
+            nodes: Vec::new(),
+            workers: BTreeMap::new(),
+            jobs: BTreeMap::new(),
+            user_requests: BTreeMap::new(),
+            violations: Vec::new(),
+            network: BTreeMap::new(),
+            next_sequence: 0,
+            next_request: 1,
+            zones: vec!["a".into(), "b".into()],
+            zone_partition: None,
+            delayed_heartbeat_rate: 0.0,
+            duplicate_heartbeat_rate: 0.0,
+            duplicate_delay_max_ms: LEASE_MS * 3,
+            faults_ended_at: None,
+            peer_response_bytes_max: 0,
+            team_gpus_max: 12.0,
+            next_state_limits: Value::Null,
+            gang_submitted: false,
+            operator: Operator::default(),
+            recorder: Recorder::new(seed),
+        };
+        for _ in 0..3 {
+            w.nodes.push(Node {
+                controller: None,
+                incarnation: 0,
+                start_at: Some(w.now),
+                inbox: vec![],
+                connections: BTreeMap::new(),
+                next_connection: 1,
+                deadlines: BTreeMap::new(),
+                next_wake: 0,
+                refused_by_state: false,
+                partitioned_from_workers: false,
+                partitioned_from_state: false,
+                partitioned_from_peers: false,
+                peer_requests_delayed_until: 0,
+                paused_until: 0,
+                batch_duration_ms: 0,
+            });
+        }
+        for i in 0..2 {
+            w.add_machine(i, false, Some(w.now));
+        }
+        w
+    }
+
+    /// Whether a cut zone lies between a worker and a controller.
+    fn is_partitioned(&self, worker: &str, node: usize) -> bool {
+        let yard = self.workers.get(worker).map(|w| w.zone.as_str());
+        self.zone_partition
+            .as_ref()
+            .is_some_and(|(z, inside)| (yard == Some(z)) != (node == *inside))
+    }
+
+    /// A world whose controllers notice that the store has lost data.
+    pub fn with_recovery(seed: u64) -> Simulation {
+        let mut w = Simulation::new(seed);
+        w.operator.recovery.enabled = true;
+        w
+    }
+
+    /// A world with so many machines that all begin to report at once.
+    pub fn with_machines(seed: u64, machines: usize) -> Simulation {
+        let mut w = Simulation::new(seed);
+        w.cloud.capacity = machines;
+        for i in w.cloud.machines.len()..machines {
+            w.add_machine(i % 2, false, Some(w.now));
+        }
+        w
+    }
+
+    fn send(&mut self, delay: u64, m: Message) {
+        self.next_sequence += 1;
+        self.network.insert((self.now + delay, self.next_sequence), m);
+    }
+
+    fn network_delay(&mut self) -> u64 {
+        self.rng.random_range(1..8)
+    }
+
+    pub fn step(&mut self) {
+        self.now += STEP_MS;
+        for i in 0..self.nodes.len() {
+            if self.nodes[i].start_at.is_some_and(|t| self.now >= t) {
+                self.nodes[i].start_at = None;
+                let seed = self.rng.random();
+                let n = self.nodes.len();
+                let clock = Clock { monotonic_ms: self.now, wall_ms: 1_000_000 + self.now };
+                let cfg = config(i, n, self.team_gpus_max, &self.next_state_limits);
+                self.nodes[i].controller =
+                    Some(Controller::new(cfg, self.operator.clone(), clock, seed));
+                self.nodes[i].next_wake = 0;
+            }
+        }
+        self.state_step();
+        while let Some((&(at, seq), _)) = self.network.first_key_value() {
+            if at > self.now {
+                break;
+            }
+            let m = self.network.remove(&(at, seq)).expect("just seen");
+            self.record_arrival(&m);
+            self.deliver(m);
+            self.record_stored();
+        }
+        self.cloud_step();
+        let names: Vec<String> = self.workers.keys().cloned().collect();
+        for name in names {
+            self.worker_step(&name);
+        }
+        if self.gang_submitted {
+            self.gangs_step();
+        }
+        for i in 0..self.nodes.len() {
+            self.node_step(i);
+        }
+        if self.now.is_multiple_of(100) {
+            self.check_invariants();
+        }
+        if let Some(since) = self.faults_ended_at.filter(|_| self.now.is_multiple_of(1_000)) {
+            self.check_starvation(since);
+        }
+    }
+
+    fn node_step(&mut self, i: usize) {
+        let now = self.now;
+        let n = &mut self.nodes[i];
+        if now < n.paused_until {
+            return;
+        }
+        let late: Vec<u64> =
+            n.deadlines.iter().filter(|(_, t)| **t <= now).map(|(c, _)| *c).collect();
+        for call in late {
+            n.deadlines.remove(&call);
+            n.inbox.push(Command::Reply { call, reply: None });
+        }
+        let Some(controller) = n.controller.as_mut() else {
+            n.inbox.clear();
+            return;
+        };
+        if n.inbox.is_empty() && now < n.next_wake {
+            return;
+        }
+        let clock = Clock { monotonic_ms: now, wall_ms: 1_000_000 + now };
+        let effects = controller.handle_batch(clock, std::mem::take(&mut n.inbox));
+        n.next_wake = controller.next_wake();
+        n.paused_until = now + n.batch_duration_ms;
+        let incarnation = n.incarnation;
+        for e in effects {
+            self.record_effect(i, &e);
+            self.effect(i, incarnation, e);
+        }
+    }
+
+    fn record_effect(&mut self, node: usize, e: &Effect) {
+        match e {
+            Effect::Respond { connection, status, retry_after_s, body } => {
+                let what = format_args!("c-{node} answers {connection} {status} {retry_after_s:?}");
+                self.recorder.message(self.now, what, body);
+            }
+            Effect::Call { id, service, method, path, body, timeout_ms } => {
+                let what =
+                    format_args!("c-{node} calls {id} {service:?} {method} {path} {timeout_ms}");
+                self.recorder.message(self.now, what, body);
+            }
+        }
+    }
+
+    /// Takes down what arrives; what controllers send was taken down when they sent it.
+    fn record_arrival(&mut self, m: &Message) {
+        let now = self.now;
+        match m {
+            Message::Reply { node, incarnation, call, status, body } => {
+                let what =
+                    format_args!("reply to c-{node} life {incarnation} call {call} {status}");
+                self.recorder.message(now, what, body);
+            }
+            Message::Heartbeat { worker, request, node, body } => {
+                let what = format_args!("report {request} of {worker} to c-{node}");
+                self.recorder.message(now, what, body);
+            }
+            Message::HeartbeatResponse { worker, request, status, body } => {
+                let what = format_args!("answer to report {request} of {worker} {status}");
+                self.recorder.message(now, what, body);
+            }
+            Message::UserRequest { request, node, method, path, body } => {
+                let what = format_args!("user's request {request} to c-{node} {method} {path}");
+                self.recorder.message(now, what, body);
+            }
+            Message::UserResponse { request, status, body } => {
+                let what = format_args!("answer to user's request {request} {status}");
+                self.recorder.message(now, what, body);
+            }
+            Message::StateRequest { node, incarnation, call, method, path, .. }
+            | Message::CloudRequest { node, incarnation, call, method, path, .. } => {
+                let what =
+                    format_args!("c-{node} life {incarnation} call {call} {method} {path} arrives");
+                self.recorder.message(now, what, &[]);
+            }
+            Message::PeerRequest { node, incarnation, call, to, path, .. } => {
+                let what = format_args!(
+                    "c-{node} life {incarnation} call {call} {path} arrives at c-{to}"
+                );
+                self.recorder.message(now, what, &[]);
+            }
+        }
+    }
+
+    /// Takes down what the state service has stored since the last call.
+    fn record_stored(&mut self) {
+        let recorded = self.state.recorded_revision.min(self.state.revision);
+        let from = self.state.history.partition_point(|(rev, _, _)| *rev <= recorded);
+        for (rev, key, value) in &self.state.history[from..] {
+            let (what, value) = match value {
+                Some(value) => ("stored", value.to_string()),
+                None => ("removed", String::new()),
+            };
+            let what = format_args!("{what} {key} {rev}");
+            self.recorder.message(self.now, what, value.as_bytes());
+        }
+        self.state.recorded_revision = self.state.revision;
+    }
+
+    fn effect(&mut self, node: usize, incarnation: u64, e: Effect) {
+        let batch_duration_ms = self.nodes[node].batch_duration_ms;
+        let d = self.network_delay() + batch_duration_ms;
+        match e {
+            Effect::Respond { connection, status, body, .. } => {
+                let n = &mut self.nodes[node];
+                let (partitioned_from_workers, partitioned_from_peers) =
+                    (n.partitioned_from_workers, n.partitioned_from_peers);
+                match n.connections.remove(&connection) {
+                    Some(Connection::Worker { name, request })
+                        if !partitioned_from_workers && !self.is_partitioned(&name, node) =>
+                    {
+                        self.send(
+                            d,
+                            Message::HeartbeatResponse { worker: name, request, status, body },
+                        );
+                    }
+                    Some(Connection::User { request }) => {
+                        self.send(d, Message::UserResponse { request, status, body });
+                    }
+                    Some(Connection::Peer { node: to, incarnation, call })
+                        if !partitioned_from_peers && !self.nodes[to].partitioned_from_peers =>
+                    {
+                        self.peer_response_bytes_max = self.peer_response_bytes_max.max(body.len());
+                        self.send(d, Message::Reply { node: to, incarnation, call, status, body });
+                    }
+                    _ => {}
+                }
+            }
+            Effect::Call { id, service, method, path, body, timeout_ms } => {
+                self.nodes[node].deadlines.insert(id, self.now + batch_duration_ms + timeout_ms);
+                let method = method.to_string();
+                let call = id;
+                match service {
+                    Service::State => {
+                        if self.nodes[node].partitioned_from_state {
+                            return;
+                        }
+                        let late = path == "/commit"
+                            && self.rng.random_bool(self.state.delayed_commit_rate);
+                        let d = if late { d + self.rng.random_range(1_000..6_000) } else { d };
+                        if path == "/commit"
+                            && self.rng.random_bool(self.state.unanswered_commit_rate)
+                        {
+                            // Nobody waits for its answer any more when it comes.
+                            let d = self.rng.random_range(2_000..12_000);
+                            return self.send(
+                                d,
+                                Message::StateRequest {
+                                    node,
+                                    incarnation,
+                                    call,
+                                    method,
+                                    path,
+                                    body,
+                                },
+                            );
+                        }
+                        let submits = path == "/commit"
+                            && String::from_utf8_lossy(&body).contains("mg/2/jobs/");
+                        let d = d + if submits {
+                            std::mem::take(&mut self.state.next_submission_delay_ms)
+                        } else {
+                            0
+                        };
+                        self.send(
+                            d,
+                            Message::StateRequest { node, incarnation, call, method, path, body },
+                        );
+                    }
+                    Service::Cloud => self.send(
+                        d + 50 + self.cloud.extra_latency_ms,
+                        Message::CloudRequest { node, incarnation, call, method, path, body },
+                    ),
+                    Service::Peer(p) => {
+                        let to = (0..3).filter(|x| *x != node).nth(p).expect("two peers");
+                        if !self.nodes[node].partitioned_from_peers
+                            && !self.nodes[to].partitioned_from_peers
+                        {
+                            let d = d.max(
+                                self.nodes[node]
+                                    .peer_requests_delayed_until
+                                    .saturating_sub(self.now),
+                            );
+                            self.send(
+                                d,
+                                Message::PeerRequest { node, incarnation, call, to, path, body },
+                            );
+                        }
+                    }
+                }
+            }
+        }
+    }
+
+    fn deliver(&mut self, m: Message) {
+        match m {
+            Message::StateRequest { node, incarnation, call, method, path, body } => {
+                self.state_request(node, incarnation, call, &method, &path, &body);
+            }
+            Message::CloudRequest { node, incarnation, call, method, path, body } => {
+                let (status, v) = self.cloud_request(&method, &path, &body);
+                let d = self.network_delay();
+                let body = v.to_string().into_bytes();
+                self.send(d, Message::Reply { node, incarnation, call, status, body });
+            }
+            Message::PeerRequest { node, incarnation, call, to, path, body } => {
+                let n = &mut self.nodes[to];
+                if n.controller.is_none() {
+                    return;
+                }
+                let connection = n.next_connection;
+                n.next_connection += 1;
+                n.connections.insert(connection, Connection::Peer { node, incarnation, call });
+                n.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
+            }
+            Message::Reply { node, incarnation, call, status, body } => {
+                let n = &mut self.nodes[node];
+                if n.incarnation == incarnation && n.deadlines.remove(&call).is_some() {
+                    n.inbox.push(Command::Reply { call, reply: Some(Response { status, body }) });
+                }
+            }
+            Message::Heartbeat { worker, request, node, body } => {
+                let apart = self.is_partitioned(&worker, node);
+                let n = &mut self.nodes[node];
+                if n.partitioned_from_workers || apart {
+                    return;
+                }
+                if n.controller.is_none() {
+                    let d = self.network_delay();
+                    return self.send(
+                        d,
+                        Message::HeartbeatResponse { worker, request, status: 0, body: vec![] },
+                    );
+                }
+                let connection = n.next_connection;
+                n.next_connection += 1;
+                n.connections.insert(connection, Connection::Worker { name: worker, request });
+                n.inbox.push(Command::Public {
+                    connection,
+                    method: "POST".into(),
+                    path: "/checkin".into(),
+                    body,
+                });
+            }
+            Message::HeartbeatResponse { worker, request, status, body } => {
+                self.handle_heartbeat_response(&worker, request, status, &body);
+            }
+            Message::UserRequest { request, node, method, path, body } => {
+                let n = &mut self.nodes[node];
+                if n.controller.is_none() {
+                    return self
+                        .send(1, Message::UserResponse { request, status: 0, body: vec![] });
+                }
+                let connection = n.next_connection;
+                n.next_connection += 1;
+                n.connections.insert(connection, Connection::User { request });
+                n.inbox.push(Command::Public { connection, method: method.into(), path, body });
+            }
+            Message::UserResponse { request, status, body } => {
+                self.handle_user_response(request, status, &body)
+            }
+        }
+    }
+}
--- a/tests/world/scenario.rs
+++ b/tests/simulation/scenario.rs
@@ -2,46 +2,54 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Cuts a zone off with one controller in it.
-    pub fn cut_zone(&mut self, zone: &str, node: usize) {
-        self.zone_cut = Some((zone.into(), node));
-        self.nodes[node].cut_state = true;
-        self.nodes[node].cut_peers = true;
+    pub fn partition_zone(&mut self, zone: &str, node: usize) {
+        self.zone_partition = Some((zone.into(), node));
+        self.nodes[node].partitioned_from_state = true;
+        self.nodes[node].partitioned_from_peers = true;
     }
 
     /// Ends that.
-    pub fn join_zone(&mut self) {
-        if let Some((_, node)) = self.zone_cut.take() {
-            self.nodes[node].cut_state = false;
-            self.nodes[node].cut_peers = false;
+    pub fn heal_zone_partition(&mut self) {
+        if let Some((_, node)) = self.zone_partition.take() {
+            self.nodes[node].partitioned_from_state = false;
+            self.nodes[node].partitioned_from_peers = false;
         }
     }
 
     pub fn crash(&mut self, i: usize, back_in: u64) {
         let n = &mut self.nodes[i];
-        n.core = None;
-        n.life += 1;
+        n.controller = None;
+        n.incarnation += 1;
         n.start_at = Some(self.now + back_in);
         n.inbox.clear();
         n.deadlines.clear();
-        let conns = std::mem::take(&mut n.conns);
-        for c in conns.into_values() {
+        let connections = std::mem::take(&mut n.connections);
+        for c in connections.into_values() {
             match c {
                 // A reset connection: the worker or user notices at once.
-                Conn::Worker { name, request } => {
-                    self.send(1, Msg::Answer { worker: name, request, status: 0, body: vec![] });
+                Connection::Worker { name, request } => {
+                    self.send(
+                        1,
+                        Message::HeartbeatResponse {
+                            worker: name,
+                            request,
+                            status: 0,
+                            body: vec![],
+                        },
+                    );
                 }
-                Conn::User { request } => {
-                    self.send(1, Msg::UserAnswer { request, status: 0, body: vec![] });
+                Connection::User { request } => {
+                    self.send(1, Message::UserResponse { request, status: 0, body: vec![] });
                 }
-                Conn::Peer { .. } => {}
+                Connection::Peer { .. } => {}
             }
         }
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.core.as_ref().and_then(|c| c.leading_term());
+        let leads = |n: &Node| n.controller.as_ref().and_then(|c| c.leading_term());
         (0..self.nodes.len())
             .filter(|i| leads(&self.nodes[*i]).is_some())
             .max_by_key(|i| leads(&self.nodes[*i]))
@@ -52,12 +60,12 @@
         while self.now < end {
             self.step();
         }
-        let (seed, now, broken) = (self.seed, self.now, &self.broken);
-        assert!(broken.is_empty(), "seed {seed}, at {now} ms: rules broken: {broken:?}");
+        let (seed, now, violations) = (self.seed, self.now, &self.violations);
+        assert!(violations.is_empty(), "seed {seed}, at {now} ms: rules broken: {violations:?}");
     }
 
     /// Runs until something holds; panics after `ms`.
-    pub fn until(&mut self, ms: u64, what: &str, holds: impl Fn(&World) -> bool) {
+    pub fn run_until(&mut self, ms: u64, what: &str, holds: impl Fn(&Simulation) -> bool) {
         let end = self.now + ms;
         while !holds(self) {
             assert!(self.now < end, "not within {ms} ms: {what}");
@@ -67,32 +75,32 @@
 
     /// All troubles are over: what was accepted stays known, batch jobs come to their end,
     /// services run in full, and none waits beside room for it.
-    pub fn ends_well(&mut self) {
-        self.calm_since = Some(self.now);
+    pub fn assert_all_jobs_complete(&mut self) {
+        self.faults_ended_at = Some(self.now);
         self.run(8_000);
-        self.all_stay_known("in the end");
-        let kept = |j: &Job| j.accepted_at.is_some() && !j.asked_withdraw;
+        self.assert_accepted_jobs_known("in the end");
+        let kept = |j: &Job| j.accepted_at.is_some() && !j.cancel_requested;
         let uids: Vec<String> =
             self.jobs.iter().filter(|(_, j)| kept(j)).map(|(u, _)| u.clone()).collect();
         for uid in &uids {
             if self.jobs[uid].spec["shape"] != "standing" {
-                self.until_done(uid, 240_000);
+                self.run_until_done(uid, 240_000);
             } else {
-                let n = self.jobs[uid].loads as usize;
-                self.until(120_000, "all replicas run", |w| w.running_of(uid) == n);
+                let n = self.jobs[uid].tasks as usize;
+                self.run_until(120_000, "all replicas run", |w| w.running_tasks_of(uid) == n);
             }
         }
         self.run(5_000);
     }
 
     /// Every job that was ever accepted stays known, each one, to every controller.
-    pub fn all_stay_known(&mut self, when: &str) {
+    pub fn assert_accepted_jobs_known(&mut self, when: &str) {
         let accepted = self.jobs.iter().filter(|(_, j)| j.accepted_at.is_some());
         for uid in accepted.map(|(uid, _)| uid.clone()).collect::<Vec<_>>() {
             let asked: Vec<u64> = (0..3).map(|i| self.poll(&uid, i)).collect();
-            let limit = self.now + FORGOTTEN_MS;
-            while !asked.iter().all(|r| self.status(*r) == 200) {
-                assert!(self.now < limit, "{when}: {uid} is forgotten: {}", self.view());
+            let limit = self.now + POLL_TIMEOUT_MS;
+            while !asked.iter().all(|r| self.response_status(*r) == 200) {
+                assert!(self.now < limit, "{when}: {uid} is forgotten: {}", self.describe());
                 self.run(100);
             }
         }
@@ -100,77 +108,78 @@
 
     /// What a controller tells operators of losses of the store.
     pub fn recovery_report(&mut self, node: usize) -> Value {
-        let request = self.ask(node, "", "other", "GET", "/v1/recovery".into(), vec![]);
+        let request =
+            self.send_user_request(node, "", "other", "GET", "/v1/recovery".into(), vec![]);
         self.run(100);
-        self.answer(request).clone()
+        self.response_body(request).clone()
     }
 
     /// An operator decides on jobs that a rebuild could not account for.
-    pub fn decide(&mut self, node: usize, decision: &str, request: Value) -> u64 {
+    pub fn send_recovery_decision(&mut self, node: usize, decision: &str, request: Value) -> u64 {
         let path = format!("/v1/recovery/{decision}");
-        self.ask(node, "", "other", "POST", path, request.to_string().into_bytes())
+        self.send_user_request(node, "", "other", "POST", path, request.to_string().into_bytes())
     }
 
     /// Tasks that run on any machine.
-    pub fn running(&self) -> usize {
-        self.workers.values().map(|x| x.running().len()).sum()
+    pub fn running_tasks(&self) -> usize {
+        self.workers.values().map(|x| x.running_tasks().len()).sum()
     }
 
     /// Tasks of a job that run.
-    pub fn running_of(&self, uid: &str) -> usize {
-        self.workers.values().flat_map(|w| w.running()).filter(|(j, _)| j == uid).count()
+    pub fn running_tasks_of(&self, uid: &str) -> usize {
+        self.workers.values().flat_map(|w| w.running_tasks()).filter(|(j, _)| j == uid).count()
     }
 
     /// Whether a job is done, as its user is told by a poll at any controller that is up.
-    pub fn until_done(&mut self, uid: &str, ms: u64) {
+    pub fn run_until_done(&mut self, uid: &str, ms: u64) {
         let end = self.now + ms;
         loop {
             for i in 0..3 {
-                if self.nodes[i].core.is_some() {
+                if self.nodes[i].controller.is_some() {
                     self.poll(uid, i);
                 }
             }
             self.run(500);
-            if self.jobs[uid].done_told.is_some() {
+            if self.jobs[uid].reported_done_at.is_some() {
                 return;
             }
-            assert!(self.now < end, "{uid} not done within {ms} ms: {}", self.view());
+            assert!(self.now < end, "{uid} not done within {ms} ms: {}", self.describe());
         }
     }
 
     /// Something that is no message of a peer reaches a controller from where its peers are.
-    pub fn peer_says(&mut self, node: usize, path: &str, body: &[u8]) {
+    pub fn inject_peer_request(&mut self, node: usize, path: &str, body: &[u8]) {
         let n = &mut self.nodes[node];
-        let connection = n.next_conn;
-        n.next_conn += 1;
+        let connection = n.next_connection;
+        n.next_connection += 1;
         let (path, body) = (path.to_string(), body.to_vec());
         n.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
     }
 
     /// What the leader and the workers see, for messages of failed stories.
-    pub fn view(&self) -> String {
-        let up: Vec<bool> = self.nodes.iter().map(|n| n.core.is_some()).collect();
+    pub fn describe(&self) -> String {
+        let up: Vec<bool> = self.nodes.iter().map(|n| n.controller.is_some()).collect();
         let hosts: Vec<String> = self
             .workers
             .iter()
-            .filter(|(_, w)| !w.dead)
+            .filter(|(_, w)| !w.stopped)
             .map(|(n, w)| {
                 format!(
                     "{n} {} spot={} baton={} node={} {:?}",
-                    w.yard,
+                    w.zone,
                     w.spot,
-                    w.baton,
+                    w.fencing_token,
                     w.node,
-                    w.running()
+                    w.running_tasks()
                 )
             })
             .collect();
-        let alive = self.cloud.hosts.values().filter(|h| h.gone.is_none()).count();
+        let alive = self.cloud.machines.values().filter(|h| h.gone_at.is_none()).count();
         match self.leader() {
             Some(l) => format!(
                 "up {up:?}, {alive} hosts, leader {l}: {}\nworkers {hosts:#?}",
                 self.nodes[l]
-                    .core
+                    .controller
                     .as_ref()
                     .map(|c| json!(c.status_view(true)).to_string())
                     .unwrap_or_default()
--- a/tests/world/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -5,13 +5,13 @@
 #[derive(Clone)]
 pub(super) struct Entry {
     pub(super) data: Value,
-    pub(super) stamp: u64,
-    pub(super) hold: Option<u64>,
+    pub(super) mod_revision: u64,
+    pub(super) lease: Option<u64>,
 }
 
 pub(super) struct Watch {
     pub(super) node: usize,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) call: u64,
     pub(super) since: u64,
     pub(super) until: u64,
@@ -21,56 +21,59 @@
 #[derive(Clone, Default)]
 pub struct Backup {
     keys: BTreeMap<String, Entry>,
-    log: Vec<(u64, String, Option<Value>)>,
-    rev: u64,
+    history: Vec<(u64, String, Option<Value>)>,
+    revision: u64,
 }
 
 /// The state service.
 #[derive(Default)]
-pub struct State {
+pub struct StateService {
     pub(super) keys: BTreeMap<String, Entry>,
-    pub rev: u64,
+    pub revision: u64,
     /// Changes up to this revision are in the record of the run.
-    pub(super) recorded_rev: u64,
+    pub(super) recorded_revision: u64,
     /// Puts and deletes carried out.
-    pub changes: usize,
-    pub(super) log: Vec<(u64, String, Option<Value>)>,
-    pub(super) holds: BTreeMap<u64, (u64, u64)>,
-    pub(super) next_hold: u64,
+    pub mutation_count: usize,
+    pub(super) history: Vec<(u64, String, Option<Value>)>,
+    pub(super) leases: BTreeMap<u64, (u64, u64)>,
+    pub(super) next_lease: u64,
     pub(super) watches: Vec<Watch>,
     pub outage: bool,
     /// Share of commits that are carried out late, and of answers that are lost.
-    pub late_commits: f64,
+    pub delayed_commit_rate: f64,
     /// Share of commits that get no answer and are carried out 2 to 12 s later.
-    pub late_writes: f64,
-    pub lost_answers: f64,
+    pub unanswered_commit_rate: f64,
+    pub lost_response_rate: f64,
     /// Watches tell nothing before their time is up.
-    pub slow_watches: bool,
+    pub watches_stalled: bool,
     /// Milliseconds by which answers to commits are late.
-    pub slow_commits: u64,
+    pub commit_response_delay_ms: u64,
     /// Milliseconds by which the next submission's commit is late.
-    pub slow_once: u64,
+    pub next_submission_delay_ms: u64,
     /// Changes up to this revision are not kept any more.
-    pub forgot: u64,
+    pub compacted_revision: u64,
     /// Answers 429.
-    pub busy: bool,
+    pub rate_limited: bool,
     /// Share of answers that are nonsense.
-    pub nonsense: f64,
+    pub malformed_response_rate: f64,
     /// Bytes of a value and changes of a transaction, once they are lower than in the settings. What is
     /// larger is refused.
-    pub lowered: Option<(usize, usize)>,
+    pub lowered_limits: Option<(usize, usize)>,
     /// The last backup that was kept.
-    pub(super) kept: Backup,
+    pub(super) saved_backup: Backup,
     /// Transactions that were refused for their size.
-    pub too_large: usize,
+    pub rejected_for_size: usize,
 }
 
-impl State {
+impl StateService {
     /// Puts a key there behind the controllers' backs.
     pub fn put(&mut self, key: &str, data: Value) {
-        self.rev += 1;
-        self.keys.insert(key.into(), Entry { data: data.clone(), stamp: self.rev, hold: None });
-        self.log.push((self.rev, key.into(), Some(data)));
+        self.revision += 1;
+        self.keys.insert(
+            key.into(),
+            Entry { data: data.clone(), mod_revision: self.revision, lease: None },
+        );
+        self.history.push((self.revision, key.into(), Some(data)));
     }
 
     pub fn get(&self, key: &str) -> Option<&Value> {
@@ -78,17 +81,17 @@
     }
 
     /// Revision of a key's last change.
-    pub fn stamp(&self, key: &str) -> u64 {
-        self.keys.get(key).map_or(0, |entry| entry.stamp)
+    pub fn mod_revision(&self, key: &str) -> u64 {
+        self.keys.get(key).map_or(0, |entry| entry.mod_revision)
     }
 
-    pub fn under(&self, prefix: &str) -> Vec<(&String, &Value)> {
+    pub fn entries_under(&self, prefix: &str) -> Vec<(&String, &Value)> {
         self.keys.iter().filter(|(k, _)| k.starts_with(prefix)).map(|(k, e)| (k, &e.data)).collect()
     }
 
     pub(super) fn remove(&mut self, key: &str, rev: u64) {
         if self.keys.remove(key).is_some() {
-            self.log.push((rev, key.to_string(), None));
+            self.history.push((rev, key.to_string(), None));
         }
     }
 
@@ -102,38 +105,42 @@
             .flatten()
             .filter(|i| {
                 let key = i["key"].as_str().unwrap();
-                self.keys.get(key).map_or(0, |e| e.stamp) != i["stamp"].as_u64().unwrap()
+                self.keys.get(key).map_or(0, |e| e.mod_revision) != i["stamp"].as_u64().unwrap()
             })
             .map(|i| i["key"].as_str().unwrap())
             .collect();
         if !failed.is_empty() {
-            return (409, json!({"failed": failed, "ledger_rev": self.rev}));
+            return (409, json!({"failed": failed, "ledger_rev": self.revision}));
         }
         let writes = c["writes"].as_array().cloned().unwrap_or_default();
         assert!(writes.len() <= 8, "too many changes in one transaction");
-        if let Some((value_bytes, ops)) = self.lowered {
+        if let Some((value_bytes, ops)) = self.lowered_limits {
             let large = |w: &Value| w["data"].to_string().len() > value_bytes;
             if writes.len() > ops || writes.iter().any(large) {
-                self.too_large += 1;
+                self.rejected_for_size += 1;
                 return (400, json!({"error": "too large"}));
             }
         }
         for w in &writes {
             if let Some(h) = w["tenancy"].as_u64() {
-                if !self.holds.contains_key(&h) {
+                if !self.leases.contains_key(&h) {
                     return (400, json!({"error": "no such lease"}));
                 }
             }
         }
-        self.rev += 1;
-        self.changes += writes.len();
-        let rev = self.rev;
+        self.revision += 1;
+        self.mutation_count += writes.len();
+        let rev = self.revision;
         for w in writes {
             if let Some(key) = w["write"].as_str() {
                 assert!(w["data"].to_string().len() <= 4096, "value too large: {key}");
-                let e = Entry { data: w["data"].clone(), stamp: rev, hold: w["tenancy"].as_u64() };
+                let e = Entry {
+                    data: w["data"].clone(),
+                    mod_revision: rev,
+                    lease: w["tenancy"].as_u64(),
+                };
                 self.keys.insert(key.to_string(), e);
-                self.log.push((rev, key.to_string(), Some(w["data"].clone())));
+                self.history.push((rev, key.to_string(), Some(w["data"].clone())));
             } else {
                 self.remove(w["remove"].as_str().unwrap(), rev);
             }
@@ -146,47 +153,47 @@
         self.restore(Backup::default(), 0);
     }
 
-    /// Takes the backup that [`State::restore_kept`] goes back to.
-    pub fn keep_backup(&mut self) {
-        self.kept = self.backup();
+    /// Takes the backup that [`StateService::restore_saved_backup`] goes back to.
+    pub fn save_backup(&mut self) {
+        self.saved_backup = self.backup();
     }
 
     /// Goes back to the backup that was kept.
-    pub fn restore_kept(&mut self, rev_past: u64) {
-        self.restore(self.kept.clone(), rev_past);
+    pub fn restore_saved_backup(&mut self, revisions_ahead: u64) {
+        self.restore(self.saved_backup.clone(), revisions_ahead);
     }
 
     /// What a backup taken now would hold.
     pub fn backup(&self) -> Backup {
-        let keys = self.keys.iter().filter(|(_, entry)| entry.hold.is_none());
+        let keys = self.keys.iter().filter(|(_, entry)| entry.lease.is_none());
         let keys = keys.map(|(key, entry)| (key.clone(), entry.clone())).collect();
-        Backup { keys, log: self.log.clone(), rev: self.rev }
+        Backup { keys, history: self.history.clone(), revision: self.revision }
     }
 
-    /// The data becomes that of a backup, with revisions that go on from `rev_past` further. Leases
+    /// The data becomes that of a backup, with revisions that go on from `revisions_ahead` further. Leases
     /// and watches end.
-    pub fn restore(&mut self, backup: Backup, rev_past: u64) {
+    pub fn restore(&mut self, backup: Backup, revisions_ahead: u64) {
         self.keys = backup.keys;
-        self.log = backup.log;
-        self.rev = backup.rev + rev_past;
-        self.holds.clear();
+        self.history = backup.history;
+        self.revision = backup.revision + revisions_ahead;
+        self.leases.clear();
         self.watches.clear();
     }
 
-    pub(super) fn end_hold(&mut self, id: u64) {
-        self.holds.remove(&id);
+    pub(super) fn end_lease(&mut self, id: u64) {
+        self.leases.remove(&id);
         let keys: Vec<String> =
-            self.keys.iter().filter(|(_, e)| e.hold == Some(id)).map(|(k, _)| k.clone()).collect();
+            self.keys.iter().filter(|(_, e)| e.lease == Some(id)).map(|(k, _)| k.clone()).collect();
         for k in keys {
-            self.rev += 1;
-            let rev = self.rev;
+            self.revision += 1;
+            let rev = self.revision;
             self.remove(&k, rev);
         }
     }
 
-    pub(super) fn changes(&self, since: u64) -> Value {
+    pub(super) fn changes_since(&self, since: u64) -> Value {
         let events: Vec<Value> = self
-            .log
+            .history
             .iter()
             .filter(|(r, _, _)| *r > since)
             .map(|(r, k, d)| match d {
@@ -194,40 +201,46 @@
                 None => json!({"remove": k, "stamp": r}),
             })
             .collect();
-        json!({"ledger_rev": self.rev, "events": events})
+        json!({"ledger_rev": self.revision, "events": events})
     }
 }
 
-pub(super) fn query(path: &str, name: &str) -> Option<String> {
+pub(super) fn query_parameter(path: &str, name: &str) -> Option<String> {
     let q = path.split_once('?')?.1;
     q.split('&').find_map(|p| p.strip_prefix(&format!("{name}="))).map(|s| s.to_string())
 }
 
-impl World {
+impl Simulation {
     pub(super) fn state_step(&mut self) {
         if self.state.outage {
             return;
         }
         let now = self.now;
         let over: Vec<u64> =
-            self.state.holds.iter().filter(|(_, (_, end))| *end <= now).map(|(h, _)| *h).collect();
+            self.state.leases.iter().filter(|(_, (_, end))| *end <= now).map(|(h, _)| *h).collect();
         for h in over {
-            self.state.end_hold(h);
+            self.state.end_lease(h);
         }
-        let rev = self.state.rev;
-        let slow = self.state.slow_watches;
+        let rev = self.state.revision;
+        let slow = self.state.watches_stalled;
         let (ready, open): (Vec<Watch>, Vec<Watch>) =
             self.state.watches.drain(..).partition(|w| (rev > w.since && !slow) || now >= w.until);
         self.state.watches = open;
         for w in ready {
-            if self.nodes[w.node].refused || self.nodes[w.node].cut_state {
+            if self.nodes[w.node].refused_by_state || self.nodes[w.node].partitioned_from_state {
                 continue;
             }
-            let body = self.state.changes(w.since).to_string().into_bytes();
-            let d = self.hop();
+            let body = self.state.changes_since(w.since).to_string().into_bytes();
+            let d = self.network_delay();
             self.send(
                 d,
-                Msg::Reply { node: w.node, life: w.life, call: w.call, status: 200, body },
+                Message::Reply {
+                    node: w.node,
+                    incarnation: w.incarnation,
+                    call: w.call,
+                    status: 200,
+                    body,
+                },
             );
         }
     }
@@ -235,15 +248,15 @@
     /// Ends an outage: every lease has its full time again.
     pub fn end_outage(&mut self) {
         self.state.outage = false;
-        for (life, end) in self.state.holds.values_mut() {
-            *end = self.now + *life;
+        for (incarnation, end) in self.state.leases.values_mut() {
+            *end = self.now + *incarnation;
         }
     }
 
     pub(super) fn state_request(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         call: u64,
         method: &str,
         path: &str,
@@ -251,69 +264,72 @@
     ) {
         let now = self.now;
         let s = &mut self.state;
-        let (status, v) = if s.outage || self.nodes[node].refused {
+        let (status, v) = if s.outage || self.nodes[node].refused_by_state {
             (503, json!({}))
-        } else if s.busy {
+        } else if s.rate_limited {
             (429, json!({}))
         } else if path == "/commit" {
             s.commit(body)
         } else if path == "/holds" {
             let life_ms =
                 serde_json::from_slice::<Value>(body).unwrap()["life_ms"].as_u64().unwrap();
-            let id = s.next_hold;
-            s.next_hold += 1;
-            s.holds.insert(id, (life_ms, now + life_ms));
+            let id = s.next_lease;
+            s.next_lease += 1;
+            s.leases.insert(id, (life_ms, now + life_ms));
             (200, json!({"tenancy": id}))
         } else if let Some(rest) = path.strip_prefix("/holds/") {
             let id: u64 = rest.trim_end_matches("/renew").parse().unwrap();
             if method == "DELETE" {
-                s.end_hold(id);
+                s.end_lease(id);
                 (200, json!({}))
             } else {
-                match s.holds.get_mut(&id) {
-                    Some((life, end)) => {
-                        *end = now + *life;
+                match s.leases.get_mut(&id) {
+                    Some((incarnation, end)) => {
+                        *end = now + *incarnation;
                         (200, json!({"tenancy": id}))
                     }
                     None => (404, json!({})),
                 }
             }
         } else if path.starts_with("/changes") {
-            let since: u64 = query(path, "since").unwrap().parse().unwrap();
-            let block: u64 = query(path, "block_ms").unwrap().parse().unwrap();
-            if since < s.forgot {
-                let d = self.hop();
-                return self.send(d, Msg::Reply { node, life, call, status: 410, body: vec![] });
+            let since: u64 = query_parameter(path, "since").unwrap().parse().unwrap();
+            let block: u64 = query_parameter(path, "block_ms").unwrap().parse().unwrap();
+            if since < s.compacted_revision {
+                let d = self.network_delay();
+                return self.send(
+                    d,
+                    Message::Reply { node, incarnation, call, status: 410, body: vec![] },
+                );
             }
-            if block > 0 && s.rev <= since {
-                s.watches.push(Watch { node, life, call, since, until: now + block });
+            if block > 0 && s.revision <= since {
+                s.watches.push(Watch { node, incarnation, call, since, until: now + block });
                 return;
             }
-            (200, s.changes(since))
+            (200, s.changes_since(since))
         } else if path.starts_with("/store?") {
-            let prefix = query(path, "prefix").unwrap();
-            let since = query(path, "since").unwrap_or_default();
+            let prefix = query_parameter(path, "prefix").unwrap();
+            let since = query_parameter(path, "since").unwrap_or_default();
             // Small pages, so that listings take several.
             let all: Vec<(&String, &Entry)> =
                 s.keys.iter().filter(|(k, _)| k.starts_with(&prefix) && **k > since).collect();
             let items: Vec<Value> = all
                 .iter()
                 .take(20)
-                .map(|(k, e)| json!({"key": k, "data": e.data, "stamp": e.stamp}))
+                .map(|(k, e)| json!({"key": k, "data": e.data, "stamp": e.mod_revision}))
                 .collect();
-            (200, json!({"items": items, "has_next": all.len() > 20, "ledger_rev": s.rev}))
+            (200, json!({"items": items, "has_next": all.len() > 20, "ledger_rev": s.revision}))
         } else {
             panic!("unexpected request {method} {path}");
         };
-        if self.rng.random_bool(self.state.lost_answers) {
+        if self.rng.random_bool(self.state.lost_response_rate) {
             return;
         }
-        let late = if path == "/commit" { self.state.slow_commits } else { 0 };
-        let d = self.hop() + late;
-        let body = match self.rng.random_bool(self.state.nonsense) {
-            true => NONSENSE[self.rng.random_range(0..NONSENSE.len())].into(),
+        let late = if path == "/commit" { self.state.commit_response_delay_ms } else { 0 };
+        let d = self.network_delay() + late;
+        let body = match self.rng.random_bool(self.state.malformed_response_rate) {
+            true => MALFORMED_BODIES[self.rng.random_range(0..MALFORMED_BODIES.len())].into(),
             false => v.to_string().into_bytes(),
         };
-        self.send(d, Msg::Reply { node, life, call, status, body });
+        self.send(d, Message::Reply { node, incarnation, call, status, body });
     }
 }
--- a/tests/world/user.rs
+++ b/tests/simulation/user.rs
@@ -5,32 +5,32 @@
 /// What users know of a job, and the truth.
 pub struct Job {
     pub spec: Value,
-    pub loads: u32,
+    pub tasks: u32,
     pub run_ms: u64,
     pub accepted_at: Option<u64>,
     pub done_tasks: BTreeSet<u32>,
     /// When its user was first told that it is done.
-    pub done_told: Option<u64>,
-    pub withdrawn_told: Option<u64>,
-    pub asked_withdraw: bool,
+    pub reported_done_at: Option<u64>,
+    pub reported_cancelled_at: Option<u64>,
+    pub cancel_requested: bool,
     pub last_status: String,
     /// Fails wherever it starts.
-    pub bad: bool,
+    pub always_fails: bool,
     pub starts: u32,
     /// When a task of it first ran.
-    pub begun_at: Option<u64>,
+    pub first_started_at: Option<u64>,
     /// Start orders that a worker took as new.
-    pub ordered: u32,
+    pub start_commands: u32,
     /// Can't run or lacks a field: must not be accepted.
-    pub odd: bool,
+    pub invalid: bool,
     /// Milliseconds by which each task runs longer than the one before.
-    pub step_ms: u64,
+    pub run_increment_ms: u64,
     /// When it was last seen not to wait beside room for it.
-    pub at_ease: u64,
+    pub unstarved_at: u64,
     /// Progress of a gang that is safe, in milliseconds.
-    pub saved_ms: u64,
+    pub checkpointed_ms: u64,
     /// Attempts of a gang whose tasks have all run, with what became of them.
-    pub attempts: BTreeMap<u64, GangRun>,
+    pub attempts: BTreeMap<u64, GangAttempt>,
 }
 
 impl Job {
@@ -38,25 +38,25 @@
         self.spec["shape"] == "ensemble"
     }
 
-    pub fn new(spec: Value, loads: u32, run_ms: u64) -> Job {
+    pub fn new(spec: Value, tasks: u32, run_ms: u64) -> Job {
         Job {
             spec,
-            loads,
+            tasks,
             run_ms,
             accepted_at: None,
             done_tasks: BTreeSet::new(),
-            done_told: None,
-            withdrawn_told: None,
-            asked_withdraw: false,
+            reported_done_at: None,
+            reported_cancelled_at: None,
+            cancel_requested: false,
             last_status: String::new(),
-            bad: false,
+            always_fails: false,
             starts: 0,
-            begun_at: None,
-            ordered: 0,
-            odd: false,
-            step_ms: 0,
-            at_ease: 0,
-            saved_ms: 0,
+            first_started_at: None,
+            start_commands: 0,
+            invalid: false,
+            run_increment_ms: 0,
+            unstarved_at: 0,
+            checkpointed_ms: 0,
             attempts: BTreeMap::new(),
         }
     }
@@ -64,29 +64,29 @@
 
 /// An attempt of a gang that has started.
 #[derive(Clone, Debug)]
-pub struct GangRun {
+pub struct GangAttempt {
     /// Progress in milliseconds, earlier attempts' included.
     pub progress_ms: u64,
     /// When a task was first told to stop.
-    pub halted_at: Option<u64>,
+    pub stop_requested_at: Option<u64>,
     /// When a task was first missing.
-    pub broken_at: Option<u64>,
+    pub incomplete_since: Option<u64>,
     /// All tasks were told to stop in time and have saved.
-    pub saved: bool,
+    pub checkpointed: bool,
 }
 
 /// A user's request.
-pub struct Asked {
+pub struct UserRequest {
     pub(super) uid: String,
     pub(super) kind: &'static str,
     pub answer: Option<(u16, Value)>,
     pub at: u64,
 }
 
-impl World {
-    pub fn spec(&self, n: u64, shape: &str, loads: u32) -> Value {
+impl Simulation {
+    pub fn job_spec(&self, n: u64, shape: &str, tasks: u32) -> Value {
         json!({"uid": format!("job-{n:06}"), "duty": shape, "crew": "red", "shape": shape,
-            "rank": if shape == "standing" { "production" } else { "standard" }, "loads": loads,
+            "rank": if shape == "standing" { "production" } else { "standard" }, "loads": tasks,
             "cores": 2.0, "gpus": 1.0, "ram_gb": 4.0, "kit": "img", "size_gb": 1.0,
             "builds": null, "yard": null, "together": false, "apart": false, "lendables": shape == "batch",
             "run_guess_s": if shape == "standing" { 0.0 } else { 5.0 },
@@ -96,24 +96,38 @@
     /// A user submits; gives the request's number.
     pub fn submit(&mut self, spec: Value, run_ms: u64, node: usize) -> u64 {
         let uid = spec["uid"].as_str().unwrap().to_string();
-        let loads = spec["loads"].as_u64().unwrap_or(0) as u32;
-        self.gangs |= spec["shape"] == "ensemble";
-        self.jobs.entry(uid.clone()).or_insert(Job::new(spec.clone(), loads, run_ms));
-        self.ask(node, &uid, "submit", "POST", "/v1/jobs".into(), spec.to_string().into_bytes())
+        let tasks = spec["loads"].as_u64().unwrap_or(0) as u32;
+        self.gang_submitted |= spec["shape"] == "ensemble";
+        self.jobs.entry(uid.clone()).or_insert(Job::new(spec.clone(), tasks, run_ms));
+        self.send_user_request(
+            node,
+            &uid,
+            "submit",
+            "POST",
+            "/v1/jobs".into(),
+            spec.to_string().into_bytes(),
+        )
     }
 
     pub fn poll(&mut self, uid: &str, node: usize) -> u64 {
-        self.ask(node, uid, "poll", "GET", format!("/v1/jobs/{uid}"), vec![])
+        self.send_user_request(node, uid, "poll", "GET", format!("/v1/jobs/{uid}"), vec![])
     }
 
-    pub fn withdraw(&mut self, uid: &str, node: usize) -> u64 {
+    pub fn cancel(&mut self, uid: &str, node: usize) -> u64 {
         if let Some(j) = self.jobs.get_mut(uid) {
-            j.asked_withdraw = true;
+            j.cancel_requested = true;
         }
-        self.ask(node, uid, "withdraw", "POST", format!("/v1/jobs/{uid}/withdraw"), vec![])
+        self.send_user_request(
+            node,
+            uid,
+            "withdraw",
+            "POST",
+            format!("/v1/jobs/{uid}/withdraw"),
+            vec![],
+        )
     }
 
-    pub fn ask(
+    pub fn send_user_request(
         &mut self,
         node: usize,
         uid: &str,
@@ -124,46 +138,49 @@
     ) -> u64 {
         let request = self.next_request;
         self.next_request += 1;
-        self.asked.insert(request, Asked { uid: uid.into(), kind, answer: None, at: self.now });
-        let d = self.hop();
-        self.send(d, Msg::User { request, node, method, path, body });
+        self.user_requests
+            .insert(request, UserRequest { uid: uid.into(), kind, answer: None, at: self.now });
+        let d = self.network_delay();
+        self.send(d, Message::UserRequest { request, node, method, path, body });
         request
     }
 
-    pub fn status(&self, request: u64) -> u16 {
-        self.asked[&request].answer.as_ref().map_or(0, |a| a.0)
+    pub fn response_status(&self, request: u64) -> u16 {
+        self.user_requests[&request].answer.as_ref().map_or(0, |a| a.0)
     }
 
-    pub fn answer(&self, request: u64) -> &Value {
-        &self.asked[&request].answer.as_ref().expect("answered").1
+    pub fn response_body(&self, request: u64) -> &Value {
+        &self.user_requests[&request].answer.as_ref().expect("answered").1
     }
 
-    pub(super) fn user_answer(&mut self, request: u64, status: u16, body: &[u8]) {
+    pub(super) fn handle_user_response(&mut self, request: u64, status: u16, body: &[u8]) {
         let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let now = self.now;
-        let Some(a) = self.asked.get_mut(&request) else {
+        let Some(a) = self.user_requests.get_mut(&request) else {
             return;
         };
         a.answer = Some((status, v.clone()));
         let (uid, kind, at) = (a.uid.clone(), a.kind, a.at);
-        let broken = &mut self.broken;
+        let violations = &mut self.violations;
         let Some(j) = self.jobs.get_mut(&uid) else {
             if status == 200 && kind != "other" {
-                broken.push(format!("invented {uid}"));
+                violations.push(format!("invented {uid}"));
             }
             return;
         };
         let accepted_before = j.accepted_at.is_some_and(|t| t < at);
         match (kind, status) {
-            ("submit", 200 | 201) if j.odd => broken.push(format!("accepted {uid}: {}", j.spec)),
+            ("submit", 200 | 201) if j.invalid => {
+                violations.push(format!("accepted {uid}: {}", j.spec))
+            }
             ("submit", 200 | 201) => {
                 j.accepted_at.get_or_insert(now);
             }
             ("submit", 400 | 422) if accepted_before => {
-                broken.push(format!("forgotten {uid}: {status}"));
+                violations.push(format!("forgotten {uid}: {status}"));
             }
             ("poll" | "withdraw", 404) if accepted_before => {
-                broken.push(format!("forgotten {uid}: 404"));
+                violations.push(format!("forgotten {uid}: 404"));
             }
             _ => {}
         }
@@ -173,30 +190,34 @@
         let told = v["status"].as_str().unwrap_or("").to_string();
         match told.as_str() {
             "done" => {
-                if j.done_tasks.len() < j.loads as usize {
-                    broken.push(format!("not_done {uid}: {} of {}", j.done_tasks.len(), j.loads));
+                if j.done_tasks.len() < j.tasks as usize {
+                    violations.push(format!(
+                        "not_done {uid}: {} of {}",
+                        j.done_tasks.len(),
+                        j.tasks
+                    ));
                 }
-                if j.withdrawn_told.is_some_and(|t| t < at) {
-                    broken.push(format!("went_back {uid}: withdrawn, then done"));
+                if j.reported_cancelled_at.is_some_and(|t| t < at) {
+                    violations.push(format!("went_back {uid}: withdrawn, then done"));
                 }
-                j.done_told.get_or_insert(now);
+                j.reported_done_at.get_or_insert(now);
             }
             "withdrawn" => {
-                if !j.asked_withdraw {
-                    broken.push(format!("went_back {uid}: withdrawn unasked"));
+                if !j.cancel_requested {
+                    violations.push(format!("went_back {uid}: withdrawn unasked"));
                 }
-                if j.done_told.is_some() {
-                    broken.push(format!("went_back {uid}: done, then withdrawn"));
+                if j.reported_done_at.is_some() {
+                    violations.push(format!("went_back {uid}: done, then withdrawn"));
                 }
-                j.withdrawn_told.get_or_insert(now);
+                j.reported_cancelled_at.get_or_insert(now);
             }
             _ => {
                 // A late answer to an old question is no step back.
-                if j.done_told.is_some_and(|t| t < at) {
-                    broken.push(format!("went_back {uid}: done, then {told}"));
+                if j.reported_done_at.is_some_and(|t| t < at) {
+                    violations.push(format!("went_back {uid}: done, then {told}"));
                 }
-                if j.withdrawn_told.is_some_and(|t| t < at) {
-                    broken.push(format!("went_back {uid}: withdrawn, then {told}"));
+                if j.reported_cancelled_at.is_some_and(|t| t < at) {
+                    violations.push(format!("went_back {uid}: withdrawn, then {told}"));
                 }
             }
         }
--- a/tests/world/worker.rs
+++ b/tests/simulation/worker.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[derive(Clone, PartialEq, Debug)]
-pub(super) enum Run {
+pub(super) enum TaskState {
     Pulling(u64),
     /// A task of a gang that waits for the others since then.
     Waiting(u64),
@@ -18,79 +18,82 @@
 #[derive(Clone)]
 pub(super) struct Task {
     pub(super) attempt: u64,
-    pub(super) run: Run,
+    pub(super) run: TaskState,
 }
 
 /// A worker with its machine.
 pub struct Worker {
-    pub yard: String,
+    pub zone: String,
     pub(super) spot: bool,
-    pub(super) tenure: u64,
-    pub(super) tally: u64,
-    pub(super) baton: u64,
-    pub(super) lease_from: u64,
+    pub(super) incarnation: u64,
+    pub(super) sequence: u64,
+    pub(super) fencing_token: u64,
+    pub(super) lease_started_at: u64,
     pub(super) node: usize,
     pub(super) in_flight: Option<(u64, u64)>,
-    pub(super) next_at: u64,
-    pub(super) last_at: u64,
+    pub(super) next_heartbeat_at: u64,
+    pub(super) last_heartbeat_at: u64,
     pub(super) changed: bool,
     pub(super) tasks: BTreeMap<(String, u32), Vec<Task>>,
-    pub(super) kits: BTreeSet<String>,
-    pub recall_at: Option<u64>,
+    pub(super) images: BTreeSet<String>,
+    pub reclaim_at: Option<u64>,
     /// Nothing gets in or out.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Reports are held on the way instead of lost, until then.
-    pub held_until: Option<u64>,
+    pub heartbeats_delayed_until: Option<u64>,
     /// Its reports arrive, but no answer reaches it.
-    pub deaf: bool,
+    pub responses_lost: bool,
     /// No controller hears it.
-    pub mute: bool,
+    pub heartbeats_lost: bool,
     /// The machine hangs until then: it executes nothing, reads nothing and sends nothing.
     pub hung_until: u64,
     /// Fails every task that it starts.
-    pub sick: bool,
-    pub dead: bool,
+    pub fails_all_tasks: bool,
+    pub stopped: bool,
 }
 
 impl Worker {
     /// Its process ends and is back at once, knowing nothing.
-    pub fn forget(&mut self) {
+    pub fn restart_without_state(&mut self) {
         self.tasks.clear();
-        self.tenure = 1;
-        self.tally = 0;
-        self.baton = 0;
+        self.incarnation = 1;
+        self.sequence = 0;
+        self.fencing_token = 0;
         self.in_flight = None;
     }
 
     /// It takes a token for seen that no controller has ever shown to it.
-    pub fn claim_token(&mut self, token: u64) {
-        self.baton = token;
+    pub fn set_fencing_token(&mut self, token: u64) {
+        self.fencing_token = token;
     }
 
     /// It gives up what it waits for and reports to this controller.
-    pub fn turn_to(&mut self, node: usize) {
+    pub fn switch_to(&mut self, node: usize) {
         self.node = node;
         self.in_flight = None;
     }
 
     /// Tasks that take room.
-    pub fn on(&self) -> impl Iterator<Item = (&str, u32)> {
+    pub fn unfinished_tasks(&self) -> impl Iterator<Item = (&str, u32)> {
         self.tasks
             .iter()
-            .filter(|(_, v)| v.iter().any(|t| !matches!(t.run, Run::Ended(_))))
+            .filter(|(_, v)| v.iter().any(|t| !matches!(t.run, TaskState::Ended(_))))
             .map(|((j, n), _)| (j.as_str(), *n))
     }
 
-    pub fn is_on(&self, job: &str) -> bool {
-        self.on().any(|(j, _)| j == job)
+    pub fn holds_task_of(&self, job: &str) -> bool {
+        self.unfinished_tasks().any(|(j, _)| j == job)
     }
 
-    pub fn running(&self) -> Vec<(String, u32)> {
+    pub fn running_tasks(&self) -> Vec<(String, u32)> {
         self.tasks
             .iter()
             .filter(|(_, v)| {
                 v.iter().any(|t| {
-                    matches!(t.run, Run::Waiting(_) | Run::Running { .. } | Run::Flushing(_))
+                    matches!(
+                        t.run,
+                        TaskState::Waiting(_) | TaskState::Running { .. } | TaskState::Flushing(_)
+                    )
                 })
             })
             .map(|(k, _)| k.clone())
@@ -98,26 +101,26 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn worker_step(&mut self, name: &str) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else {
             return;
         };
-        if w.dead {
+        if w.stopped {
             return;
         }
-        if let Some(t) = w.recall_at {
+        if let Some(t) = w.reclaim_at {
             if now >= t && now >= w.hung_until {
-                self.kill_machine(name);
+                self.remove_machine(name);
                 return;
             }
         }
         // One that hangs does so when it goes on, before all else; its tasks are over by then.
-        if now > w.lease_from + LEASE_MS {
+        if now > w.lease_started_at + LEASE_MS {
             w.tasks.clear();
-            w.tenure += 1;
-            w.lease_from = now;
+            w.incarnation += 1;
+            w.lease_started_at = now;
             w.in_flight = None;
             w.changed = true;
         }
@@ -129,40 +132,41 @@
         for ((job, task), attempts) in &mut w.tasks {
             for t in attempts.iter_mut() {
                 match &mut t.run {
-                    Run::Pulling(left) if *left > STEP_MS => *left -= STEP_MS,
-                    Run::Pulling(_) => {
+                    TaskState::Pulling(left) if *left > STEP_MS => *left -= STEP_MS,
+                    TaskState::Pulling(_) => {
                         let j = &self.jobs[job];
-                        w.kits.insert(j.spec["kit"].as_str().unwrap().into());
-                        if w.sick || j.bad {
-                            t.run = Run::Ended("error");
+                        w.images.insert(j.spec["kit"].as_str().unwrap().into());
+                        if w.fails_all_tasks || j.always_fails {
+                            t.run = TaskState::Ended("error");
                         } else if j.done_tasks.contains(task) {
-                            t.run = Run::Ended("done");
+                            t.run = TaskState::Ended("done");
                         } else if j.is_gang() {
-                            t.run = Run::Waiting(now);
+                            t.run = TaskState::Waiting(now);
                             starts.push((job.clone(), *task));
                         } else {
-                            let left = j.run_ms.saturating_add(u64::from(*task) * j.step_ms);
-                            t.run = Run::Running { left, begun: now };
+                            let left =
+                                j.run_ms.saturating_add(u64::from(*task) * j.run_increment_ms);
+                            t.run = TaskState::Running { left, begun: now };
                             starts.push((job.clone(), *task));
                         }
                         w.changed = true;
                     }
                     // Gangs go on together, see `gangs.rs`.
-                    Run::Waiting(_) => {}
-                    Run::Flushing(_) if self.jobs[job].is_gang() => {}
-                    Run::Running { left, .. } if *left == u64::MAX => {}
-                    Run::Running { left, .. } if *left > STEP_MS => *left -= STEP_MS,
-                    Run::Running { .. } => {
-                        t.run = Run::Ended("done");
+                    TaskState::Waiting(_) => {}
+                    TaskState::Flushing(_) if self.jobs[job].is_gang() => {}
+                    TaskState::Running { left, .. } if *left == u64::MAX => {}
+                    TaskState::Running { left, .. } if *left > STEP_MS => *left -= STEP_MS,
+                    TaskState::Running { .. } => {
+                        t.run = TaskState::Ended("done");
                         dones.push((job.clone(), *task));
                         w.changed = true;
                     }
-                    Run::Flushing(left) if *left > STEP_MS => *left -= STEP_MS,
-                    Run::Flushing(_) => {
-                        t.run = Run::Ended("halted");
+                    TaskState::Flushing(left) if *left > STEP_MS => *left -= STEP_MS,
+                    TaskState::Flushing(_) => {
+                        t.run = TaskState::Ended("halted");
                         w.changed = true;
                     }
-                    Run::Ended(_) => {}
+                    TaskState::Ended(_) => {}
                 }
             }
         }
@@ -170,39 +174,45 @@
             self.jobs.get_mut(&job).unwrap().done_tasks.insert(task);
         }
         for (job, task) in starts {
-            self.check_start(name, &job, task);
+            self.check_task_start(name, &job, task);
         }
         let w = self.workers.get_mut(name).expect("still there");
         if let Some((_, sent)) = w.in_flight {
-            if now > sent + WORKER_TIMEOUT_MS {
+            if now > sent + HEARTBEAT_TIMEOUT_MS {
                 w.in_flight = None;
                 w.node = (w.node + 1) % 3;
-                w.next_at = now + 1_000;
+                w.next_heartbeat_at = now + 1_000;
             }
         }
-        let due = now >= w.next_at
-            || (w.changed && now >= w.last_at + 500 && now + REPORT_MS > w.next_at);
-        if w.in_flight.is_none() && due && now >= w.last_at + 500 {
-            w.tally += 1;
+        let due = now >= w.next_heartbeat_at
+            || (w.changed
+                && now >= w.last_heartbeat_at + 500
+                && now + HEARTBEAT_MS > w.next_heartbeat_at);
+        if w.in_flight.is_none() && due && now >= w.last_heartbeat_at + 500 {
+            w.sequence += 1;
             w.changed = false;
-            w.last_at = now;
-            let jitter = self.rng.random_range(0..REPORT_MS / 2);
-            let body = self.report(name);
+            w.last_heartbeat_at = now;
+            let jitter = self.rng.random_range(0..HEARTBEAT_MS / 2);
+            let body = self.heartbeat_body(name);
             let request = self.next_request;
             self.next_request += 1;
-            let late = self.rng.random_bool(self.late_reports);
-            let d = if late { self.rng.random_range(4_000..9_000) } else { self.hop() };
+            let late = self.rng.random_bool(self.delayed_heartbeat_rate);
+            let d = if late { self.rng.random_range(4_000..9_000) } else { self.network_delay() };
             let w = self.workers.get_mut(name).expect("still there");
-            w.next_at = now + REPORT_MS * 3 / 4 + jitter;
+            w.next_heartbeat_at = now + HEARTBEAT_MS * 3 / 4 + jitter;
             w.in_flight = Some((request, now));
             let node = w.node;
-            let d = w.held_until.map_or(d, |t| t.saturating_sub(now).max(d));
-            if !w.cut && !w.mute {
-                if self.copies > 0.0 && self.rng.random_bool(self.copies) {
+            let d = w.heartbeats_delayed_until.map_or(d, |t| t.saturating_sub(now).max(d));
+            if !w.partitioned && !w.heartbeats_lost {
+                if self.duplicate_heartbeat_rate > 0.0
+                    && self.rng.random_bool(self.duplicate_heartbeat_rate)
+                {
                     // A copy from the network: its answer reaches nobody.
-                    let (late, to) =
-                        (self.rng.random_range(2_000..self.copies_ms), self.rng.random_range(0..3));
-                    let copy = Msg::Heartbeat {
+                    let (late, to) = (
+                        self.rng.random_range(2_000..self.duplicate_delay_max_ms),
+                        self.rng.random_range(0..3),
+                    );
+                    let copy = Message::Heartbeat {
                         worker: name.into(),
                         request: u64::MAX,
                         node: to,
@@ -210,38 +220,44 @@
                     };
                     self.send(late, copy);
                 }
-                self.send(d, Msg::Heartbeat { worker: name.into(), request, node, body });
+                self.send(d, Message::Heartbeat { worker: name.into(), request, node, body });
             }
         }
     }
 
-    pub(super) fn report(&self, name: &str) -> Vec<u8> {
+    pub(super) fn heartbeat_body(&self, name: &str) -> Vec<u8> {
         let w = &self.workers[name];
         let mut loads = Vec::new();
         for ((job, task), attempts) in &w.tasks {
             for t in attempts {
                 let load = format!("{job}/{task}");
                 let (status, cause) = match t.run {
-                    Run::Pulling(_) => ("pulling", None),
-                    Run::Waiting(_) => ("waiting", None),
-                    Run::Flushing(_) if self.jobs[job].is_gang() => ("running", None),
-                    Run::Running { .. } => ("running", None),
-                    Run::Flushing(_) => ("flushing", None),
-                    Run::Ended(c) => ("ended", Some(c)),
+                    TaskState::Pulling(_) => ("pulling", None),
+                    TaskState::Waiting(_) => ("waiting", None),
+                    TaskState::Flushing(_) if self.jobs[job].is_gang() => ("running", None),
+                    TaskState::Running { .. } => ("running", None),
+                    TaskState::Flushing(_) => ("flushing", None),
+                    TaskState::Ended(c) => ("ended", Some(c)),
                 };
                 loads.push(
                     json!({"load": load, "try": t.attempt, "status": status, "cause": cause}),
                 );
             }
         }
-        let recall = w.recall_at.map(|t| t.saturating_sub(self.now) as f64 / 1000.0);
-        json!({"stead": name, "address": "x", "build": "g4", "yard": w.yard, "lendables": w.spot,
-            "tenure": w.tenure, "tally": w.tally, "baton": w.baton, "recall_s": recall, "loads": loads})
+        let recall = w.reclaim_at.map(|t| t.saturating_sub(self.now) as f64 / 1000.0);
+        json!({"stead": name, "address": "x", "build": "g4", "yard": w.zone, "lendables": w.spot,
+            "tenure": w.incarnation, "tally": w.sequence, "baton": w.fencing_token, "recall_s": recall, "loads": loads})
         .to_string()
         .into_bytes()
     }
 
-    pub(super) fn worker_answer(&mut self, name: &str, request: u64, status: u16, body: &[u8]) {
+    pub(super) fn handle_heartbeat_response(
+        &mut self,
+        name: &str,
+        request: u64,
+        status: u16,
+        body: &[u8],
+    ) {
         let now = self.now;
         let Some(w) = self.workers.get_mut(name) else {
             return;
@@ -250,13 +266,18 @@
         if now < w.hung_until {
             // Read when the machine goes on, unless it was given up by then.
             let d = w.hung_until - now;
-            if w.hung_until <= sent + WORKER_TIMEOUT_MS {
+            if w.hung_until <= sent + HEARTBEAT_TIMEOUT_MS {
                 let (worker, body) = (name.to_string(), body.to_vec());
-                self.send(d, Msg::Answer { worker, request, status, body });
+                self.send(d, Message::HeartbeatResponse { worker, request, status, body });
             }
             return;
         }
-        if r != request || w.cut || w.deaf || w.dead || w.held_until.is_some_and(|t| now < t) {
+        if r != request
+            || w.partitioned
+            || w.responses_lost
+            || w.stopped
+            || w.heartbeats_delayed_until.is_some_and(|t| now < t)
+        {
             return;
         }
         w.in_flight = None;
@@ -266,32 +287,32 @@
                 let to: usize = s.trim_start_matches("c-").parse().unwrap();
                 if to != w.node {
                     w.node = to;
-                    w.next_at = now + 100;
-                    w.last_at = now.saturating_sub(400);
+                    w.next_heartbeat_at = now + 100;
+                    w.last_heartbeat_at = now.saturating_sub(400);
                     return;
                 }
             }
         }
         if status != 200 {
             w.node = (w.node + 1) % 3;
-            w.next_at = now + 1_000;
+            w.next_heartbeat_at = now + 1_000;
             return;
         }
         let baton = v["baton"].as_u64().unwrap();
-        if baton < w.baton {
+        if baton < w.fencing_token {
             return;
         }
-        if baton > w.baton {
-            w.baton = baton;
+        if baton > w.fencing_token {
+            w.fencing_token = baton;
             w.changed = true;
         }
-        w.lease_from = sent;
+        w.lease_started_at = sent;
         for o in v["orders"].as_array().cloned().unwrap_or_default() {
-            self.order(name, &o);
+            self.handle_command(name, &o);
         }
     }
 
-    pub(super) fn order(&mut self, name: &str, o: &Value) {
+    pub(super) fn handle_command(&mut self, name: &str, o: &Value) {
         let load = o["load"].as_str().unwrap();
         let attempt = o["try"].as_u64().unwrap();
         let (job, task) = load.rsplit_once('/').unwrap();
@@ -304,61 +325,64 @@
                     return;
                 }
                 // A turn that takes long decides at its begin and speaks at its end.
-                let turn = self.nodes.iter().map(|n| n.turn_ms).max().unwrap_or(0);
+                let turn = self.nodes.iter().map(|n| n.batch_duration_ms).max().unwrap_or(0);
                 let j = self.jobs.get_mut(job).expect("a job");
-                j.ordered += 1;
-                if j.withdrawn_told.is_some_and(|t| self.now > t + START_MS + turn) {
-                    self.broken.push(format!("started {load} after its cancellation"));
+                j.start_commands += 1;
+                if j.reported_cancelled_at.is_some_and(|t| self.now > t + LATE_START_MS + turn) {
+                    self.violations.push(format!("started {load} after its cancellation"));
                 }
                 w.changed = true;
-                if list.iter().any(|t| !matches!(t.run, Run::Ended(_))) {
-                    list.push(Task { attempt, run: Run::Ended("busy") });
+                if list.iter().any(|t| !matches!(t.run, TaskState::Ended(_))) {
+                    list.push(Task { attempt, run: TaskState::Ended("busy") });
                     return;
                 }
                 let spec = &self.jobs[job].spec;
-                let pull = if w.kits.contains(spec["kit"].as_str().unwrap()) { 10 } else { 1_500 };
-                list.push(Task { attempt, run: Run::Pulling(pull) });
+                let pull =
+                    if w.images.contains(spec["kit"].as_str().unwrap()) { 10 } else { 1_500 };
+                list.push(Task { attempt, run: TaskState::Pulling(pull) });
                 let gpus: f64 = w
                     .tasks
                     .iter()
                     .flat_map(|((j, _), v)| v.iter().map(move |t| (j, t)))
-                    .filter(|(_, t)| !matches!(t.run, Run::Ended(_)))
+                    .filter(|(_, t)| !matches!(t.run, TaskState::Ended(_)))
                     .map(|(j, _)| self.jobs[j].spec["gpus"].as_f64().unwrap())
                     .sum();
                 if gpus > 4.0 {
                     let list = w.tasks.get_mut(&(job.to_string(), task.parse().unwrap())).unwrap();
-                    list.last_mut().unwrap().run = Run::Ended("no_room");
+                    list.last_mut().unwrap().run = TaskState::Ended("no_room");
                 }
             }
             "halt" if self.jobs[job].is_gang() => {
                 let grace_s = o["wind_down_s"].as_f64().expect("a duration");
-                self.halt_gang_task(name, job, task.parse().unwrap(), attempt, grace_s);
+                self.stop_gang_task(name, job, task.parse().unwrap(), attempt, grace_s);
             }
             "halt" => {
                 for t in list.iter_mut().filter(|t| t.attempt == attempt) {
-                    if !matches!(t.run, Run::Ended(_)) {
-                        t.run = Run::Ended("halted");
+                    if !matches!(t.run, TaskState::Ended(_)) {
+                        t.run = TaskState::Ended("halted");
                         w.changed = true;
                     }
                 }
             }
-            "clear" => list.retain(|t| t.attempt != attempt || !matches!(t.run, Run::Ended(_))),
+            "clear" => {
+                list.retain(|t| t.attempt != attempt || !matches!(t.run, TaskState::Ended(_)))
+            }
             v => panic!("unknown order {v}"),
         }
     }
 
     /// Takes a copy of what a machine would report now, which reaches a controller later.
-    pub fn copy_report(&mut self, machine: &str, node: usize, delay: u64) {
+    pub fn send_duplicate_heartbeat(&mut self, machine: &str, node: usize, delay: u64) {
         let w = self.workers.get_mut(machine).expect("a machine");
-        w.tally += 1;
-        let (worker, body) = (machine.to_string(), self.report(machine));
-        self.send(delay, Msg::Heartbeat { worker, request: u64::MAX, node, body });
+        w.sequence += 1;
+        let (worker, body) = (machine.to_string(), self.heartbeat_body(machine));
+        self.send(delay, Message::Heartbeat { worker, request: u64::MAX, node, body });
     }
 
     /// Puts a running task on a machine behind the controllers' backs.
-    pub fn plant(&mut self, machine: &str, job: &str, task: u32, attempt: u64) {
+    pub fn inject_task(&mut self, machine: &str, job: &str, task: u32, attempt: u64) {
         let w = self.workers.get_mut(machine).expect("a machine");
-        let run = Run::Running { left: u64::MAX, begun: self.now };
+        let run = TaskState::Running { left: u64::MAX, begun: self.now };
         w.tasks.entry((job.into(), task)).or_default().push(Task { attempt, run });
         w.changed = true;
     }
