--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -486,7 +486,7 @@
 }
 
 /// The limits that the fake settings announce.
-fn next_state_limits() -> Value {
+fn next_limits() -> Value {
     json!({"value_kb": 2.0, "txn_ops": 4, "write_rps": 30.0})
 }
 
@@ -519,7 +519,7 @@
         assert!(largest(&sim, prefix) > 2_048, "{prefix}: {}", largest(&sim, prefix));
     }
     // A version that knows of the limits takes over, one controller after the other.
-    sim.next_state_limits = next_state_limits();
+    sim.next_state_limits = next_limits();
     for i in 0..3 {
         sim.crash(i, 500);
         sim.run(3_000);
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -1,32 +1,40 @@
-//! The fake cloud: machines rented, listed late, failed and returned.
+//! The simulated cloud: machines are rented, listed with a lag, fail and are deleted.
 
 use super::*;
 
+/// A rented machine.
 pub(super) struct Machine {
     pub(super) zone: String,
     pub(super) spot: bool,
     pub(super) rented_at: u64,
+    /// Time at which its worker starts.
     pub(super) boots_at: Option<u64>,
+    /// Time at which it was deleted, reclaimed or lost.
     pub(super) gone_at: Option<u64>,
-    /// Stopped on its own; listed as failed until it is deleted.
+    /// Has failed; listed as such until it is deleted.
     pub(super) failed: bool,
 }
 
-/// The cloud.
+/// The simulated cloud and its faults.
 #[derive(Default)]
 pub struct Cloud {
     pub(super) machines: BTreeMap<String, Machine>,
+    /// Machines of each rental request, so that a repeated request rents none.
     pub(super) rentals: BTreeMap<String, Vec<String>>,
     pub(super) next_machine: u64,
+    /// Time from a rental until the worker starts.
     pub boot_ms: u64,
+    /// Most machines at a time.
     pub capacity: usize,
+    /// Answers all requests with 503.
     pub unavailable: bool,
-    /// Answers 429.
+    /// Answers all requests with 429.
     pub rate_limited: bool,
-    /// Milliseconds by which it takes longer, also to carry requests out.
+    /// Extra latency of requests, which are also executed later.
     pub extra_latency_ms: u64,
 }
 
+/// Lag of the machine list in the settings; the simulated lag is up to twice as long.
 pub(super) const LIST_LAG_MS: u64 = 2_000;
 
 impl Simulation {
@@ -52,31 +60,33 @@
         name
     }
 
-    /// Machines that are there, and all that were ever rented.
+    /// Number of present machines, and of all that were ever rented.
     pub fn machine_counts(&self) -> (usize, usize) {
-        let there = self.cloud.machines.values().filter(|h| h.gone_at.is_none()).count();
-        (there, self.cloud.machines.len())
+        let present = self.cloud.machines.values().filter(|m| m.gone_at.is_none()).count();
+        (present, self.cloud.machines.len())
     }
 
-    /// A machine stops on its own and is listed so.
+    /// A machine fails and is listed as failed until it is deleted.
     pub fn fail_machine(&mut self, name: &str) {
-        let w = self.workers.get_mut(name).expect("a machine");
-        w.stopped = true;
-        w.tasks.clear();
-        self.cloud.machines.get_mut(name).expect("a machine").failed = true;
+        let worker = self.workers.get_mut(name).expect("the machine exists");
+        worker.stopped = true;
+        worker.tasks.clear();
+        self.cloud.machines.get_mut(name).expect("the machine exists").failed = true;
     }
 
+    /// Whether a machine is gone, deleted ones included.
     pub fn is_returned(&self, name: &str) -> bool {
         self.cloud.machines[name].gone_at.is_some()
     }
 
+    /// A machine disappears.
     pub fn remove_machine(&mut self, name: &str) {
-        if let Some(w) = self.workers.get_mut(name) {
-            w.stopped = true;
-            w.tasks.clear();
+        if let Some(worker) = self.workers.get_mut(name) {
+            worker.stopped = true;
+            worker.tasks.clear();
         }
-        if let Some(h) = self.cloud.machines.get_mut(name) {
-            h.gone_at = Some(self.now);
+        if let Some(machine) = self.cloud.machines.get_mut(name) {
+            machine.gone_at = Some(self.now);
         }
     }
 
@@ -86,18 +96,18 @@
             .cloud
             .machines
             .iter()
-            .filter(|(n, h)| {
-                h.gone_at.is_none()
-                    && h.boots_at.is_some_and(|t| t <= now)
+            .filter(|(n, m)| {
+                m.gone_at.is_none()
+                    && m.boots_at.is_some_and(|t| t <= now)
                     && !self.workers.contains_key(*n)
             })
             .map(|(n, _)| n.clone())
             .collect();
         for name in due {
-            let h = &self.cloud.machines[&name];
-            let w = Worker {
-                zone: h.zone.clone(),
-                spot: h.spot,
+            let machine = &self.cloud.machines[&name];
+            let worker = Worker {
+                zone: machine.zone.clone(),
+                spot: machine.spot,
                 incarnation: 1,
                 sequence: 0,
                 fencing_token: 0,
@@ -118,7 +128,7 @@
                 fails_all_tasks: false,
                 stopped: false,
             };
-            self.workers.insert(name, w);
+            self.workers.insert(name, worker);
         }
     }
 
@@ -138,13 +148,13 @@
                     "pull_gb_per_s": 1.0, "rate": 8.0, "low_price": 3.0, "ready_s": 4.0, "yards": ["a", "b"]}]}),
             ),
             ("POST", "/hosts") => {
-                let hire = body["hire"].as_str().unwrap().to_string();
-                if let Some(names) = self.cloud.rentals.get(&hire) {
+                let request_id = body["hire"].as_str().unwrap().to_string();
+                if let Some(names) = self.cloud.rentals.get(&request_id) {
                     return (200, json!({"steads": names}));
                 }
-                let alive = self.cloud.machines.values().filter(|h| h.gone_at.is_none()).count();
+                let present = self.cloud.machines.values().filter(|m| m.gone_at.is_none()).count();
                 let n = (body["number"].as_u64().unwrap() as usize)
-                    .min(self.cloud.capacity.saturating_sub(alive));
+                    .min(self.cloud.capacity.saturating_sub(present));
                 if n == 0 {
                     return (503, json!({"error": "no capacity"}));
                 }
@@ -153,18 +163,18 @@
                 let spot = body["lendables"].as_bool().unwrap();
                 let names: Vec<String> =
                     (0..n).map(|_| self.add_machine(zone, spot, None)).collect();
-                self.cloud.rentals.insert(hire, names.clone());
+                self.cloud.rentals.insert(request_id, names.clone());
                 (200, json!({"steads": names}))
             }
             ("POST", "/hosts/delete") => {
                 for name in body["steads"].as_array().unwrap() {
                     let name = name.as_str().unwrap();
-                    if let Some(h) = self.cloud.machines.get_mut(name) {
-                        h.gone_at.get_or_insert(now);
+                    if let Some(machine) = self.cloud.machines.get_mut(name) {
+                        machine.gone_at.get_or_insert(now);
                     }
-                    if let Some(w) = self.workers.get_mut(name) {
-                        w.stopped = true;
-                        w.tasks.clear();
+                    if let Some(worker) = self.workers.get_mut(name) {
+                        worker.stopped = true;
+                        worker.tasks.clear();
                     }
                 }
                 (200, json!({}))
@@ -176,16 +186,16 @@
                     .cloud
                     .machines
                     .iter()
-                    .filter(|(_, h)| h.rented_at <= at && h.gone_at.is_none_or(|g| g > at))
-                    .map(|(n, h)| {
-                        let up = h.boots_at.is_some_and(|t| t <= at);
-                        json!({"uid": n, "address": "x", "build": "g4", "yard": h.zone, "lendables": h.spot,
-                            "status": if h.failed { "failed" } else if up { "running" } else { "starting" }, "age_s": (at - h.rented_at) as f64 / 1000.0})
+                    .filter(|(_, m)| m.rented_at <= at && m.gone_at.is_none_or(|g| g > at))
+                    .map(|(n, m)| {
+                        let up = m.boots_at.is_some_and(|t| t <= at);
+                        json!({"uid": n, "address": "x", "build": "g4", "yard": m.zone, "lendables": m.spot,
+                            "status": if m.failed { "failed" } else if up { "running" } else { "starting" }, "age_s": (at - m.rented_at) as f64 / 1000.0})
                     })
                     .collect();
                 (200, json!({"steads": list, "has_next": false}))
             }
-            _ => panic!("unexpected request {method} {path}"),
+            _ => panic!("unexpected request to the cloud: {method} {path}"),
         }
     }
 }
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -1,19 +1,19 @@
-//! Gangs on the fake workers: their tasks wait for each other, go on together and end together.
+//! Gangs on the simulated workers: their tasks wait for each other, make progress together and end together.
 
 use super::worker::TaskState;
 use super::*;
 
-/// A task of a gang's attempt on a machine.
+/// A task on a machine, of one attempt of a gang.
 struct GangTask {
     machine: String,
     task: u32,
-    run: TaskState,
-    /// Its machine executes it at present.
-    alive: bool,
+    state: TaskState,
+    /// Whether its machine executes it, which a hung machine does not.
+    executing: bool,
 }
 
 impl Simulation {
-    /// Every attempt of a gang that is on any machine.
+    /// All attempts of gangs that have tasks on machines.
     fn gang_attempts(&self) -> BTreeMap<(String, u64), Vec<GangTask>> {
         let mut attempts: BTreeMap<(String, u64), Vec<GangTask>> = BTreeMap::new();
         for (machine, worker) in self.workers.iter().filter(|(_, w)| !w.stopped) {
@@ -25,8 +25,8 @@
                     let member = GangTask {
                         machine: machine.clone(),
                         task: *task,
-                        run: held.run.clone(),
-                        alive: self.now >= worker.hung_until,
+                        state: held.state.clone(),
+                        executing: self.now >= worker.hung_until,
                     };
                     attempts.entry((job.clone(), held.attempt)).or_default().push(member);
                 }
@@ -35,14 +35,16 @@
         attempts
     }
 
-    fn set_task_state(&mut self, job: &str, attempt: u64, member: &GangTask, run: TaskState) {
+    /// Changes the state of a task, which its worker then reports.
+    fn set_task_state(&mut self, job: &str, attempt: u64, member: &GangTask, state: TaskState) {
         let key = (job.to_string(), member.task);
-        let worker = self.workers.get_mut(&member.machine).expect("still there");
+        let worker = self.workers.get_mut(&member.machine).expect("the machine exists");
         worker.changed = true;
-        let held = worker.tasks.get_mut(&key).expect("a task");
-        held.iter_mut().filter(|t| t.attempt == attempt).for_each(|t| t.run = run.clone());
+        let held = worker.tasks.get_mut(&key).expect("the task exists");
+        held.iter_mut().filter(|t| t.attempt == attempt).for_each(|t| t.state = state.clone());
     }
 
+    /// Advances all gangs by one step.
     pub(super) fn gangs_step(&mut self) {
         for ((job, attempt), members) in self.gang_attempts() {
             if self.jobs[&job].attempts.contains_key(&attempt) {
@@ -53,21 +55,21 @@
         }
     }
 
-    /// An attempt that has not started: it does once every task waits on a machine that goes on.
+    /// Starts an attempt once all its tasks wait on machines that execute them.
     fn assemble_gang(&mut self, job: &str, attempt: u64, members: &[GangTask]) {
         let now = self.now;
-        let waiting = |m: &&GangTask| matches!(m.run, TaskState::Waiting(_));
+        let waiting = |m: &&GangTask| matches!(m.state, TaskState::Waiting(_));
         let ready: BTreeSet<u32> =
-            members.iter().filter(waiting).filter(|m| m.alive).map(|m| m.task).collect();
+            members.iter().filter(waiting).filter(|m| m.executing).map(|m| m.task).collect();
         if ready.len() == self.jobs[job].tasks as usize {
-            let saved = self.jobs[job].checkpointed_ms;
+            let progress_ms = self.jobs[job].checkpointed_ms;
             let run = GangAttempt {
-                progress_ms: saved,
+                progress_ms,
                 stop_requested_at: None,
                 incomplete_since: None,
                 checkpointed: false,
             };
-            let gang = self.jobs.get_mut(job).expect("a job");
+            let gang = self.jobs.get_mut(job).expect("the job exists");
             gang.attempts.insert(attempt, run);
             gang.first_started_at.get_or_insert(now);
             for member in members.iter().filter(waiting) {
@@ -75,7 +77,7 @@
                     job,
                     attempt,
                     member,
-                    TaskState::Running { left: u64::MAX, begun: now },
+                    TaskState::Running { remaining_ms: u64::MAX, started_at: now },
                 );
             }
             return;
@@ -83,79 +85,88 @@
         self.end_expired_waits(job, attempt, members);
     }
 
-    /// Tasks that have waited for too long give up.
+    /// Ends tasks that have waited too long for the others.
     fn end_expired_waits(&mut self, job: &str, attempt: u64, members: &[GangTask]) {
         let now = self.now;
-        for member in members.iter().filter(|m| m.alive) {
-            if matches!(member.run, TaskState::Waiting(since) if now > since + GANG_WAIT_MS) {
+        for member in members.iter().filter(|m| m.executing) {
+            if matches!(member.state, TaskState::Waiting(since) if now > since + GANG_WAIT_MS) {
                 self.set_task_state(job, attempt, member, TaskState::Ended("alone"));
             }
         }
     }
 
-    /// An attempt that has started: it makes progress while all its tasks are there.
+    /// Advances a started attempt, which makes progress while all its tasks execute.
     fn advance_gang(&mut self, job: &str, attempt: u64, members: &[GangTask]) {
         let now = self.now;
-        let on: Vec<&GangTask> = members
+        let active: Vec<&GangTask> = members
             .iter()
-            .filter(|m| matches!(m.run, TaskState::Running { .. } | TaskState::Flushing(_)))
+            .filter(|m| matches!(m.state, TaskState::Running { .. } | TaskState::Flushing(_)))
             .collect();
-        let there: BTreeSet<u32> = on.iter().filter(|m| m.alive).map(|m| m.task).collect();
-        let whole = there.len() == self.jobs[job].tasks as usize;
+        let executing: BTreeSet<u32> =
+            active.iter().filter(|m| m.executing).map(|m| m.task).collect();
+        let complete = executing.len() == self.jobs[job].tasks as usize;
         let run_ms = self.jobs[job].run_ms;
-        let run =
-            self.jobs.get_mut(job).expect("a job").attempts.get_mut(&attempt).expect("it runs");
-        if let Some(halted) = run.stop_requested_at {
-            let saved = on.iter().all(|m| matches!(m.run, TaskState::Flushing(0)));
-            if whole && saved {
+        let run = self
+            .jobs
+            .get_mut(job)
+            .expect("the job exists")
+            .attempts
+            .get_mut(&attempt)
+            .expect("a started attempt");
+        if let Some(requested) = run.stop_requested_at {
+            let all_saved = active.iter().all(|m| matches!(m.state, TaskState::Flushing(0)));
+            if complete && all_saved {
                 run.checkpointed = true;
                 let progress = run.progress_ms;
-                let gang = self.jobs.get_mut(job).expect("a job");
+                let gang = self.jobs.get_mut(job).expect("the job exists");
                 gang.checkpointed_ms = gang.checkpointed_ms.max(progress);
-                on.iter()
+                active
+                    .iter()
                     .for_each(|m| self.set_task_state(job, attempt, m, TaskState::Ended("halted")));
-            } else if now > halted + GANG_PEER_MS {
-                let alive = on.iter().filter(|m| m.alive);
-                alive.for_each(|m| {
-                    self.set_task_state(job, attempt, m, TaskState::Ended("mates_gone"))
+            } else if now > requested + GANG_PEER_MS {
+                let executing = active.iter().filter(|m| m.executing);
+                executing.for_each(|m| {
+                    self.set_task_state(job, attempt, m, TaskState::Ended("mates_gone"));
                 });
             } else {
-                for member in on.iter().filter(|m| m.alive) {
-                    if let TaskState::Flushing(left) = member.run {
-                        let left = left.saturating_sub(STEP_MS);
-                        self.set_task_state(job, attempt, member, TaskState::Flushing(left));
+                for member in active.iter().filter(|m| m.executing) {
+                    if let TaskState::Flushing(remaining) = member.state {
+                        let remaining = remaining.saturating_sub(STEP_MS);
+                        self.set_task_state(job, attempt, member, TaskState::Flushing(remaining));
                     }
                 }
             }
             return;
         }
-        if !whole {
+        if !complete {
             run.incomplete_since.get_or_insert(now);
         }
-        // A machine that goes on after it hung finds the others gone or about to go.
+        // A machine that resumes after a hang finds that the others have ended or are about to end.
         if let Some(since) = run.incomplete_since {
             if now > since + GANG_PEER_MS {
-                let alive = on.iter().filter(|m| m.alive);
-                alive.for_each(|m| {
-                    self.set_task_state(job, attempt, m, TaskState::Ended("mates_gone"))
+                let executing = active.iter().filter(|m| m.executing);
+                executing.for_each(|m| {
+                    self.set_task_state(job, attempt, m, TaskState::Ended("mates_gone"));
                 });
             }
             return self.end_expired_waits(job, attempt, members);
         }
         run.progress_ms += STEP_MS;
         let progress = run.progress_ms;
-        let gang = self.jobs.get_mut(job).expect("a job");
+        let gang = self.jobs.get_mut(job).expect("the job exists");
         let interval = (gang.spec["mark_every_s"].as_f64().expect("a duration") * 1000.0) as u64;
-        if let Some(marks) = progress.checked_div(interval) {
-            gang.checkpointed_ms = gang.checkpointed_ms.max(marks * interval);
+        if let Some(checkpoints) = progress.checked_div(interval) {
+            gang.checkpointed_ms = gang.checkpointed_ms.max(checkpoints * interval);
         }
         if progress >= run_ms {
             gang.done_tasks.extend(0..gang.tasks);
-            on.iter().for_each(|m| self.set_task_state(job, attempt, m, TaskState::Ended("done")));
+            active
+                .iter()
+                .for_each(|m| self.set_task_state(job, attempt, m, TaskState::Ended("done")));
         }
     }
 
-    /// A task of a gang is told to stop.
+    /// Handles a stop command for a task of a gang.
     pub(super) fn stop_gang_task(
         &mut self,
         machine: &str,
@@ -165,35 +176,40 @@
         grace_s: f64,
     ) {
         let now = self.now;
-        let gang = self.jobs.get_mut(job).expect("a job");
+        let gang = self.jobs.get_mut(job).expect("the job exists");
         let cost_s = gang.spec["mark_cost_s"].as_f64().expect("a duration");
-        let saves = gang.spec["mark_every_s"].as_f64().expect("a duration") > 0.0;
+        let has_checkpoints = gang.spec["mark_every_s"].as_f64().expect("a duration") > 0.0;
         let run = gang.attempts.get_mut(&attempt);
-        let worker = self.workers.get_mut(machine).expect("still there");
+        let worker = self.workers.get_mut(machine).expect("the machine exists");
         let Some(list) = worker.tasks.get_mut(&(job.to_string(), task)) else { return };
         let Some(held) = list.iter_mut().find(|t| t.attempt == attempt) else { return };
-        match (&held.run, run) {
+        match (&held.state, run) {
             (TaskState::Ended(_), _) => return,
-            (TaskState::Running { .. }, Some(run)) if saves && grace_s >= cost_s => {
+            (TaskState::Running { .. }, Some(run)) if has_checkpoints && grace_s >= cost_s => {
                 run.stop_requested_at.get_or_insert(now);
-                held.run = TaskState::Flushing((cost_s * 1000.0) as u64);
+                held.state = TaskState::Flushing((cost_s * 1000.0) as u64);
             }
             (TaskState::Flushing(_), _) if grace_s > 0.0 => return,
-            _ => held.run = TaskState::Ended("halted"),
+            _ => held.state = TaskState::Ended("halted"),
         }
         worker.changed = true;
     }
 
-    /// Whether a gang of which nothing is on a machine has room for all its tasks: free GPUs, zone and
-    /// kind of each machine are given, and what its team uses.
-    pub(super) fn gang_fits(&self, job: &Job, room: &[(f64, String, bool)], red: f64) -> bool {
+    /// Whether there is capacity for all tasks of a gang that has none on a machine, given the machines' free
+    /// GPUs, zones and whether they are spot, and the GPUs in use by team `red`.
+    pub(super) fn gang_fits(
+        &self,
+        job: &Job,
+        capacity: &[(f64, String, bool)],
+        red_gpus: f64,
+    ) -> bool {
         let gpus = job.spec["gpus"].as_f64().unwrap_or(0.0);
         let all = gpus * f64::from(job.tasks);
-        if job.spec["crew"] == "red" && red + all > self.team_gpus_max + 1e-9 {
+        if job.spec["crew"] == "red" && red_gpus + all > self.team_gpus_max + 1e-9 {
             return false;
         }
         let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
-        for (free, zone, spot) in room {
+        for (free, zone, spot) in capacity {
             if (!spot || job.spec["lendables"] == true)
                 && job.spec["yard"].as_str().is_none_or(|only| only == zone)
             {
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,15 +1,16 @@
-//! A small world in memory: state service, cloud, workers, users and a network between
-//! them, on one simulated clock, with a checker for every rule of the protocol.
+//! A deterministic in-memory simulation of a cluster: state service, cloud, workers, users and the
+//! network between them, on one simulated clock, with invariant checks for every rule of the protocol.
 //!
-//! Faults are fields and methods; stories set them by hand, the random story by its seed.
+//! Faults are injected by fields and methods: the scenario tests set them explicitly, the random tests
+//! draw them from a seed.
 
-#![allow(dead_code, reason = "each test program uses a part of the world")]
-#![allow(unreachable_pub, reason = "several test programs include the world as a module")]
-#![allow(clippy::unwrap_used, reason = "a scenario ends where the world lacks what it names")]
+#![allow(dead_code, reason = "each test program uses a part of the simulation")]
+#![allow(unreachable_pub, reason = "several test programs include this as a module")]
 #![allow(
-    clippy::too_many_lines,
-    reason = "one match over everything that a part of the world does"
+    clippy::unwrap_used,
+    reason = "a scenario panics where an entity that it names is missing"
 )]
+#![allow(clippy::too_many_lines, reason = "one match over all requests or events of a component")]
 
 mod behaviour;
 mod cloud;
@@ -35,26 +36,31 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Simulated time that a step takes.
 pub const STEP_MS: u64 = 10;
+/// Interval of a worker's heartbeats.
 pub const HEARTBEAT_MS: u64 = 2_000;
+/// Duration of a worker's lease.
 pub const LEASE_MS: u64 = 12_000;
+/// Time after a confirmed cancellation by which no task of the job may run.
 pub const CANCEL_MS: u64 = 30_000;
-/// Milliseconds for which a task of a gang waits for the others.
+/// Time for which a task of a gang waits for the others.
 pub const GANG_WAIT_MS: u64 = 15_000;
-/// Milliseconds within which tasks of a gang notice that one is gone, and in which all have to be told
-/// to stop.
+/// Time within which the tasks of a gang notice that one of them is gone, and within which a stop command
+/// has to reach all of them.
 pub const GANG_PEER_MS: u64 = 4_000;
-/// Milliseconds after a cancellation was confirmed within which a start order for its tasks may
-/// still arrive: controllers read the store within 2 s, or know that they did not.
+/// Time after a confirmed cancellation during which a start command for the job's tasks may still
+/// arrive: controllers have read the store within the last 2 s, or know that they have not.
 const LATE_START_MS: u64 = 2_100;
+/// Time after which a worker gives up a heartbeat that has no response.
 const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
-/// Milliseconds for which a job may wait beside room for it once troubles are over.
+/// Time for which a job may wait although there is capacity for it, once no faults are injected any more.
 const STARVATION_LIMIT_MS: u64 = 90_000;
-/// Milliseconds after the last trouble by which a question about a job is answered: users hold
-/// it for forgotten after 75 s.
+/// Time within which a poll of an accepted job must succeed once no faults are injected any more. Users
+/// consider a job lost after 75 s.
 const POLL_TIMEOUT_MS: u64 = 5_000;
 
-/// Bodies with missing or impossible fields.
+/// Bodies with missing or invalid fields.
 pub const MALFORMED_BODIES: [&str; 12] = [
     "",
     "null",
@@ -70,7 +76,7 @@
     r#"{"steads":[{"uid":3}],"builds":[{"sku":null}],"has_next":false}"#,
 ];
 
-/// What is on its way to whom.
+/// A message in transit.
 enum Message {
     StateRequest {
         node: usize,
@@ -129,41 +135,47 @@
     },
 }
 
+/// Where the response of a controller to a request goes.
 enum Connection {
     Worker { name: String, request: u64 },
     User { request: u64 },
     Peer { node: usize, incarnation: u64, call: u64 },
 }
 
-/// A controller's process and its place in the network.
+/// The process of a controller, with the faults injected into it.
 pub struct Node {
+    /// None while the process is down.
     pub controller: Option<Controller>,
+    /// Incremented by each crash; replies to an earlier incarnation are dropped.
     incarnation: u64,
     start_at: Option<u64>,
     inbox: Vec<Command>,
     connections: BTreeMap<u64, Connection>,
     next_connection: u64,
+    /// Time by which each call must have its reply.
     deadlines: BTreeMap<u64, u64>,
     next_wake: u64,
-    /// The state service refuses it.
+    /// The state service answers its requests with 503.
     pub refused_by_state: bool,
-    /// Nothing passes between it and the workers.
+    /// Messages between it and the workers are dropped.
     pub partitioned_from_workers: bool,
-    /// Nothing passes between it and the state service.
+    /// Messages between it and the state service are dropped.
     pub partitioned_from_state: bool,
-    /// Nothing passes between it and its peers.
+    /// Messages between it and the other controllers are dropped.
     pub partitioned_from_peers: bool,
-    /// What it asks of its peers is held on the way until then.
+    /// Its requests to other controllers are not delivered before this time.
     pub peer_requests_delayed_until: u64,
-    /// It stands still until then: nothing is read, no timer fires.
+    /// The process is paused until this time: it reads no message and no timer fires.
     pub paused_until: u64,
-    /// Milliseconds that each of its turns takes: it falls behind. What a turn decides goes out
-    /// when it ends.
+    /// Duration of each batch of commands, so that an overloaded controller falls behind. The effects of a
+    /// batch are sent when it ends.
     pub batch_duration_ms: u64,
 }
 
+/// The simulated cluster.
 pub struct Simulation {
     seed: u64,
+    /// Simulated time in milliseconds.
     pub now: u64,
     pub rng: SmallRng,
     pub state: StateService,
@@ -172,35 +184,40 @@
     pub workers: BTreeMap<String, Worker>,
     pub jobs: BTreeMap<String, Job>,
     pub user_requests: BTreeMap<u64, UserRequest>,
+    /// Violated invariants; the run fails unless it is empty.
     pub violations: Vec<String>,
+    /// Messages in transit by time of arrival and sequence number.
     network: BTreeMap<(u64, u64), Message>,
-    next_sequence: u64,
+    last_sequence: u64,
     next_request: u64,
     zones: Vec<String>,
-    /// A zone that is cut off, and the controller in it: of all that passes, only reports of the
-    /// zone's workers to that controller and its answers get through.
+    /// A partitioned zone and the controller in it. Only heartbeats of the zone's workers to that controller,
+    /// and its responses to them, are delivered.
     pub zone_partition: Option<(String, usize)>,
-    /// Share of reports that come late, after their worker gave up.
+    /// Probability that a heartbeat arrives after its worker has given it up.
     pub delayed_heartbeat_rate: f64,
-    /// Share of reports of which a copy comes late, by up to so many milliseconds.
+    /// Probability that a duplicate of a heartbeat arrives later.
     pub duplicate_heartbeat_rate: f64,
+    /// Longest delay of such a duplicate.
     pub duplicate_delay_max_ms: u64,
-    /// Since when all troubles are over: no job is to wait beside room for it any more.
+    /// Time at which the last fault ended; from then on no job may wait for long while there is capacity for it.
     pub faults_ended_at: Option<u64>,
-    /// Bytes of the longest answer of a controller to another.
+    /// Size of the largest response of a controller to another.
     pub peer_response_bytes_max: usize,
+    /// GPU limit of team `red`.
     team_gpus_max: f64,
-    /// Limits of the state service to come, as controllers that start find them in their settings.
+    /// Announced future limits of the state service, in the settings of controllers that start.
     pub next_state_limits: Value,
-    /// A gang was ever submitted.
+    /// Whether a gang was ever submitted.
     gang_submitted: bool,
-    /// The operators' settings of controllers that start.
+    /// Operator settings of controllers that start.
     pub operator: Operator,
-    /// What the run has sent.
+    /// Records all messages of the run.
     pub recorder: Recorder,
 }
 
-fn config(i: usize, n: usize, team_gpus_max: f64, next: &Value) -> Platform {
+/// Platform settings of controller `i` of `n`.
+fn platform_settings(i: usize, n: usize, team_gpus_max: f64, next: &Value) -> Platform {
     let peers: Vec<Value> = (0..n)
         .filter(|p| *p != i)
         .map(|p| json!({"label": format!("c-{p}"), "zone": "a", "address": format!("10.0.0.{}:81", p + 1)}))
@@ -218,12 +235,12 @@
             "cloud": {"rps": 8.0, "list_lag_s": LIST_LAG_MS as f64 / 1000.0},
             "machine_limits": {"core_share": 0.2, "mem_mb": 100.0, "sockets": 1000}}
     });
-    Platform::parse(&v.to_string()).expect("the world's settings are fine")
+    Platform::parse(&v.to_string()).expect("valid platform settings")
 }
 
 impl Simulation {
     pub fn new(seed: u64) -> Simulation {
-        let mut w = Simulation {
+        let mut sim = Simulation {
             seed,
             now: 10_000,
             rng: SmallRng::seed_from_u64(seed),
@@ -235,7 +252,7 @@
             user_requests: BTreeMap::new(),
             violations: Vec::new(),
             network: BTreeMap::new(),
-            next_sequence: 0,
+            last_sequence: 0,
             next_request: 1,
             zones: vec!["a".into(), "b".into()],
             zone_partition: None,
@@ -251,10 +268,10 @@
             recorder: Recorder::new(seed),
         };
         for _ in 0..3 {
-            w.nodes.push(Node {
+            sim.nodes.push(Node {
                 controller: None,
                 incarnation: 0,
-                start_at: Some(w.now),
+                start_at: Some(sim.now),
                 inbox: vec![],
                 connections: BTreeMap::new(),
                 next_connection: 1,
@@ -270,45 +287,47 @@
             });
         }
         for i in 0..2 {
-            w.add_machine(i, false, Some(w.now));
+            sim.add_machine(i, false, Some(sim.now));
         }
-        w
+        sim
     }
 
-    /// Whether a cut zone lies between a worker and a controller.
+    /// Whether a zone partition separates a worker from a controller.
     fn is_partitioned(&self, worker: &str, node: usize) -> bool {
-        let yard = self.workers.get(worker).map(|w| w.zone.as_str());
+        let zone = self.workers.get(worker).map(|w| w.zone.as_str());
         self.zone_partition
             .as_ref()
-            .is_some_and(|(z, inside)| (yard == Some(z)) != (node == *inside))
+            .is_some_and(|(cut_off, inside)| (zone == Some(cut_off)) != (node == *inside))
     }
 
-    /// A world whose controllers notice that the store has lost data.
+    /// A simulation whose controllers detect that the store has lost data.
     pub fn with_recovery(seed: u64) -> Simulation {
-        let mut w = Simulation::new(seed);
-        w.operator.recovery.enabled = true;
-        w
+        let mut sim = Simulation::new(seed);
+        sim.operator.recovery.enabled = true;
+        sim
     }
 
-    /// A world with so many machines that all begin to report at once.
+    /// A simulation with this many machines, all of which send their first heartbeat at once.
     pub fn with_machines(seed: u64, machines: usize) -> Simulation {
-        let mut w = Simulation::new(seed);
-        w.cloud.capacity = machines;
-        for i in w.cloud.machines.len()..machines {
-            w.add_machine(i % 2, false, Some(w.now));
+        let mut sim = Simulation::new(seed);
+        sim.cloud.capacity = machines;
+        for i in sim.cloud.machines.len()..machines {
+            sim.add_machine(i % 2, false, Some(sim.now));
         }
-        w
+        sim
     }
 
+    /// Sends a message that arrives after `delay` milliseconds.
     fn send(&mut self, delay: u64, m: Message) {
-        self.next_sequence += 1;
-        self.network.insert((self.now + delay, self.next_sequence), m);
+        self.last_sequence += 1;
+        self.network.insert((self.now + delay, self.last_sequence), m);
     }
 
     fn network_delay(&mut self) -> u64 {
         self.rng.random_range(1..8)
     }
 
+    /// Advances the clock by one step and runs everything that is due.
     pub fn step(&mut self) {
         self.now += STEP_MS;
         for i in 0..self.nodes.len() {
@@ -317,9 +336,9 @@
                 let seed = self.rng.random();
                 let n = self.nodes.len();
                 let clock = Clock { monotonic_ms: self.now, wall_ms: 1_000_000 + self.now };
-                let cfg = config(i, n, self.team_gpus_max, &self.next_state_limits);
+                let settings = platform_settings(i, n, self.team_gpus_max, &self.next_state_limits);
                 self.nodes[i].controller =
-                    Some(Controller::new(cfg, self.operator.clone(), clock, seed));
+                    Some(Controller::new(settings, self.operator.clone(), clock, seed));
                 self.nodes[i].next_wake = 0;
             }
         }
@@ -328,7 +347,7 @@
             if at > self.now {
                 break;
             }
-            let m = self.network.remove(&(at, seq)).expect("just seen");
+            let m = self.network.remove(&(at, seq)).expect("the first message");
             self.record_arrival(&m);
             self.deliver(m);
             self.record_stored();
@@ -378,7 +397,7 @@
         let incarnation = n.incarnation;
         for e in effects {
             self.record_effect(i, &e);
-            self.effect(i, incarnation, e);
+            self.apply_effect(i, incarnation, e);
         }
     }
 
@@ -386,57 +405,57 @@
         match e {
             Effect::Respond { connection, status, retry_after_s, body } => {
                 let what = format_args!("c-{node} answers {connection} {status} {retry_after_s:?}");
-                self.recorder.message(self.now, what, body);
+                self.recorder.record(self.now, what, body);
             }
             Effect::Call { id, service, method, path, body, timeout_ms } => {
                 let what =
                     format_args!("c-{node} calls {id} {service:?} {method} {path} {timeout_ms}");
-                self.recorder.message(self.now, what, body);
+                self.recorder.record(self.now, what, body);
             }
         }
     }
 
-    /// Takes down what arrives; what controllers send was taken down when they sent it.
+    /// Records a message that arrives. Bodies of controllers' requests are recorded when they are sent.
     fn record_arrival(&mut self, m: &Message) {
         let now = self.now;
         match m {
             Message::Reply { node, incarnation, call, status, body } => {
                 let what =
                     format_args!("reply to c-{node} life {incarnation} call {call} {status}");
-                self.recorder.message(now, what, body);
+                self.recorder.record(now, what, body);
             }
             Message::Heartbeat { worker, request, node, body } => {
                 let what = format_args!("report {request} of {worker} to c-{node}");
-                self.recorder.message(now, what, body);
+                self.recorder.record(now, what, body);
             }
             Message::HeartbeatResponse { worker, request, status, body } => {
                 let what = format_args!("answer to report {request} of {worker} {status}");
-                self.recorder.message(now, what, body);
+                self.recorder.record(now, what, body);
             }
             Message::UserRequest { request, node, method, path, body } => {
                 let what = format_args!("user's request {request} to c-{node} {method} {path}");
-                self.recorder.message(now, what, body);
+                self.recorder.record(now, what, body);
             }
             Message::UserResponse { request, status, body } => {
                 let what = format_args!("answer to user's request {request} {status}");
-                self.recorder.message(now, what, body);
+                self.recorder.record(now, what, body);
             }
             Message::StateRequest { node, incarnation, call, method, path, .. }
             | Message::CloudRequest { node, incarnation, call, method, path, .. } => {
                 let what =
                     format_args!("c-{node} life {incarnation} call {call} {method} {path} arrives");
-                self.recorder.message(now, what, &[]);
+                self.recorder.record(now, what, &[]);
             }
             Message::PeerRequest { node, incarnation, call, to, path, .. } => {
                 let what = format_args!(
                     "c-{node} life {incarnation} call {call} {path} arrives at c-{to}"
                 );
-                self.recorder.message(now, what, &[]);
+                self.recorder.record(now, what, &[]);
             }
         }
     }
 
-    /// Takes down what the state service has stored since the last call.
+    /// Records the changes that the state service has made since the last call.
     fn record_stored(&mut self) {
         let recorded = self.state.recorded_revision.min(self.state.revision);
         let from = self.state.history.partition_point(|(rev, _, _)| *rev <= recorded);
@@ -446,12 +465,13 @@
                 None => ("removed", String::new()),
             };
             let what = format_args!("{what} {key} {rev}");
-            self.recorder.message(self.now, what, value.as_bytes());
+            self.recorder.record(self.now, what, value.as_bytes());
         }
         self.state.recorded_revision = self.state.revision;
     }
 
-    fn effect(&mut self, node: usize, incarnation: u64, e: Effect) {
+    /// Sends the message of a controller's effect, unless a fault drops it.
+    fn apply_effect(&mut self, node: usize, incarnation: u64, e: Effect) {
         let batch_duration_ms = self.nodes[node].batch_duration_ms;
         let d = self.network_delay() + batch_duration_ms;
         match e {
@@ -495,7 +515,7 @@
                         if path == "/commit"
                             && self.rng.random_bool(self.state.unanswered_commit_rate)
                         {
-                            // Nobody waits for its answer any more when it comes.
+                            // The caller has given up by the time the response arrives.
                             let d = self.rng.random_range(2_000..12_000);
                             return self.send(
                                 d,
@@ -526,7 +546,7 @@
                         Message::CloudRequest { node, incarnation, call, method, path, body },
                     ),
                     Service::Peer(p) => {
-                        let to = (0..3).filter(|x| *x != node).nth(p).expect("two peers");
+                        let to = (0..3).filter(|x| *x != node).nth(p).expect("one of two peers");
                         if !self.nodes[node].partitioned_from_peers
                             && !self.nodes[to].partitioned_from_peers
                         {
@@ -574,9 +594,9 @@
                 }
             }
             Message::Heartbeat { worker, request, node, body } => {
-                let apart = self.is_partitioned(&worker, node);
+                let partitioned = self.is_partitioned(&worker, node);
                 let n = &mut self.nodes[node];
-                if n.partitioned_from_workers || apart {
+                if n.partitioned_from_workers || partitioned {
                     return;
                 }
                 if n.controller.is_none() {
@@ -611,7 +631,7 @@
                 n.inbox.push(Command::Public { connection, method: method.into(), path, body });
             }
             Message::UserResponse { request, status, body } => {
-                self.handle_user_response(request, status, &body)
+                self.handle_user_response(request, status, &body);
             }
         }
     }
--- a/tests/simulation/scenario.rs
+++ b/tests/simulation/scenario.rs
@@ -1,16 +1,16 @@
-//! What scenarios do and wait for.
+//! Actions, waits and assertions of scenarios.
 
 use super::*;
 
 impl Simulation {
-    /// Cuts a zone off with one controller in it.
+    /// Partitions a zone, with one controller in it, from the rest.
     pub fn partition_zone(&mut self, zone: &str, node: usize) {
         self.zone_partition = Some((zone.into(), node));
         self.nodes[node].partitioned_from_state = true;
         self.nodes[node].partitioned_from_peers = true;
     }
 
-    /// Ends that.
+    /// Ends the partition of a zone.
     pub fn heal_zone_partition(&mut self) {
         if let Some((_, node)) = self.zone_partition.take() {
             self.nodes[node].partitioned_from_state = false;
@@ -18,17 +18,18 @@
         }
     }
 
-    pub fn crash(&mut self, i: usize, back_in: u64) {
+    /// Crashes a controller, which starts again after this many milliseconds.
+    pub fn crash(&mut self, i: usize, restart_after_ms: u64) {
         let n = &mut self.nodes[i];
         n.controller = None;
         n.incarnation += 1;
-        n.start_at = Some(self.now + back_in);
+        n.start_at = Some(self.now + restart_after_ms);
         n.inbox.clear();
         n.deadlines.clear();
         let connections = std::mem::take(&mut n.connections);
         for c in connections.into_values() {
             match c {
-                // A reset connection: the worker or user notices at once.
+                // The connection is reset, which the worker or user notices at once.
                 Connection::Worker { name, request } => {
                     self.send(
                         1,
@@ -48,23 +49,28 @@
         }
     }
 
+    /// The controller that leads, in the highest term if several believe that they do.
     pub fn leader(&self) -> Option<usize> {
-        let leads = |n: &Node| n.controller.as_ref().and_then(|c| c.leading_term());
+        let term_led = |n: &Node| n.controller.as_ref().and_then(|c| c.leading_term());
         (0..self.nodes.len())
-            .filter(|i| leads(&self.nodes[*i]).is_some())
-            .max_by_key(|i| leads(&self.nodes[*i]))
+            .filter(|i| term_led(&self.nodes[*i]).is_some())
+            .max_by_key(|i| term_led(&self.nodes[*i]))
     }
 
+    /// Runs for this many milliseconds; panics if an invariant is violated.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
             self.step();
         }
         let (seed, now, violations) = (self.seed, self.now, &self.violations);
-        assert!(violations.is_empty(), "seed {seed}, at {now} ms: rules broken: {violations:?}");
+        assert!(
+            violations.is_empty(),
+            "seed {seed}, at {now} ms: violated invariants: {violations:?}"
+        );
     }
 
-    /// Runs until something holds; panics after `ms`.
+    /// Runs until the condition holds; panics if it does not within `ms`.
     pub fn run_until(&mut self, ms: u64, what: &str, holds: impl Fn(&Simulation) -> bool) {
         let end = self.now + ms;
         while !holds(self) {
@@ -73,40 +79,46 @@
         }
     }
 
-    /// All troubles are over: what was accepted stays known, batch jobs come to their end,
-    /// services run in full, and none waits beside room for it.
+    /// Asserts that the cluster recovers once no faults are injected any more: accepted jobs stay known, batch
+    /// jobs complete, all replicas of services run, and no job waits although there is capacity for it.
     pub fn assert_all_jobs_complete(&mut self) {
         self.faults_ended_at = Some(self.now);
         self.run(8_000);
-        self.assert_accepted_jobs_known("in the end");
-        let kept = |j: &Job| j.accepted_at.is_some() && !j.cancel_requested;
-        let uids: Vec<String> =
-            self.jobs.iter().filter(|(_, j)| kept(j)).map(|(u, _)| u.clone()).collect();
-        for uid in &uids {
-            if self.jobs[uid].spec["shape"] != "standing" {
-                self.run_until_done(uid, 240_000);
+        self.assert_accepted_jobs_known("at the end");
+        let counted = |j: &Job| j.accepted_at.is_some() && !j.cancel_requested;
+        let job_ids: Vec<String> =
+            self.jobs.iter().filter(|(_, j)| counted(j)).map(|(id, _)| id.clone()).collect();
+        for job_id in &job_ids {
+            if self.jobs[job_id].spec["shape"] != "standing" {
+                self.run_until_done(job_id, 240_000);
             } else {
-                let n = self.jobs[uid].tasks as usize;
-                self.run_until(120_000, "all replicas run", |w| w.running_tasks_of(uid) == n);
+                let n = self.jobs[job_id].tasks as usize;
+                self.run_until(120_000, "all replicas run", |sim| {
+                    sim.running_tasks_of(job_id) == n
+                });
             }
         }
         self.run(5_000);
     }
 
-    /// Every job that was ever accepted stays known, each one, to every controller.
+    /// Asserts that every controller knows every job that was ever accepted.
     pub fn assert_accepted_jobs_known(&mut self, when: &str) {
         let accepted = self.jobs.iter().filter(|(_, j)| j.accepted_at.is_some());
-        for uid in accepted.map(|(uid, _)| uid.clone()).collect::<Vec<_>>() {
-            let asked: Vec<u64> = (0..3).map(|i| self.poll(&uid, i)).collect();
-            let limit = self.now + POLL_TIMEOUT_MS;
-            while !asked.iter().all(|r| self.response_status(*r) == 200) {
-                assert!(self.now < limit, "{when}: {uid} is forgotten: {}", self.describe());
+        for job_id in accepted.map(|(job_id, _)| job_id.clone()).collect::<Vec<_>>() {
+            let polls: Vec<u64> = (0..3).map(|i| self.poll(&job_id, i)).collect();
+            let deadline = self.now + POLL_TIMEOUT_MS;
+            while !polls.iter().all(|r| self.response_status(*r) == 200) {
+                assert!(
+                    self.now < deadline,
+                    "{when}: accepted job {job_id} is unknown: {}",
+                    self.describe()
+                );
                 self.run(100);
             }
         }
     }
 
-    /// What a controller tells operators of losses of the store.
+    /// The report for operators on losses of the store.
     pub fn recovery_report(&mut self, node: usize) -> Value {
         let request =
             self.send_user_request(node, "", "other", "GET", "/v1/recovery".into(), vec![]);
@@ -114,40 +126,40 @@
         self.response_body(request).clone()
     }
 
-    /// An operator decides on jobs that a rebuild could not account for.
+    /// Sends an operator's decision on jobs that a rebuild could not account for.
     pub fn send_recovery_decision(&mut self, node: usize, decision: &str, request: Value) -> u64 {
         let path = format!("/v1/recovery/{decision}");
         self.send_user_request(node, "", "other", "POST", path, request.to_string().into_bytes())
     }
 
-    /// Tasks that run on any machine.
+    /// Number of tasks that run.
     pub fn running_tasks(&self) -> usize {
         self.workers.values().map(|x| x.running_tasks().len()).sum()
     }
 
-    /// Tasks of a job that run.
-    pub fn running_tasks_of(&self, uid: &str) -> usize {
-        self.workers.values().flat_map(|w| w.running_tasks()).filter(|(j, _)| j == uid).count()
+    /// Number of a job's tasks that run.
+    pub fn running_tasks_of(&self, job_id: &str) -> usize {
+        self.workers.values().flat_map(|w| w.running_tasks()).filter(|(j, _)| j == job_id).count()
     }
 
-    /// Whether a job is done, as its user is told by a poll at any controller that is up.
-    pub fn run_until_done(&mut self, uid: &str, ms: u64) {
+    /// Polls a job at all controllers that are up until one answers that it is done; panics after `ms`.
+    pub fn run_until_done(&mut self, job_id: &str, ms: u64) {
         let end = self.now + ms;
         loop {
             for i in 0..3 {
                 if self.nodes[i].controller.is_some() {
-                    self.poll(uid, i);
+                    self.poll(job_id, i);
                 }
             }
             self.run(500);
-            if self.jobs[uid].reported_done_at.is_some() {
+            if self.jobs[job_id].reported_done_at.is_some() {
                 return;
             }
-            assert!(self.now < end, "{uid} not done within {ms} ms: {}", self.describe());
+            assert!(self.now < end, "{job_id} not done within {ms} ms: {}", self.describe());
         }
     }
 
-    /// Something that is no message of a peer reaches a controller from where its peers are.
+    /// Delivers a request, possibly a malformed one, to the port for peers of a controller.
     pub fn inject_peer_request(&mut self, node: usize, path: &str, body: &[u8]) {
         let n = &mut self.nodes[node];
         let connection = n.next_connection;
@@ -156,16 +168,16 @@
         n.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
     }
 
-    /// What the leader and the workers see, for messages of failed stories.
+    /// State of the leader and the workers, for the messages of failed scenarios.
     pub fn describe(&self) -> String {
         let up: Vec<bool> = self.nodes.iter().map(|n| n.controller.is_some()).collect();
-        let hosts: Vec<String> = self
+        let workers: Vec<String> = self
             .workers
             .iter()
             .filter(|(_, w)| !w.stopped)
             .map(|(n, w)| {
                 format!(
-                    "{n} {} spot={} baton={} node={} {:?}",
+                    "{n} {} spot={} token={} node={} {:?}",
                     w.zone,
                     w.spot,
                     w.fencing_token,
@@ -174,10 +186,10 @@
                 )
             })
             .collect();
-        let alive = self.cloud.machines.values().filter(|h| h.gone_at.is_none()).count();
+        let machines = self.cloud.machines.values().filter(|m| m.gone_at.is_none()).count();
         match self.leader() {
             Some(l) => format!(
-                "up {up:?}, {alive} hosts, leader {l}: {}\nworkers {hosts:#?}",
+                "up {up:?}, {machines} machines, leader {l}: {}\nworkers {workers:#?}",
                 self.nodes[l]
                     .controller
                     .as_ref()
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -1,14 +1,17 @@
-//! The fake state service: keys, leases, watches, and what can go wrong with them.
+//! The simulated state service: keys, leases and watches, and the faults injected into them.
 
 use super::*;
 
+/// The value of a key.
 #[derive(Clone)]
 pub(super) struct Entry {
     pub(super) data: Value,
+    /// Revision of its last change.
     pub(super) mod_revision: u64,
     pub(super) lease: Option<u64>,
 }
 
+/// A read of changes that waits for the next one.
 pub(super) struct Watch {
     pub(super) node: usize,
     pub(super) incarnation: u64,
@@ -17,7 +20,7 @@
     pub(super) until: u64,
 }
 
-/// What the state service held at some time.
+/// The data of the state service at an earlier time.
 #[derive(Clone, Default)]
 pub struct Backup {
     keys: BTreeMap<String, Entry>,
@@ -25,48 +28,52 @@
     revision: u64,
 }
 
-/// The state service.
+/// The simulated state service and its faults.
 #[derive(Default)]
 pub struct StateService {
     pub(super) keys: BTreeMap<String, Entry>,
     pub revision: u64,
-    /// Changes up to this revision are in the record of the run.
+    /// Changes up to this revision have been recorded.
     pub(super) recorded_revision: u64,
-    /// Puts and deletes carried out.
+    /// Number of puts and deletes executed.
     pub mutation_count: usize,
+    /// All changes: revision, key, and the new value, none if the key was removed.
     pub(super) history: Vec<(u64, String, Option<Value>)>,
+    /// Duration and end of each lease.
     pub(super) leases: BTreeMap<u64, (u64, u64)>,
     pub(super) next_lease: u64,
     pub(super) watches: Vec<Watch>,
+    /// Answers all requests with 503; leases don't end.
     pub outage: bool,
-    /// Share of commits that are carried out late, and of answers that are lost.
+    /// Probability that a commit is executed late.
     pub delayed_commit_rate: f64,
-    /// Share of commits that get no answer and are carried out 2 to 12 s later.
+    /// Probability that a commit is executed 2 to 12 s later, after its caller has given up.
     pub unanswered_commit_rate: f64,
+    /// Probability that a response is lost.
     pub lost_response_rate: f64,
-    /// Watches tell nothing before their time is up.
+    /// Watches report changes only when their time is up.
     pub watches_stalled: bool,
-    /// Milliseconds by which answers to commits are late.
+    /// Delay of responses to commits.
     pub commit_response_delay_ms: u64,
-    /// Milliseconds by which the next submission's commit is late.
+    /// Delay of the next commit that stores a job; applies once.
     pub next_submission_delay_ms: u64,
-    /// Changes up to this revision are not kept any more.
+    /// Changes up to this revision are no longer available.
     pub compacted_revision: u64,
-    /// Answers 429.
+    /// Answers all requests with 429.
     pub rate_limited: bool,
-    /// Share of answers that are nonsense.
+    /// Probability that the body of a response is malformed.
     pub malformed_response_rate: f64,
-    /// Bytes of a value and changes of a transaction, once they are lower than in the settings. What is
-    /// larger is refused.
+    /// Largest value in bytes and most changes of a transaction, if lower than in the settings. Larger
+    /// transactions are rejected.
     pub lowered_limits: Option<(usize, usize)>,
-    /// The last backup that was kept.
+    /// The last saved backup.
     pub(super) saved_backup: Backup,
-    /// Transactions that were refused for their size.
+    /// Number of transactions that were rejected for their size.
     pub rejected_for_size: usize,
 }
 
 impl StateService {
-    /// Puts a key there behind the controllers' backs.
+    /// Writes a key that no controller has written.
     pub fn put(&mut self, key: &str, data: Value) {
         self.revision += 1;
         self.keys.insert(
@@ -85,6 +92,7 @@
         self.keys.get(key).map_or(0, |entry| entry.mod_revision)
     }
 
+    /// Keys with a prefix and their values.
     pub fn entries_under(&self, prefix: &str) -> Vec<(&String, &Value)> {
         self.keys.iter().filter(|(k, _)| k.starts_with(prefix)).map(|(k, e)| (k, &e.data)).collect()
     }
@@ -95,6 +103,7 @@
         }
     }
 
+    /// Executes a transaction.
     pub(super) fn commit(&mut self, body: &[u8]) -> (u16, Value) {
         let Ok(c) = serde_json::from_slice::<Value>(body) else {
             return (400, json!({}));
@@ -122,8 +131,8 @@
             }
         }
         for w in &writes {
-            if let Some(h) = w["tenancy"].as_u64() {
-                if !self.leases.contains_key(&h) {
+            if let Some(lease) = w["tenancy"].as_u64() {
+                if !self.leases.contains_key(&lease) {
                     return (400, json!({"error": "no such lease"}));
                 }
             }
@@ -148,30 +157,30 @@
         (200, json!({"ledger_rev": rev}))
     }
 
-    /// All data is lost.
+    /// Loses all data.
     pub fn wipe(&mut self) {
         self.restore(Backup::default(), 0);
     }
 
-    /// Takes the backup that [`StateService::restore_saved_backup`] goes back to.
+    /// Saves a backup for [`StateService::restore_saved_backup`].
     pub fn save_backup(&mut self) {
         self.saved_backup = self.backup();
     }
 
-    /// Goes back to the backup that was kept.
+    /// Restores the saved backup.
     pub fn restore_saved_backup(&mut self, revisions_ahead: u64) {
         self.restore(self.saved_backup.clone(), revisions_ahead);
     }
 
-    /// What a backup taken now would hold.
+    /// A backup of the current data, without keys that are bound to leases.
     pub fn backup(&self) -> Backup {
         let keys = self.keys.iter().filter(|(_, entry)| entry.lease.is_none());
         let keys = keys.map(|(key, entry)| (key.clone(), entry.clone())).collect();
         Backup { keys, history: self.history.clone(), revision: self.revision }
     }
 
-    /// The data becomes that of a backup, with revisions that go on from `revisions_ahead` further. Leases
-    /// and watches end.
+    /// Restores a backup; the revision becomes that of the backup plus `revisions_ahead`. Leases and watches
+    /// end.
     pub fn restore(&mut self, backup: Backup, revisions_ahead: u64) {
         self.keys = backup.keys;
         self.history = backup.history;
@@ -180,6 +189,7 @@
         self.watches.clear();
     }
 
+    /// Ends a lease and removes its keys.
     pub(super) fn end_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let keys: Vec<String> =
@@ -191,6 +201,7 @@
         }
     }
 
+    /// Body of a response with all changes after a revision.
     pub(super) fn changes_since(&self, since: u64) -> Value {
         let events: Vec<Value> = self
             .history
@@ -211,20 +222,29 @@
 }
 
 impl Simulation {
+    /// Ends expired leases and answers watches that have changes or have expired.
     pub(super) fn state_step(&mut self) {
         if self.state.outage {
             return;
         }
         let now = self.now;
-        let over: Vec<u64> =
-            self.state.leases.iter().filter(|(_, (_, end))| *end <= now).map(|(h, _)| *h).collect();
-        for h in over {
-            self.state.end_lease(h);
+        let expired: Vec<u64> = self
+            .state
+            .leases
+            .iter()
+            .filter(|(_, (_, end))| *end <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in expired {
+            self.state.end_lease(id);
         }
         let rev = self.state.revision;
-        let slow = self.state.watches_stalled;
-        let (ready, open): (Vec<Watch>, Vec<Watch>) =
-            self.state.watches.drain(..).partition(|w| (rev > w.since && !slow) || now >= w.until);
+        let stalled = self.state.watches_stalled;
+        let (ready, open): (Vec<Watch>, Vec<Watch>) = self
+            .state
+            .watches
+            .drain(..)
+            .partition(|w| (rev > w.since && !stalled) || now >= w.until);
         self.state.watches = open;
         for w in ready {
             if self.nodes[w.node].refused_by_state || self.nodes[w.node].partitioned_from_state {
@@ -245,11 +265,11 @@
         }
     }
 
-    /// Ends an outage: every lease has its full time again.
+    /// Ends an outage; every lease has its full duration again.
     pub fn end_outage(&mut self) {
         self.state.outage = false;
-        for (incarnation, end) in self.state.leases.values_mut() {
-            *end = self.now + *incarnation;
+        for (duration_ms, end) in self.state.leases.values_mut() {
+            *end = self.now + *duration_ms;
         }
     }
 
@@ -271,11 +291,11 @@
         } else if path == "/commit" {
             s.commit(body)
         } else if path == "/holds" {
-            let life_ms =
+            let duration_ms =
                 serde_json::from_slice::<Value>(body).unwrap()["life_ms"].as_u64().unwrap();
             let id = s.next_lease;
             s.next_lease += 1;
-            s.leases.insert(id, (life_ms, now + life_ms));
+            s.leases.insert(id, (duration_ms, now + duration_ms));
             (200, json!({"tenancy": id}))
         } else if let Some(rest) = path.strip_prefix("/holds/") {
             let id: u64 = rest.trim_end_matches("/renew").parse().unwrap();
@@ -284,8 +304,8 @@
                 (200, json!({}))
             } else {
                 match s.leases.get_mut(&id) {
-                    Some((incarnation, end)) => {
-                        *end = now + *incarnation;
+                    Some((duration_ms, end)) => {
+                        *end = now + *duration_ms;
                         (200, json!({"tenancy": id}))
                     }
                     None => (404, json!({})),
@@ -309,7 +329,7 @@
         } else if path.starts_with("/store?") {
             let prefix = query_parameter(path, "prefix").unwrap();
             let since = query_parameter(path, "since").unwrap_or_default();
-            // Small pages, so that listings take several.
+            // Pages are small, so that listings take several.
             let all: Vec<(&String, &Entry)> =
                 s.keys.iter().filter(|(k, _)| k.starts_with(&prefix) && **k > since).collect();
             let items: Vec<Value> = all
@@ -319,13 +339,13 @@
                 .collect();
             (200, json!({"items": items, "has_next": all.len() > 20, "ledger_rev": s.revision}))
         } else {
-            panic!("unexpected request {method} {path}");
+            panic!("unexpected request to the state service: {method} {path}");
         };
         if self.rng.random_bool(self.state.lost_response_rate) {
             return;
         }
-        let late = if path == "/commit" { self.state.commit_response_delay_ms } else { 0 };
-        let d = self.network_delay() + late;
+        let delay = if path == "/commit" { self.state.commit_response_delay_ms } else { 0 };
+        let d = self.network_delay() + delay;
         let body = match self.rng.random_bool(self.state.malformed_response_rate) {
             true => MALFORMED_BODIES[self.rng.random_range(0..MALFORMED_BODIES.len())].into(),
             false => v.to_string().into_bytes(),
--- a/tests/simulation/user.rs
+++ b/tests/simulation/user.rs
@@ -1,35 +1,38 @@
-//! The fake users: what they submit, ask and are told.
+//! The simulated users: they submit, poll and cancel jobs, and check the responses.
 
 use super::*;
 
-/// What users know of a job, and the truth.
+/// A job: what its user has been told, and its actual state.
 pub struct Job {
     pub spec: Value,
     pub tasks: u32,
+    /// Duration of its first task; `u64::MAX` for services.
     pub run_ms: u64,
     pub accepted_at: Option<u64>,
     pub done_tasks: BTreeSet<u32>,
     /// When its user was first told that it is done.
     pub reported_done_at: Option<u64>,
+    /// When its user was first told that it is cancelled.
     pub reported_cancelled_at: Option<u64>,
     pub cancel_requested: bool,
     pub last_status: String,
-    /// Fails wherever it starts.
+    /// Its tasks fail on every machine.
     pub always_fails: bool,
+    /// Number of tasks that started on machines.
     pub starts: u32,
-    /// When a task of it first ran.
+    /// When its first task started, or all tasks of a gang.
     pub first_started_at: Option<u64>,
-    /// Start orders that a worker took as new.
+    /// Number of start commands for new attempts that workers received.
     pub start_commands: u32,
-    /// Can't run or lacks a field: must not be accepted.
+    /// Must not be accepted, since it can't run or lacks a field.
     pub invalid: bool,
-    /// Milliseconds by which each task runs longer than the one before.
+    /// Time by which each task runs longer than the one before it.
     pub run_increment_ms: u64,
-    /// When it was last seen not to wait beside room for it.
+    /// Last time at which it did not wait although there was capacity for it.
     pub unstarved_at: u64,
-    /// Progress of a gang that is safe, in milliseconds.
+    /// Progress of a gang that its checkpoints contain.
     pub checkpointed_ms: u64,
-    /// Attempts of a gang whose tasks have all run, with what became of them.
+    /// Started attempts of a gang.
     pub attempts: BTreeMap<u64, GangAttempt>,
 }
 
@@ -62,28 +65,31 @@
     }
 }
 
-/// An attempt of a gang that has started.
+/// A started attempt of a gang.
 #[derive(Clone, Debug)]
 pub struct GangAttempt {
-    /// Progress in milliseconds, earlier attempts' included.
+    /// Progress, including the checkpoints of earlier attempts.
     pub progress_ms: u64,
-    /// When a task was first told to stop.
+    /// When a task first received a stop command.
     pub stop_requested_at: Option<u64>,
     /// When a task was first missing.
     pub incomplete_since: Option<u64>,
-    /// All tasks were told to stop in time and have saved.
+    /// Whether all tasks received their stop commands in time and saved their progress.
     pub checkpointed: bool,
 }
 
 /// A user's request.
 pub struct UserRequest {
-    pub(super) uid: String,
+    pub(super) job_id: String,
     pub(super) kind: &'static str,
-    pub answer: Option<(u16, Value)>,
-    pub at: u64,
+    /// Status and body of the response.
+    pub response: Option<(u16, Value)>,
+    /// When the request was sent.
+    pub sent_at: u64,
 }
 
 impl Simulation {
+    /// A description of a job with one GPU per task, of team `red`.
     pub fn job_spec(&self, n: u64, shape: &str, tasks: u32) -> Value {
         json!({"uid": format!("job-{n:06}"), "duty": shape, "crew": "red", "shape": shape,
             "rank": if shape == "standing" { "production" } else { "standard" }, "loads": tasks,
@@ -93,15 +99,15 @@
             "mark_every_s": 0.0, "mark_cost_s": 0.0})
     }
 
-    /// A user submits; gives the request's number.
+    /// Submits a job; returns the number of the request.
     pub fn submit(&mut self, spec: Value, run_ms: u64, node: usize) -> u64 {
-        let uid = spec["uid"].as_str().unwrap().to_string();
+        let job_id = spec["uid"].as_str().unwrap().to_string();
         let tasks = spec["loads"].as_u64().unwrap_or(0) as u32;
         self.gang_submitted |= spec["shape"] == "ensemble";
-        self.jobs.entry(uid.clone()).or_insert(Job::new(spec.clone(), tasks, run_ms));
+        self.jobs.entry(job_id.clone()).or_insert(Job::new(spec.clone(), tasks, run_ms));
         self.send_user_request(
             node,
-            &uid,
+            &job_id,
             "submit",
             "POST",
             "/v1/jobs".into(),
@@ -109,28 +115,31 @@
         )
     }
 
-    pub fn poll(&mut self, uid: &str, node: usize) -> u64 {
-        self.send_user_request(node, uid, "poll", "GET", format!("/v1/jobs/{uid}"), vec![])
+    /// Asks for the status of a job; returns the number of the request.
+    pub fn poll(&mut self, job_id: &str, node: usize) -> u64 {
+        self.send_user_request(node, job_id, "poll", "GET", format!("/v1/jobs/{job_id}"), vec![])
     }
 
-    pub fn cancel(&mut self, uid: &str, node: usize) -> u64 {
-        if let Some(j) = self.jobs.get_mut(uid) {
-            j.cancel_requested = true;
+    /// Cancels a job; returns the number of the request.
+    pub fn cancel(&mut self, job_id: &str, node: usize) -> u64 {
+        if let Some(job) = self.jobs.get_mut(job_id) {
+            job.cancel_requested = true;
         }
         self.send_user_request(
             node,
-            uid,
-            "withdraw",
+            job_id,
+            "cancel",
             "POST",
-            format!("/v1/jobs/{uid}/withdraw"),
+            format!("/v1/jobs/{job_id}/withdraw"),
             vec![],
         )
     }
 
+    /// Sends a request to a controller's public port; returns the number of the request.
     pub fn send_user_request(
         &mut self,
         node: usize,
-        uid: &str,
+        job_id: &str,
         kind: &'static str,
         method: &'static str,
         path: String,
@@ -138,89 +147,97 @@
     ) -> u64 {
         let request = self.next_request;
         self.next_request += 1;
-        self.user_requests
-            .insert(request, UserRequest { uid: uid.into(), kind, answer: None, at: self.now });
+        self.user_requests.insert(
+            request,
+            UserRequest { job_id: job_id.into(), kind, response: None, sent_at: self.now },
+        );
         let d = self.network_delay();
         self.send(d, Message::UserRequest { request, node, method, path, body });
         request
     }
 
+    /// Status of the response, 0 if there is none.
     pub fn response_status(&self, request: u64) -> u16 {
-        self.user_requests[&request].answer.as_ref().map_or(0, |a| a.0)
+        self.user_requests[&request].response.as_ref().map_or(0, |response| response.0)
     }
 
+    /// Body of the response; panics if there is none.
     pub fn response_body(&self, request: u64) -> &Value {
-        &self.user_requests[&request].answer.as_ref().expect("answered").1
+        &self.user_requests[&request].response.as_ref().expect("a response").1
     }
 
+    /// Handles a response and checks it against what users were told before.
     pub(super) fn handle_user_response(&mut self, request: u64, status: u16, body: &[u8]) {
         let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let now = self.now;
-        let Some(a) = self.user_requests.get_mut(&request) else {
+        let Some(user_request) = self.user_requests.get_mut(&request) else {
             return;
         };
-        a.answer = Some((status, v.clone()));
-        let (uid, kind, at) = (a.uid.clone(), a.kind, a.at);
+        user_request.response = Some((status, v.clone()));
+        let (job_id, kind, sent_at) =
+            (user_request.job_id.clone(), user_request.kind, user_request.sent_at);
         let violations = &mut self.violations;
-        let Some(j) = self.jobs.get_mut(&uid) else {
+        let Some(job) = self.jobs.get_mut(&job_id) else {
             if status == 200 && kind != "other" {
-                violations.push(format!("invented {uid}"));
+                violations.push(format!("unknown_job_confirmed {job_id}"));
             }
             return;
         };
-        let accepted_before = j.accepted_at.is_some_and(|t| t < at);
+        let accepted_before = job.accepted_at.is_some_and(|t| t < sent_at);
         match (kind, status) {
-            ("submit", 200 | 201) if j.invalid => {
-                violations.push(format!("accepted {uid}: {}", j.spec))
+            ("submit", 200 | 201) if job.invalid => {
+                violations.push(format!("invalid_job_accepted {job_id}: {}", job.spec));
             }
             ("submit", 200 | 201) => {
-                j.accepted_at.get_or_insert(now);
+                job.accepted_at.get_or_insert(now);
             }
             ("submit", 400 | 422) if accepted_before => {
-                violations.push(format!("forgotten {uid}: {status}"));
+                violations.push(format!("accepted_job_unknown {job_id}: {status}"));
             }
-            ("poll" | "withdraw", 404) if accepted_before => {
-                violations.push(format!("forgotten {uid}: 404"));
+            ("poll" | "cancel", 404) if accepted_before => {
+                violations.push(format!("accepted_job_unknown {job_id}: 404"));
             }
             _ => {}
         }
         if status != 200 && status != 201 {
             return;
         }
-        let told = v["status"].as_str().unwrap_or("").to_string();
-        match told.as_str() {
+        let status_text = v["status"].as_str().unwrap_or("").to_string();
+        match status_text.as_str() {
             "done" => {
-                if j.done_tasks.len() < j.tasks as usize {
+                if job.done_tasks.len() < job.tasks as usize {
                     violations.push(format!(
-                        "not_done {uid}: {} of {}",
-                        j.done_tasks.len(),
-                        j.tasks
+                        "reported_done_too_early {job_id}: {} of {}",
+                        job.done_tasks.len(),
+                        job.tasks
                     ));
                 }
-                if j.reported_cancelled_at.is_some_and(|t| t < at) {
-                    violations.push(format!("went_back {uid}: withdrawn, then done"));
+                if job.reported_cancelled_at.is_some_and(|t| t < sent_at) {
+                    violations.push(format!("status_regressed {job_id}: withdrawn, then done"));
                 }
-                j.reported_done_at.get_or_insert(now);
+                job.reported_done_at.get_or_insert(now);
             }
             "withdrawn" => {
-                if !j.cancel_requested {
-                    violations.push(format!("went_back {uid}: withdrawn unasked"));
+                if !job.cancel_requested {
+                    violations
+                        .push(format!("status_regressed {job_id}: withdrawn without a request"));
                 }
-                if j.reported_done_at.is_some() {
-                    violations.push(format!("went_back {uid}: done, then withdrawn"));
+                if job.reported_done_at.is_some() {
+                    violations.push(format!("status_regressed {job_id}: done, then withdrawn"));
                 }
-                j.reported_cancelled_at.get_or_insert(now);
+                job.reported_cancelled_at.get_or_insert(now);
             }
             _ => {
-                // A late answer to an old question is no step back.
-                if j.reported_done_at.is_some_and(|t| t < at) {
-                    violations.push(format!("went_back {uid}: done, then {told}"));
+                // A delayed response to an earlier request may report an earlier status.
+                if job.reported_done_at.is_some_and(|t| t < sent_at) {
+                    violations.push(format!("status_regressed {job_id}: done, then {status_text}"));
                 }
-                if j.reported_cancelled_at.is_some_and(|t| t < at) {
-                    violations.push(format!("went_back {uid}: withdrawn, then {told}"));
+                if job.reported_cancelled_at.is_some_and(|t| t < sent_at) {
+                    violations
+                        .push(format!("status_regressed {job_id}: withdrawn, then {status_text}"));
                 }
             }
         }
-        j.last_status = told;
+        job.last_status = status_text;
     }
 }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -1,59 +1,70 @@
-//! The fake workers: their tasks, sessions, tokens and reports.
+//! The simulated workers: tasks, leases, fencing tokens and heartbeats.
 
 use super::*;
 
+/// State of a task on a worker.
 #[derive(Clone, PartialEq, Debug)]
 pub(super) enum TaskState {
+    /// Its image is pulled for this many milliseconds more.
     Pulling(u64),
-    /// A task of a gang that waits for the others since then.
+    /// Task of a gang that has waited for the others since this time.
     Waiting(u64),
-    Running {
-        left: u64,
-        begun: u64,
-    },
+    /// Runs; tasks of services and gangs have `u64::MAX` remaining_ms.
+    Running { remaining_ms: u64, started_at: u64 },
+    /// Saves its progress for this many milliseconds more.
     Flushing(u64),
+    /// Has ended, with the cause as in a heartbeat.
     Ended(&'static str),
 }
 
+/// An attempt of a task on a worker.
 #[derive(Clone)]
 pub(super) struct Task {
     pub(super) attempt: u64,
-    pub(super) run: TaskState,
+    pub(super) state: TaskState,
 }
 
-/// A worker with its machine.
+/// A worker and its machine, with the faults injected into them.
 pub struct Worker {
     pub zone: String,
     pub(super) spot: bool,
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
     pub(super) fencing_token: u64,
+    /// When the last heartbeat was sent that a leader confirmed.
     pub(super) lease_started_at: u64,
+    /// Controller to which it sends heartbeats.
     pub(super) node: usize,
+    /// Request number and time of the heartbeat that awaits its response.
     pub(super) in_flight: Option<(u64, u64)>,
     pub(super) next_heartbeat_at: u64,
     pub(super) last_heartbeat_at: u64,
+    /// Whether something changed since the last heartbeat, so that the next one is sent earlier.
     pub(super) changed: bool,
+    /// Attempts by job id and index of the task.
     pub(super) tasks: BTreeMap<(String, u32), Vec<Task>>,
+    /// Images that have been pulled.
     pub(super) images: BTreeSet<String>,
+    /// When the cloud reclaims the machine, once it has given notice.
     pub reclaim_at: Option<u64>,
-    /// Nothing gets in or out.
+    /// Drops messages in both directions.
     pub partitioned: bool,
-    /// Reports are held on the way instead of lost, until then.
+    /// Heartbeats are delivered no earlier than this time, and responses before it are dropped.
     pub heartbeats_delayed_until: Option<u64>,
-    /// Its reports arrive, but no answer reaches it.
+    /// Its heartbeats arrive, but all responses to it are dropped.
     pub responses_lost: bool,
-    /// No controller hears it.
+    /// Its heartbeats are dropped.
     pub heartbeats_lost: bool,
-    /// The machine hangs until then: it executes nothing, reads nothing and sends nothing.
+    /// The machine hangs until this time: it executes, reads and sends nothing.
     pub hung_until: u64,
-    /// Fails every task that it starts.
+    /// Every task that it starts fails.
     pub fails_all_tasks: bool,
+    /// The machine is gone or has failed.
     pub stopped: bool,
 }
 
 impl Worker {
-    /// Its process ends and is back at once, knowing nothing.
+    /// Restarts the process, which loses its state.
     pub fn restart_without_state(&mut self) {
         self.tasks.clear();
         self.incarnation = 1;
@@ -62,36 +73,39 @@
         self.in_flight = None;
     }
 
-    /// It takes a token for seen that no controller has ever shown to it.
+    /// Sets the highest fencing token that the worker claims to have received, which may be one that no
+    /// controller has sent.
     pub fn set_fencing_token(&mut self, token: u64) {
         self.fencing_token = token;
     }
 
-    /// It gives up what it waits for and reports to this controller.
+    /// Gives up the heartbeat in flight and sends the next ones to this controller.
     pub fn switch_to(&mut self, node: usize) {
         self.node = node;
         self.in_flight = None;
     }
 
-    /// Tasks that take room.
+    /// Tasks that occupy resources.
     pub fn unfinished_tasks(&self) -> impl Iterator<Item = (&str, u32)> {
         self.tasks
             .iter()
-            .filter(|(_, v)| v.iter().any(|t| !matches!(t.run, TaskState::Ended(_))))
-            .map(|((j, n), _)| (j.as_str(), *n))
+            .filter(|(_, v)| v.iter().any(|t| !matches!(t.state, TaskState::Ended(_))))
+            .map(|((job_id, n), _)| (job_id.as_str(), *n))
     }
 
-    pub fn holds_task_of(&self, job: &str) -> bool {
-        self.unfinished_tasks().any(|(j, _)| j == job)
+    /// Whether a task of the job occupies resources.
+    pub fn holds_task_of(&self, job_id: &str) -> bool {
+        self.unfinished_tasks().any(|(id, _)| id == job_id)
     }
 
+    /// Tasks that run, those included that wait for their gang or save their progress.
     pub fn running_tasks(&self) -> Vec<(String, u32)> {
         self.tasks
             .iter()
             .filter(|(_, v)| {
                 v.iter().any(|t| {
                     matches!(
-                        t.run,
+                        t.state,
                         TaskState::Waiting(_) | TaskState::Running { .. } | TaskState::Flushing(_)
                     )
                 })
@@ -102,112 +116,120 @@
 }
 
 impl Simulation {
+    /// Advances the tasks of a worker and sends a heartbeat if one is due.
     pub(super) fn worker_step(&mut self, name: &str) {
         let now = self.now;
-        let Some(w) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        if w.stopped {
+        if worker.stopped {
             return;
         }
-        if let Some(t) = w.reclaim_at {
-            if now >= t && now >= w.hung_until {
+        if let Some(t) = worker.reclaim_at {
+            if now >= t && now >= worker.hung_until {
                 self.remove_machine(name);
                 return;
             }
         }
-        // One that hangs does so when it goes on, before all else; its tasks are over by then.
-        if now > w.lease_started_at + LEASE_MS {
-            w.tasks.clear();
-            w.incarnation += 1;
-            w.lease_started_at = now;
-            w.in_flight = None;
-            w.changed = true;
+        // The lease has expired and with it all tasks. For a hung machine this is detected here already, before
+        // it resumes.
+        if now > worker.lease_started_at + LEASE_MS {
+            worker.tasks.clear();
+            worker.incarnation += 1;
+            worker.lease_started_at = now;
+            worker.in_flight = None;
+            worker.changed = true;
         }
-        if now < w.hung_until {
+        if now < worker.hung_until {
             return;
         }
-        let mut starts = Vec::new();
-        let mut dones = Vec::new();
-        for ((job, task), attempts) in &mut w.tasks {
+        let mut started = Vec::new();
+        let mut completed = Vec::new();
+        for ((job_id, task), attempts) in &mut worker.tasks {
             for t in attempts.iter_mut() {
-                match &mut t.run {
-                    TaskState::Pulling(left) if *left > STEP_MS => *left -= STEP_MS,
+                match &mut t.state {
+                    TaskState::Pulling(remaining_ms) if *remaining_ms > STEP_MS => {
+                        *remaining_ms -= STEP_MS;
+                    }
                     TaskState::Pulling(_) => {
-                        let j = &self.jobs[job];
-                        w.images.insert(j.spec["kit"].as_str().unwrap().into());
-                        if w.fails_all_tasks || j.always_fails {
-                            t.run = TaskState::Ended("error");
-                        } else if j.done_tasks.contains(task) {
-                            t.run = TaskState::Ended("done");
-                        } else if j.is_gang() {
-                            t.run = TaskState::Waiting(now);
-                            starts.push((job.clone(), *task));
+                        let job = &self.jobs[job_id];
+                        worker.images.insert(job.spec["kit"].as_str().unwrap().into());
+                        if worker.fails_all_tasks || job.always_fails {
+                            t.state = TaskState::Ended("error");
+                        } else if job.done_tasks.contains(task) {
+                            t.state = TaskState::Ended("done");
+                        } else if job.is_gang() {
+                            t.state = TaskState::Waiting(now);
+                            started.push((job_id.clone(), *task));
                         } else {
-                            let left =
-                                j.run_ms.saturating_add(u64::from(*task) * j.run_increment_ms);
-                            t.run = TaskState::Running { left, begun: now };
-                            starts.push((job.clone(), *task));
+                            let remaining_ms =
+                                job.run_ms.saturating_add(u64::from(*task) * job.run_increment_ms);
+                            t.state = TaskState::Running { remaining_ms, started_at: now };
+                            started.push((job_id.clone(), *task));
                         }
-                        w.changed = true;
+                        worker.changed = true;
                     }
-                    // Gangs go on together, see `gangs.rs`.
+                    // The tasks of a gang advance together, see `gangs.rs`.
                     TaskState::Waiting(_) => {}
-                    TaskState::Flushing(_) if self.jobs[job].is_gang() => {}
-                    TaskState::Running { left, .. } if *left == u64::MAX => {}
-                    TaskState::Running { left, .. } if *left > STEP_MS => *left -= STEP_MS,
+                    TaskState::Flushing(_) if self.jobs[job_id].is_gang() => {}
+                    TaskState::Running { remaining_ms, .. } if *remaining_ms == u64::MAX => {}
+                    TaskState::Running { remaining_ms, .. } if *remaining_ms > STEP_MS => {
+                        *remaining_ms -= STEP_MS;
+                    }
                     TaskState::Running { .. } => {
-                        t.run = TaskState::Ended("done");
-                        dones.push((job.clone(), *task));
-                        w.changed = true;
+                        t.state = TaskState::Ended("done");
+                        completed.push((job_id.clone(), *task));
+                        worker.changed = true;
+                    }
+                    TaskState::Flushing(remaining_ms) if *remaining_ms > STEP_MS => {
+                        *remaining_ms -= STEP_MS;
                     }
-                    TaskState::Flushing(left) if *left > STEP_MS => *left -= STEP_MS,
                     TaskState::Flushing(_) => {
-                        t.run = TaskState::Ended("halted");
-                        w.changed = true;
+                        t.state = TaskState::Ended("halted");
+                        worker.changed = true;
                     }
                     TaskState::Ended(_) => {}
                 }
             }
         }
-        for (job, task) in dones {
-            self.jobs.get_mut(&job).unwrap().done_tasks.insert(task);
+        for (job_id, task) in completed {
+            self.jobs.get_mut(&job_id).unwrap().done_tasks.insert(task);
         }
-        for (job, task) in starts {
-            self.check_task_start(name, &job, task);
+        for (job_id, task) in started {
+            self.check_task_start(name, &job_id, task);
         }
-        let w = self.workers.get_mut(name).expect("still there");
-        if let Some((_, sent)) = w.in_flight {
+        let worker = self.workers.get_mut(name).expect("the machine exists");
+        if let Some((_, sent)) = worker.in_flight {
             if now > sent + HEARTBEAT_TIMEOUT_MS {
-                w.in_flight = None;
-                w.node = (w.node + 1) % 3;
-                w.next_heartbeat_at = now + 1_000;
+                worker.in_flight = None;
+                worker.node = (worker.node + 1) % 3;
+                worker.next_heartbeat_at = now + 1_000;
             }
         }
-        let due = now >= w.next_heartbeat_at
-            || (w.changed
-                && now >= w.last_heartbeat_at + 500
-                && now + HEARTBEAT_MS > w.next_heartbeat_at);
-        if w.in_flight.is_none() && due && now >= w.last_heartbeat_at + 500 {
-            w.sequence += 1;
-            w.changed = false;
-            w.last_heartbeat_at = now;
+        let due = now >= worker.next_heartbeat_at
+            || (worker.changed
+                && now >= worker.last_heartbeat_at + 500
+                && now + HEARTBEAT_MS > worker.next_heartbeat_at);
+        if worker.in_flight.is_none() && due && now >= worker.last_heartbeat_at + 500 {
+            worker.sequence += 1;
+            worker.changed = false;
+            worker.last_heartbeat_at = now;
             let jitter = self.rng.random_range(0..HEARTBEAT_MS / 2);
             let body = self.heartbeat_body(name);
             let request = self.next_request;
             self.next_request += 1;
             let late = self.rng.random_bool(self.delayed_heartbeat_rate);
             let d = if late { self.rng.random_range(4_000..9_000) } else { self.network_delay() };
-            let w = self.workers.get_mut(name).expect("still there");
-            w.next_heartbeat_at = now + HEARTBEAT_MS * 3 / 4 + jitter;
-            w.in_flight = Some((request, now));
-            let node = w.node;
-            let d = w.heartbeats_delayed_until.map_or(d, |t| t.saturating_sub(now).max(d));
-            if !w.partitioned && !w.heartbeats_lost {
+            let worker = self.workers.get_mut(name).expect("the machine exists");
+            worker.next_heartbeat_at = now + HEARTBEAT_MS * 3 / 4 + jitter;
+            worker.in_flight = Some((request, now));
+            let node = worker.node;
+            let d = worker.heartbeats_delayed_until.map_or(d, |t| t.saturating_sub(now).max(d));
+            if !worker.partitioned && !worker.heartbeats_lost {
                 if self.duplicate_heartbeat_rate > 0.0
                     && self.rng.random_bool(self.duplicate_heartbeat_rate)
                 {
-                    // A copy from the network: its answer reaches nobody.
+                    // A duplicate made by the network; its response is dropped.
                     let (late, to) = (
                         self.rng.random_range(2_000..self.duplicate_delay_max_ms),
                         self.rng.random_range(0..3),
@@ -225,32 +247,34 @@
         }
     }
 
+    /// Body of the heartbeat that a worker would send now.
     pub(super) fn heartbeat_body(&self, name: &str) -> Vec<u8> {
-        let w = &self.workers[name];
-        let mut loads = Vec::new();
-        for ((job, task), attempts) in &w.tasks {
+        let worker = &self.workers[name];
+        let mut reports = Vec::new();
+        for ((job_id, task), attempts) in &worker.tasks {
             for t in attempts {
-                let load = format!("{job}/{task}");
-                let (status, cause) = match t.run {
+                let task_id = format!("{job_id}/{task}");
+                let (status, cause) = match t.state {
                     TaskState::Pulling(_) => ("pulling", None),
                     TaskState::Waiting(_) => ("waiting", None),
-                    TaskState::Flushing(_) if self.jobs[job].is_gang() => ("running", None),
+                    TaskState::Flushing(_) if self.jobs[job_id].is_gang() => ("running", None),
                     TaskState::Running { .. } => ("running", None),
                     TaskState::Flushing(_) => ("flushing", None),
                     TaskState::Ended(c) => ("ended", Some(c)),
                 };
-                loads.push(
-                    json!({"load": load, "try": t.attempt, "status": status, "cause": cause}),
+                reports.push(
+                    json!({"load": task_id, "try": t.attempt, "status": status, "cause": cause}),
                 );
             }
         }
-        let recall = w.reclaim_at.map(|t| t.saturating_sub(self.now) as f64 / 1000.0);
-        json!({"stead": name, "address": "x", "build": "g4", "yard": w.zone, "lendables": w.spot,
-            "tenure": w.incarnation, "tally": w.sequence, "baton": w.fencing_token, "recall_s": recall, "loads": loads})
+        let reclaim_s = worker.reclaim_at.map(|t| t.saturating_sub(self.now) as f64 / 1000.0);
+        json!({"stead": name, "address": "x", "build": "g4", "yard": worker.zone, "lendables": worker.spot,
+            "tenure": worker.incarnation, "tally": worker.sequence, "baton": worker.fencing_token, "recall_s": reclaim_s, "loads": reports})
         .to_string()
         .into_bytes()
     }
 
+    /// Handles the response to a heartbeat: its status, fencing token and commands.
     pub(super) fn handle_heartbeat_response(
         &mut self,
         name: &str,
@@ -259,131 +283,136 @@
         body: &[u8],
     ) {
         let now = self.now;
-        let Some(w) = self.workers.get_mut(name) else {
+        let Some(worker) = self.workers.get_mut(name) else {
             return;
         };
-        let Some((r, sent)) = w.in_flight else { return };
-        if now < w.hung_until {
-            // Read when the machine goes on, unless it was given up by then.
-            let d = w.hung_until - now;
-            if w.hung_until <= sent + HEARTBEAT_TIMEOUT_MS {
+        let Some((awaited, sent)) = worker.in_flight else { return };
+        if now < worker.hung_until {
+            // Read when the machine resumes, unless the heartbeat has timed out by then.
+            let d = worker.hung_until - now;
+            if worker.hung_until <= sent + HEARTBEAT_TIMEOUT_MS {
                 let (worker, body) = (name.to_string(), body.to_vec());
                 self.send(d, Message::HeartbeatResponse { worker, request, status, body });
             }
             return;
         }
-        if r != request
-            || w.partitioned
-            || w.responses_lost
-            || w.stopped
-            || w.heartbeats_delayed_until.is_some_and(|t| now < t)
+        if awaited != request
+            || worker.partitioned
+            || worker.responses_lost
+            || worker.stopped
+            || worker.heartbeats_delayed_until.is_some_and(|t| now < t)
         {
             return;
         }
-        w.in_flight = None;
+        worker.in_flight = None;
         let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         if status == 421 {
-            if let Some(s) = v["steward"].as_str() {
-                let to: usize = s.trim_start_matches("c-").parse().unwrap();
-                if to != w.node {
-                    w.node = to;
-                    w.next_heartbeat_at = now + 100;
-                    w.last_heartbeat_at = now.saturating_sub(400);
+            if let Some(leader) = v["steward"].as_str() {
+                let to: usize = leader.trim_start_matches("c-").parse().unwrap();
+                if to != worker.node {
+                    worker.node = to;
+                    worker.next_heartbeat_at = now + 100;
+                    worker.last_heartbeat_at = now.saturating_sub(400);
                     return;
                 }
             }
         }
         if status != 200 {
-            w.node = (w.node + 1) % 3;
-            w.next_heartbeat_at = now + 1_000;
+            worker.node = (worker.node + 1) % 3;
+            worker.next_heartbeat_at = now + 1_000;
             return;
         }
-        let baton = v["baton"].as_u64().unwrap();
-        if baton < w.fencing_token {
+        let token = v["baton"].as_u64().unwrap();
+        if token < worker.fencing_token {
             return;
         }
-        if baton > w.fencing_token {
-            w.fencing_token = baton;
-            w.changed = true;
+        if token > worker.fencing_token {
+            worker.fencing_token = token;
+            worker.changed = true;
         }
-        w.lease_started_at = sent;
-        for o in v["orders"].as_array().cloned().unwrap_or_default() {
-            self.handle_command(name, &o);
+        worker.lease_started_at = sent;
+        for command in v["orders"].as_array().cloned().unwrap_or_default() {
+            self.handle_command(name, &command);
         }
     }
 
-    pub(super) fn handle_command(&mut self, name: &str, o: &Value) {
-        let load = o["load"].as_str().unwrap();
-        let attempt = o["try"].as_u64().unwrap();
-        let (job, task) = load.rsplit_once('/').unwrap();
-        let key = (job.to_string(), task.parse::<u32>().unwrap());
-        let w = self.workers.get_mut(name).expect("still there");
-        let list = w.tasks.entry(key).or_default();
-        match o["verb"].as_str().unwrap() {
+    /// Executes a command of a heartbeat response.
+    pub(super) fn handle_command(&mut self, name: &str, command: &Value) {
+        let task_id = command["load"].as_str().unwrap();
+        let attempt = command["try"].as_u64().unwrap();
+        let (job_id, task) = task_id.rsplit_once('/').unwrap();
+        let key = (job_id.to_string(), task.parse::<u32>().unwrap());
+        let worker = self.workers.get_mut(name).expect("the machine exists");
+        let list = worker.tasks.entry(key).or_default();
+        match command["verb"].as_str().unwrap() {
             "start" => {
                 if list.iter().any(|t| t.attempt == attempt) {
                     return;
                 }
-                // A turn that takes long decides at its begin and speaks at its end.
-                let turn = self.nodes.iter().map(|n| n.batch_duration_ms).max().unwrap_or(0);
-                let j = self.jobs.get_mut(job).expect("a job");
-                j.start_commands += 1;
-                if j.reported_cancelled_at.is_some_and(|t| self.now > t + LATE_START_MS + turn) {
-                    self.violations.push(format!("started {load} after its cancellation"));
+                // A slow batch decides at its beginning, and its effects are sent at its end.
+                let batch_ms = self.nodes.iter().map(|n| n.batch_duration_ms).max().unwrap_or(0);
+                let job = self.jobs.get_mut(job_id).expect("the job exists");
+                job.start_commands += 1;
+                if job
+                    .reported_cancelled_at
+                    .is_some_and(|t| self.now > t + LATE_START_MS + batch_ms)
+                {
+                    self.violations.push(format!("started_after_cancellation {task_id}"));
                 }
-                w.changed = true;
-                if list.iter().any(|t| !matches!(t.run, TaskState::Ended(_))) {
-                    list.push(Task { attempt, run: TaskState::Ended("busy") });
+                worker.changed = true;
+                if list.iter().any(|t| !matches!(t.state, TaskState::Ended(_))) {
+                    list.push(Task { attempt, state: TaskState::Ended("busy") });
                     return;
                 }
-                let spec = &self.jobs[job].spec;
+                let spec = &self.jobs[job_id].spec;
                 let pull =
-                    if w.images.contains(spec["kit"].as_str().unwrap()) { 10 } else { 1_500 };
-                list.push(Task { attempt, run: TaskState::Pulling(pull) });
-                let gpus: f64 = w
+                    if worker.images.contains(spec["kit"].as_str().unwrap()) { 10 } else { 1_500 };
+                list.push(Task { attempt, state: TaskState::Pulling(pull) });
+                let gpus: f64 = worker
                     .tasks
                     .iter()
-                    .flat_map(|((j, _), v)| v.iter().map(move |t| (j, t)))
-                    .filter(|(_, t)| !matches!(t.run, TaskState::Ended(_)))
-                    .map(|(j, _)| self.jobs[j].spec["gpus"].as_f64().unwrap())
+                    .flat_map(|((job_id, _), v)| v.iter().map(move |t| (job_id, t)))
+                    .filter(|(_, t)| !matches!(t.state, TaskState::Ended(_)))
+                    .map(|(job_id, _)| self.jobs[job_id].spec["gpus"].as_f64().unwrap())
                     .sum();
                 if gpus > 4.0 {
-                    let list = w.tasks.get_mut(&(job.to_string(), task.parse().unwrap())).unwrap();
-                    list.last_mut().unwrap().run = TaskState::Ended("no_room");
+                    let list =
+                        worker.tasks.get_mut(&(job_id.to_string(), task.parse().unwrap())).unwrap();
+                    list.last_mut().unwrap().state = TaskState::Ended("no_room");
                 }
             }
-            "halt" if self.jobs[job].is_gang() => {
-                let grace_s = o["wind_down_s"].as_f64().expect("a duration");
-                self.stop_gang_task(name, job, task.parse().unwrap(), attempt, grace_s);
+            "halt" if self.jobs[job_id].is_gang() => {
+                let grace_s = command["wind_down_s"].as_f64().expect("a duration");
+                self.stop_gang_task(name, job_id, task.parse().unwrap(), attempt, grace_s);
             }
             "halt" => {
                 for t in list.iter_mut().filter(|t| t.attempt == attempt) {
-                    if !matches!(t.run, TaskState::Ended(_)) {
-                        t.run = TaskState::Ended("halted");
-                        w.changed = true;
+                    if !matches!(t.state, TaskState::Ended(_)) {
+                        t.state = TaskState::Ended("halted");
+                        worker.changed = true;
                     }
                 }
             }
             "clear" => {
-                list.retain(|t| t.attempt != attempt || !matches!(t.run, TaskState::Ended(_)))
+                list.retain(|t| t.attempt != attempt || !matches!(t.state, TaskState::Ended(_)));
             }
-            v => panic!("unknown order {v}"),
+            verb => panic!("unknown command: {verb}"),
         }
     }
 
-    /// Takes a copy of what a machine would report now, which reaches a controller later.
+    /// Sends a controller a duplicate of the heartbeat that a worker would send now, with a delay.
     pub fn send_duplicate_heartbeat(&mut self, machine: &str, node: usize, delay: u64) {
-        let w = self.workers.get_mut(machine).expect("a machine");
-        w.sequence += 1;
+        let worker = self.workers.get_mut(machine).expect("the machine exists");
+        worker.sequence += 1;
         let (worker, body) = (machine.to_string(), self.heartbeat_body(machine));
         self.send(delay, Message::Heartbeat { worker, request: u64::MAX, node, body });
     }
 
-    /// Puts a running task on a machine behind the controllers' backs.
-    pub fn inject_task(&mut self, machine: &str, job: &str, task: u32, attempt: u64) {
-        let w = self.workers.get_mut(machine).expect("a machine");
-        let run = TaskState::Running { left: u64::MAX, begun: self.now };
-        w.tasks.entry((job.into(), task)).or_default().push(Task { attempt, run });
-        w.changed = true;
+    /// Makes a machine run a task that no controller has started.
+    pub fn inject_task(&mut self, machine: &str, job_id: &str, task: u32, attempt: u64) {
+        let worker = self.workers.get_mut(machine).expect("the machine exists");
+        let state = TaskState::Running { remaining_ms: u64::MAX, started_at: self.now };
+        worker.tasks.entry((job_id.into(), task)).or_default().push(Task { attempt, state });
+        worker.changed = true;
     }
 }
