--- a/src/coordination/planner/allocation.rs
+++ b/src/coordination/planner/allocation.rs
@@ -1,23 +1,23 @@
-//! The places that a task may take: what each costs, and which of them the pass chooses.
+//! Allocations that a task may get: what each one costs, and which one the pass chooses.
 
-use super::offers::Offers;
+use super::allocation_cache::AllocationCache;
 use super::pass::Pass;
 use super::snapshot::JobView;
 use super::threshold_search::{Candidate, ThresholdSearch};
 use crate::protocol::users::Priority;
 use crate::protocol::Resources;
 
-/// How much more a GPU counts than a core where free room is compared.
+/// Weight of a GPU relative to a core where free capacity is compared.
 const GPU_WEIGHT: i64 = 1_000;
 
-/// A place and a time for one task.
+/// A machine and a start time for one task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Allocation {
     pub(super) machine: usize,
     pub(super) start_ms: u64,
-    /// Run time with image and penalty.
+    /// Run time including the image fetch and the penalty.
     pub(super) length_ms: u64,
-    /// Penalty factor, the image counted in.
+    /// Penalty factor, including the image fetch.
     pub(super) penalty_factor: f64,
 }
 
@@ -27,23 +27,24 @@
     }
 }
 
-/// How much a place is liked among places that are alike, the least first. Fields are compared in
-/// their order.
+/// Tie-break between otherwise equal allocations: the least is preferred. Fields are compared in
+/// the order of declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Preference {
-    /// Replicas of a service in the zone.
+    /// For services: number of the job's tasks in the zone. For others: 0.
     replicas_in_zone: u32,
-    /// How well the kind of machine suits the work, the best first.
+    /// How well the kind of machine suits the work; 0 is best.
     kind_rank: u8,
-    /// For services: those on the machine, negated. For others: what is free there.
+    /// For services: number of service tasks on the machine, negated. For others: its free
+    /// capacity.
     packing: i64,
-    /// For services: what is free on the machine.
-    service_packing: i64,
+    /// For services: free capacity of the machine. For others: 0.
+    service_free_capacity: i64,
     machine: usize,
 }
 
 impl Pass<'_> {
-    /// Whether one more task of the job may be on the machine, room aside.
+    /// Whether the machine may run one more task of the job, apart from its free capacity.
     pub(super) fn is_allowed(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
         let host = self.machine_view(machine);
@@ -61,7 +62,7 @@
         self.is_zone_allowed(job, host.zone) && host.total.fits(&view.need)
     }
 
-    /// Whether one more task of the job may be in the zone, given those that are placed.
+    /// Whether the zone may get one more task of the job, given those that are already placed.
     pub(super) fn is_zone_allowed(&self, job: usize, zone: usize) -> bool {
         let view = self.job_view(job);
         let placed = &self.jobs[job].tasks_per_zone;
@@ -70,23 +71,24 @@
         placed[zone] < view.max_tasks_per_zone && !(view.one_zone && is_elsewhere())
     }
 
-    /// Milliseconds for which a task that starts then waits for its image.
+    /// Milliseconds that a task which starts at `start_ms` waits until its image is cached.
     pub(super) fn fetch_ms(&self, job: usize, machine: usize, start_ms: u64) -> u64 {
         let view = self.job_view(job);
         let host = &self.machines[machine];
         if let Some(image) = host.image(view.image) {
             return image.ready_in_ms.saturating_sub(start_ms.saturating_sub(self.snapshot.now_ms));
         }
-        // Images fetched at the same time share the rate.
+        // Images share the machine's fetch rate, so this one is ready only after those that are
+        // already being fetched.
         let fetch_ms = (view.image_gb * self.machine_view(machine).fetch_ms_per_gb) as u64;
         fetch_ms + host.images_ready_in_ms
     }
 
-    /// Whether the task would wait here for other images to be fetched before its own (a
-    /// machine fetches them one after the other), and a machine will sooner be up that has
-    /// none to fetch. New machines came up one by one and each got all that waited then, four
-    /// images deep; the last of them took minutes.
-    pub(super) fn is_better_on_the_way(&self, job: usize, machine: usize) -> bool {
+    /// Whether the task's image would have to wait for other images on this machine, while a
+    /// booting machine with nothing to fetch is expected to be up before these are cached. Without
+    /// this rule, the first machines of a starting fleet get all waiting tasks with up to four
+    /// images each, and the last image takes minutes to arrive.
+    pub(super) fn booting_machine_is_sooner(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
         let host = &self.machines[machine];
         let wait = self.snapshot.mean_boot_wait;
@@ -96,7 +98,7 @@
             && host.image(view.image).is_none()
     }
 
-    /// The allocation on one machine at one time.
+    /// The allocation on a machine at a start time.
     pub(super) fn allocation_at(
         &self,
         job: usize,
@@ -111,7 +113,7 @@
             return None;
         }
         let fetch_ms = self.fetch_ms(job, machine, start_ms);
-        if start_ms == now_ms && self.is_better_on_the_way(job, machine) {
+        if start_ms == now_ms && self.booting_machine_is_sooner(job, machine) {
             return None;
         }
         let run_ms = view.run_ms.max(1);
@@ -127,24 +129,24 @@
         Some(Allocation { machine, start_ms, length_ms, penalty_factor })
     }
 
-    /// What is free on a machine from a time on for a job of this rank.
+    /// Free capacity of a machine from `start_ms` on for a job of this priority.
     pub(super) fn free_for(&self, job: &JobView, machine: usize, start_ms: u64) -> Resources {
         let host = &self.machines[machine];
-        // Whatever runs now ends later than now.
+        // The end of each running task is later than now, so the end times needn't be searched.
         let mut free = match start_ms <= self.snapshot.now_ms {
             true => host.row.free,
             false => host.row.free_at(start_ms),
         };
         if job.priority > Priority::High {
-            free -= host.held_for_priority;
+            free -= host.held_by_preemption;
         }
         free
     }
 
-    /// Whether a task of the job that ends then takes room that is reserved.
+    /// Whether a task of the job that ends at `end_ms` takes reserved capacity.
     fn delays_reservation(&self, job: &JobView, machine: usize, end_ms: u64) -> bool {
         let row = &self.machines[machine].row;
-        self.reserved_rooms
+        self.reserved_capacity
             .iter()
             .filter(|reserved| reserved.machine == machine && end_ms > reserved.start_ms)
             .any(|reserved| {
@@ -154,22 +156,23 @@
             })
     }
 
-    /// Order among places that are alike. Services gather where services are, in the zone
-    /// with fewer replicas of the job; other work fills the holes beside them, which are paid
-    /// for anyway, then the kind of machine that it alone can use, the fullest first, so that
-    /// whole machines fall empty.
+    /// The tie-break between otherwise equal allocations. Services are packed onto machines that
+    /// already run services, in the zone with fewer replicas of the job. Other work first fills the
+    /// remaining capacity of those machines, which are kept in any case, then uses spot machines if
+    /// it may and ordinary ones if it may not. Within each kind it takes the fullest machine first,
+    /// so that whole machines become idle.
     pub(super) fn preference(&self, job: usize, machine: usize) -> Preference {
         let view = self.job_view(job);
         let host = self.machine_view(machine);
         let free = self.machines[machine].row.free;
-        let free_room = free.gpu * GPU_WEIGHT + free.cpu;
+        let free_capacity = free.gpu * GPU_WEIGHT + free.cpu;
         let service_tasks = self.machines[machine].service_tasks;
         if view.is_service {
             return Preference {
                 replicas_in_zone: self.jobs[job].tasks_per_zone[host.zone],
                 kind_rank: u8::from(host.spot),
                 packing: -service_tasks,
-                service_packing: free_room,
+                service_free_capacity: free_capacity,
                 machine,
             };
         }
@@ -181,81 +184,88 @@
         Preference {
             replicas_in_zone: 0,
             kind_rank,
-            packing: free_room,
-            service_packing: 0,
+            packing: free_capacity,
+            service_free_capacity: 0,
             machine,
         }
     }
 
-    /// LessConsume Threshold for every threshold; the allocation of least slowdown.
+    /// Runs LessConsume Threshold for every threshold and returns the allocation with the least
+    /// slowdown.
     ///
-    /// A place that is free now and whose factor is under all thresholds is what every one of
-    /// them yields, so later places are worked out only where there is none: at hundreds of
-    /// machines they are nearly all the work.
+    /// If an allocation can start now with a factor below all thresholds, every threshold yields
+    /// it. Later allocations are computed only if there is none: with hundreds of machines, they
+    /// are most of the work.
     pub(super) fn allocate(&mut self, job: usize, may_wait: bool) -> Option<Allocation> {
         if !self.is_within_limit(job, 1) {
             return None;
         }
-        let mut offers = std::mem::take(&mut self.offers);
-        offers.set_context(self.offer_context(job), self.machines.len());
-        let chosen = self.choose(job, may_wait, &mut offers);
-        self.offers = offers;
+        let mut allocation_cache = std::mem::take(&mut self.allocation_cache);
+        allocation_cache.set_context(self.cache_context(job), self.machines.len());
+        let chosen = self.choose(job, may_wait, &mut allocation_cache);
+        self.allocation_cache = allocation_cache;
         #[cfg(test)]
         super::reference::assert_same_choice(self, job, may_wait, chosen);
         chosen
     }
 
-    /// The choice of [`Pass::allocate`] among the offers of all machines.
-    fn choose(&self, job: usize, may_wait: bool, offers: &mut Offers) -> Option<Allocation> {
-        let FreeNow { least, first } = self.free_now(job, offers);
+    /// Chooses for [`Pass::allocate`] between the allocations on all machines.
+    fn choose(
+        &self,
+        job: usize,
+        may_wait: bool,
+        allocation_cache: &mut AllocationCache,
+    ) -> Option<Allocation> {
+        let BestImmediate { least_penalty, preferred } = self.best_immediate(job, allocation_cache);
         let lowest_threshold =
             self.snapshot.thresholds.iter().copied().fold(f64::INFINITY, f64::min);
-        let least_factor = least.map(|candidate| candidate.allocation.penalty_factor);
+        let least_factor = least_penalty.map(|candidate| candidate.allocation.penalty_factor);
         if !may_wait || least_factor.is_some_and(|factor| factor < lowest_threshold) {
-            return least.map(|candidate| candidate.allocation);
+            return least_penalty.map(|candidate| candidate.allocation);
         }
         let mut search = ThresholdSearch::new(&self.snapshot.thresholds);
-        for candidate in first.into_iter().chain(least) {
+        for candidate in preferred.into_iter().chain(least_penalty) {
             search.add(candidate);
         }
         let bound = least_factor.unwrap_or(f64::INFINITY);
-        let mut only_machine = None;
+        let mut reserved_machine = None;
         let reserved = self.snapshot.previous_reservation;
         if let Some(reserved) = reserved.filter(|reserved| reserved.job == job) {
-            // What is reserved stays where it is, if it can.
+            // The reservation stays on its machine if possible.
             let machine = reserved.machine;
-            only_machine = (!offers.later(self, job, machine, bound).is_empty()).then_some(machine);
+            reserved_machine =
+                (!allocation_cache.later(self, job, machine, bound).is_empty()).then_some(machine);
         }
         for machine in 0..self.machines.len() {
-            if only_machine.is_some_and(|only| only != machine) {
+            if reserved_machine.is_some_and(|reserved| reserved != machine) {
                 continue;
             }
-            for &allocation in offers.later(self, job, machine, bound) {
+            for &allocation in allocation_cache.later(self, job, machine, bound) {
                 search.add(Candidate { allocation, preference: self.preference(job, machine) });
             }
         }
         search.best()
     }
 
-    /// Among places that are free now, the one of the least factor, and the one that is liked most.
-    fn free_now(&self, job: usize, offers: &mut Offers) -> FreeNow {
-        let mut places = FreeNow { least: None, first: None };
-        for &machine in &self.machines_with_room {
-            let Some(allocation) = offers.now(self, job, machine) else { continue };
+    /// Of the allocations that can start now, the one with the least penalty factor and the
+    /// preferred one.
+    fn best_immediate(&self, job: usize, allocation_cache: &mut AllocationCache) -> BestImmediate {
+        let mut best = BestImmediate { least_penalty: None, preferred: None };
+        for &machine in &self.machines_with_capacity {
+            let Some(allocation) = allocation_cache.immediate(self, job, machine) else { continue };
             let candidate = Candidate { allocation, preference: self.preference(job, machine) };
-            let is_first = places.first.is_none_or(|first| candidate.preference < first.preference);
-            if is_first {
-                places.first = Some(candidate);
+            if best.preferred.is_none_or(|other| candidate.preference < other.preference) {
+                best.preferred = Some(candidate);
             }
-            if places.least.is_none_or(|least| candidate.has_lower_penalty_than(&least)) {
-                places.least = Some(candidate);
+            if best.least_penalty.is_none_or(|other| candidate.has_lower_penalty_than(&other)) {
+                best.least_penalty = Some(candidate);
             }
         }
-        places
+        best
     }
 
-    /// The place on a machine that is free now, if the job may be there.
-    pub(super) fn offer_now(&self, job: usize, machine: usize) -> Option<Allocation> {
+    /// The allocation on a machine that starts now, if the job may run there.
+    pub(super) fn immediate_allocation(&self, job: usize, machine: usize) -> Option<Allocation> {
         let fits = self.machines[machine].row.free.fits(&self.job_view(job).need);
         if !fits || !self.is_allowed(job, machine) {
             return None;
@@ -263,9 +273,9 @@
         self.allocation_at(job, machine, self.snapshot.now_ms)
     }
 
-    /// At a machine the first time after now that there is room, and later ones as long as
-    /// they lower the factor; none whose factor is not under the bound.
-    pub(super) fn offers_later(
+    /// Later allocations on a machine: the earliest one, and each later one with a lower penalty
+    /// factor than those before it. All factors are below `bound`.
+    pub(super) fn later_allocations(
         &self,
         job: usize,
         machine: usize,
@@ -283,26 +293,26 @@
             .iter()
             .filter(move |time_ms| **time_ms > now_ms)
             .map_while(move |time_ms| {
-                // Nothing can lower it any further.
+                // A later start can't lower the factor further.
                 if last_factor <= lowest_factor {
                     return None;
                 }
                 let allocation = self.allocation_at(job, machine, *time_ms);
-                let lower = allocation.filter(|offered| offered.penalty_factor < last_factor);
-                last_factor = lower.map_or(last_factor, |offered| offered.penalty_factor);
+                let lower = allocation.filter(|later| later.penalty_factor < last_factor);
+                last_factor = lower.map_or(last_factor, |later| later.penalty_factor);
                 Some(lower)
             })
             .flatten()
     }
 }
 
-/// Places that are free now.
-struct FreeNow {
-    least: Option<Candidate>,
-    first: Option<Candidate>,
+/// The best allocations that can start now.
+struct BestImmediate {
+    least_penalty: Option<Candidate>,
+    preferred: Option<Candidate>,
 }
 
-/// The paper's penalty factor (section 3.3), with the time that the image takes counted in.
+/// The paper's penalty factor (section 3.3), with the time to fetch the image included.
 pub(super) fn penalty_factor(run_ms: u64, fetch_ms: u64, penalized_ms: f64) -> f64 {
     (run_ms + fetch_ms) as f64 / run_ms as f64 + penalized_ms / run_ms as f64
 }
