--- a/src/coordination/leader/summary.rs
+++ b/src/coordination/leader/summary.rs
@@ -1,7 +1,7 @@
-//! The leader's line in the log on how things stand.
+//! The leader's periodic log line on machines, tasks and free resources.
 
 use super::Leader;
-use crate::constants::STATUS_LOG_PERIOD_MS;
+use crate::constants::SUMMARY_LOG_PERIOD_MS;
 use crate::coordination::Controller;
 use crate::protocol::{Resources, MILLI};
 use crate::storage::machine::{Machine, MachineState, Placement};
@@ -9,10 +9,11 @@
 impl Controller {
     pub(super) fn log_summary_due(&mut self) {
         let now = self.now.monotonic_ms;
-        let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.summary_at) else {
+        let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.next_summary_at)
+        else {
             return;
         };
-        leader.summary_at = now + STATUS_LOG_PERIOD_MS;
+        leader.next_summary_at = now + SUMMARY_LOG_PERIOD_MS;
         leader.log_summary();
     }
 }
@@ -25,7 +26,7 @@
             self.cluster.jobs.values().map(|job| u64::from(job.waiting())).sum();
         let free = self.free_resources();
         log::info!(
-            "{} ordinary and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
+            "cluster summary: {} ordinary and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
             self.count_machines(|machine| is_up(machine) && !machine.spot),
             self.count_machines(|machine| is_up(machine) && machine.spot),
             self.count_machines(|machine| is_up(machine) && machine.placements.is_empty()),
@@ -39,14 +40,14 @@
         );
     }
 
-    fn count_machines(&self, counts: impl Fn(&Machine) -> bool) -> usize {
-        self.cluster.machines.values().filter(|machine| counts(machine)).count()
+    fn count_machines(&self, is_counted: impl Fn(&Machine) -> bool) -> usize {
+        self.cluster.machines.values().filter(|machine| is_counted(machine)).count()
     }
 
-    fn count_open_placements(&self, counts: impl Fn(&Placement) -> bool) -> usize {
+    fn count_open_placements(&self, is_counted: impl Fn(&Placement) -> bool) -> usize {
         let placements =
             self.cluster.machines.values().flat_map(|machine| machine.placements.values());
-        placements.filter(|placement| placement.settled.is_none() && counts(placement)).count()
+        placements.filter(|placement| placement.settled.is_none() && is_counted(placement)).count()
     }
 
     fn free_resources(&self) -> Resources {
