--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -1,6 +1,6 @@
 //! Client state for the cloud's interface: the request rate limit, and the catalogue of machine types.
 
-use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_BACKOFF_MS, STATE_RPS_SHARE};
+use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_BACKOFF_MS, REQUEST_RATE_SHARE};
 use crate::protocol::cloud::Catalog;
 use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 impl CloudClient {
     /// A client with a follower's share of the request rate.
     pub(super) fn new(requests_per_s: f64, controllers: usize, now: u64) -> CloudClient {
-        let share = requests_per_s * STATE_RPS_SHARE / controllers as f64;
+        let share = requests_per_s * REQUEST_RATE_SHARE / controllers as f64;
         CloudClient {
             requests_per_s,
             budget: TokenBucket::new(share, now),
@@ -34,12 +34,12 @@
 
     /// Sets the leader's rate: all that the cloud accepts.
     pub(super) fn set_leader_rate(&mut self, now: u64) {
-        self.budget.set_rate(self.requests_per_s * STATE_RPS_SHARE, now);
+        self.budget.set_rate(self.requests_per_s * REQUEST_RATE_SHARE, now);
     }
 
     /// Sets a follower's rate: an equal part of what the cloud accepts.
     pub(super) fn set_follower_rate(&mut self, controllers: usize, now: u64) {
-        let share = self.requests_per_s * STATE_RPS_SHARE / controllers as f64;
+        let share = self.requests_per_s * REQUEST_RATE_SHARE / controllers as f64;
         self.budget.set_rate(share, now);
     }
 
--- a/src/coordination/fleet/forecast.rs
+++ b/src/coordination/fleet/forecast.rs
@@ -1,39 +1,43 @@
-//! Room that work to come will need, from the work that came lately.
+//! Demand forecast: the capacity that services and batch work will need, from recent arrivals.
 
-use crate::constants::{ARRIVAL_WINDOW_MS, MS_PER_S, SPARE_SERVICE_SLOTS, WORK_WINDOW_MS};
+use crate::constants::{
+    BATCH_ARRIVAL_WINDOW_MS, MS_PER_S, SERVICE_ARRIVAL_WINDOW_MS, SPARE_SERVICE_SLOTS,
+};
 use crate::coordination::{Clock, Leader};
 use crate::protocol::cloud::{Catalog, MachineType};
 use crate::protocol::users::JobKind;
 use crate::protocol::Resources;
 
-/// Tasks of a service that arrived together.
+/// The arrival of a service.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServiceArrival {
+    /// On the monotonic clock, in milliseconds.
     pub(super) at: u64,
     pub(super) tasks: u32,
 }
 
-/// Batch work that arrived together.
+/// The arrival of a batch or gang job.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BatchArrival {
+    /// On the monotonic clock, in milliseconds.
     pub(super) at: u64,
-    /// Milliseconds for which it keeps a whole machine busy.
+    /// Milliseconds for which it would keep a machine of the largest type busy.
     pub(super) machine_ms: f64,
 }
 
-/// Room that is kept free for services to come.
+/// Capacity that is kept free for new services.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServiceHeadroom {
-    /// What one task is taken to need.
+    /// Assumed resources of one task.
     pub(super) need: Resources,
-    /// Tasks that should find room.
+    /// Tasks that there should be capacity for.
     pub(super) slots: f64,
 }
 
 impl Leader {
-    /// Takes note of jobs that came since the last look. What a new leader finds counts at
-    /// the time of day that it was accepted.
-    pub(super) fn note_arrivals(&mut self, now: Clock, catalog: &Catalog) {
+    /// Records the jobs that arrived since the last call. On the first call of a term, jobs from
+    /// before it count as having arrived at the wall-clock time at which they were accepted.
+    pub(super) fn record_arrivals(&mut self, now: Clock, catalog: &Catalog) {
         let types = catalog.machine_types.iter().map(MachineType::total);
         let Some(largest) = types.max_by_key(|total| (total.gpu, total.cpu)) else { return };
         let seen_before = self.fleet.last_seen_arrival;
@@ -48,7 +52,7 @@
                 0 => now.wall_ms.saturating_sub(job.accepted_at_wall_ms),
                 _ => 0,
             };
-            if age_ms > ARRIVAL_WINDOW_MS {
+            if age_ms > SERVICE_ARRIVAL_WINDOW_MS {
                 continue;
             }
             let at = now.monotonic_ms.saturating_sub(age_ms);
@@ -65,25 +69,27 @@
         fleet.last_seen_arrival = last_seen;
         fleet.service_arrivals.extend(services);
         fleet.batch_arrivals.extend(batches);
-        fleet.service_arrivals.retain(|arrival| now_ms <= arrival.at + ARRIVAL_WINDOW_MS);
-        fleet.batch_arrivals.retain(|arrival| now_ms <= arrival.at + WORK_WINDOW_MS);
+        fleet.service_arrivals.retain(|arrival| now_ms <= arrival.at + SERVICE_ARRIVAL_WINDOW_MS);
+        fleet.batch_arrivals.retain(|arrival| now_ms <= arrival.at + BATCH_ARRIVAL_WINDOW_MS);
     }
 
-    /// Over how long arrivals have been watched, in milliseconds.
-    fn watched_ms(&self, now: u64, window_ms: u64) -> f64 {
-        let watched_ms = now - self.term_began_at;
-        watched_ms.clamp(ARRIVAL_WINDOW_MS / 2, ARRIVAL_WINDOW_MS).min(window_ms) as f64
+    /// Milliseconds over which the arrivals within a window were observed: less than the window early
+    /// in a term, but at least half of [`SERVICE_ARRIVAL_WINDOW_MS`] unless the window is shorter.
+    fn observed_ms(&self, now: u64, window_ms: u64) -> f64 {
+        let observed_ms = now - self.term_began_at;
+        observed_ms.clamp(SERVICE_ARRIVAL_WINDOW_MS / 2, SERVICE_ARRIVAL_WINDOW_MS).min(window_ms)
+            as f64
     }
 
-    /// Machines that batch work keeps busy at the rate at which it has been coming.
-    pub(super) fn batch_machines(&self, now: u64) -> f64 {
+    /// Machines that batch work keeps busy at its recent arrival rate.
+    pub(super) fn expected_batch_machines(&self, now: u64) -> f64 {
         let machine_ms: f64 =
             self.fleet.batch_arrivals.iter().map(|arrival| arrival.machine_ms).sum();
-        machine_ms / self.watched_ms(now, WORK_WINDOW_MS)
+        machine_ms / self.observed_ms(now, BATCH_ARRIVAL_WINDOW_MS)
     }
 
-    /// Room to keep for services: what a task of the newest one takes, and how many are expected
-    /// to arrive while a machine boots. `None` if there are no services.
+    /// Headroom for new services: as many tasks like those of the newest service as are expected to
+    /// arrive while a machine boots, and a spare one. `None` if there are no services.
     pub(super) fn service_headroom(&self, now: u64, catalog: &Catalog) -> Option<ServiceHeadroom> {
         let cluster = &self.cluster;
         let newest = cluster.queue.values().rev().find(|uid| cluster.is_service(uid))?;
@@ -91,7 +97,7 @@
         let tasks: u32 = self.fleet.service_arrivals.iter().map(|arrival| arrival.tasks).sum();
         let boot_ms = catalog.longest_boot_s() * MS_PER_S;
         let expected =
-            (f64::from(tasks) / self.watched_ms(now, ARRIVAL_WINDOW_MS) * boot_ms).ceil();
+            (f64::from(tasks) / self.observed_ms(now, SERVICE_ARRIVAL_WINDOW_MS) * boot_ms).ceil();
         Some(ServiceHeadroom { need, slots: expected + SPARE_SERVICE_SLOTS })
     }
 }
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -1,10 +1,10 @@
-//! Machines: which may get tasks, and which are on their way.
+//! Machines for the planner: the schedulable ones, and those that boot.
 
 use super::placements::MachineTasks;
 use super::InputBuilder;
 use crate::constants::{
-    BOOTING_MACHINES_MANY, BOOT_LATE, BOOT_OVERDUE_DIVISOR, HEARTBEAT_JITTER_SHARE,
-    HEARTBEAT_TASK_BYTES, HTTP_BODY_MAX, MS_PER_S,
+    BOOT_LATE_FACTOR, BOOT_OVERDUE_DIVISOR, HEARTBEAT_JITTER_SHARE, HEARTBEAT_TASK_BYTES,
+    HTTP_BODY_MAX, MEAN_BOOT_WAIT_MACHINES_MIN, MS_PER_S,
 };
 use crate::coordination::planner::{BootingMachine, MachineView, MeanBootWait};
 use crate::protocol::cloud::MachineType;
@@ -12,17 +12,19 @@
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::MachineName;
 
-/// Most tasks that a machine's report can name.
+/// Most tasks that a machine's heartbeat can name.
 const TASKS_PER_REPORT: usize = HTTP_BODY_MAX / HEARTBEAT_TASK_BYTES;
 
 impl InputBuilder<'_> {
-    /// Adds the machines on their way: ordinary ones, then spot ones.
+    /// Adds the booting machines: on-demand ones, then spot ones.
     pub(super) fn add_booting_machines(&mut self) {
-        let ordinary = self.booting_machines(false);
+        let on_demand = self.booting_machines(false);
         let spot = self.booting_machines(true);
-        self.input.snapshot.mean_boot_wait =
-            MeanBootWait { ordinary_ms: mean_wait_ms(&ordinary), spot_ms: mean_wait_ms(&spot) };
-        self.input.snapshot.booting.extend(ordinary);
+        self.input.snapshot.mean_boot_wait = MeanBootWait {
+            ordinary_ms: mean_boot_wait_ms(&on_demand),
+            spot_ms: mean_boot_wait_ms(&spot),
+        };
+        self.input.snapshot.booting.extend(on_demand);
         self.input.snapshot.booting.extend(spot);
     }
 
@@ -37,8 +39,8 @@
             .collect()
     }
 
-    /// Adds the machines that may get tasks.
-    pub(super) fn add_open_machines(&mut self) {
+    /// Adds the schedulable machines.
+    pub(super) fn add_schedulable_machines(&mut self) {
         let mut deferred_heartbeats: HashSet<&MachineName> = self.cluster.hash_keys().set();
         deferred_heartbeats
             .extend(self.leader.deferred_heartbeats.iter().map(|deferred| deferred.machine()));
@@ -47,7 +49,7 @@
             let zone = self.indices.zone(&machine.zone);
             let type_index = self.indices.machine_type(&machine.type_name);
             let (Some(zone), Some(type_index)) = (zone, type_index) else { continue };
-            if !may_get_tasks(machine, self.now_ms, self.silent_ms) {
+            if !is_schedulable(machine, self.now_ms, self.silent_ms) {
                 continue;
             }
             let fetch_ms_per_gb = fetch_ms_per_gb(&self.catalog.machine_types[type_index]);
@@ -76,7 +78,8 @@
     }
 }
 
-/// A machine on its way; `None` for one that is late, which may come at any time.
+/// The planner's view of a booting machine; `None` if it is late, since the time at which it will be up
+/// can't be predicted.
 pub(super) fn booting_machine(
     machine: &Machine,
     machine_type: &MachineType,
@@ -84,29 +87,29 @@
 ) -> Option<BootingMachine> {
     let boot_ms = (machine_type.boot_s * MS_PER_S) as u64;
     let left_ms = (machine.rented_at + boot_ms).saturating_sub(now_ms);
-    let is_late = now_ms > machine.rented_at + (boot_ms as f64 * BOOT_LATE) as u64;
+    let is_late = now_ms > machine.rented_at + (boot_ms as f64 * BOOT_LATE_FACTOR) as u64;
     (!is_late).then_some(BootingMachine {
         ready_in_ms: left_ms.max(boot_ms / BOOT_OVERDUE_DIVISOR),
         total: machine_type.total(),
     })
 }
 
-/// Mean milliseconds until machines are up, where many are on their way.
-pub(super) fn mean_wait_ms(booting: &[BootingMachine]) -> Option<u64> {
+/// Mean milliseconds until booting machines are up; `None` if there are too few for a prediction.
+pub(super) fn mean_boot_wait_ms(booting: &[BootingMachine]) -> Option<u64> {
     let count = booting.len() as u64;
-    (count >= BOOTING_MACHINES_MANY)
+    (count >= MEAN_BOOT_WAIT_MACHINES_MIN)
         .then(|| booting.iter().map(|machine| machine.ready_in_ms).sum::<u64>() / count)
 }
 
 /// Whether a machine may get new tasks.
-pub(super) fn may_get_tasks(machine: &Machine, now_ms: u64, silent_ms: u64) -> bool {
-    // What is to be reclaimed is not usable: it would not be stored, and the same tasks
-    // were placed there pass after pass while others had room for them.
+pub(super) fn is_schedulable(machine: &Machine, now_ms: u64, silent_ms: u64) -> bool {
+    // A machine with a reclaim notice must not be usable here: placements on it are refused before
+    // they are stored, so that every pass would repeat them while other machines have capacity.
     machine.is_usable()
-        // Nothing goes to a machine before it has shown our token: what reports may be
-        // a late copy of one that is gone, or a machine that hears nobody.
+        // A report without this leader's fencing token may be a late duplicate from a machine that
+        // is gone, or come from one that receives no responses.
         && machine.has_our_token
-        // What a task of an unknown job takes of its machine is not known either.
+        // The resources that a task of an unknown job takes are not known.
         && machine.unknown_tasks.is_empty()
         && machine.last_alive_at.is_some_and(|at| now_ms - at <= silent_ms)
 }
@@ -120,7 +123,7 @@
     }
 }
 
-/// Milliseconds until a machine's next report is to be expected.
+/// Expected milliseconds until a machine's next heartbeat.
 pub(super) fn next_report_ms(machine: &Machine, report_s: f64, now_ms: u64) -> u64 {
     let period = report_s * MS_PER_S;
     let since = machine.last_heartbeat_at.map_or(0, |at| now_ms - at) as f64;
--- a/src/coordination/requester.rs
+++ b/src/coordination/requester.rs
@@ -1,24 +1,24 @@
-//! Who waits for the answer to a request.
+//! The sender of a user's request, who waits for the answer.
 
 use super::interface::ConnectionId;
 
-/// Who waits for the answer to a user's request.
+/// The connection on which a user's request came in, directly or through a peer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Requester {
     connection: ConnectionId,
     relayed: bool,
-    since: u64,
+    received_at: u64,
 }
 
 impl Requester {
-    /// A client that is connected to this controller, at a time on the steady clock in milliseconds.
+    /// A client connected to this controller. `now` is in milliseconds on the steady clock.
     pub(super) fn direct(connection: ConnectionId, now: u64) -> Requester {
-        Requester { connection, relayed: false, since: now }
+        Requester { connection, relayed: false, received_at: now }
     }
 
-    /// A client of a peer that has passed the request on.
+    /// A peer that has relayed the request of its client.
     pub(super) fn relayed(connection: ConnectionId, now: u64) -> Requester {
-        Requester { connection, relayed: true, since: now }
+        Requester { connection, relayed: true, received_at: now }
     }
 
     /// The connection to answer on.
@@ -26,13 +26,13 @@
         self.connection
     }
 
-    /// A peer passes the answer on.
+    /// Whether the request was relayed by a peer, which passes the answer on to its client.
     pub(super) fn is_relayed(self) -> bool {
         self.relayed
     }
 
-    /// When the request came.
-    pub(super) fn since(self) -> u64 {
-        self.since
+    /// When this controller received the request.
+    pub(super) fn received_at(self) -> u64 {
+        self.received_at
     }
 }
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations: a job's end is committed before its user is told of it.
+//! Cancellations. The end of the job is committed before the user gets the answer.
 
 use crate::constants::{RETRY_AFTER_S, USER_WRITE_RESERVE};
 use crate::coordination::requester::Requester;
@@ -19,9 +19,9 @@
         if !self.admit(requester, "POST", &cancel_path(uid), &[]) {
             return;
         }
-        match self.known_stage(uid) {
+        match self.job_stage(uid) {
             Some(JobStage::Live) => self.commit_cancellation(requester, uid),
-            Some(_) => self.answer_known(requester, uid),
+            Some(_) => self.answer_with_status(requester, uid),
             None => {
                 let uid = uid.to_string();
                 self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid });
@@ -29,22 +29,22 @@
         }
     }
 
-    /// A cancellation after a fresh read.
-    pub(in crate::coordination) fn cancel_known(&mut self, requester: Requester, uid: String) {
-        match self.known_stage(&uid) {
+    /// Handles a cancellation after a fresh read.
+    pub(in crate::coordination) fn cancel_after_read(&mut self, requester: Requester, uid: String) {
+        match self.job_stage(&uid) {
             Some(JobStage::Live) => self.commit_cancellation(requester, &uid),
-            Some(_) => self.answer_known(requester, &uid),
-            None => self.unknown_job(requester),
+            Some(_) => self.answer_with_status(requester, &uid),
+            None => self.refuse_unknown_job(requester),
         }
     }
 
-    fn known_stage(&self, uid: &str) -> Option<JobStage> {
+    fn job_stage(&self, uid: &str) -> Option<JobStage> {
         self.store.replica().jobs.get(uid).map(|job| job.value.stage)
     }
 
     fn commit_cancellation(&mut self, requester: Requester, uid: &str) {
         if self.store.replica().is_flagged(uid) {
-            return self.unavailable(requester);
+            return self.refuse_unavailable(requester);
         }
         let mut commit = Transaction::default();
         self.add_cancellation(uid, &mut commit);
@@ -59,8 +59,8 @@
         self.commit_call(body, 1, purpose);
     }
 
-    /// Adds the end of a job as cancelled, which holds if it has no end yet. Of the job nothing need be
-    /// known but that its tasks run.
+    /// Adds the end of a job as cancelled to a transaction, on condition that the job has no end yet.
+    /// The job need not be in the replica.
     pub(in crate::coordination) fn add_cancellation(&self, job: &str, commit: &mut Transaction) {
         let known = self.store.replica().jobs.get(job).map(|known| &known.value);
         let end = JobEndRecord {
@@ -84,17 +84,17 @@
         match reply {
             Some(Response { status: 200, body }) => {
                 let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) else {
-                    return self.unavailable(requester);
+                    return self.refuse_unavailable(requester);
                 };
                 if !self.applied_to_trusted_store(sent, applied.revision) {
-                    return self.unavailable(requester);
+                    return self.refuse_unavailable(requester);
                 }
                 self.apply_own_transaction(&commit, applied.revision);
-                log::debug!("{uid}: withdrawn");
+                log::debug!("job cancelled: {uid}");
                 let answer = JobStatusResponse { uid: &uid, status: JobStatus::Cancelled };
                 self.answer_json(requester, 200, &answer);
             }
-            // Done in the meantime, or cancelled already.
+            // The job is done or cancelled already.
             Some(Response { status: 409, .. }) => {
                 self.request_fresh_read(FreshReadWaiter::Cancel { requester, uid });
             }
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -2,7 +2,7 @@
 
 use super::builder::{TransactionBuilder, TransactionScope};
 use super::pending::PendingTransaction;
-use crate::constants::{CONDITIONS_PER_CHANGE, DONE_BATCH_MS, WRITE_RESERVE};
+use crate::constants::{CONDITIONS_PER_CHANGE, DONE_BATCH_MS, LEADER_WRITE_RESERVE};
 use crate::coordination::{Controller, Leader};
 use crate::protocol::state::raw_json;
 use crate::storage::cluster::ClusterState;
@@ -40,10 +40,10 @@
     /// The number of writes that a transaction may have now; `None` if it has to wait until the write
     /// budget allows more.
     fn available_writes(&mut self, scope: TransactionScope) -> Option<usize> {
-        let writes_left = self.store.writes_left(self.now.monotonic_ms) - WRITE_RESERVE;
+        let writes_left = self.store.writes_left(self.now.monotonic_ms) - LEADER_WRITE_RESERVE;
         let available = writes_left.max(0.0) as usize;
         let writes_max = self.store.limits().transaction_ops;
-        let burst = (self.store.write_budget().burst() - WRITE_RESERVE).max(1.0) as usize;
+        let burst = (self.store.write_budget().burst() - LEADER_WRITE_RESERVE).max(1.0) as usize;
         let needed = match scope {
             TransactionScope::Everything => 1,
             _ => writes_max.min(burst),
@@ -79,7 +79,7 @@
         }
         leader.cluster.pack_placements(&mut builder, &mut pending, is_periodic, scope);
         // Hints and removals must not take writes that more urgent changes need.
-        if includes_deferrable && !self.store.writes_are_short(now) {
+        if includes_deferrable && !self.store.is_write_budget_low(now) {
             self.pack_housekeeping(&mut builder, &mut pending);
         }
         if builder.writes.is_empty() {
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -1,4 +1,4 @@
-//! What a job that does not run waits for, in words for users and operators.
+//! Why a job waits, in words for users and operators.
 
 use super::gang_rules::gang_tasks_max;
 use super::{Controller, Leader};
@@ -10,36 +10,36 @@
 use crate::storage::records::MachineName;
 use std::fmt;
 
-/// What a job waits for.
+/// Why a job waits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum WaitReason {
-    /// A place that is reserved for it.
+    /// A machine is reserved for it but not free yet.
     Reserved(MachineName),
-    /// The end of a pause after failures.
+    /// It is in backoff after failures.
     Paused,
-    /// Its team uses as much as it may.
+    /// Its team is at its resource limit.
     TeamLimit,
-    /// Room on machines that it may use.
-    Room,
-    /// Gang: one commit can't hold the placements of all its tasks.
+    /// No machine that it may use has free resources for it.
+    NoCapacity,
+    /// Gang: the placements of its tasks exceed one commit.
     TooLargeToStore {
         /// Tasks that one commit can hold.
-        most: usize,
+        max_tasks: usize,
     },
-    /// Gang: the commit of its placements.
+    /// Gang: its placements are being committed.
     Storing,
-    /// Gang: images and the start of its other tasks.
+    /// Gang: its placed tasks are not all running yet.
     Assembling {
-        /// Tasks that wait for an image.
+        /// Tasks that fetch their image.
         fetching: usize,
-        /// Tasks that wait for the others.
+        /// Tasks that wait for the other tasks of the gang.
         waiting: usize,
-        /// Tasks that no report has shown yet.
+        /// Tasks that no heartbeat has shown yet.
         missing: usize,
     },
-    /// Gang: tasks of its last attempt that are not proved gone.
+    /// Gang: tasks of its last attempt are not proved gone.
     LastAttempt {
-        /// How many.
+        /// Number of such tasks.
         tasks: usize,
     },
 }
@@ -50,9 +50,9 @@
             WaitReason::Reserved(machine) => write!(f, "reserved on {machine}"),
             WaitReason::Paused => write!(f, "failed on several machines, paused"),
             WaitReason::TeamLimit => write!(f, "its team is at its limit"),
-            WaitReason::Room => write!(f, "no room that allows it"),
-            WaitReason::TooLargeToStore { most } => {
-                write!(f, "too large: the store takes {most} tasks of a gang at once")
+            WaitReason::NoCapacity => write!(f, "no room that allows it"),
+            WaitReason::TooLargeToStore { max_tasks } => {
+                write!(f, "too large: the store takes {max_tasks} tasks of a gang at once")
             }
             WaitReason::Storing => write!(f, "its placements are being stored"),
             WaitReason::Assembling { fetching, waiting, missing } => write!(
@@ -67,7 +67,7 @@
 }
 
 impl Controller {
-    /// What a job waits for; none if nothing of it waits.
+    /// Why a job waits; `None` if none of its tasks does.
     pub(super) fn wait_reason(&self, leader: &Leader, job: &Job) -> Option<WaitReason> {
         if let Some(reason) = self.gang_wait_reason(leader, job) {
             return Some(reason);
@@ -80,11 +80,11 @@
             Some((_, machine)) => WaitReason::Reserved(machine.clone()),
             None if job.paused_until > self.now.monotonic_ms => WaitReason::Paused,
             None if self.at_team_limit(leader, job) => WaitReason::TeamLimit,
-            None => WaitReason::Room,
+            None => WaitReason::NoCapacity,
         })
     }
 
-    /// What only a gang waits for.
+    /// The reasons that only gangs have.
     fn gang_wait_reason(&self, leader: &Leader, job: &Job) -> Option<WaitReason> {
         if !job.is_gang() {
             return None;
@@ -92,33 +92,34 @@
         match leader.cluster.gang_phase(job) {
             GangPhase::Running => None,
             GangPhase::Unplaced => {
-                let most = gang_tasks_max(self.store.limits(), self.settings.controllers());
-                (job.tasks as usize > most).then_some(WaitReason::TooLargeToStore { most })
+                let max_tasks = gang_tasks_max(self.store.limits(), self.settings.controllers());
+                (job.tasks as usize > max_tasks)
+                    .then_some(WaitReason::TooLargeToStore { max_tasks })
             }
             GangPhase::Storing => Some(WaitReason::Storing),
             GangPhase::Stopping => Some(WaitReason::LastAttempt { tasks: job.placed_on.len() }),
             GangPhase::Assembling => {
-                let shown = |status| {
+                let tasks_reported = |status| {
                     let placements = leader.cluster.placements_of(job);
                     placements.filter(|placement| placement.reported_status == status).count()
                 };
                 Some(WaitReason::Assembling {
-                    fetching: shown(Some(TaskStatus::Pulling)),
-                    waiting: shown(Some(TaskStatus::Waiting)),
-                    missing: shown(None),
+                    fetching: tasks_reported(Some(TaskStatus::Pulling)),
+                    waiting: tasks_reported(Some(TaskStatus::Waiting)),
+                    missing: tasks_reported(None),
                 })
             }
         }
     }
 
-    /// Whether what the job needs at least to go on would put its team over its limit.
+    /// Whether one more task of the job, or all tasks of a gang, would put its team over its limit.
     fn at_team_limit(&self, leader: &Leader, job: &Job) -> bool {
         let Some(spec) = &job.spec else { return false };
         let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
         let limit = team.map_or(Resources::default(), Team::limit);
-        let tasks_at_least = if job.is_gang() { i64::from(job.tasks) } else { 1 };
+        let min_tasks = if job.is_gang() { i64::from(job.tasks) } else { 1 };
         let mut usage = leader.cluster.usage.get(&spec.team).copied().unwrap_or_default();
-        usage += job.need * tasks_at_least;
+        usage += job.need * min_tasks;
         !usage.under(&limit)
     }
 }
