--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -473,7 +473,7 @@
     /// Sends the message of a controller's effect, unless a fault drops it.
     fn apply_effect(&mut self, node: usize, incarnation: u64, e: Effect) {
         let batch_duration_ms = self.nodes[node].batch_duration_ms;
-        let d = self.network_delay() + batch_duration_ms;
+        let delay = self.network_delay() + batch_duration_ms;
         match e {
             Effect::Respond { connection, status, body, .. } => {
                 let n = &mut self.nodes[node];
@@ -484,18 +484,21 @@
                         if !partitioned_from_workers && !self.is_partitioned(&name, node) =>
                     {
                         self.send(
-                            d,
+                            delay,
                             Message::HeartbeatResponse { worker: name, request, status, body },
                         );
                     }
                     Some(Connection::User { request }) => {
-                        self.send(d, Message::UserResponse { request, status, body });
+                        self.send(delay, Message::UserResponse { request, status, body });
                     }
                     Some(Connection::Peer { node: to, incarnation, call })
                         if !partitioned_from_peers && !self.nodes[to].partitioned_from_peers =>
                     {
                         self.peer_response_bytes_max = self.peer_response_bytes_max.max(body.len());
-                        self.send(d, Message::Reply { node: to, incarnation, call, status, body });
+                        self.send(
+                            delay,
+                            Message::Reply { node: to, incarnation, call, status, body },
+                        );
                     }
                     _ => {}
                 }
@@ -511,14 +514,15 @@
                         }
                         let late = path == "/commit"
                             && self.rng.random_bool(self.state.delayed_commit_rate);
-                        let d = if late { d + self.rng.random_range(1_000..6_000) } else { d };
+                        let delay =
+                            if late { delay + self.rng.random_range(1_000..6_000) } else { delay };
                         if path == "/commit"
                             && self.rng.random_bool(self.state.unanswered_commit_rate)
                         {
                             // The caller has given up by the time the response arrives.
-                            let d = self.rng.random_range(2_000..12_000);
+                            let delay = self.rng.random_range(2_000..12_000);
                             return self.send(
-                                d,
+                                delay,
                                 Message::StateRequest {
                                     node,
                                     incarnation,
@@ -531,18 +535,19 @@
                         }
                         let submits = path == "/commit"
                             && String::from_utf8_lossy(&body).contains("mg/2/jobs/");
-                        let d = d + if submits {
-                            std::mem::take(&mut self.state.next_submission_delay_ms)
-                        } else {
-                            0
-                        };
+                        let delay = delay
+                            + if submits {
+                                std::mem::take(&mut self.state.next_submission_delay_ms)
+                            } else {
+                                0
+                            };
                         self.send(
-                            d,
+                            delay,
                             Message::StateRequest { node, incarnation, call, method, path, body },
                         );
                     }
                     Service::Cloud => self.send(
-                        d + 50 + self.cloud.extra_latency_ms,
+                        delay + 50 + self.cloud.extra_latency_ms,
                         Message::CloudRequest { node, incarnation, call, method, path, body },
                     ),
                     Service::Peer(p) => {
@@ -550,13 +555,13 @@
                         if !self.nodes[node].partitioned_from_peers
                             && !self.nodes[to].partitioned_from_peers
                         {
-                            let d = d.max(
+                            let delay = delay.max(
                                 self.nodes[node]
                                     .peer_requests_delayed_until
                                     .saturating_sub(self.now),
                             );
                             self.send(
-                                d,
+                                delay,
                                 Message::PeerRequest { node, incarnation, call, to, path, body },
                             );
                         }
@@ -573,9 +578,9 @@
             }
             Message::CloudRequest { node, incarnation, call, method, path, body } => {
                 let (status, v) = self.cloud_request(&method, &path, &body);
-                let d = self.network_delay();
+                let delay = self.network_delay();
                 let body = v.to_string().into_bytes();
-                self.send(d, Message::Reply { node, incarnation, call, status, body });
+                self.send(delay, Message::Reply { node, incarnation, call, status, body });
             }
             Message::PeerRequest { node, incarnation, call, to, path, body } => {
                 let n = &mut self.nodes[to];
@@ -600,9 +605,9 @@
                     return;
                 }
                 if n.controller.is_none() {
-                    let d = self.network_delay();
+                    let delay = self.network_delay();
                     return self.send(
-                        d,
+                        delay,
                         Message::HeartbeatResponse { worker, request, status: 0, body: vec![] },
                     );
                 }
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -45,7 +45,7 @@
     pub(super) watches: Vec<Watch>,
     /// Answers all requests with 503; leases don't end.
     pub outage: bool,
-    /// Probability that a commit is executed late.
+    /// Probability that a commit is executed 1 to 6 s late.
     pub delayed_commit_rate: f64,
     /// Probability that a commit is executed 2 to 12 s later, after its caller has given up.
     pub unanswered_commit_rate: f64,
@@ -251,9 +251,9 @@
                 continue;
             }
             let body = self.state.changes_since(w.since).to_string().into_bytes();
-            let d = self.network_delay();
+            let delay = self.network_delay();
             self.send(
-                d,
+                delay,
                 Message::Reply {
                     node: w.node,
                     incarnation: w.incarnation,
@@ -315,9 +315,9 @@
             let since: u64 = query_parameter(path, "since").unwrap().parse().unwrap();
             let block: u64 = query_parameter(path, "block_ms").unwrap().parse().unwrap();
             if since < s.compacted_revision {
-                let d = self.network_delay();
+                let delay = self.network_delay();
                 return self.send(
-                    d,
+                    delay,
                     Message::Reply { node, incarnation, call, status: 410, body: vec![] },
                 );
             }
@@ -344,12 +344,12 @@
         if self.rng.random_bool(self.state.lost_response_rate) {
             return;
         }
-        let delay = if path == "/commit" { self.state.commit_response_delay_ms } else { 0 };
-        let d = self.network_delay() + delay;
+        let commit_delay = if path == "/commit" { self.state.commit_response_delay_ms } else { 0 };
+        let delay = self.network_delay() + commit_delay;
         let body = match self.rng.random_bool(self.state.malformed_response_rate) {
             true => MALFORMED_BODIES[self.rng.random_range(0..MALFORMED_BODIES.len())].into(),
             false => v.to_string().into_bytes(),
         };
-        self.send(d, Message::Reply { node, incarnation, call, status, body });
+        self.send(delay, Message::Reply { node, incarnation, call, status, body });
     }
 }
--- a/tests/simulation/user.rs
+++ b/tests/simulation/user.rs
@@ -151,8 +151,8 @@
             request,
             UserRequest { job_id: job_id.into(), kind, response: None, sent_at: self.now },
         );
-        let d = self.network_delay();
-        self.send(d, Message::UserRequest { request, node, method, path, body });
+        let delay = self.network_delay();
+        self.send(delay, Message::UserRequest { request, node, method, path, body });
         request
     }
 
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -9,7 +9,7 @@
     Pulling(u64),
     /// Task of a gang that has waited for the others since this time.
     Waiting(u64),
-    /// Runs; tasks of services and gangs have `u64::MAX` remaining_ms.
+    /// Runs; services and tasks of gangs have `u64::MAX` remaining.
     Running { remaining_ms: u64, started_at: u64 },
     /// Saves its progress for this many milliseconds more.
     Flushing(u64),
@@ -131,8 +131,8 @@
                 return;
             }
         }
-        // The lease has expired and with it all tasks. For a hung machine this is detected here already, before
-        // it resumes.
+        // The lease has expired, so all tasks end. A hung machine does this before all else when it resumes, so
+        // its tasks count as ended while it still hangs.
         if now > worker.lease_started_at + LEASE_MS {
             worker.tasks.clear();
             worker.incarnation += 1;
@@ -219,12 +219,14 @@
             let request = self.next_request;
             self.next_request += 1;
             let late = self.rng.random_bool(self.delayed_heartbeat_rate);
-            let d = if late { self.rng.random_range(4_000..9_000) } else { self.network_delay() };
+            let delay =
+                if late { self.rng.random_range(4_000..9_000) } else { self.network_delay() };
             let worker = self.workers.get_mut(name).expect("the machine exists");
             worker.next_heartbeat_at = now + HEARTBEAT_MS * 3 / 4 + jitter;
             worker.in_flight = Some((request, now));
             let node = worker.node;
-            let d = worker.heartbeats_delayed_until.map_or(d, |t| t.saturating_sub(now).max(d));
+            let delay =
+                worker.heartbeats_delayed_until.map_or(delay, |t| t.saturating_sub(now).max(delay));
             if !worker.partitioned && !worker.heartbeats_lost {
                 if self.duplicate_heartbeat_rate > 0.0
                     && self.rng.random_bool(self.duplicate_heartbeat_rate)
@@ -242,7 +244,7 @@
                     };
                     self.send(late, copy);
                 }
-                self.send(d, Message::Heartbeat { worker: name.into(), request, node, body });
+                self.send(delay, Message::Heartbeat { worker: name.into(), request, node, body });
             }
         }
     }
@@ -289,10 +291,10 @@
         let Some((awaited, sent)) = worker.in_flight else { return };
         if now < worker.hung_until {
             // Read when the machine resumes, unless the heartbeat has timed out by then.
-            let d = worker.hung_until - now;
+            let delay = worker.hung_until - now;
             if worker.hung_until <= sent + HEARTBEAT_TIMEOUT_MS {
                 let (worker, body) = (name.to_string(), body.to_vec());
-                self.send(d, Message::HeartbeatResponse { worker, request, status, body });
+                self.send(delay, Message::HeartbeatResponse { worker, request, status, body });
             }
             return;
         }
