--- a/src/constants/fleet.rs
+++ b/src/constants/fleet.rs
@@ -42,10 +42,10 @@
 pub const HEADROOM_MACHINES: f64 = 0.5;
 /// Milliseconds for which there must be excess capacity before machines are drained.
 pub const EXCESS_CAPACITY_MS: u64 = 8_000;
-/// Share of the usable machines that one evaluation drains or returns to use at most; one at the least.
+/// Share of the usable machines that one evaluation drains or undrains at most; one at the least.
 pub const DRAIN_SHARE_MAX: f64 = 0.06;
 /// Size of the unplaced tasks, as a share of the usable machines, above which no machine is drained:
-/// in a small fleet a single task prevents it, in a large one a few don't.
+/// in a small fleet a single unplaced task prevents draining, in a large one a few don't.
 pub const DRAIN_UNPLACED_SHARE_MAX: f64 = 0.002;
 /// Highest load at which a machine with services is drained by moving them.
 pub const DRAIN_SERVICES_LOAD_MAX: f64 = 0.5;
@@ -55,10 +55,10 @@
 pub const SERVICE_MOVE_PERIOD_MS: u64 = 3_000;
 /// Milliseconds between two evaluations of the size of the fleet.
 pub const FLEET_PERIOD_MS: u64 = 300;
-/// Milliseconds that each machine adds to that: an evaluation visits all placements.
+/// Milliseconds that each machine adds to [`FLEET_PERIOD_MS`]: an evaluation visits all placements.
 pub const FLEET_PERIOD_PER_MACHINE_MS: f64 = 0.4;
 /// Milliseconds until an empty machine that is unreachable is deleted, and, beyond the lease, one that
-/// has never reported.
+/// has never sent a heartbeat.
 pub const UNREACHABLE_DELETE_MS: u64 = 45_000;
 /// Seconds within which the backlog of batch work should be processed: what is rented for tasks that
 /// run for less is shared by several of them.
@@ -73,7 +73,7 @@
 pub const RECLAIM_CHECKPOINT_MARGIN_S: f64 = 4.0;
 /// Milliseconds added to the lag of the machine list before a machine missing from it counts as gone.
 pub const MACHINE_LIST_LAG_MARGIN_MS: u64 = 2_000;
-/// Slots that may be missing without another machine being rented: rounding errors.
+/// Slots that may be missing without another machine being rented: allows for rounding errors.
 pub const SLOT_EPSILON: f64 = 0.05;
 /// Milliseconds over which arrivals of services are counted.
 pub const SERVICE_ARRIVAL_WINDOW_MS: u64 = 120_000;
--- a/src/constants/gangs.rs
+++ b/src/constants/gangs.rs
@@ -14,7 +14,7 @@
 /// Base in milliseconds of the exponential backoff between the starts of a gang's attempts that fail
 /// before all tasks run. It applies from the second attempt on; the first is retried at once.
 pub const GANG_RETRY_BACKOFF_MS: u64 = 1_000;
-/// Milliseconds of the longest such backoff.
+/// Maximum in milliseconds of the backoff whose base is [`GANG_RETRY_BACKOFF_MS`].
 pub const GANG_RETRY_BACKOFF_MAX_MS: u64 = 30_000;
 /// Machines avoided by a gang because it failed there; after failures on more than these the gang
 /// itself is suspected and may use every machine again.
--- a/src/constants/planning.rs
+++ b/src/constants/planning.rs
@@ -65,14 +65,15 @@
 /// One out of this many free slots is set aside for starving jobs: enough for these to complete,
 /// but few enough that other jobs don't miss their deadlines for them.
 pub const STARVING_PLACEMENTS_DIVISOR: usize = 4;
-/// Units in which the work of a job is compared, per millisecond of the whole fleet: the heap needs
-/// integer keys.
+/// Units of a job's work per millisecond of the whole fleet. Jobs are compared by these integer units
+/// because the heap needs integer keys.
 pub const WORK_UNITS_PER_FLEET_MS: f64 = 1e6;
 /// Milliseconds from now beyond which a later start is ignored, because estimates are too
 /// inaccurate.
 pub const LATER_PLACEMENT_HORIZON_MS: u64 = 90_000;
-/// Run time in milliseconds up to which a task counts as recently started, and the additional cost
-/// of preempting it, in milliseconds of lost work: to users, a start counts only if it lasts 30 s.
+/// Run time in milliseconds up to which a task counts as recently started. It is also the additional
+/// cost of preempting such a task, in milliseconds of lost work: to users, a start counts only if it
+/// lasts 30 s.
 pub const RECENT_START_MS: u64 = 30_000;
 /// Minimum milliseconds after which capacity freed by preemption is expected to be available.
 pub const PREEMPTION_DELAY_MIN_MS: u64 = 1_000;
@@ -80,13 +81,13 @@
 pub const AVERAGE_WEIGHT: f64 = 0.1;
 /// First backoff in milliseconds of a job whose tasks fail on several machines; doubled each time.
 pub const FAILURE_BACKOFF_MS: u64 = 2_000;
-/// Maximum of that backoff in milliseconds.
+/// Maximum in milliseconds of the backoff that starts at [`FAILURE_BACKOFF_MS`].
 pub const FAILURE_BACKOFF_MAX_MS: u64 = 60_000;
 /// Number of machines on which a job has to fail, with no success since, to count as failing
-/// everywhere.
+/// on several machines.
 pub const FAILING_JOB_MACHINES: usize = 2;
 /// Number of failed jobs, or of failures if the job succeeds elsewhere, after which a machine is
-/// cordoned; jobs that fail everywhere don't count.
+/// cordoned; jobs that fail on several machines don't count.
 pub const CORDON_FAILURES: u32 = 2;
 /// Milliseconds for which a failure counts against a machine.
 pub const CORDON_WINDOW_MS: u64 = 60_000;
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -14,7 +14,7 @@
     pub running: bool,
     /// Number of attempts placed since one was last seen running.
     pub attempts: u32,
-    /// When the next attempt may be placed.
+    /// When the next attempt may be placed, in milliseconds of the monotonic clock.
     pub retry_at: u64,
 }
 
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -13,7 +13,7 @@
 /// Tasks in one word of a bitmap's text form.
 const WORD_TASKS: u32 = 64;
 
-/// Hexadecimal digits of a word, each of which is one byte.
+/// Hexadecimal digits of a word; each takes one byte.
 const WORD_TEXT_BYTES: usize = 16;
 
 /// Bytes of the quotes, the colon and the comma around a chunk's name and text in a stored group.
@@ -65,7 +65,7 @@
     pub failed_on: HashSet<MachineName>,
     /// Length of the last pause after failures, in milliseconds; 0 after a success.
     pub failure_backoff_ms: u64,
-    /// Time until which none of its tasks is started.
+    /// Time on the monotonic clock, in milliseconds, until which none of its tasks is started.
     pub paused_until: u64,
     /// Number of tasks that completed successfully in this term.
     pub successes: u32,
--- a/src/storage/reservation.rs
+++ b/src/storage/reservation.rs
@@ -97,7 +97,7 @@
         self.buckets.push(bucket);
     }
 
-    /// Reserves a slot for a waiting task.
+    /// Adds a reservation for a waiting task that is expected to run from `start_ms` on.
     pub fn reserve(&mut self, start_ms: u64, length_ms: u64, need: Resources) {
         let end_ms = start_ms + length_ms;
         self.add_change_time(end_ms);
