--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -8,7 +8,7 @@
 
 impl Controller {
     /// Requests the catalog when that is due.
-    pub(in crate::coordination) fn catalog_due(&mut self) {
+    pub(in crate::coordination) fn request_catalog_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         if self.cloud.begin_catalog_request(self.leader.is_some(), now) {
             let (path, purpose) = ("/catalog".into(), CallPurpose::Catalog);
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -39,8 +39,8 @@
 
 impl Controller {
     /// Drains underutilized machines, the most expensive first, while the others have capacity for their
-    /// tasks and the headroom; puts draining machines back into use when capacity is short. How many at
-    /// a time is a share of the fleet.
+    /// tasks and the headroom; undrains machines when capacity is short. How many at a time is a share
+    /// of the fleet.
     pub(super) fn defragment(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
@@ -74,7 +74,7 @@
     }
 
     /// Evicts services from draining machines if another machine with their image has capacity, a few
-    /// at a time, beginning with the machines that have the fewest.
+    /// at a time, beginning with the machines that have the fewest: they are empty soonest.
     pub(super) fn move_services(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -149,7 +149,8 @@
         many_unplaced || capacity.free < capacity.headroom || is_early
     }
 
-    /// Puts draining machines back into use, the one with the highest load first.
+    /// Undrains machines, the one with the highest load first: it has the most work that then needn't
+    /// move.
     fn undrain_machines(&mut self, max_machines: usize, now: u64) {
         self.fleet.excess_capacity_since = None;
         let cluster = &self.cluster;
@@ -166,7 +167,7 @@
             if let Some(machine) = self.cluster.machines.get_mut(&name) {
                 log::debug!("drain cancelled: {name} is back in use, capacity is short");
                 machine.draining = false;
-                self.plan_soon(now);
+                self.request_planning_pass(now);
             }
         }
     }
@@ -260,7 +261,7 @@
             if chosen.len() >= max_moves {
                 break;
             }
-            if targets.try_claim(cluster, machine, id, placement) {
+            if targets.try_reserve(cluster, machine, id, placement) {
                 chosen.push((machine.name.clone(), id.clone()));
             }
         }
@@ -279,9 +280,9 @@
         MoveTargets { machines: machines.map(|machine| (machine, cluster.free(machine))).collect() }
     }
 
-    /// Claims resources for a running service task on a machine of the same type and zone that holds its
-    /// image. Returns false if there is none or the task is already stopping or settled.
-    fn try_claim(
+    /// Reserves resources for a running service task on a machine of the same type and zone that holds
+    /// its image. Returns false if there is none or the task is already stopping or settled.
+    fn try_reserve(
         &mut self,
         cluster: &ClusterState,
         from: &Machine,
--- a/src/coordination/fleet/forecast.rs
+++ b/src/coordination/fleet/forecast.rs
@@ -44,9 +44,9 @@
         let mut services = Vec::new();
         let mut batches = Vec::new();
         let mut last_seen = seen_before;
-        for (arrival, uid) in self.cluster.queue.range(seen_before + 1..) {
+        for (arrival, job_id) in self.cluster.queue.range(seen_before + 1..) {
             last_seen = *arrival;
-            let Some(job) = self.cluster.jobs.get(uid) else { continue };
+            let Some(job) = self.cluster.jobs.get(job_id) else { continue };
             let Some(spec) = &job.spec else { continue };
             let age_ms = match seen_before {
                 0 => now.wall_ms.saturating_sub(job.accepted_at_wall_ms),
@@ -92,7 +92,7 @@
     /// arrive while a machine boots, and a spare one. `None` if there are no services.
     pub(super) fn service_headroom(&self, now: u64, catalog: &Catalog) -> Option<ServiceHeadroom> {
         let cluster = &self.cluster;
-        let newest = cluster.queue.values().rev().find(|uid| cluster.is_service(uid))?;
+        let newest = cluster.queue.values().rev().find(|job_id| cluster.is_service(job_id))?;
         let need = cluster.jobs.get(newest)?.need;
         let tasks: u32 = self.fleet.service_arrivals.iter().map(|arrival| arrival.tasks).sum();
         let boot_ms = catalog.longest_boot_s() * MS_PER_S;
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -15,7 +15,7 @@
 
 impl Controller {
     /// Requests the first page of the machine list when that is due.
-    pub(super) fn request_machine_list(&mut self) {
+    pub(super) fn request_machine_list_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         let fleet = &mut leader.fleet;
@@ -98,7 +98,7 @@
             machine.state = MachineState::Terminated;
             machine.images.clear();
         }
-        leader.plan_soon(now);
+        leader.request_planning_pass(now);
     }
 
     /// Settles placements whose start was never sent to a terminated or expired machine, and removes
@@ -165,7 +165,7 @@
             machine.lease_expired = true;
             machine.failed = true;
         }
-        self.plan_soon(now);
+        self.request_planning_pass(now);
     }
 
     /// Machines missing from a list although they were known for longer than it lags.
@@ -183,7 +183,7 @@
             machine.state != MachineState::Terminated
                 && !listed_names.contains(&*machine.name)
                 && list_started_at > confirmed_at + lag_ms
-                // A worker that reported after the moment that the list shows proves its machine alive.
+                // A heartbeat after the moment that the list shows proves the machine alive.
                 && machine.last_alive_at.is_none_or(|at| list_started_at > at + lag_ms)
         };
         let machines = self.cluster.machines.values();
@@ -209,7 +209,7 @@
         machine.rented_at = list_started_at.saturating_sub(age_ms).max(1);
     }
     machine.listed_at.get_or_insert(now);
-    // A running machine that has not reported in this term must not count as one that failed to
+    // A running machine without a heartbeat in this term must not count as one that failed to
     // boot: a new leader would return healthy machines.
     if machine.state == MachineState::Booting && listed.status == ListedMachineStatus::Running {
         machine.state = MachineState::AwaitingHeartbeat;
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet: the machines that the cloud has rented to us, and autoscaling.
+//! The fleet: the machines that are rented from the cloud, and autoscaling.
 //!
 //! - [`catalog`]: the machine types that can be rented.
 //! - [`inventory`]: reconciles the state with the cloud's list of machines.
@@ -115,8 +115,8 @@
 
 impl Controller {
     /// Requests the machine list and evaluates the size of the fleet, each when it is due.
-    pub(super) fn fleet_due(&mut self) {
-        self.request_machine_list();
+    pub(super) fn run_fleet_if_due(&mut self) {
+        self.request_machine_list_if_due();
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
         if now >= leader.fleet.next_scan_at {
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -17,7 +17,8 @@
 use crate::storage::machine::{Machine, MachineState};
 use crate::storage::records::MachineName;
 
-/// Report periods within which a worker has certainly retried a report that didn't reach the leader.
+/// Heartbeat periods within which a worker has certainly retried a heartbeat that didn't reach the
+/// leader.
 const RETRY_CYCLE_PERIODS: f64 = 2.5;
 
 impl Controller {
@@ -26,7 +27,7 @@
         let now = self.now.monotonic_ms;
         let operator = self.operator.clone();
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
-        // For so long another controller may extend leases in place of an isolated leader.
+        // How long another controller may extend leases in place of an isolated leader.
         let extended_lease_ms = self.isolation_budget_ms() + self.worker_lease_max_ms();
         let Some(leader) = self.leader.as_mut() else { return };
         let workers = &self.settings.params.workers;
@@ -38,7 +39,7 @@
             silent_ms: workers.silent_ms(),
             extended_lease_ms,
         };
-        let silent = leader.machines_with_silent_services(now, &self.settings);
+        let silent = leader.silent_machines_with_services(now, &self.settings);
         let mut capacity = ServiceCapacity::new(leader, now, &catalog);
         let mut names = Vec::new();
         for machine in leader.cluster.machines.values() {
@@ -48,7 +49,7 @@
                 names.push(machine.name.clone());
             }
         }
-        // If no worker reports at all, the leader itself is probably cut off: nothing is deleted.
+        // If no heartbeat arrives at all, the leader itself is probably cut off: nothing is deleted.
         if names.is_empty() || now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS {
             return;
         }
@@ -139,9 +140,9 @@
     /// Idle timeout in seconds; `None`: it depends on the boot time.
     idle_return_s: Option<f64>,
     lease_ms: u64,
-    /// Milliseconds without a report after which a machine counts as silent.
+    /// Milliseconds without a heartbeat after which a machine counts as silent.
     silent_ms: u64,
-    /// Milliseconds after a worker's last report to the leader for which another controller may have
+    /// Milliseconds after a worker's last heartbeat to the leader for which another controller may have
     /// kept its lease alive.
     extended_lease_ms: u64,
 }
@@ -196,10 +197,10 @@
         is_idle && is_past_min_charge && capacity.try_release(machine)
     }
 
-    /// Whether a machine no longer reports or no longer receives commands.
+    /// Whether a machine sends no heartbeats or receives no commands.
     fn is_unresponsive(&self, machine: &Machine) -> bool {
         match machine.state {
-            MachineState::AwaitingHeartbeat => self.never_reported(machine),
+            MachineState::AwaitingHeartbeat => self.never_sent_heartbeat(machine),
             MachineState::Up => self.is_silent(machine) || self.is_unreachable(machine),
             _ => false,
         }
@@ -212,7 +213,7 @@
         !machine.lease_expired && machine.last_alive_at.is_some_and(|at| self.now > at + silent_ms)
     }
 
-    fn never_reported(&self, machine: &Machine) -> bool {
+    fn never_sent_heartbeat(&self, machine: &Machine) -> bool {
         self.now > machine.first_known_at + self.lease_ms + UNREACHABLE_DELETE_MS
     }
 
@@ -249,13 +250,13 @@
 }
 
 impl Leader {
-    /// Machines with services that have missed a whole cycle of reports and retries, if they are few,
-    /// all others report and the services fit there. Deleting such a machine proves at once that its
-    /// tasks have ended; waiting for the lease or the list takes twice as long. If it was only cut off,
+    /// Machines with services that have missed a whole cycle of heartbeats and retries, if they are few,
+    /// all others send heartbeats and the services fit there. Deleting such a machine proves at once
+    /// that its tasks have ended; waiting for the lease or the list takes twice as long. If it was only cut off,
     /// its tasks would end with the lease anyway.
-    fn machines_with_silent_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
+    fn silent_machines_with_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
         let workers = &settings.params.workers;
-        // A report that fails, its timeout, a retry at a controller that doesn't lead, and a retry here.
+        // A heartbeat that fails, its timeout, a retry at a controller that doesn't lead, and a retry here.
         let retry_cycle_s =
             workers.report_s * RETRY_CYCLE_PERIODS + WORKER_TIMEOUT_S + WORKER_RETRY_S * 2.0;
         let retry_cycle_ms = (retry_cycle_s * MS_PER_S) as u64;
@@ -270,14 +271,14 @@
             !machine.lease_expired
                 && now > last_alive_at.max(machine.first_known_at) + retry_cycle_ms
         };
-        let reported_recently =
+        let was_alive_recently =
             |machine: &Machine| machine.last_alive_at.is_some_and(|at| now <= at + recent_ms);
         let known: Vec<&Machine> = cluster.machines.values().filter(is_known).collect();
         let (silent, others): (Vec<&Machine>, Vec<&Machine>) =
             known.iter().copied().partition(|machine| missed_retry_cycle(machine));
-        let reporting = known.iter().filter(|machine| reported_recently(machine)).count();
+        let alive = known.iter().filter(|machine| was_alive_recently(machine)).count();
         let are_few = silent.len() * SILENT_MINORITY_DIVISOR <= known.len();
-        if !are_few || reporting + silent.len() < known.len() {
+        if !are_few || alive + silent.len() < known.len() {
             return Vec::new();
         }
         let targets: Vec<&Machine> =
--- a/src/coordination/fleet/scale_in/tests.rs
+++ b/src/coordination/fleet/scale_in/tests.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// An empty machine that is up, has just reported and is past the minimum charge.
+/// An empty machine that is up, has just sent a heartbeat and is past the minimum charge.
 fn idle_machine(idle_ms: u64) -> Machine {
     Machine {
         type_name: "small".into(),
@@ -120,11 +120,11 @@
     let unreachable = |ms: u64| Machine { unreachable_since: Some(NOW - ms), ..idle_machine(0) };
     assert!(!rules.is_unresponsive(&unreachable(UNREACHABLE_DELETE_MS)));
     assert!(rules.is_unresponsive(&unreachable(UNREACHABLE_DELETE_MS + 1)));
-    let unheard = |ms: u64| Machine {
+    let without_heartbeat = |ms: u64| Machine {
         state: MachineState::AwaitingHeartbeat,
         first_known_at: NOW - ms,
         ..idle_machine(0)
     };
-    assert!(!rules.is_unresponsive(&unheard(20_000 + UNREACHABLE_DELETE_MS)));
-    assert!(rules.is_unresponsive(&unheard(20_000 + UNREACHABLE_DELETE_MS + 1)));
+    assert!(!rules.is_unresponsive(&without_heartbeat(20_000 + UNREACHABLE_DELETE_MS)));
+    assert!(rules.is_unresponsive(&without_heartbeat(20_000 + UNREACHABLE_DELETE_MS + 1)));
 }
--- a/src/coordination/fleet/unplaced.rs
+++ b/src/coordination/fleet/unplaced.rs
@@ -18,11 +18,11 @@
     pub(super) allowed_types: Vec<bool>,
     /// The only zone that the job allows, if it names one.
     pub(super) zone: Option<String>,
-    /// Wanted slots: a slot has the resources of one task.
+    /// Number of slots wanted for the tasks; a slot has the resources of one task.
     pub(super) slots: f64,
-    /// Those of the slots for which an on-demand machine may be rented.
+    /// Number of these slots for which an on-demand machine may be rented.
     pub(super) on_demand_slots: f64,
-    /// Tasks of the job that already have a place, by zone.
+    /// Tasks of the job that are already placed, by zone.
     pub(super) tasks_per_zone: Vec<(String, u32)>,
     pub(super) max_tasks_per_zone: u32,
     /// Whether this is a gang whose tasks must all be in one zone, and so the machines rented for it.
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -88,7 +88,7 @@
         for ended in evidence.ended {
             leader.record_task_end(name, &ended.id, ended.cause, now);
             leader.cluster.settle(name, &ended.id, ended.cause);
-            leader.plan_soon(now);
+            leader.request_planning_pass(now);
         }
     }
 
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -31,7 +31,7 @@
         for (machine, id) in self.tasks_without_start(job_id) {
             self.cluster.settle(&machine, &id, EndCause::Lost);
         }
-        self.plan_soon(now);
+        self.request_planning_pass(now);
     }
 
     /// Placed tasks of a job for which no start command was sent, so that they are on no machine.
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -166,9 +166,9 @@
             return;
         }
         self.gang_scan_due();
-        self.fleet_due();
+        self.run_fleet_if_due();
         self.log_summary_due();
-        self.planning_due();
+        self.plan_if_due();
         self.send_due_transaction();
         self.answer_deferred_heartbeats();
     }
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -50,8 +50,8 @@
 }
 
 impl Leader {
-    /// Requests a planning pass before the period is over.
-    pub(in crate::coordination) fn plan_soon(&mut self, now: u64) {
+    /// Requests a planning pass before the period is over, but not sooner than the minimum gap allows.
+    pub(in crate::coordination) fn request_planning_pass(&mut self, now: u64) {
         self.pass_schedule.bring_forward(self.min_pass_gap_ms(), now);
     }
 
@@ -73,7 +73,7 @@
 }
 
 impl Controller {
-    pub(super) fn planning_due(&mut self) {
+    pub(super) fn plan_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         let may_plan = self.store_is_usable() && !self.starts_are_blocked();
         if may_plan && self.leader.as_ref().is_some_and(|leader| leader.is_pass_due(now)) {
@@ -111,7 +111,8 @@
 }
 
 impl Leader {
-    /// Moves shares to the team of the oldest waiting job, and sets the result in the planner's input.
+    /// Moves shares to the team of the first waiting job by priority and arrival, and sets the result in
+    /// the planner's input.
     fn move_shares(&mut self, input: &mut PlannerInput) {
         let shares = planner::move_shares(&input.snapshot, self.shares.clone());
         if shares != self.shares {
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -28,7 +28,7 @@
         for name in leader.mark_expired_leases(lease_ms, not_extended_before, now) {
             log::info!("worker lease expired: {name} is silent, its tasks are settled as lost");
             leader.cluster.settle_machine(&name);
-            leader.plan_soon(now);
+            leader.request_planning_pass(now);
         }
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -243,7 +243,7 @@
         self.store_reads_due();
         self.run_recovery_if_due();
         self.batches_due();
-        self.catalog_due();
+        self.request_catalog_if_due();
         self.gossip_due();
         self.campaign_if_due();
         self.leader_due();
--- a/src/coordination/planner/allocation.rs
+++ b/src/coordination/planner/allocation.rs
@@ -47,19 +47,19 @@
     /// Whether the machine may run one more task of the job, apart from its free capacity.
     pub(super) fn is_allowed(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
-        let host = self.machine_view(machine);
-        if host.spot && !view.spot_allowed
-            || !view.allowed_types[host.type_index]
+        let machine_view = self.machine_view(machine);
+        if machine_view.spot && !view.spot_allowed
+            || !view.allowed_types[machine_view.type_index]
             || self.machines[machine].free_task_slots == 0
         {
             return false;
         }
-        if view.zone.is_some_and(|zone| zone != host.zone)
+        if view.zone.is_some_and(|zone| zone != machine_view.zone)
             || view.avoided_machines.contains(&machine)
         {
             return false;
         }
-        self.is_zone_allowed(job, host.zone) && host.total.fits(&view.need)
+        self.is_zone_allowed(job, machine_view.zone) && machine_view.total.fits(&view.need)
     }
 
     /// Whether the zone may get one more task of the job, given those that are already placed.
@@ -74,14 +74,14 @@
     /// Milliseconds that a task which starts at `start_ms` waits until its image is cached.
     pub(super) fn fetch_ms(&self, job: usize, machine: usize, start_ms: u64) -> u64 {
         let view = self.job_view(job);
-        let host = &self.machines[machine];
-        if let Some(image) = host.image(view.image) {
+        let planned = &self.machines[machine];
+        if let Some(image) = planned.image(view.image) {
             return image.ready_in_ms.saturating_sub(start_ms.saturating_sub(self.snapshot.now_ms));
         }
         // Images share the machine's fetch rate, so this one is ready only after those that are
         // already being fetched.
         let fetch_ms = (view.image_gb * self.machine_view(machine).fetch_ms_per_gb) as u64;
-        fetch_ms + host.images_ready_in_ms
+        fetch_ms + planned.images_ready_in_ms
     }
 
     /// Whether the task's image would have to wait for other images on this machine, while a
@@ -90,12 +90,12 @@
     /// images each, and the last image takes minutes to arrive.
     pub(super) fn booting_machine_is_sooner(&self, job: usize, machine: usize) -> bool {
         let view = self.job_view(job);
-        let host = &self.machines[machine];
+        let planned = &self.machines[machine];
         let wait = self.snapshot.mean_boot_wait;
         let spot_ms = wait.spot_ms.filter(|_| view.spot_allowed);
-        let soonest_ms = wait.ordinary_ms.into_iter().chain(spot_ms).min();
-        soonest_ms.is_some_and(|ms| ms < host.images_ready_in_ms)
-            && host.image(view.image).is_none()
+        let soonest_ms = wait.on_demand_ms.into_iter().chain(spot_ms).min();
+        soonest_ms.is_some_and(|ms| ms < planned.images_ready_in_ms)
+            && planned.image(view.image).is_none()
     }
 
     /// The allocation on a machine at a start time.
@@ -131,14 +131,14 @@
 
     /// Free capacity of a machine from `start_ms` on for a job of this priority.
     pub(super) fn free_for(&self, job: &JobView, machine: usize, start_ms: u64) -> Resources {
-        let host = &self.machines[machine];
+        let planned = &self.machines[machine];
         // The end of each running task is later than now, so the end times needn't be searched.
         let mut free = match start_ms <= self.snapshot.now_ms {
-            true => host.row.free,
-            false => host.row.free_at(start_ms),
+            true => planned.row.free,
+            false => planned.row.free_at(start_ms),
         };
         if job.priority > Priority::High {
-            free -= host.held_by_preemption;
+            free -= planned.held_by_preemption;
         }
         free
     }
@@ -159,24 +159,24 @@
     /// The tie-break between otherwise equal allocations. Services are packed onto machines that
     /// already run services, in the zone with fewer replicas of the job. Other work first fills the
     /// remaining capacity of those machines, which are kept in any case, then uses spot machines if
-    /// it may and ordinary ones if it may not. Within each kind it takes the fullest machine first,
+    /// it may and on-demand ones if it may not. Within each kind it takes the fullest machine first,
     /// so that whole machines become idle.
     pub(super) fn preference(&self, job: usize, machine: usize) -> Preference {
         let view = self.job_view(job);
-        let host = self.machine_view(machine);
+        let machine_view = self.machine_view(machine);
         let free = self.machines[machine].row.free;
         let free_capacity = free.gpu * GPU_WEIGHT + free.cpu;
         let service_tasks = self.machines[machine].service_tasks;
         if view.is_service {
             return Preference {
-                replicas_in_zone: self.jobs[job].tasks_per_zone[host.zone],
-                kind_rank: u8::from(host.spot),
+                replicas_in_zone: self.jobs[job].tasks_per_zone[machine_view.zone],
+                kind_rank: u8::from(machine_view.spot),
                 packing: -service_tasks,
                 service_free_capacity: free_capacity,
                 machine,
             };
         }
-        let kind_rank = match (service_tasks > 0, view.spot_allowed == host.spot) {
+        let kind_rank = match (service_tasks > 0, view.spot_allowed == machine_view.spot) {
             (true, _) => 0,
             (false, true) => 1,
             (false, false) => 2,
--- a/src/coordination/planner/allocation_cache.rs
+++ b/src/coordination/planner/allocation_cache.rs
@@ -9,7 +9,7 @@
 use super::pass::Pass;
 
 /// What allocations depend on besides the machines. A reservation affects only its own machine,
-/// whose version changes with the claim that is recorded for it.
+/// whose version changes when it is made.
 #[derive(Debug, PartialEq)]
 pub(super) struct CacheContext {
     job: usize,
--- a/src/coordination/planner/backfill.rs
+++ b/src/coordination/planner/backfill.rs
@@ -89,14 +89,14 @@
     }
 
     /// The allocation of the job's next task that starts best now. If a later start is better for a
-    /// task, for example on a machine that holds its image, the later slot is claimed for it, so
+    /// task, for example on a machine that holds its image, the later slot is reserved for it, so
     /// that the job's other tasks don't expect the same slot, and the next task is considered.
     fn immediate_start(&mut self, job: usize) -> Option<Allocation> {
         let now_ms = self.snapshot.now_ms;
         while self.has_task_without_start(job) {
             // After enough later starts have been computed in this pass, only starts now are
             // considered.
-            let may_wait = self.claims_made < LATER_PLACEMENTS_PER_PASS;
+            let may_wait = self.later_placements < LATER_PLACEMENTS_PER_PASS;
             let allocation = self.allocate(job, may_wait)?;
             if allocation.start_ms <= now_ms {
                 return Some(allocation);
@@ -104,9 +104,9 @@
             if allocation.start_ms > now_ms + LATER_PLACEMENT_HORIZON_MS {
                 return None;
             }
-            self.claims_made += 1;
+            self.later_placements += 1;
             self.record_expected_start(job, allocation.start_ms);
-            self.claim(job, allocation.machine, allocation.start_ms, allocation.length_ms);
+            self.reserve_slot(job, allocation.machine, allocation.start_ms, allocation.length_ms);
         }
         None
     }
--- a/src/coordination/planner/deadline_triage/tests.rs
+++ b/src/coordination/planner/deadline_triage/tests.rs
@@ -40,10 +40,10 @@
     let mut pending = job(1, 1, 10_000);
     pending.waiting_tasks = 8;
     pending.due_in_ms = vec![35_000];
-    let mut host = machine(4);
-    host.running = vec![running(90_000), running(90_000)];
-    host.running.iter_mut().for_each(|r| r.is_service = true);
-    let mut cluster = snapshot(vec![host], vec![pending]);
+    let mut view = machine(4);
+    view.running = vec![running(90_000), running(90_000)];
+    view.running.iter_mut().for_each(|r| r.is_service = true);
+    let mut cluster = snapshot(vec![view], vec![pending]);
     assert_eq!(
         missed_deadlines(&cluster, &[0], &gpus(4)),
         vec![1],
--- a/src/coordination/planner/gang.rs
+++ b/src/coordination/planner/gang.rs
@@ -3,8 +3,8 @@
 //! As for single tasks, every threshold yields an allocation, here for all tasks at once: on the
 //! machines whose penalty factor is below the threshold, those that are ready soonest first. Of
 //! these allocations the one that ends first is chosen. A gang starts when its last task does, so
-//! the cost of a machine includes the time until its next report is answered and its image is
-//! cached, and each further machine adds a fixed delay.
+//! the cost of a machine includes the time until its next heartbeat is answered and its
+//! image is cached, and each further machine adds a fixed delay.
 
 use super::allocation::{penalty_factor, Preference};
 use super::pass::{Pass, ReservedCapacity};
@@ -65,12 +65,12 @@
 }
 
 /// The tasks of a gang that have no machine yet, and how many of them each zone may still get.
-struct UnplacedTasks {
+struct UnplacedGangTasks {
     tasks: u32,
     per_zone: Vec<u32>,
 }
 
-impl UnplacedTasks {
+impl UnplacedGangTasks {
     /// How many of them can be placed on a machine with that many free slots.
     fn fitting(&self, zone: usize, slots: u32) -> u32 {
         slots.min(self.per_zone[zone]).min(self.tasks)
@@ -92,9 +92,9 @@
         let mut best: Option<GangAllocation> = None;
         for group in self.zone_groups(job, &candidates) {
             for threshold in self.snapshot.thresholds.iter().copied().chain([f64::INFINITY]) {
-                let is_under = |candidate: &CandidateMachine| candidate.penalty_factor < threshold;
-                let under: Vec<CandidateMachine> = group.iter().copied().filter(is_under).collect();
-                let Some(found) = self.immediate_gang_allocation_on(job, &under) else { continue };
+                let is_below = |candidate: &CandidateMachine| candidate.penalty_factor < threshold;
+                let below: Vec<CandidateMachine> = group.iter().copied().filter(is_below).collect();
+                let Some(found) = self.immediate_gang_allocation_on(job, &below) else { continue };
                 if best.as_ref().is_none_or(|best| found.length_ms < best.length_ms) {
                     best = Some(found);
                 }
@@ -169,7 +169,7 @@
             self.machines[machine].version += 1;
             for _ in 0..tasks {
                 self.record_expected_start(job, start_ms);
-                self.claim(job, machine, start_ms, length_ms);
+                self.reserve_slot(job, machine, start_ms, length_ms);
             }
         }
         if let Some(first) = tasks_per_machine.first() {
@@ -185,17 +185,17 @@
     /// delaying a reservation.
     fn gang_slots(&self, job: usize, machine: usize, start_ms: u64, length_ms: u64) -> u32 {
         let view = self.job_view(job);
-        let host = &self.machines[machine];
+        let planned = &self.machines[machine];
         let end_ms = start_ms + length_ms;
         let mut slots = self.free_for(view, machine, start_ms).fit_count(&view.need);
         for reserved in &self.reserved_capacity {
             if reserved.machine == machine && end_ms > reserved.start_ms {
-                let mut free_at_start = host.row.free_at(reserved.start_ms);
+                let mut free_at_start = planned.row.free_at(reserved.start_ms);
                 free_at_start -= reserved.need;
                 slots = slots.min(free_at_start.fit_count(&view.need));
             }
         }
-        let slots = slots.clamp(0, host.free_task_slots as i64);
+        let slots = slots.clamp(0, planned.free_task_slots as i64);
         slots.min(i64::from(view.waiting_tasks)) as u32
     }
 
@@ -211,7 +211,7 @@
     /// The machine as a candidate for a start now; `None` if it can't run a task of the gang.
     fn gang_candidate(&self, job: usize, machine: usize) -> Option<CandidateMachine> {
         let view = self.job_view(job);
-        let host = self.machine_view(machine);
+        let machine_view = self.machine_view(machine);
         let row = &self.machines[machine].row;
         if !row.free.fits(&view.need) || !self.is_allowed(job, machine) {
             return None;
@@ -228,9 +228,9 @@
         let penalized_ms = row.penalized_ms(now_ms, run_ms + fetch_ms, bandwidth);
         Some(CandidateMachine {
             machine,
-            zone: host.zone,
+            zone: machine_view.zone,
             slots,
-            ready_ms: host.next_report_ms + fetch_ms,
+            ready_ms: machine_view.next_heartbeat_ms + fetch_ms,
             penalized_ms,
             penalty_factor: penalty_factor(run_ms, fetch_ms, penalized_ms),
             preference: self.preference(job, machine),
@@ -252,8 +252,8 @@
     }
 
     /// The best allocation now on machines sorted by when they are ready. A slightly later start is
-    /// chosen if it needs fewer machines, since each further machine may report later than
-    /// expected.
+    /// chosen if it needs fewer machines, since each further machine may send its heartbeat
+    /// later than expected.
     fn immediate_gang_allocation_on(
         &self,
         job: usize,
@@ -261,8 +261,8 @@
     ) -> Option<GangAllocation> {
         let machines_needed = self.machines_needed(job, candidates)?;
         let mut best: Option<(u64, Vec<ChosenMachine>)> = None;
-        for patience_ms in GANG_START_DELAYS_MS {
-            let until_ms = candidates[machines_needed - 1].ready_ms + patience_ms;
+        for delay_ms in GANG_START_DELAYS_MS {
+            let until_ms = candidates[machines_needed - 1].ready_ms + delay_ms;
             let ready_in_time = &candidates
                 [..candidates.partition_point(|candidate| candidate.ready_ms <= until_ms)];
             let Some(chosen) = self.pack_on_few_machines(job, ready_in_time) else { continue };
@@ -312,10 +312,13 @@
         None
     }
 
-    fn unplaced_gang_tasks(&self, job: usize) -> UnplacedTasks {
+    fn unplaced_gang_tasks(&self, job: usize) -> UnplacedGangTasks {
         let view = self.job_view(job);
         let zones = self.jobs[job].tasks_per_zone.len();
-        UnplacedTasks { tasks: view.waiting_tasks, per_zone: vec![view.max_tasks_per_zone; zones] }
+        UnplacedGangTasks {
+            tasks: view.waiting_tasks,
+            per_zone: vec![view.max_tasks_per_zone; zones],
+        }
     }
 
     /// Distributes all tasks over few machines: takes the machine with the most slots until one
--- a/src/coordination/planner/gang/tests.rs
+++ b/src/coordination/planner/gang/tests.rs
@@ -9,7 +9,7 @@
     JobView { is_gang: true, waiting_tasks: tasks, ..job(arrival, 1, run_ms) }
 }
 
-/// A machine whose GPUs are all occupied until then.
+/// A machine whose GPUs are all occupied until `until`.
 fn occupied_machine(gpus: i64, until: u64) -> MachineView {
     let mut view = machine(gpus);
     view.running = (0..gpus).map(|_| running(until)).collect();
@@ -45,11 +45,13 @@
 }
 
 #[test]
-fn a_gang_goes_where_its_image_is_cached_and_the_next_report_is_soon() {
-    let (mut without_image, mut late_report, soon_report) = (machine(4), machine(4), machine(4));
+fn a_gang_goes_where_its_image_is_cached_and_the_next_heartbeat_is_soon() {
+    let (mut without_image, mut late_heartbeat, soon_heartbeat) =
+        (machine(4), machine(4), machine(4));
     without_image.images.clear();
-    late_report.next_report_ms = 3_000;
-    let cluster = snapshot(vec![without_image, late_report, soon_report], vec![gang(1, 4, 5_000)]);
+    late_heartbeat.next_heartbeat_ms = 3_000;
+    let cluster =
+        snapshot(vec![without_image, late_heartbeat, soon_heartbeat], vec![gang(1, 4, 5_000)]);
     assert_eq!(tasks_per_machine(&plan(&cluster), 0, 3), vec![0, 0, 4]);
 }
 
--- a/src/coordination/planner/pass.rs
+++ b/src/coordination/planner/pass.rs
@@ -20,8 +20,8 @@
     pub(super) cluster_total: Resources,
     /// Capacity reserved for the head of the queue: one entry, or one for each machine of a gang.
     pub(super) reserved_capacity: Vec<ReservedCapacity>,
-    /// Later starts that backfilling has claimed so far.
-    pub(super) claims_made: usize,
+    /// Later starts that backfilling has reserved so far.
+    pub(super) later_placements: usize,
     /// Machines with enough free capacity for a task; only these are considered for a start now.
     pub(super) machines_with_capacity: Vec<usize>,
     /// Allocations computed for the job that was considered last.
@@ -81,7 +81,7 @@
     }
 
     /// Records that an image will be cached after `ready_in_ms`.
-    fn note_image(&mut self, image: usize, ready_in_ms: u64) {
+    fn record_image(&mut self, image: usize, ready_in_ms: u64) {
         if self.image(image).is_none() {
             self.images.push(CachedImage { image, ready_in_ms });
         }
@@ -144,7 +144,7 @@
             team_usage: snapshot.teams.iter().map(|team| team.used).collect(),
             cluster_total: snapshot.total(),
             reserved_capacity: Vec::new(),
-            claims_made: 0,
+            later_placements: 0,
             machines_with_capacity,
             allocation_cache: AllocationCache::default(),
             candidates_examined: Cell::new(0),
@@ -165,8 +165,9 @@
 
     /// Whether the pass has made the maximum number of placements.
     pub(super) fn is_full(&self) -> bool {
-        let most = PLACEMENTS_PER_PASS as f64 + self.machines.len() as f64 * PLACEMENTS_PER_MACHINE;
-        self.plan.placements.len() >= most as usize
+        let max_placements =
+            PLACEMENTS_PER_PASS as f64 + self.machines.len() as f64 * PLACEMENTS_PER_MACHINE;
+        self.plan.placements.len() >= max_placements as usize
     }
 
     /// What the job's team uses if `tasks` more tasks of the job are placed.
@@ -196,7 +197,7 @@
         planned.row.add(Bucket { end_ms, need: view.need, bandwidth: view.bandwidth });
         planned.free_task_slots -= 1;
         planned.service_tasks += i64::from(view.is_service);
-        planned.note_image(view.image, fetch_ms);
+        planned.record_image(view.image, fetch_ms);
         planned.placements += 1;
         planned.version += 1;
         let zone = self.machine_view(machine).zone;
@@ -213,7 +214,7 @@
         self.reserved_capacity.push(ReservedCapacity { machine, start_ms, need });
         self.plan.reservation = Some(Reservation { job, machine, start_ms });
         self.record_expected_start(job, start_ms);
-        self.claim(job, machine, start_ms, length_ms);
+        self.reserve_slot(job, machine, start_ms, length_ms);
     }
 
     /// Records when a waiting task is expected to start.
@@ -221,11 +222,17 @@
         self.plan.expected_wait_ms[job].push(start_ms - self.snapshot.now_ms);
     }
 
-    /// Records that a waiting task is expected to run on the machine from `start_ms` on, so that
-    /// later allocations of other tasks take it into account. Also invalidates the allocations
+    /// Reserves a slot on the machine for a waiting task that is expected to run from `start_ms` on,
+    /// so that later allocations of other tasks take it into account. Also invalidates the allocations
     /// cached for the machine, which covers other changes made to the machine just before this
     /// call.
-    pub(super) fn claim(&mut self, job: usize, machine: usize, start_ms: u64, length_ms: u64) {
+    pub(super) fn reserve_slot(
+        &mut self,
+        job: usize,
+        machine: usize,
+        start_ms: u64,
+        length_ms: u64,
+    ) {
         let need = self.job_view(job).need;
         self.machines[machine].row.reserve(start_ms, length_ms, need);
         self.machines[machine].version += 1;
--- a/src/coordination/planner/preemption.rs
+++ b/src/coordination/planner/preemption.rs
@@ -187,9 +187,10 @@
         if state.available[machine].fits(&view.need) {
             return true;
         }
-        let mut most = *preemptible.get_or_insert_with(|| self.preemptible(view, machine, state));
-        most += state.available[machine];
-        most.fits(&view.need)
+        let mut upper_bound =
+            *preemptible.get_or_insert_with(|| self.preemptible(view, machine, state));
+        upper_bound += state.available[machine];
+        upper_bound.fits(&view.need)
     }
 
     /// The cost of running a task of the job on the machine; `None` if it can't run there, or if
@@ -224,13 +225,13 @@
     /// Total resources of the tasks on a machine that the job may preempt.
     fn preemptible(&self, job: &JobView, machine: usize, state: &PreemptionState) -> Resources {
         let preemptor = Preemptor::of(job);
-        let mut most = Resources::default();
+        let mut total = Resources::default();
         for task in &self.machine_view(machine).running {
             if !task.is_stopping && preemptor.may_preempt(task, &state.exceeds_guarantee) {
-                most += task.need;
+                total += task.need;
             }
         }
-        most
+        total
     }
 
     /// The tasks to stop on a machine so that one task of the job fits, those with the least cost
@@ -297,7 +298,7 @@
         self.jobs[job].awaiting_preemption += 1;
         self.jobs[job].waiting_tasks -= 1;
         self.record_expected_start(job, start_ms);
-        self.claim(job, machine, start_ms, view.run_ms);
+        self.reserve_slot(job, machine, start_ms, view.run_ms);
     }
 }
 
--- a/src/coordination/planner/queue.rs
+++ b/src/coordination/planner/queue.rs
@@ -1,5 +1,5 @@
-//! Queue order and the heads of the queue: heads are started now, and the first one that can't
-//! start gets the reservation.
+//! The order of the queue, and the jobs at its head: they are started now, and the first one that
+//! can't start gets the reservation.
 
 use super::deadline_triage::missed_deadlines;
 use super::pass::Pass;
--- a/src/coordination/planner/reference.rs
+++ b/src/coordination/planner/reference.rs
@@ -16,7 +16,11 @@
 ) {
     let examined = pass.candidates_examined.get();
     assert_eq!(chosen, pass.reference_allocate(job, may_wait), "job {job}, may wait: {may_wait}");
-    assert_eq!(pass.candidates_examined.get(), examined, "the reference does not count");
+    assert_eq!(
+        pass.candidates_examined.get(),
+        examined,
+        "the reference implementation counts no candidates"
+    );
 }
 
 impl Pass<'_> {
@@ -45,7 +49,7 @@
         let ahead_ms = images.iter().map(|known| known.ready_in_ms).max().unwrap_or(0);
         let wait = self.snapshot.mean_boot_wait;
         let spot_ms = wait.spot_ms.filter(|_| view.spot_allowed);
-        let soonest_ms = wait.ordinary_ms.into_iter().chain(spot_ms).min();
+        let soonest_ms = wait.on_demand_ms.into_iter().chain(spot_ms).min();
         soonest_ms.is_some_and(|ms| ms < ahead_ms)
     }
 
--- a/src/coordination/planner/shares.rs
+++ b/src/coordination/planner/shares.rs
@@ -11,9 +11,9 @@
     (used.share_of(total) * WHOLE_PERMILLE as f64).round() as i64
 }
 
-/// Moves shares between teams: the team of the first waiting job gets what it lacks to run one more
-/// task of this job, taken from the teams with the largest unused shares. Shares are in thousandths
-/// and add up to the whole fleet.
+/// Moves shares between teams: the team of the first waiting job, by priority and arrival, gets what
+/// it lacks to run one more task of this job, taken from the teams with the largest unused shares.
+/// Shares are in thousandths and add up to the whole fleet.
 pub fn move_shares(snapshot: &Snapshot, mut shares: Vec<i64>) -> Vec<i64> {
     let teams = snapshot.teams.len();
     if teams == 0 {
--- a/src/coordination/planner/snapshot.rs
+++ b/src/coordination/planner/snapshot.rs
@@ -61,7 +61,7 @@
     pub spot: bool,
     /// Its total resources.
     pub total: Resources,
-    /// How many more tasks its report can list.
+    /// How many more tasks its heartbeat can list.
     pub free_task_slots: usize,
     /// Tasks placed on it that have not ended.
     pub running: Vec<RunningTask>,
@@ -69,9 +69,9 @@
     pub images: Vec<CachedImage>,
     /// Milliseconds to fetch a gigabyte.
     pub fetch_ms_per_gb: f64,
-    /// Milliseconds until its next report is expected; tasks are started by the response to a
-    /// report.
-    pub next_report_ms: u64,
+    /// Milliseconds until its next heartbeat is expected; tasks are started by the response to a
+    /// heartbeat.
+    pub next_heartbeat_ms: u64,
 }
 
 /// A job with waiting tasks.
@@ -154,12 +154,12 @@
     pub total: Resources,
 }
 
-/// Mean milliseconds until booting machines are up, for ordinary and for spot machines; `None`
+/// Mean milliseconds until booting machines are up, for on-demand and for spot machines; `None`
 /// unless many of that kind are booting.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MeanBootWait {
-    /// For ordinary machines.
-    pub ordinary_ms: Option<u64>,
+    /// For on-demand machines.
+    pub on_demand_ms: Option<u64>,
     /// For spot machines.
     pub spot_ms: Option<u64>,
 }
--- a/src/coordination/planner/tests.rs
+++ b/src/coordination/planner/tests.rs
@@ -22,7 +22,7 @@
         running: vec![],
         images: vec![CachedImage::ready(0)],
         fetch_ms_per_gb: 4_000.0,
-        next_report_ms: 0,
+        next_heartbeat_ms: 0,
     }
 }
 
@@ -99,11 +99,11 @@
 
 #[test]
 fn a_job_that_would_delay_the_reservation_is_not_backfilled() {
-    let mut host = machine(4);
-    host.running = vec![running(10_000), running(10_000)];
+    let mut view = machine(4);
+    view.running = vec![running(10_000), running(10_000)];
     // The head needs all four GPUs in 10 s. A job of 5 s fits in before that, one of 60 s doesn't.
     let jobs = vec![job(1, 4, 60_000), job(2, 1, 60_000), job(3, 1, 5_000)];
-    let decided = plan(&snapshot(vec![host], jobs));
+    let decided = plan(&snapshot(vec![view], jobs));
     assert_eq!(decided.reservation, reserved(0, 0, 10_000));
     assert_eq!(decided.placements, vec![placed(2, 0)]);
 }
@@ -123,13 +123,13 @@
 
 #[test]
 fn backfilling_is_ordered_by_penalty_factor_then_length() {
-    let mut host = machine(4);
-    host.running = vec![running(60_000), running(60_000)];
-    host.running[0].bandwidth = 3.5;
+    let mut view = machine(4);
+    view.running = vec![running(60_000), running(60_000)];
+    view.running[0].bandwidth = 3.5;
     let mut bandwidth_heavy = job(2, 1, 1_000);
     bandwidth_heavy.bandwidth = 2.0;
     let jobs = vec![job(1, 4, 1_000), bandwidth_heavy, job(3, 1, 20_000), job(4, 1, 10_000)];
-    let decided = plan(&snapshot(vec![host], jobs));
+    let decided = plan(&snapshot(vec![view], jobs));
     assert_eq!(
         decided.placements,
         vec![placed(3, 0), placed(2, 0)],
@@ -140,19 +140,19 @@
 #[test]
 fn the_threshold_with_the_least_slowdown_decides_between_now_and_later() {
     // A start now exceeds the bandwidth by a half for 2 s, which costs 1 s; waiting would cost 2 s.
-    let mut host = machine(2);
-    host.running = vec![running(2_000)];
-    host.running[0].bandwidth = 2.0;
+    let mut view = machine(2);
+    view.running = vec![running(2_000)];
+    view.running[0].bandwidth = 2.0;
     let mut pending = job(1, 1, 10_000);
     pending.bandwidth = 1.0;
-    assert_eq!(plan(&snapshot(vec![host], vec![pending])).placements, vec![placed(0, 0)]);
+    assert_eq!(plan(&snapshot(vec![view], vec![pending])).placements, vec![placed(0, 0)]);
     // A start now takes over five times the bandwidth for 9 s, which costs far more than waiting.
-    let mut host = machine(2);
-    host.running = vec![running(9_000)];
-    host.running[0].bandwidth = 9.0;
+    let mut view = machine(2);
+    view.running = vec![running(9_000)];
+    view.running[0].bandwidth = 9.0;
     let mut pending = job(1, 1, 10_000);
     pending.bandwidth = 2.0;
-    let decided = plan(&snapshot(vec![host], vec![pending]));
+    let decided = plan(&snapshot(vec![view], vec![pending]));
     assert_eq!(decided.reservation, reserved(0, 0, 9_000));
 }
 
@@ -187,12 +187,12 @@
 
 #[test]
 fn preemption_is_for_higher_priority_only_and_where_least_work_is_lost() {
-    let mut host = machine(2);
-    host.running = vec![running(90_000), running(90_000)];
-    host.running[0].ran_ms = Some(80_000);
-    host.running[1].ran_ms = Some(40_000);
-    host.running[1].handle = 7;
-    let mut cluster = snapshot(vec![host], vec![job(1, 1, 1_000)]);
+    let mut view = machine(2);
+    view.running = vec![running(90_000), running(90_000)];
+    view.running[0].ran_ms = Some(80_000);
+    view.running[1].ran_ms = Some(40_000);
+    view.running[1].handle = 7;
+    let mut cluster = snapshot(vec![view], vec![job(1, 1, 1_000)]);
     assert!(plan(&cluster).preemptions.is_empty(), "not for the same priority");
     cluster.jobs[0].priority = Priority::Production;
     assert_eq!(plan(&cluster).preemptions, vec![Preemption { machine: 0, handle: 7 }]);
@@ -206,22 +206,22 @@
 
 #[test]
 fn images_are_not_queued_on_one_machine_while_others_boot() {
-    let mut host = machine(2);
-    host.images = vec![image_ready_in(7, 30_000)];
-    let mut cluster = snapshot(vec![host], vec![job(1, 1, 30_000)]);
+    let mut view = machine(2);
+    view.images = vec![image_ready_in(7, 30_000)];
+    let mut cluster = snapshot(vec![view], vec![job(1, 1, 30_000)]);
     cluster.jobs[0].spot_allowed = false;
-    cluster.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: Some(1_000) };
+    cluster.mean_boot_wait = MeanBootWait { on_demand_ms: Some(10_000), spot_ms: Some(1_000) };
     assert!(
         plan(&cluster).placements.is_empty(),
-        "an ordinary machine is up before the other image is cached"
+        "an on-demand machine is up before the other image is cached"
     );
-    cluster.mean_boot_wait.ordinary_ms = Some(40_000);
+    cluster.mean_boot_wait.on_demand_ms = Some(40_000);
     assert_eq!(
         plan(&cluster).placements,
         vec![placed(0, 0)],
-        "the ordinary machine is up only after that"
+        "the on-demand machine is up only after that"
     );
-    cluster.mean_boot_wait.ordinary_ms = Some(10_000);
+    cluster.mean_boot_wait.on_demand_ms = Some(10_000);
     cluster.machines[0].images = vec![image_ready_in(0, 5_000), image_ready_in(7, 30_000)];
     assert_eq!(
         plan(&cluster).placements,
@@ -232,23 +232,23 @@
 
 #[test]
 fn a_task_starts_while_its_image_is_being_fetched_rather_than_after() {
-    let mut host = machine(2);
-    host.images = vec![image_ready_in(0, 20_000)];
-    host.running = vec![running(10_000)];
-    let decided = plan(&snapshot(vec![host], vec![job(1, 1, 30_000)]));
+    let mut view = machine(2);
+    view.images = vec![image_ready_in(0, 20_000)];
+    view.running = vec![running(10_000)];
+    let decided = plan(&snapshot(vec![view], vec![job(1, 1, 30_000)]));
     assert_eq!(decided.placements, vec![placed(0, 0)]);
 }
 
 #[test]
 fn no_preemption_where_the_task_would_wait_for_other_images() {
-    let mut host = machine(1);
-    host.images = vec![image_ready_in(7, 30_000)];
-    host.running = vec![running(90_000)];
-    let mut cluster = snapshot(vec![host], vec![job(1, 1, 30_000)]);
+    let mut view = machine(1);
+    view.images = vec![image_ready_in(7, 30_000)];
+    view.running = vec![running(90_000)];
+    let mut cluster = snapshot(vec![view], vec![job(1, 1, 30_000)]);
     cluster.jobs[0].priority = Priority::Production;
-    cluster.mean_boot_wait = MeanBootWait { ordinary_ms: Some(10_000), spot_ms: None };
+    cluster.mean_boot_wait = MeanBootWait { on_demand_ms: Some(10_000), spot_ms: None };
     assert!(plan(&cluster).preemptions.is_empty(), "it waits for the booting machine");
-    cluster.mean_boot_wait = MeanBootWait { ordinary_ms: None, spot_ms: None };
+    cluster.mean_boot_wait = MeanBootWait { on_demand_ms: None, spot_ms: None };
     assert_eq!(plan(&cluster).preemptions.len(), 1);
 }
 
@@ -413,7 +413,7 @@
         team.limit = if rng.random_bool(0.3) { gpus(rng.random_range(1..20)) } else { gpus(0) };
     }
     let mut boot_wait = || rng.random_bool(0.3).then(|| rng.random_range(0..20_000));
-    cluster.mean_boot_wait = MeanBootWait { ordinary_ms: boot_wait(), spot_ms: boot_wait() };
+    cluster.mean_boot_wait = MeanBootWait { on_demand_ms: boot_wait(), spot_ms: boot_wait() };
     cluster.previous_reservation =
         rng.random_bool(0.3).then(|| placed(0, rng.random_range(0..cluster.machines.len())));
     cluster
@@ -452,8 +452,8 @@
     );
     // All machines are occupied: each of the tasks waits for a different slot.
     let mut full = cluster;
-    for host in &mut full.machines {
-        host.running = vec![running(20_000); 4];
+    for view in &mut full.machines {
+        view.running = vec![running(20_000); 4];
     }
     let decided = plan(&full);
     assert!(decided.expected_wait_ms[0].len() > 50);
--- a/src/coordination/planner_input.rs
+++ b/src/coordination/planner_input.rs
@@ -86,7 +86,7 @@
     catalog: &'a Catalog,
     clock: Clock,
     now_ms: u64,
-    /// Milliseconds without a report after which a machine counts as silent.
+    /// Milliseconds without a heartbeat after which a machine counts as silent.
     silent_ms: u64,
     indices: Indices<'a>,
     /// Indices of the schedulable machines.
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -17,8 +17,8 @@
         // Resources of each team's unfinished jobs, up to and including the present one.
         let mut team_needs = vec![Resources::default(); self.settings.params.teams.len()];
         let cluster = self.cluster;
-        for uid in cluster.queue.values() {
-            let Some(job) = cluster.jobs.get(uid) else { continue };
+        for job_id in cluster.queue.values() {
+            let Some(job) = cluster.jobs.get(job_id) else { continue };
             let Some(spec) = &job.spec else { continue };
             let Some(team) = self.indices.team(&spec.team) else { continue };
             team_needs[team] += job.need * i64::from(job.tasks - job.done_count.min(job.tasks));
@@ -29,7 +29,7 @@
             let within_guarantee = is_within_guarantee(&team_needs[team], &guarantee);
             let Some(view) = self.job_view(job, spec, team, within_guarantee) else { continue };
             self.input.snapshot.jobs.push(view);
-            self.input.jobs.push(uid.clone());
+            self.input.jobs.push(job_id.clone());
         }
     }
 
@@ -146,11 +146,11 @@
 
 /// Machines on which a job failed. None if it failed on so many that the job itself is suspected.
 fn avoided_machines(job: &Job, machine_indices: &HashMap<&MachineName, usize>) -> Vec<usize> {
-    let tries_everywhere = match job.is_gang() {
+    let may_use_every_machine = match job.is_gang() {
         true => job.failed_on.len() > GANG_AVOIDED_MACHINES_MAX,
         false => job.fails_on_several_machines(),
     };
-    if tries_everywhere {
+    if may_use_every_machine {
         return Vec::new();
     }
     job.failed_on.iter().filter_map(|machine| machine_indices.get(machine).copied()).collect()
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -1,4 +1,4 @@
-//! Machines for the planner: the schedulable ones, and those that boot.
+//! Machines for the planner: the schedulable ones and the booting ones.
 
 use super::placements::MachineTasks;
 use super::InputBuilder;
@@ -13,7 +13,7 @@
 use crate::storage::records::MachineName;
 
 /// Most tasks that a machine's heartbeat can name.
-const TASKS_PER_REPORT: usize = HTTP_BODY_MAX / HEARTBEAT_TASK_BYTES;
+const TASKS_PER_HEARTBEAT: usize = HTTP_BODY_MAX / HEARTBEAT_TASK_BYTES;
 
 impl InputBuilder<'_> {
     /// Adds the booting machines: on-demand ones, then spot ones.
@@ -21,7 +21,7 @@
         let on_demand = self.booting_machines(false);
         let spot = self.booting_machines(true);
         self.input.snapshot.mean_boot_wait = MeanBootWait {
-            ordinary_ms: mean_boot_wait_ms(&on_demand),
+            on_demand_ms: mean_boot_wait_ms(&on_demand),
             spot_ms: mean_boot_wait_ms(&spot),
         };
         self.input.snapshot.booting.extend(on_demand);
@@ -53,10 +53,10 @@
                 continue;
             }
             let fetch_ms_per_gb = fetch_ms_per_gb(&self.catalog.machine_types[type_index]);
-            let next_report_ms = match deferred_heartbeats.contains(&machine.name) {
+            let next_heartbeat_ms = match deferred_heartbeats.contains(&machine.name) {
                 true => 0,
                 false => {
-                    next_report_ms(machine, self.settings.params.workers.report_s, self.now_ms)
+                    next_heartbeat_ms(machine, self.settings.params.workers.report_s, self.now_ms)
                 }
             };
             let MachineTasks { running, handles, images } = self.tasks_on(machine, fetch_ms_per_gb);
@@ -65,11 +65,11 @@
                 type_index,
                 spot: machine.spot,
                 total: machine.total,
-                free_task_slots: TASKS_PER_REPORT.saturating_sub(machine.placements.len()),
+                free_task_slots: TASKS_PER_HEARTBEAT.saturating_sub(machine.placements.len()),
                 running,
                 images,
                 fetch_ms_per_gb,
-                next_report_ms,
+                next_heartbeat_ms,
             });
             self.machine_indices.insert(&machine.name, self.input.machines.len());
             self.input.machines.push(machine.name.clone());
@@ -103,10 +103,10 @@
 
 /// Whether a machine may get new tasks.
 pub(super) fn is_schedulable(machine: &Machine, now_ms: u64, silent_ms: u64) -> bool {
-    // A machine with a reclaim notice must not be usable here: placements on it are refused before
+    // A machine with a reclaim notice must not be usable here: placements on it are rejected before
     // they are stored, so that every pass would repeat them while other machines have capacity.
     machine.is_usable()
-        // A report without this leader's fencing token may be a late duplicate from a machine that
+        // A heartbeat without this leader's fencing token may be a late duplicate from a machine that
         // is gone, or come from one that receives no responses.
         && machine.has_current_token
         // The resources that a task of an unknown job takes are not known.
@@ -124,7 +124,7 @@
 }
 
 /// Expected milliseconds until a machine's next heartbeat.
-pub(super) fn next_report_ms(machine: &Machine, report_s: f64, now_ms: u64) -> u64 {
+pub(super) fn next_heartbeat_ms(machine: &Machine, report_s: f64, now_ms: u64) -> u64 {
     let period = report_s * MS_PER_S;
     let since = machine.last_heartbeat_at.map_or(0, |at| now_ms - at) as f64;
     let earliest = (period * (1.0 - HEARTBEAT_JITTER_SHARE) - since).max(0.0);
--- a/src/coordination/planner_input/placements.rs
+++ b/src/coordination/planner_input/placements.rs
@@ -73,11 +73,11 @@
     }
 
     /// Data common to all placements of a job; `None` if the job or its specification is not known.
-    fn placed_job(&mut self, uid: &'a JobId) -> Option<PlacedJob> {
+    fn placed_job(&mut self, job_id: &'a JobId) -> Option<PlacedJob> {
         let InputBuilder { leader, settings, operator, silent_ms, indices, .. } = self;
         let cluster = self.cluster;
-        *self.placed_jobs.entry(uid).or_insert_with(|| {
-            let job = cluster.jobs.get(uid)?;
+        *self.placed_jobs.entry(job_id).or_insert_with(|| {
+            let job = cluster.jobs.get(job_id)?;
             let spec = job.spec.as_ref()?;
             Some(PlacedJob {
                 priority: spec.priority,
--- a/src/coordination/planner_input/tests.rs
+++ b/src/coordination/planner_input/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of [`super`], the module `planner_input`.
 
 use super::jobs::due_in_ms;
-use super::machines::{booting_machine, is_schedulable, mean_boot_wait_ms, next_report_ms};
+use super::machines::{booting_machine, is_schedulable, mean_boot_wait_ms, next_heartbeat_ms};
 use super::placements::{expected_end_ms, PlacedJob};
 use crate::constants::MEAN_BOOT_WAIT_MACHINES_MIN;
 use crate::coordination::planner::BootingMachine;
@@ -14,7 +14,7 @@
 
 const NOW_MS: u64 = 1_000_000;
 
-/// A schedulable machine that has just reported.
+/// A schedulable machine that has just sent a heartbeat.
 fn schedulable_machine() -> Machine {
     Machine {
         state: MachineState::Up,
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn only_a_usable_machine_that_reports_is_schedulable() {
+fn only_a_usable_machine_that_sends_heartbeats_is_schedulable() {
     assert!(is_schedulable(&schedulable_machine(), NOW_MS, 10_000));
-    let refused: [fn(&mut Machine); 8] = [
+    let disqualifying_changes: [fn(&mut Machine); 8] = [
         |machine| machine.state = MachineState::AwaitingHeartbeat,
         |machine| machine.cordoned = true,
         |machine| machine.draining = true,
@@ -76,7 +76,7 @@
         |machine| machine.unreachable_since = Some(NOW_MS),
         |machine| machine.last_alive_at = Some(NOW_MS - 10_001),
     ];
-    for (index, change) in refused.iter().enumerate() {
+    for (index, change) in disqualifying_changes.iter().enumerate() {
         let mut machine = schedulable_machine();
         change(&mut machine);
         assert!(!is_schedulable(&machine, NOW_MS, 10_000), "change {index}");
@@ -109,13 +109,13 @@
 }
 
 #[test]
-fn the_next_report_is_expected_a_period_after_the_last() {
+fn the_next_heartbeat_is_expected_a_period_after_the_last() {
     let mut machine = schedulable_machine();
-    assert_eq!(next_report_ms(&machine, 4.0, NOW_MS), 4_000);
+    assert_eq!(next_heartbeat_ms(&machine, 4.0, NOW_MS), 4_000);
     machine.last_heartbeat_at = Some(NOW_MS - 2_000);
-    assert_eq!(next_report_ms(&machine, 4.0, NOW_MS), 2_000);
+    assert_eq!(next_heartbeat_ms(&machine, 4.0, NOW_MS), 2_000);
     machine.last_heartbeat_at = Some(NOW_MS - 60_000);
-    assert!(next_report_ms(&machine, 4.0, NOW_MS) > 0, "overdue, but not expected at once");
+    assert!(next_heartbeat_ms(&machine, 4.0, NOW_MS) > 0, "overdue, but not expected at once");
 }
 
 #[test]
--- a/src/coordination/recovery/reconciliation.rs
+++ b/src/coordination/recovery/reconciliation.rs
@@ -71,7 +71,7 @@
         if let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) {
             log::info!("all machines reconciled: tasks may start again");
             leader.cluster.stop_incomplete_gangs();
-            leader.plan_soon(now);
+            leader.request_planning_pass(now);
         }
     }
 }
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -295,7 +295,7 @@
             leader.cluster.on_job_changed(&self.store.replica, uid, now);
         }
         if !changed_jobs.is_empty() {
-            leader.plan_soon(now);
+            leader.request_planning_pass(now);
         }
     }
 
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -154,7 +154,7 @@
         leader.restore_done_chunks(&pending);
         leader.restore_proposals(&pending);
         leader.restore_groups(&pending, replica);
-        leader.plan_soon(self.now.monotonic_ms);
+        leader.request_planning_pass(self.now.monotonic_ms);
         self.check_term();
     }
 
@@ -280,7 +280,7 @@
             cluster.apply_addition(entry);
         }
         if !pending.removals.is_empty() {
-            self.plan_soon(now);
+            self.request_planning_pass(now);
         }
         pending.transaction
     }
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -23,7 +23,7 @@
         }
         // A placement that was never stored needs no write when it ends.
         if leader.cluster.drop_unstored_settlements() {
-            leader.plan_soon(now);
+            leader.request_planning_pass(now);
         }
         let scope = leader.next_scope(self.store.limits().value_bytes);
         let is_periodic = now >= leader.transactions.next_periodic_at;
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -75,7 +75,7 @@
         if job.waiting_tasks() == 0 {
             return None;
         }
-        let reserved = leader.reservation.as_ref().filter(|(uid, _)| *uid == job.id);
+        let reserved = leader.reservation.as_ref().filter(|(job_id, _)| *job_id == job.id);
         Some(match reserved {
             Some((_, machine)) => WaitReason::Reserved(machine.clone()),
             None if job.paused_until > self.now.monotonic_ms => WaitReason::Paused,
