--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -22,7 +22,9 @@
         let Some(Response { status: 200, body }) = reply else { return };
         match serde_json::from_slice::<Catalog>(&body) {
             Ok(catalog) => self.cloud.set_catalog(catalog),
-            Err(error) => log::error!("catalog is malformed, the last one stays in use: {error}"),
+            Err(error) => {
+                log::error!("catalog rejected: malformed, the last one stays in use: {error}");
+            }
         }
     }
 }
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -63,7 +63,7 @@
         }
         leader.fleet.excess_capacity_since = None;
         log::debug!(
-            "draining machines: {}; the others have capacity for their tasks",
+            "machines drained: {}; the others have capacity for their tasks",
             chosen.join(", ")
         );
         for name in chosen {
@@ -92,7 +92,7 @@
             else {
                 continue;
             };
-            log::debug!("evicting service: {id} moves off draining machine {name}");
+            log::debug!("service evicted: {id} moves off draining machine {name}");
             placement.stop_reason = Some(StopReason::Eviction);
         }
     }
@@ -165,7 +165,7 @@
         draining.sort_by(|(load, _), (other_load, _)| other_load.total_cmp(load));
         for (_, name) in draining.into_iter().take(max_machines) {
             if let Some(machine) = self.cluster.machines.get_mut(&name) {
-                log::debug!("drain cancelled: {name} is back in use, capacity is short");
+                log::debug!("machine undrained: {name}, capacity is short");
                 machine.draining = false;
                 self.request_planning_pass(now);
             }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -66,7 +66,7 @@
                 machine.state = MachineState::Deleting;
             }
         }
-        log::info!("returning machines: {}", names.join(", "));
+        log::info!("machine deletion requested: {}", names.join(", "));
         let body = MachineNames { machines: names.iter().map(|name| name.to_string()).collect() };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         let purpose = CallPurpose::Delete(names);
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -70,7 +70,7 @@
     fn send_rental(&mut self, rental: Rental, catalog: &Catalog) {
         let type_name = &catalog.machine_types[rental.kind.type_index].type_name;
         log::info!(
-            "renting machines: {} {} in {}{}",
+            "machines requested: {} {} in {}{}",
             rental.count,
             type_name,
             rental.kind.zone,
@@ -118,7 +118,7 @@
                 if String::from_utf8_lossy(&body).contains("capacity") =>
             {
                 let MachineKind { type_name, zone, spot } = &kind;
-                log::info!("no capacity: {type_name} in {zone}, spot {spot}; backing off");
+                log::info!("rental rejected: no capacity for {type_name} in {zone}, spot {spot}; backing off");
                 leader.fleet.no_capacity_until.insert(kind, now + CAPACITY_BACKOFF_MS);
             }
             // The rental may still take effect, now or later; its machines then appear in the list.
