--- a/src/constants/fleet.rs
+++ b/src/constants/fleet.rs
@@ -20,8 +20,8 @@
 /// Multiple of its type's `boot_s` after which a booting machine no longer counts as capacity that
 /// will soon be available.
 pub const BOOT_LATE_FACTOR: f64 = 1.8;
-/// Booting machines, spot and other ones counted apart, from which on a task may wait for one rather
-/// than for an image that is queued behind others: of so many one is up every few seconds, while a
+/// Booting machines, on-demand and spot ones counted separately, from which on a task may wait for one
+/// rather than for an image that is queued behind others: of so many one is up every few seconds, while a
 /// single one may take 1.5 times its `boot_s`.
 pub const MEAN_BOOT_WAIT_MACHINES_MIN: u64 = 32;
 /// A booting machine past its `boot_s` is expected to be up after `boot_s` divided by this.
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -252,11 +252,12 @@
 impl Leader {
     /// Machines with services that have missed a whole cycle of heartbeats and retries, if they are few,
     /// all others send heartbeats and the services fit there. Deleting such a machine proves at once
-    /// that its tasks have ended; waiting for the lease or the list takes twice as long. If it was only cut off,
-    /// its tasks would end with the lease anyway.
+    /// that its tasks have ended; waiting for the lease or the list takes twice as long. If it was only
+    /// cut off, its tasks would end with the lease anyway.
     fn silent_machines_with_services(&self, now: u64, settings: &Platform) -> Vec<MachineName> {
         let workers = &settings.params.workers;
-        // A heartbeat that fails, its timeout, a retry at a controller that doesn't lead, and a retry here.
+        // A heartbeat that fails, its timeout, a retry at a controller that doesn't lead, and a retry
+        // here.
         let retry_cycle_s =
             workers.report_s * RETRY_CYCLE_PERIODS + WORKER_TIMEOUT_S + WORKER_RETRY_S * 2.0;
         let retry_cycle_ms = (retry_cycle_s * MS_PER_S) as u64;
--- a/src/coordination/planner/gang.rs
+++ b/src/coordination/planner/gang.rs
@@ -3,8 +3,8 @@
 //! As for single tasks, every threshold yields an allocation, here for all tasks at once: on the
 //! machines whose penalty factor is below the threshold, those that are ready soonest first. Of
 //! these allocations the one that ends first is chosen. A gang starts when its last task does, so
-//! the cost of a machine includes the time until its next heartbeat is answered and its
-//! image is cached, and each further machine adds a fixed delay.
+//! the cost of a machine includes the time until its next heartbeat is answered and its image is
+//! cached, and each further machine adds a fixed delay.
 
 use super::allocation::{penalty_factor, Preference};
 use super::pass::{Pass, ReservedCapacity};
