--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -8,7 +8,7 @@
 
 impl Controller {
     /// Requests the catalog when that is due.
-    pub(in crate::coordination) fn catalog_due(&mut self) {
+    pub(in crate::coordination) fn request_catalog_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         if self.cloud.begin_catalog_request(self.leader.is_some(), now) {
             let (path, purpose) = ("/catalog".into(), CallPurpose::Catalog);
@@ -22,7 +22,9 @@
         let Some(Response { status: 200, body }) = reply else { return };
         match serde_json::from_slice::<Catalog>(&body) {
             Ok(catalog) => self.cloud.set_catalog(catalog),
-            Err(error) => log::error!("catalog is malformed, the last one stays in use: {error}"),
+            Err(error) => {
+                log::error!("catalog rejected: malformed, the last one stays in use: {error}");
+            }
         }
     }
 }
