--- a/crates/mountgap-recovery/src/write_back.rs
+++ b/crates/mountgap-recovery/src/write_back.rs
@@ -26,7 +26,8 @@
 /// Bytes of an entry's quotes, colon and comma in a JSON object.
 const ENTRY_OVERHEAD_BYTES: usize = 4;
 
-/// The same for an entry whose value is a string, including the quotes of the string.
+/// Bytes of an entry's quotes, colon and comma in a JSON object if its value is a string, whose quotes
+/// are included.
 const STRING_ENTRY_OVERHEAD_BYTES: usize = ENTRY_OVERHEAD_BYTES + 2;
 
 /// Limits of the state service.
--- a/examples/platform/server.rs
+++ b/examples/platform/server.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Largest request body in bytes.
-const BODY_MAX: usize = 64 * 1024;
+const BODY_BYTES_MAX: usize = 64 * 1024;
 /// Size of the read buffer in bytes.
 const READ_BYTES: usize = 4096;
 /// Longest time that a worker waits for more of the response to its heartbeat.
@@ -32,7 +32,7 @@
     let mut received = Vec::new();
     let mut chunk = [0; READ_BYTES];
     loop {
-        while let Ok(Some(request)) = http::take_request(&mut received, BODY_MAX) {
+        while let Ok(Some(request)) = http::take_request(&mut received, BODY_BYTES_MAX) {
             let (status, body) = handler(platform, &request);
             let mut out = Vec::new();
             http::write_response(&mut out, status, None, body.to_string().as_bytes(), true);
--- a/src/constants/sockets.rs
+++ b/src/constants/sockets.rs
@@ -11,7 +11,7 @@
 /// workers connect at once. The kernel may apply a lower limit.
 pub const LISTEN_BACKLOG: i32 = 16_384;
 /// Milliseconds between two scans for idle connections and for those past their deadlines.
-pub const SWEEP_MS: u64 = 250;
+pub const SWEEP_PERIOD_MS: u64 = 250;
 /// Milliseconds between two lines with work counters in the log; as often as the leader's summary, see
 /// [`SUMMARY_LOG_PERIOD_MS`](super::SUMMARY_LOG_PERIOD_MS).
 pub const METRICS_LOG_PERIOD_MS: u64 = 10_000;
--- a/src/coordination/planner_input/machines.rs
+++ b/src/coordination/planner_input/machines.rs
@@ -4,7 +4,7 @@
 use super::InputBuilder;
 use crate::constants::{
     BOOT_LATE_FACTOR, BOOT_OVERDUE_DIVISOR, HEARTBEAT_JITTER_SHARE, HEARTBEAT_TASK_BYTES,
-    HTTP_BODY_MAX, MEAN_BOOT_WAIT_MACHINES_MIN, MS_PER_S,
+    HTTP_REQUEST_BODY_BYTES_MAX, MEAN_BOOT_WAIT_MACHINES_MIN, MS_PER_S,
 };
 use crate::coordination::planner::{BootingMachine, MachineView, MeanBootWait};
 use crate::protocol::cloud::MachineType;
@@ -13,7 +13,7 @@
 use crate::storage::records::MachineName;
 
 /// Most tasks that a machine's heartbeat can name.
-const TASKS_PER_REPORT: usize = HTTP_BODY_MAX / HEARTBEAT_TASK_BYTES;
+const TASKS_PER_REPORT: usize = HTTP_REQUEST_BODY_BYTES_MAX / HEARTBEAT_TASK_BYTES;
 
 impl InputBuilder<'_> {
     /// Adds the booting machines: on-demand ones, then spot ones.
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -1,6 +1,6 @@
 //! Transfer of images of the lost store, page by page, to the controller that rebuilds it.
 
-use crate::constants::{IMAGE_PAGE_BYTES, IMAGE_RETRY_MS, IMAGE_TIMEOUT_MS, PEER_VERSION};
+use crate::constants::{IMAGE_PAGE_BYTES, IMAGE_REQUEST_RETRY_MS, IMAGE_TIMEOUT_MS, PEER_VERSION};
 use crate::coordination::{CallPurpose, ConnectionId, Controller, Service};
 use crate::protocol::http::Response;
 use crate::protocol::peers::{decode, encode, ImagePage, ImageRequest};
@@ -70,7 +70,7 @@
                 continue;
             }
             image.request_sent = true;
-            image.next_request_at = now + IMAGE_RETRY_MS;
+            image.next_request_at = now + IMAGE_REQUEST_RETRY_MS;
             let request = ImageRequest {
                 version: PEER_VERSION,
                 label: self.settings.label.clone(),
@@ -86,12 +86,12 @@
     pub(in crate::coordination) fn on_image_response(
         &mut self,
         peer: usize,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         let Some(rebuild) = self.recovery.rebuild_mut() else { return };
         let image = &mut rebuild.peers[peer];
         image.request_sent = false;
-        let page = match reply {
+        let page = match response {
             Some(Response { status: 200, body }) => decode::<ImagePage>(&body).ok(),
             _ => None,
         };
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -11,7 +11,7 @@
 };
 
 /// Maximum length in bytes of the name of a class, team, image, machine type or zone.
-const NAME_MAX: usize = 100;
+const NAME_BYTES_MAX: usize = 100;
 /// Maximum number of machine types that a submission may list.
 const MACHINE_TYPES_MAX: usize = 64;
 /// Maximum of each amount and of each duration in seconds, so that arithmetic in whole thousandths stays
@@ -47,7 +47,7 @@
     #[error("must look like job-000412")]
     NotAJobId,
     /// A name is empty or too long.
-    #[error("must have 1 to {NAME_MAX} bytes")]
+    #[error("must have 1 to {NAME_BYTES_MAX} bytes")]
     NameLength,
     /// A list has too many entries.
     #[error("too many")]
@@ -134,7 +134,7 @@
 }
 
 fn validate_name(field: &'static str, name: &str) -> Result<(), SubmissionError> {
-    if name.is_empty() || name.len() > NAME_MAX {
+    if name.is_empty() || name.len() > NAME_BYTES_MAX {
         return Err(FieldProblem::NameLength.in_field(field));
     }
     Ok(())
--- a/src/protocol/users/tests.rs
+++ b/src/protocol/users/tests.rs
@@ -39,7 +39,7 @@
 
 #[test]
 fn the_error_gives_the_wire_name_of_the_first_invalid_field() {
-    let long = "x".repeat(NAME_MAX + 1);
+    let long = "x".repeat(NAME_BYTES_MAX + 1);
     for field in ["duty", "crew", "kit", "yard"] {
         assert_eq!(error_text(field, json!(long)), format!("{field}: must have 1 to 100 bytes"));
         assert_eq!(error_text(field, json!("")), format!("{field}: must have 1 to 100 bytes"));
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -7,7 +7,10 @@
 use super::http::{self, HttpError};
 use super::messages::{CallId, ConnectionId, Origin, Target};
 use super::readiness::Interest;
-use crate::constants::{HTTP_BODY_MAX, HTTP_HEAD_MAX, HTTP_REPLY_MAX, READ_CHUNK};
+use crate::constants::{
+    HTTP_HEAD_BYTES_MAX, HTTP_REQUEST_BODY_BYTES_MAX, HTTP_RESPONSE_BODY_BYTES_MAX,
+    READ_BUFFER_BYTES,
+};
 use crate::protocol::users::ErrorResponse;
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -164,7 +167,7 @@
             self.timeout_start = Instant::now();
         }
         self.input.extend_from_slice(bytes);
-        if self.input.len() > HTTP_REPLY_MAX + HTTP_HEAD_MAX {
+        if self.input.len() > HTTP_RESPONSE_BODY_BYTES_MAX + HTTP_HEAD_BYTES_MAX {
             return Err(io::ErrorKind::InvalidData.into());
         }
         Ok(())
@@ -172,7 +175,7 @@
 
     /// Whether the input exceeds the size of any single request, so that it is parsed before more is read.
     fn has_enough_input(&self) -> bool {
-        self.is_inbound() && self.input.len() > HTTP_BODY_MAX + HTTP_HEAD_MAX
+        self.is_inbound() && self.input.len() > HTTP_REQUEST_BODY_BYTES_MAX + HTTP_HEAD_BYTES_MAX
     }
 
     pub(super) fn is_inbound(&self) -> bool {
@@ -194,7 +197,8 @@
         match &self.role {
             Role::Inbound(inbound) => {
                 // Backpressure: while a request is pending, at most about a chunk of further input is read.
-                let accepts_input = !inbound.has_pending_request || self.input.len() < READ_CHUNK;
+                let accepts_input =
+                    !inbound.has_pending_request || self.input.len() < READ_BUFFER_BYTES;
                 Interest { read: !self.is_read_closed && accepts_input, write: has_output }
             }
             Role::Outbound(outbound) => {
--- a/src/transport/deadlines.rs
+++ b/src/transport/deadlines.rs
@@ -1,13 +1,14 @@
 //! Timeouts: idle connections are closed, requests that arrive too slowly are rejected, and calls
 //! without a response are reported as unanswered.
 //!
-//! There is no timer per connection: all connections are checked every [`SWEEP_MS`] milliseconds, so a
+//! There is no timer per connection: all connections are checked every [`SWEEP_PERIOD_MS`] milliseconds, so a
 //! deadline may be exceeded by that much.
 
 use super::connection::{Connection, Role};
 use super::net::{ConnectionKey, Transport};
 use crate::constants::{
-    CROWDED_SHARE, HTTP_IDLE_CROWDED_MS, HTTP_IDLE_MS, HTTP_REQUEST_MS, SWEEP_MS,
+    HTTP_IDLE_TIMEOUT_MS, HTTP_IDLE_TIMEOUT_NEAR_LIMIT_MS, HTTP_REQUEST_TIMEOUT_MS,
+    INBOUND_NEAR_LIMIT_SHARE, SWEEP_PERIOD_MS,
 };
 use std::time::{Duration, Instant};
 
@@ -24,12 +25,12 @@
 }
 
 impl Transport {
-    /// Checks all timeouts if the last check was [`SWEEP_MS`] ago.
+    /// Checks all timeouts if the last check was [`SWEEP_PERIOD_MS`] ago.
     pub(super) fn sweep_if_due(&mut self, now: Instant) {
         if now < self.next_sweep_at {
             return;
         }
-        self.next_sweep_at = now + Duration::from_millis(SWEEP_MS);
+        self.next_sweep_at = now + Duration::from_millis(SWEEP_PERIOD_MS);
         self.counts.buffered_bytes =
             self.connections.values().map(Connection::buffered_bytes).sum();
         self.handle_timed_out_connections(now);
@@ -50,8 +51,11 @@
     }
 
     fn timed_out_connections(&self, now: Instant) -> Vec<(ConnectionKey, TimeoutAction)> {
-        let idle_ms =
-            if self.is_near_connection_limit() { HTTP_IDLE_CROWDED_MS } else { HTTP_IDLE_MS };
+        let idle_ms = if self.is_near_connection_limit() {
+            HTTP_IDLE_TIMEOUT_NEAR_LIMIT_MS
+        } else {
+            HTTP_IDLE_TIMEOUT_MS
+        };
         let action = |connection: &Connection| timeout_action(connection, now, idle_ms);
         let connections = self.connections.iter();
         connections.filter_map(|(key, connection)| Some((*key, action(connection)?))).collect()
@@ -59,7 +63,7 @@
 
     /// Whether the limit of inbound connections is nearly reached, so that idle ones are closed sooner.
     fn is_near_connection_limit(&self) -> bool {
-        self.inbound.len() as f64 >= self.inbound_max as f64 * CROWDED_SHARE
+        self.inbound.len() as f64 >= self.inbound_max as f64 * INBOUND_NEAR_LIMIT_SHARE
     }
 
     fn report_expired_calls(&mut self, now: Instant) {
@@ -82,14 +86,14 @@
     match &connection.role {
         // The code that answers the request has its own deadlines.
         Role::Inbound(inbound) if inbound.has_pending_request => None,
-        Role::Inbound(_) if !connection.output.is_empty() => close_after(HTTP_REQUEST_MS),
+        Role::Inbound(_) if !connection.output.is_empty() => close_after(HTTP_REQUEST_TIMEOUT_MS),
         Role::Inbound(_) if !connection.input.is_empty() => {
-            close_after(HTTP_REQUEST_MS).map(|_| TimeoutAction::Reject)
+            close_after(HTTP_REQUEST_TIMEOUT_MS).map(|_| TimeoutAction::Reject)
         }
         Role::Inbound(_) => close_after(inbound_idle_ms),
         Role::Outbound(outbound) => match &outbound.call {
             Some(call) => (now >= call.deadline).then_some(TimeoutAction::Close),
-            None => close_after(HTTP_IDLE_MS),
+            None => close_after(HTTP_IDLE_TIMEOUT_MS),
         },
     }
 }
--- a/src/transport/deadlines/tests.rs
+++ b/src/transport/deadlines/tests.rs
@@ -48,7 +48,10 @@
 fn a_request_that_arrives_too_slowly_is_rejected() {
     let mut slow = inbound(false);
     slow.input = b"POST /".to_vec();
-    assert_eq!(actions_at_and_after(&slow, HTTP_REQUEST_MS), [None, Some(TimeoutAction::Reject)]);
+    assert_eq!(
+        actions_at_and_after(&slow, HTTP_REQUEST_TIMEOUT_MS),
+        [None, Some(TimeoutAction::Reject)]
+    );
 }
 
 #[test]
@@ -56,21 +59,24 @@
     let mut unread = inbound(false);
     unread.input = b"POST /".to_vec();
     unread.output = b"HTTP/1.1 200 OK".to_vec();
-    assert_eq!(actions_at_and_after(&unread, HTTP_REQUEST_MS), [None, Some(TimeoutAction::Close)]);
+    assert_eq!(
+        actions_at_and_after(&unread, HTTP_REQUEST_TIMEOUT_MS),
+        [None, Some(TimeoutAction::Close)]
+    );
 }
 
 #[test]
 fn a_connection_with_a_pending_request_does_not_time_out() {
-    assert_eq!(actions_at_and_after(&inbound(true), 100 * HTTP_IDLE_MS), [None, None]);
+    assert_eq!(actions_at_and_after(&inbound(true), 100 * HTTP_IDLE_TIMEOUT_MS), [None, None]);
 }
 
 #[test]
 fn an_outbound_connection_is_closed_after_its_idle_limit_or_at_the_deadline_of_its_call() {
     assert_eq!(
-        actions_at_and_after(&outbound(None), HTTP_IDLE_MS),
+        actions_at_and_after(&outbound(None), HTTP_IDLE_TIMEOUT_MS),
         [None, Some(TimeoutAction::Close)]
     );
-    let deadline = Instant::now() + Duration::from_millis(HTTP_IDLE_MS);
+    let deadline = Instant::now() + Duration::from_millis(HTTP_IDLE_TIMEOUT_MS);
     let waiting = outbound(Some(CallInFlight { id: 1, deadline }));
     let before = deadline - Duration::from_millis(1);
     assert_eq!(timeout_action(&waiting, before, IDLE_MS), None);
--- a/src/transport/http/body.rs
+++ b/src/transport/http/body.rs
@@ -2,10 +2,10 @@
 
 use super::head::{find_empty_line_end, line_ending_length};
 use super::{HttpError, Parsed};
-use crate::constants::HTTP_HEAD_MAX;
+use crate::constants::HTTP_HEAD_BYTES_MAX;
 
 /// Longest line with the size of a chunk in bytes, including extensions and the line ending.
-const CHUNK_SIZE_LINE_MAX: usize = 128;
+const CHUNK_SIZE_LINE_BYTES_MAX: usize = 128;
 
 /// How the end of a body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -97,9 +97,9 @@
 
     fn take_size(&mut self) -> Parsed<ChunkState> {
         let rest = self.rest();
-        let window = &rest[..rest.len().min(CHUNK_SIZE_LINE_MAX)];
+        let window = &rest[..rest.len().min(CHUNK_SIZE_LINE_BYTES_MAX)];
         let Some(length) = window.iter().position(|byte| *byte == b'\n') else {
-            let too_long = rest.len() >= CHUNK_SIZE_LINE_MAX;
+            let too_long = rest.len() >= CHUNK_SIZE_LINE_BYTES_MAX;
             return if too_long { Err(HttpError::ChunkSizeLineTooLong) } else { Ok(None) };
         };
         let size = parse_chunk_size(&rest[..length])?;
@@ -135,7 +135,7 @@
         let rest = self.rest();
         match line_ending_length(rest).or_else(|| find_empty_line_end(rest)) {
             Some(length) => self.position += length,
-            None if rest.len() > HTTP_HEAD_MAX => return Err(HttpError::TrailersTooLong),
+            None if rest.len() > HTTP_HEAD_BYTES_MAX => return Err(HttpError::TrailersTooLong),
             None => return Ok(None),
         }
         Ok(Some(ChunkState::Complete))
--- a/src/transport/http/head.rs
+++ b/src/transport/http/head.rs
@@ -2,7 +2,7 @@
 //! connection stays open.
 
 use super::{HttpError, Parsed};
-use crate::constants::{HTTP_HEADERS_MAX, HTTP_HEAD_MAX};
+use crate::constants::{HTTP_HEADERS_MAX, HTTP_HEAD_BYTES_MAX};
 
 /// The parts of a head that the parsers need.
 #[derive(Default)]
@@ -21,9 +21,9 @@
 impl<'a> Head<'a> {
     /// Parses the head at the front of the buffer.
     pub(super) fn parse(buffer: &'a [u8]) -> Parsed<Head<'a>> {
-        let window = &buffer[..buffer.len().min(HTTP_HEAD_MAX)];
+        let window = &buffer[..buffer.len().min(HTTP_HEAD_BYTES_MAX)];
         let Some(end) = find_empty_line_end(window) else {
-            return if buffer.len() >= HTTP_HEAD_MAX {
+            return if buffer.len() >= HTTP_HEAD_BYTES_MAX {
                 Err(HttpError::HeadTooLong)
             } else {
                 Ok(None)
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -12,7 +12,7 @@
 pub use error::HttpError;
 pub use write::{write_request, write_response};
 
-use crate::constants::HTTP_REPLY_MAX;
+use crate::constants::HTTP_RESPONSE_BODY_BYTES_MAX;
 use body::Framing;
 use head::Head;
 
@@ -87,7 +87,9 @@
         let framing = response_framing(status, &head);
         let keep_alive =
             head.keeps_alive(line.version == "HTTP/1.0") && framing != Framing::UntilClose;
-        let Some(body) = body::parse(&buffer[end..], framing, HTTP_REPLY_MAX, closed)? else {
+        let Some(body) =
+            body::parse(&buffer[end..], framing, HTTP_RESPONSE_BODY_BYTES_MAX, closed)?
+        else {
             return Ok(None);
         };
         buffer.drain(..end + body.encoded_length);
--- a/src/transport/http/tests.rs
+++ b/src/transport/http/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of [`super`], the module `http`.
 
 use super::*;
-use crate::constants::{HTTP_BODY_MAX, HTTP_HEAD_MAX};
+use crate::constants::{HTTP_HEAD_BYTES_MAX, HTTP_REQUEST_BODY_BYTES_MAX};
 
 fn request(text: &str) -> Result<Option<Request>, HttpError> {
-    take_request(&mut text.as_bytes().to_vec(), HTTP_BODY_MAX)
+    take_request(&mut text.as_bytes().to_vec(), HTTP_REQUEST_BODY_BYTES_MAX)
 }
 
 #[test]
@@ -35,7 +35,7 @@
     assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), 413);
     assert_eq!(status("POST / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n"), 413);
     assert_eq!(status("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n"), 413);
-    assert_eq!(status(&format!("GET /{} HTTP/1.1\r\n", "a".repeat(HTTP_HEAD_MAX))), 431);
+    assert_eq!(status(&format!("GET /{} HTTP/1.1\r\n", "a".repeat(HTTP_HEAD_BYTES_MAX))), 431);
     assert_eq!(status("GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"), 400);
     assert_eq!(status("GET / HTTP/2.0\r\n\r\n"), 505);
     assert_eq!(status("nonsense\r\n\r\n"), 400);
@@ -122,7 +122,7 @@
         (format!("{chunked}{}", "1".repeat(128)), "chunk size line too long"),
         (format!("{chunked}1\r\nab"), "chunk not ended"),
         (format!("{chunked}1\r\na\rb"), "chunk not ended"),
-        (format!("{chunked}0\r\n{}", "a".repeat(HTTP_HEAD_MAX + 1)), "trailers too long"),
+        (format!("{chunked}0\r\n{}", "a".repeat(HTTP_HEAD_BYTES_MAX + 1)), "trailers too long"),
     ];
     for (text, reason) in cases {
         assert_eq!(request(&text).expect_err(reason).to_string(), reason, "{text}");
--- a/src/transport/inbound.rs
+++ b/src/transport/inbound.rs
@@ -5,7 +5,7 @@
 use super::messages::{ConnectionId, Incoming, Origin};
 use super::net::{Closed, ConnectionKey, Transport};
 use super::readiness::Interest;
-use crate::constants::{HTTP_BODY_MAX, HTTP_HEAD_MAX};
+use crate::constants::{HTTP_HEAD_BYTES_MAX, HTTP_REQUEST_BODY_BYTES_MAX};
 use std::io;
 use std::net::TcpStream;
 use std::time::Instant;
@@ -122,7 +122,7 @@
 /// the original.
 fn body_limit(origin: Origin) -> usize {
     match origin {
-        Origin::Public => HTTP_BODY_MAX,
-        Origin::Peer => HTTP_BODY_MAX + HTTP_HEAD_MAX,
+        Origin::Public => HTTP_REQUEST_BODY_BYTES_MAX,
+        Origin::Peer => HTTP_REQUEST_BODY_BYTES_MAX + HTTP_HEAD_BYTES_MAX,
     }
 }
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -6,7 +6,7 @@
 use super::messages::{ConnectionId, Incoming, Origin};
 use super::outbound::Destination;
 use super::readiness::{Interest, Readiness, Ready};
-use crate::constants::{INBOUND_SOCKET_SHARE, READ_CHUNK};
+use crate::constants::{INBOUND_SOCKET_SHARE, READ_BUFFER_BYTES};
 use std::collections::HashMap;
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
@@ -56,7 +56,7 @@
             destinations: targets.into_iter().map(Destination::new).collect(),
             next_sweep_at: Instant::now(),
             incoming: Vec::new(),
-            scratch: vec![0; READ_CHUNK],
+            scratch: vec![0; READ_BUFFER_BYTES],
             counts: TransportCounts::default(),
         })
     }
--- a/src/transport/readiness.rs
+++ b/src/transport/readiness.rs
@@ -88,7 +88,7 @@
 #[cfg(target_os = "linux")]
 mod wait {
     use super::{io, Duration, Poller, Ready};
-    use crate::constants::READY_PER_WAIT;
+    use crate::constants::READY_SOCKETS_PER_WAIT_MAX;
     use rustix::buffer::spare_capacity;
     use rustix::event::epoll::{self, EventFlags};
     use rustix::event::Timespec;
@@ -99,7 +99,7 @@
 
     impl Default for Events {
         fn default() -> Events {
-            Events(Vec::with_capacity(READY_PER_WAIT))
+            Events(Vec::with_capacity(READY_SOCKETS_PER_WAIT_MAX))
         }
     }
 
