--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -91,10 +91,10 @@
         leader.label == self.settings.label && leader.incarnation != self.process_id
     }
 
-    pub(super) fn on_lease_grant_response(&mut self, reply: Option<Response>) {
+    pub(super) fn on_lease_grant_response(&mut self, response: Option<Response>) {
         self.election.in_progress = false;
         self.election.campaign_at = None;
-        let Some(Response { status: 200 | 201, body }) = reply else { return };
+        let Some(Response { status: 200 | 201, body }) = response else { return };
         let Ok(LeaseGranted { lease_id }) = serde_json::from_slice(&body) else { return };
         let leader_key_revision = match &self.store.replica().leader {
             None => 0,
@@ -145,10 +145,10 @@
         lease_id: u64,
         term: u64,
         read_point: ReadPoint,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         self.election.in_progress = false;
-        let won: Option<TransactionApplied> = match reply {
+        let won: Option<TransactionApplied> = match response {
             Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             Some(Response { status: 409, .. }) => return self.on_election_conflict(),
             // A transaction without a response may still be applied. Nobody renews its lease, so
--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -17,9 +17,9 @@
     }
 
     /// Handles the response with the catalog. If it can't be parsed, the last catalog stays in use.
-    pub(in crate::coordination) fn on_catalog_response(&mut self, reply: Option<Response>) {
+    pub(in crate::coordination) fn on_catalog_response(&mut self, response: Option<Response>) {
         self.cloud.end_catalog_request();
-        let Some(Response { status: 200, body }) = reply else { return };
+        let Some(Response { status: 200, body }) = response else { return };
         match serde_json::from_slice::<Catalog>(&body) {
             Ok(catalog) => self.cloud.set_catalog(catalog),
             Err(error) => log::error!("catalog is malformed, the last one stays in use: {error}"),
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -41,7 +41,7 @@
     pub(in crate::coordination) fn on_machine_list_response(
         &mut self,
         list_started_at: u64,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else { return };
@@ -49,7 +49,7 @@
         if fleet.list_started_at != list_started_at {
             return;
         }
-        let list: Option<MachineList> = match reply {
+        let list: Option<MachineList> = match response {
             Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             _ => None,
         };
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -76,9 +76,9 @@
     pub(in crate::coordination) fn on_deletion_response(
         &mut self,
         names: Vec<MachineName>,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
-        if matches!(reply, Some(Response { status: 200, .. })) {
+        if matches!(response, Some(Response { status: 200, .. })) {
             for name in names {
                 self.mark_machine_terminated(&name);
             }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -95,7 +95,7 @@
     pub(in crate::coordination) fn on_rental_response(
         &mut self,
         rental: Rental,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
@@ -106,7 +106,7 @@
         };
         let CatalogKind { zone, spot, .. } = rental.kind;
         let kind = MachineKind { type_name: machine_type.type_name.clone(), zone, spot };
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => {
                 let Ok(names) = serde_json::from_slice::<MachineNames>(&body) else { return };
                 if names.machines.len() < rental.count {
--- a/src/coordination/interface.rs
+++ b/src/coordination/interface.rs
@@ -54,12 +54,12 @@
         body: Vec<u8>,
     },
     /// The reply to a call.
-    Reply {
+    Response {
         /// The call that was answered.
         call: CallId,
         /// The response. `None` if there was none: the request may have been carried out, or may
         /// still be.
-        reply: Option<Response>,
+        response: Option<Response>,
     },
 }
 
@@ -80,7 +80,7 @@
             Command::Public { path, .. } if path == HEARTBEAT_PATH || path == HEALTH_PATH => {
                 CommandPriority::Heartbeat
             }
-            Command::Reply { .. } | Command::Peer { .. } => CommandPriority::Internal,
+            Command::Response { .. } | Command::Peer { .. } => CommandPriority::Internal,
             Command::Public { .. } => CommandPriority::User,
         }
     }
@@ -100,7 +100,7 @@
         /// Body; may be empty.
         body: Vec<u8>,
     },
-    /// Sends a request; the reply is passed back as [`Command::Reply`].
+    /// Sends a request; the reply is passed back as [`Command::Response`].
     Call {
         /// Identifies the call in its reply.
         id: CallId,
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -43,13 +43,13 @@
         self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEWAL_TIMEOUT_MS, purpose);
     }
 
-    pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, reply: Option<Response>) {
+    pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, response: Option<Response>) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.lease.id == lease_id) else {
             return;
         };
         leader.lease.renewal_in_flight = false;
-        match reply {
+        match response {
             Some(Response { status: 200..=299, .. }) => {}
             Some(Response { status: 404, .. }) => {
                 self.step_down("the lease of the leader key has expired");
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -62,10 +62,10 @@
         &mut self,
         peer: usize,
         sent_at: u64,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         self.membership.peers[peer].gossip_in_flight = false;
-        let Some(Response { status: 200, body }) = reply else { return };
+        let Some(Response { status: 200, body }) = response else { return };
         if self.receive_gossip(&body) != Some(peer) {
             return;
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -152,7 +152,7 @@
             Command::Peer { connection, method, path, body } => {
                 self.handle_peer_request(connection, &method, &path, &body);
             }
-            Command::Reply { call, reply } => self.handle_reply(call, reply),
+            Command::Response { call, response } => self.handle_response(call, response),
         }
     }
 
@@ -201,41 +201,43 @@
     }
 
     /// Dispatches the reply to a call by the purpose of the call.
-    fn handle_reply(&mut self, call: CallId, reply: Option<Response>) {
+    fn handle_response(&mut self, call: CallId, response: Option<Response>) {
         let Some(purpose) = self.outbox.take_purpose(call) else {
             return;
         };
-        self.note_store_response(&purpose, reply.as_ref().map(|response| response.status));
+        self.note_store_response(&purpose, response.as_ref().map(|response| response.status));
         match purpose {
-            CallPurpose::List { epoch } => self.on_list_response(epoch, reply),
-            CallPurpose::Watch { read_point } => self.on_watch_response(read_point, reply),
+            CallPurpose::List { epoch } => self.on_list_response(epoch, response),
+            CallPurpose::Watch { read_point } => self.on_watch_response(read_point, response),
             CallPurpose::FreshRead { begun_at, read_point } => {
-                self.on_fresh_read_response(begun_at, read_point, reply);
+                self.on_fresh_read_response(begun_at, read_point, response);
             }
-            CallPurpose::LeaseGrant => self.on_lease_grant_response(reply),
+            CallPurpose::LeaseGrant => self.on_lease_grant_response(response),
             CallPurpose::Election { lease_id, term, read_point } => {
-                self.on_election_response(lease_id, term, read_point, reply);
+                self.on_election_response(lease_id, term, read_point, response);
             }
             CallPurpose::LeaseRenewal { lease_id } => {
-                self.on_lease_renewal_response(lease_id, reply);
+                self.on_lease_renewal_response(lease_id, response);
             }
             CallPurpose::LeaseRevocation => {}
-            CallPurpose::LeaderCommit { term } => self.on_leader_commit_response(term, reply),
-            CallPurpose::Submit { batch, copy } => self.on_batch_response(batch, copy, reply),
+            CallPurpose::LeaderCommit { term } => self.on_leader_commit_response(term, response),
+            CallPurpose::Submit { batch, copy } => self.on_batch_response(batch, copy, response),
             CallPurpose::Cancel { requester, uid, commit, read_point } => {
-                self.on_cancellation_response(requester, uid, commit, read_point, reply);
+                self.on_cancellation_response(requester, uid, commit, read_point, response);
             }
-            CallPurpose::Rebuild(call) => self.on_rebuild_response(call, reply),
-            CallPurpose::Decision(call) => self.on_decision_response(call, reply),
-            CallPurpose::Image { peer } => self.on_image_response(peer, reply),
+            CallPurpose::Rebuild(call) => self.on_rebuild_response(call, response),
+            CallPurpose::Decision(call) => self.on_decision_response(call, response),
+            CallPurpose::Image { peer } => self.on_image_response(peer, response),
             CallPurpose::Gossip { peer, begun_at } => {
-                self.on_gossip_response(peer, begun_at, reply);
+                self.on_gossip_response(peer, begun_at, response);
             }
-            CallPurpose::Relay { requester } => self.on_relay_response(requester, reply),
-            CallPurpose::Catalog => self.on_catalog_response(reply),
-            CallPurpose::MachineList { begun_at } => self.on_machine_list_response(begun_at, reply),
-            CallPurpose::Rent(rental) => self.on_rental_response(rental, reply),
-            CallPurpose::Delete(names) => self.on_deletion_response(names, reply),
+            CallPurpose::Relay { requester } => self.on_relay_response(requester, response),
+            CallPurpose::Catalog => self.on_catalog_response(response),
+            CallPurpose::MachineList { begun_at } => {
+                self.on_machine_list_response(begun_at, response);
+            }
+            CallPurpose::Rent(rental) => self.on_rental_response(rental, response),
+            CallPurpose::Delete(names) => self.on_deletion_response(names, response),
         }
     }
 
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -145,10 +145,10 @@
     pub(in crate::coordination) fn on_decision_response(
         &mut self,
         call: DecisionCall,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         let requester = Requester::direct(call.connection, self.now.monotonic_ms);
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => {
                 if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) {
                     self.apply_own_transaction(&call.transaction, applied.revision);
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -190,7 +190,7 @@
     pub(in crate::coordination) fn on_rebuild_response(
         &mut self,
         call: RebuildCall,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         if self.leader.as_ref().is_none_or(|leader| leader.term != call.term) {
             return;
@@ -199,7 +199,7 @@
         if let Some(rebuild) = self.recovery.rebuild_mut() {
             rebuild.transaction_sent = false;
         }
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => {
                 self.on_rebuild_applied(&call.transaction, &body);
             }
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -316,17 +316,17 @@
         &mut self,
         id: u64,
         copy: usize,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         // The batch is gone if another copy has decided it.
         let Some(batch) = self.submissions.in_flight.get_mut(&id) else { return };
         batch.unanswered -= 1;
-        let is_decided = matches!(reply, Some(Response { status: 200 | 409, .. }));
+        let is_decided = matches!(response, Some(Response { status: 200 | 409, .. }));
         if !is_decided && batch.unanswered > 0 {
             return;
         }
         let Some(batch) = self.submissions.in_flight.remove(&id) else { return };
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => self.accept_batch(batch, copy, &body),
             Some(Response { status: 409, body }) => self.resolve_batch_conflict(batch, &body),
             Some(Response { status: 429, .. }) => self.refuse_batch(batch),
--- a/src/coordination/requests/cancellations.rs
+++ b/src/coordination/requests/cancellations.rs
@@ -79,9 +79,9 @@
         uid: String,
         commit: Transaction,
         sent: ReadPoint,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => {
                 let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) else {
                     return self.refuse_unavailable(requester);
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -34,9 +34,9 @@
     pub(in crate::coordination) fn on_relay_response(
         &mut self,
         requester: Requester,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
-        let answer = match reply {
+        let answer = match response {
             Some(Response { status: 200, body }) => decode::<RelayResponse>(&body).ok(),
             _ => None,
         };
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -173,13 +173,13 @@
     pub(in crate::coordination) fn on_list_response(
         &mut self,
         epoch: u32,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         if epoch != self.store.epoch {
             return;
         }
         self.store.listing.in_flight = false;
-        let Some(Response { status: 200, body }) = reply else {
+        let Some(Response { status: 200, body }) = response else {
             return self.store.back_off(self.now.monotonic_ms);
         };
         let Ok(page) = serde_json::from_slice::<KeyPage>(&body) else {
@@ -235,11 +235,11 @@
     }
 
     /// Applies the answer to a watch or a fresh read to the replica.
-    fn apply_changes(&mut self, asked: ReadPoint, reply: &Option<Response>) -> ReadOutcome {
+    fn apply_changes(&mut self, asked: ReadPoint, response: &Option<Response>) -> ReadOutcome {
         if asked.epoch != self.store.epoch {
             return ReadOutcome::Superseded;
         }
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => self.apply_changes_body(asked, body),
             Some(Response { status: 410, .. }) => {
                 self.on_watch_too_old();
@@ -302,12 +302,12 @@
     pub(in crate::coordination) fn on_watch_response(
         &mut self,
         asked: ReadPoint,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         if asked.epoch == self.store.epoch {
             self.store.watching = false;
         }
-        if matches!(self.apply_changes(asked, &reply), ReadOutcome::Failed) {
+        if matches!(self.apply_changes(asked, &response), ReadOutcome::Failed) {
             self.store.back_off(self.now.monotonic_ms);
         }
     }
@@ -316,10 +316,10 @@
         &mut self,
         begun: u64,
         asked: ReadPoint,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         let waiters = self.store.fresh_reads.in_flight.take().unwrap_or_default();
-        match self.apply_changes(asked, &reply) {
+        match self.apply_changes(asked, &response) {
             ReadOutcome::Applied => {
                 self.store.last_read_at = Some(begun);
                 self.drop_known_ended_jobs();
@@ -327,7 +327,7 @@
                 self.complete_waiters(waiters, begun);
             }
             outcome => {
-                let rate_limited = matches!(reply, Some(Response { status: 429, .. }));
+                let rate_limited = matches!(response, Some(Response { status: 429, .. }));
                 if matches!(outcome, ReadOutcome::Failed) && !rate_limited {
                     self.store.back_off(self.now.monotonic_ms);
                 }
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -36,7 +36,7 @@
     pub(in crate::coordination) fn on_leader_commit_response(
         &mut self,
         term: u64,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         // A response to a transaction of an earlier term says nothing about the one pending now.
@@ -45,7 +45,7 @@
         };
         let Some(pending) = leader.transactions.pending.as_mut() else { return };
         pending.in_flight = false;
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => {
                 match serde_json::from_slice::<TransactionApplied>(&body) {
                     Ok(applied) => self.on_transaction_applied(applied.revision),
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -128,9 +128,9 @@
             path: request.path,
             body: request.body,
         },
-        Incoming::Reply { call, reply } => {
-            let reply = reply.map(|reply| Response::new(reply.status, reply.body));
-            Command::Reply { call, reply }
+        Incoming::Response { call, response } => {
+            let response = response.map(|response| Response::new(response.status, response.body));
+            Command::Response { call, response }
         }
     }
 }
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -48,10 +48,10 @@
         request: http::Request,
     },
     /// The end of a call, with or without a response.
-    Reply {
+    Response {
         /// The call that has ended.
         call: CallId,
         /// The response. Without one the request may still have been executed, or may be executed later.
-        reply: Option<http::Response>,
+        response: Option<http::Response>,
     },
 }
--- a/src/transport/outbound.rs
+++ b/src/transport/outbound.rs
@@ -94,7 +94,7 @@
     }
 
     pub(super) fn report_unanswered(&mut self, call: CallId) {
-        self.incoming.push(Incoming::Reply { call, reply: None });
+        self.incoming.push(Incoming::Response { call, response: None });
     }
 
     fn connect(&mut self, target: Target) -> Option<ConnectionKey> {
@@ -154,7 +154,7 @@
             response.keep_alive && !connection.is_read_closed && connection.input.is_empty();
         connection.input = Vec::new();
         connection.timeout_start = Instant::now();
-        self.incoming.push(Incoming::Reply { call: call.id, reply: Some(response) });
+        self.incoming.push(Incoming::Response { call: call.id, response: Some(response) });
         if !is_reusable {
             return Err(self.close(key));
         }
--- a/src/transport/outbound/tests.rs
+++ b/src/transport/outbound/tests.rs
@@ -35,7 +35,7 @@
     let incoming =
         (0..100).find_map(|_| transport.poll(Duration::from_millis(20)).expect("polls").pop());
     match incoming {
-        Some(Incoming::Reply { call: 7, reply: None }) => {}
+        Some(Incoming::Response { call: 7, response: None }) => {}
         other => panic!("expected an unanswered call: {other:?}"),
     }
 }
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -154,8 +154,11 @@
         assert!(read_some(&mut accepted).starts_with("GET /up HTTP/1.1\r\n"));
         accepted.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}").expect("sent");
         match next(&mut transport) {
-            Incoming::Reply { call, reply: Some(reply) } => {
-                assert_eq!((call, reply.status, reply.body.as_slice()), (id, 200, &b"{}"[..]));
+            Incoming::Response { call, response: Some(response) } => {
+                assert_eq!(
+                    (call, response.status, response.body.as_slice()),
+                    (id, 200, &b"{}"[..])
+                );
             }
             other => panic!("no reply: {other:?}"),
         }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -312,7 +312,7 @@
             n.deadlines.iter().filter(|(_, t)| **t <= now).map(|(c, _)| *c).collect();
         for call in late {
             n.deadlines.remove(&call);
-            n.inbox.push(Command::Reply { call, reply: None });
+            n.inbox.push(Command::Response { call, response: None });
         }
         let Some(core) = n.core.as_mut() else {
             n.inbox.clear();
@@ -487,7 +487,10 @@
             Msg::Reply { node, life, call, status, body } => {
                 let n = &mut self.nodes[node];
                 if n.life == life && n.deadlines.remove(&call).is_some() {
-                    n.inbox.push(Command::Reply { call, reply: Some(Response { status, body }) });
+                    n.inbox.push(Command::Response {
+                        call,
+                        response: Some(Response { status, body }),
+                    });
                 }
             }
             Msg::Heartbeat { worker, request, node, body } => {
