--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -25,7 +25,7 @@
     EndedEarly,
     /// The controller responded with a status other than 200.
     #[error("answered {status}: {body}")]
-    Refused {
+    Rejected {
         /// HTTP status.
         status: u16,
         /// Body of the response, as text.
@@ -57,7 +57,7 @@
     let response = read_response(&mut stream)?;
     if response.status != 200 {
         let body = String::from_utf8_lossy(&response.body).into_owned();
-        return Err(ClientError::Refused { status: response.status, body });
+        return Err(ClientError::Rejected { status: response.status, body });
     }
     Ok(response.body)
 }
