--- a/crates/mountgap-recovery/src/merged_state.rs
+++ b/crates/mountgap-recovery/src/merged_state.rs
@@ -51,8 +51,8 @@
     pub placements: BTreeMap<(String, u32), PlacedTask>,
     /// Jobs that a rebuild could not account for, with the reason.
     pub flagged: BTreeMap<String, FlagReason>,
-    /// Controllers whose memory of the time before the loss was missing in an earlier rebuild, as
-    /// long as no operator has closed that gap.
+    /// Labels of the controllers whose history did not reach back to before the loss in an earlier
+    /// rebuild, as long as no operator has closed that history gap.
     pub open_gap: BTreeSet<String>,
     /// The teams' shares.
     pub shares: Option<SharesRecord>,
--- a/crates/mountgap-recovery/src/snapshot.rs
+++ b/crates/mountgap-recovery/src/snapshot.rs
@@ -3,7 +3,7 @@
 //! A file consists of a magic number, the format version, the length of the header, the header as
 //! JSON, the keys and values as one deflate stream, and a CRC-32 over everything before it. Numbers
 //! are little endian. A file that is damaged, belongs to another deployment, has a later format or
-//! was taken in the future is refused with a reason, so that the caller can try the next older one.
+//! was taken in the future is rejected with a reason, so that the caller can try the next older one.
 
 use crate::constants::{SNAPSHOT_BYTES_MAX, SNAPSHOT_CLOCK_SKEW_MAX_MS};
 use crate::image::StoreImage;
@@ -37,7 +37,7 @@
     pub keys: u64,
 }
 
-/// Why a snapshot is refused.
+/// Why a snapshot is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The file ends too early.
--- a/crates/mountgap-recovery/tests/snapshots.rs
+++ b/crates/mountgap-recovery/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots are read back as they were written, and damaged files are refused.
+//! Snapshots are read back as they were written, and damaged files are rejected.
 
 use bolero::check;
 use mountgap_recovery::image::StoreImage;
@@ -44,7 +44,7 @@
 #[test]
 fn each_defect_of_a_snapshot_gives_its_own_error() {
     let file = encoded();
-    let reason = |bytes: &[u8]| decode(bytes, "here", NOW).expect_err("the snapshot is refused");
+    let reason = |bytes: &[u8]| decode(bytes, "here", NOW).expect_err("the snapshot is rejected");
     for length in 0..file.len() {
         let error = reason(&file[..length]);
         assert!(matches!(error, SnapshotError::Truncated | SnapshotError::Checksum), "{error}");
@@ -53,9 +53,9 @@
     let mut newer = file.clone();
     newer[8..12].copy_from_slice(&(FORMAT_VERSION + 1).to_le_bytes());
     assert_eq!(reason(&newer), SnapshotError::NewerFormat(FORMAT_VERSION + 1));
-    let other = decode(&file, "elsewhere", NOW).expect_err("the snapshot is refused");
+    let other = decode(&file, "elsewhere", NOW).expect_err("the snapshot is rejected");
     assert_eq!(other, SnapshotError::OtherDeployment("here".into()));
-    let future = decode(&file, "here", NOW - 600_000).expect_err("the snapshot is refused");
+    let future = decode(&file, "here", NOW - 600_000).expect_err("the snapshot is rejected");
     assert_eq!(future, SnapshotError::FutureDated(NOW));
     let empty = StoreImage::new();
     let mut image = image();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -170,7 +170,7 @@
             Ok(Route::Status { query }) => self.status(connection, query),
             Ok(Route::RecoveryReport) => self.answer_recovery_report(connection),
             Ok(Route::RecoveryDecision(decision)) => {
-                self.recovery_decision(connection, decision, body);
+                self.handle_decision(connection, decision, body);
             }
             Ok(Route::User(route)) => self.user_request(requester, route, body),
             Err(error) => self.refuse_route(requester, error),
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -28,7 +28,7 @@
     }
 
     /// Handles an operator's decision.
-    pub(in crate::coordination) fn recovery_decision(
+    pub(in crate::coordination) fn handle_decision(
         &mut self,
         connection: ConnectionId,
         decision: Decision,
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -24,8 +24,8 @@
         }
     }
 
-    /// The term for the next campaign. A rebuild skips [`TERM_GAP`] terms, since some of them may have been
-    /// used in the lost part of the history.
+    /// The term for the next campaign. A rebuild skips [`REBUILD_TERM_MARGIN`] terms, since some of them may
+    /// have been used in the lost part of the history.
     pub(in crate::coordination) fn next_term(&self) -> u64 {
         let known = self.store.replica().term().max(self.membership.highest_term());
         if !self.recovery.has_lost_store() {
@@ -79,8 +79,8 @@
             log::info!("rebuild started: this controller was elected to rebuild the store");
             let rebuild = Rebuild::new(self.membership.peer_count(), self.now.monotonic_ms);
             self.recovery.start_rebuild(rebuild);
-            // The store may have lost data again since we read it, and no record would show that. A listing
-            // from now on contains our election.
+            // The store may have lost data again since we read it, and no record would show that. A new
+            // listing shows the store as it was at our election or later.
             self.reload_store();
         }
     }
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -88,7 +88,7 @@
         let timed_out = now >= since + FIRST_START_MAX_MS;
         if workers_had_time && (heard_all_peers || timed_out) {
             log::info!(
-                "first start: the store is empty, and there is no evidence of an earlier one"
+                "store accepted as new: it is empty, and there is no evidence of an earlier one"
             );
             self.recovery.follow_new_store(now);
         }
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -51,7 +51,8 @@
 }
 
 impl Controller {
-    /// Passes in the newest snapshot of an earlier process. Must be called before the store is first read.
+    /// Passes in the image of the newest snapshot of an earlier process. Must be called before the store is
+    /// first read.
     pub fn restore_snapshot(&mut self, image: StoreImage) {
         self.recovery.set_earlier_snapshot(image);
     }
@@ -75,23 +76,32 @@
         self.recovery.peer_view()
     }
 
-    /// Whether a transaction that was applied at `revision` went into the store that we read now, and
-    /// that store is trusted. A transaction that the state service applied after it lost data may have
-    /// an older revision than was known when it was sent.
-    pub(super) fn applied_to_trusted_store(&mut self, sent: ReadPoint, revision: u64) -> bool {
-        self.applied_to_current_store(sent, revision) && !self.recovery.is_suspended()
+    /// Whether a transaction that was sent at `read_point` and applied at `revision` went into the store
+    /// that we read now, and that store is trusted. A transaction that the state service applied after it
+    /// lost data may have an older revision than was known when it was sent.
+    pub(super) fn applied_to_trusted_store(
+        &mut self,
+        read_point: ReadPoint,
+        revision: u64,
+    ) -> bool {
+        self.applied_to_current_store(read_point, revision) && !self.recovery.is_suspended()
     }
 
     /// Whether a transaction was applied to the store that we read now, trusted or not.
-    pub(super) fn applied_to_current_store(&mut self, sent: ReadPoint, revision: u64) -> bool {
+    pub(super) fn applied_to_current_store(
+        &mut self,
+        read_point: ReadPoint,
+        revision: u64,
+    ) -> bool {
         if !self.recovery.is_enabled() {
             return true;
         }
-        if sent.epoch == self.store.epoch() && revision <= sent.revision {
-            let loss = DataLoss::RevisionRegressed { known: sent.revision, observed: revision };
+        if read_point.epoch == self.store.epoch() && revision <= read_point.revision {
+            let loss =
+                DataLoss::RevisionRegressed { known: read_point.revision, observed: revision };
             self.suspect_data_loss(Some(loss));
         }
-        sent.epoch == self.store.epoch()
+        read_point.epoch == self.store.epoch()
     }
 
     /// Makes a user's transaction conditional on the last rebuild that we know. If it were applied during a
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -286,10 +286,10 @@
         self.answer_without_starts(connection, token, commands);
     }
 
-    /// While the service is suspended: the latest time before which no user can have been told of an ended
-    /// job that we don't know. Until the complete history of every controller is gathered, this is the time
-    /// of the last read before the suspected loss. After that, users can only have been told of ended jobs
-    /// that are in the store that we read, so it is the time of the last read.
+    /// While the service is suspended: the time up to which we know all ended jobs that a user can have been
+    /// told of. Until the complete history of every controller is gathered, this is the time of the last read
+    /// before the suspected loss. After that, users can only have been told of ended jobs that are in the
+    /// store that we read, so it is the time of the last read.
     pub(in crate::coordination) fn confirmed_read_while_suspended(&self) -> Option<u64> {
         let releases_gaps = self.recovery.gap_policy() == GapPolicy::Release;
         match self.recovery.rebuild().and_then(Rebuild::plan) {
--- a/src/coordination/recovery/rebuild_plan.rs
+++ b/src/coordination/recovery/rebuild_plan.rs
@@ -38,7 +38,7 @@
     pub(super) fn plan_rebuild(&mut self) {
         let Some(rebuild) = self.recovery.rebuild() else { return };
         let GatheredImages { images, sources, gap } = self.gather_images(rebuild);
-        let histories = join_images_by_store(images);
+        let histories = merge_images_by_store(images);
         let (merged, gap) = self.merge_histories(&histories, gap);
         let identity = self.choose_identity(&histories);
         // The most recent image is kept for a controller that takes over the rebuild.
@@ -98,7 +98,8 @@
         for image in histories.iter().chain([self.recovery.image()]) {
             merged.merge(&MergedState::from_image(image));
         }
-        // This includes jobs that an interrupted rebuild has written, also from incomplete histories.
+        // This also flags jobs that an interrupted rebuild has written: they stem from the same incomplete
+        // histories.
         if !gap.is_empty() && self.recovery.gap_policy() == GapPolicy::Hold {
             merged.flag_live_jobs(FlagReason::MayHaveEnded);
         }
@@ -119,10 +120,10 @@
     }
 }
 
-/// Joins images that can belong to one store, where the later one is consistent with the earlier one. Images of
+/// Merges images that can belong to one store, where the later one is consistent with the earlier one. Images of
 /// different stores, or read across an undetected data loss, are kept separate: their revisions can't be
 /// compared.
-fn join_images_by_store(mut images: Vec<StoreImage>) -> Vec<StoreImage> {
+fn merge_images_by_store(mut images: Vec<StoreImage>) -> Vec<StoreImage> {
     images.retain(|image| !image.is_empty());
     images.sort_by_key(|image| std::cmp::Reverse(image.revision()));
     let mut histories: Vec<StoreImage> = Vec::new();
@@ -130,8 +131,8 @@
         let same_store = histories.iter_mut().find(|history| audit(&image, history).is_ok());
         match same_store {
             Some(history) => {
-                if let Ok(joined) = history.merge(&image) {
-                    *history = joined;
+                if let Ok(merged) = history.merge(&image) {
+                    *history = merged;
                 }
             }
             None => histories.push(image),
--- a/src/coordination/recovery/state.rs
+++ b/src/coordination/recovery/state.rs
@@ -43,8 +43,8 @@
     earlier_snapshot: Option<StoreImage>,
     /// The result of the last snapshot that this process wrote.
     snapshot_status: Option<SnapshotStatus>,
-    /// When the last read before the suspected loss was sent: no user can have been told before that time
-    /// of an ended job that we don't know.
+    /// When the last read before the suspected loss was sent. Up to that time we know all ended jobs that a
+    /// user can have been told of.
     confirmed_read_at: Option<u64>,
     /// The rebuild that this controller runs.
     rebuild: Option<Rebuild>,
@@ -93,7 +93,7 @@
         }
     }
 
-    // --- queries of other modules -----------------------------------------------------
+    // --- queries for other modules ----------------------------------------------------
 
     /// Whether data loss is detected at all. If not, the store is always trusted.
     pub(in crate::coordination) fn is_enabled(&self) -> bool {
@@ -203,7 +203,7 @@
         self.history_complete_from = Some(now);
     }
 
-    /// The same for a new or rebuilt store: the state kept of a lost one is dropped.
+    /// Trusts a new or rebuilt store, and drops the state that was kept of a lost one.
     pub(super) fn follow_new_store(&mut self, now: u64) {
         self.follow_store(now);
         self.continuity_proven = true;
@@ -212,7 +212,7 @@
         self.rebuild = None;
     }
 
-    /// Enters the phase `Lost`. `lost_image` is our image of the store from before the loss.
+    /// Enters the phase `Lost`. `lost_image` is our image of the store from before the loss, if we have one.
     pub(super) fn declare_lost(
         &mut self,
         loss: DataLoss,
@@ -362,8 +362,8 @@
         self.history_complete
     }
 
-    /// When the last read before the suspected loss was sent: no user can have been told before that time
-    /// of an ended job that we don't know.
+    /// When the last read before the suspected loss was sent. Up to that time we know all ended jobs that a
+    /// user can have been told of.
     pub(super) fn confirmed_read_at(&self) -> Option<u64> {
         self.confirmed_read_at
     }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -36,11 +36,11 @@
     /// last one that it has read.
     #[serde(default)]
     pub since: Option<u64>,
-    /// In the answer to such a query: ids of jobs that have ended after that revision, as far as the
+    /// In the response to such a query: ids of jobs that have ended after that revision, as far as the
     /// sender knows. Otherwise empty.
     #[serde(default)]
     pub ended: Vec<String>,
-    /// In the answer to such a query: whether `ended` lists all ended jobs that the sender knows of, and
+    /// In the response to such a query: whether `ended` lists all ended jobs that the sender knows of, and
     /// thus all whose end it can have confirmed to a user.
     #[serde(default)]
     pub ended_all: bool,
@@ -93,8 +93,8 @@
     /// Whether the sender has suspended its service, so that its image no longer changes. If not, it has
     /// only now begun to check the store, and the receiver has to ask again.
     pub holds: bool,
-    /// Whether the sender's knowledge of the lost store is complete up to the loss: it had followed the
-    /// store since before the loss could have happened.
+    /// Whether the sender's history is complete: it had followed the store since before the loss could have
+    /// happened.
     pub remembers: bool,
     /// Highest term that the sender knows of.
     pub term: u64,
--- a/src/protocol/recovery.rs
+++ b/src/protocol/recovery.rs
@@ -13,11 +13,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
-    /// The jobs continue in their last known state. For all jobs this also closes the gap in the history.
+    /// The jobs continue in their last known state. For all jobs this also closes the history gap.
     Release,
     /// The jobs are cancelled.
     GiveUp,
-    /// The gap in the history is closed: jobs that are not known count as never accepted.
+    /// The history gap is closed: jobs that are not known count as never accepted.
     CloseGap,
 }
 
@@ -42,7 +42,7 @@
 /// The jobs that a decision applies to.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct DecisionRequest {
-    /// Job ids; not used to close the gap.
+    /// Job ids; not used to close the history gap.
     #[serde(default)]
     pub jobs: Vec<String>,
     /// Whether the decision applies to all flagged jobs.
@@ -90,7 +90,7 @@
 pub struct LastRebuild {
     /// Phase of the rebuild, in words.
     pub phase: String,
-    /// Label of the controller that does or did it.
+    /// Label of the controller that runs or ran it.
     pub owner: String,
     /// Wall-clock time of its start, in milliseconds since the Unix epoch.
     pub at: u64,
@@ -98,8 +98,8 @@
     pub loss: String,
     /// Labels of the controllers whose images of the lost store were used; empty until all records are written.
     pub sources: Vec<String>,
-    /// Labels of the controllers whose images of the lost store were missing or incomplete; empty once the
-    /// gap is closed by an operator or by the settings.
+    /// The history gap: labels of the controllers whose history does not reach back to before the loss; empty
+    /// once an operator or the settings have closed the gap.
     pub gap: Vec<String>,
 }
 
--- a/src/protocol/routes.rs
+++ b/src/protocol/routes.rs
@@ -69,7 +69,7 @@
     },
     /// An operator's request for the report on data losses and rebuilds of the store.
     RecoveryReport,
-    /// An operator's decision on jobs with an uncertain state after a rebuild of the store.
+    /// An operator's decision on flagged jobs, or on the history gap, after a rebuild of the store.
     RecoveryDecision(Decision),
     /// A user's request.
     User(UserRoute<'a>),
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -39,7 +39,8 @@
     /// Shared bandwidth that a task uses, by class of jobs; the first entry of a class counts. A class without
     /// an entry has low bandwidth.
     pub class_bandwidth: Vec<(String, Bandwidth)>,
-    /// Capacity kept free, as a share of the capacity in use; between 0 and 1.
+    /// Capacity kept free beyond what the waiting tasks need, as a share of the capacity in use; between 0
+    /// and 1.
     pub headroom_share: f64,
     /// Seconds for which a machine may be idle before it is returned. None: the boot time of its type.
     pub idle_return_s: Option<f64>,
