--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -28,7 +28,7 @@
     }
 
     /// Handles an operator's decision.
-    pub(in crate::coordination) fn recovery_decision(
+    pub(in crate::coordination) fn handle_decision(
         &mut self,
         connection: ConnectionId,
         decision: Decision,
@@ -145,10 +145,10 @@
     pub(in crate::coordination) fn on_decision_response(
         &mut self,
         call: DecisionCall,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         let requester = Requester::direct(call.connection, self.now.monotonic_ms);
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => {
                 if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) {
                     self.apply_own_transaction(&call.transaction, applied.revision);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -381,7 +381,7 @@
             n.deadlines.iter().filter(|(_, t)| **t <= now).map(|(c, _)| *c).collect();
         for call in late {
             n.deadlines.remove(&call);
-            n.inbox.push(Command::Reply { call, reply: None });
+            n.inbox.push(Command::Response { call, response: None });
         }
         let Some(controller) = n.controller.as_mut() else {
             n.inbox.clear();
@@ -595,7 +595,10 @@
             Message::Reply { node, incarnation, call, status, body } => {
                 let n = &mut self.nodes[node];
                 if n.incarnation == incarnation && n.deadlines.remove(&call).is_some() {
-                    n.inbox.push(Command::Reply { call, reply: Some(Response { status, body }) });
+                    n.inbox.push(Command::Response {
+                        call,
+                        response: Some(Response { status, body }),
+                    });
                 }
             }
             Message::Heartbeat { worker, request, node, body } => {
