--- a/crates/mountgap-records/src/records.rs
+++ b/crates/mountgap-records/src/records.rs
@@ -126,7 +126,7 @@
 pub struct BatchRecord {
     /// Wall-clock time of the acceptance, in milliseconds.
     pub at: u64,
-    /// Index of its first job among all jobs that the same commit accepted. Batches of one commit
+    /// Index of its first job among all jobs that the same transaction accepted. Batches of one transaction
     /// have the same revision, and no two jobs may have the same arrival number.
     #[serde(default)]
     pub first: u64,
--- a/src/constants/admission.rs
+++ b/src/constants/admission.rs
@@ -1,4 +1,4 @@
-//! Limits on pending users' requests, and the delays after which refused ones may be retried.
+//! Limits on pending users' requests, and the delays after which rejected ones may be retried.
 
 /// User requests handled from one batch of commands. Others are answered 503 at once, so that
 /// heartbeats and scheduling aren't delayed.
--- a/src/constants/leadership.rs
+++ b/src/constants/leadership.rs
@@ -9,7 +9,7 @@
 /// Maximum random delay in milliseconds before a campaign; it makes election conflicts between
 /// controllers rare.
 pub const ELECTION_JITTER_MS: u64 = 120;
-/// Minimum milliseconds that an election takes: a lease grant and a commit, two round trips to the
+/// Minimum milliseconds that an election takes: a lease grant and a transaction, two round trips to the
 /// state service.
 pub const ELECTION_MIN_MS: u64 = 10;
 /// Milliseconds for which a controller does not campaign after it has handed over leadership.
--- a/src/constants/state_service.rs
+++ b/src/constants/state_service.rs
@@ -1,7 +1,7 @@
 //! Calls to the state service: timeouts, request and write rates, and sizes of stored values.
 
 pub use mountgap_records::constants::{DONE_CHUNK_TASKS, KEY_NAMESPACE, KEY_ROOT};
-/// Milliseconds to wait for an ordinary answer. Answers take 10 ms, at times a few hundred, and a
+/// Milliseconds to wait for an ordinary response. Responses take 10 ms, at times a few hundred, and a
 /// user's poll gives up after 2 s.
 pub const STATE_TIMEOUT_MS: u64 = 1_200;
 /// Milliseconds to wait for a page of the initial listing.
@@ -20,8 +20,8 @@
 pub const FRESH_READ_INTERVAL_MIN_MS: u64 = 20;
 /// Milliseconds to wait after a failed request to the state service before a retry.
 pub const STATE_RETRY_BACKOFF_MS: u64 = 250;
-/// Milliseconds before a store with an unsupported layout is checked again.
-pub const UNREADABLE_LAYOUT_RECHECK_MS: u64 = 10_000;
+/// Milliseconds before a store with a layout that this program can't read is checked again.
+pub const FOREIGN_LAYOUT_RECHECK_MS: u64 = 10_000;
 /// Share of an allowed request rate that all controllers use together, each an equal part.
 pub const REQUEST_RATE_SHARE: f64 = 0.85;
 /// Share of the write rate reserved for the leader; the controllers divide the rest evenly for users'
@@ -33,44 +33,45 @@
 /// Writes that a user's request leaves in the budget for others: none, since submissions and
 /// cancellations have the same priority.
 pub const USER_WRITE_RESERVE: f64 = 0.0;
-/// Milliseconds that a submission may wait for a batch before it is relayed to a peer or refused: short
+/// Milliseconds that a submission may wait for a batch before it is relayed to a peer or rejected: short
 /// enough for users to consider it fast.
 pub const BATCH_WAIT_MAX_MS: u64 = 500;
 /// Milliseconds for which submissions are collected into a batch while the write budget is low.
 pub const BATCH_COLLECT_MS: u64 = 60;
-/// Milliseconds after which a second copy of an unanswered batch of submissions is sent: answers
+/// Milliseconds after which a second copy of an unanswered batch of submissions is sent: responses
 /// usually take less than 10 ms (protocol).
 pub const BATCH_HEDGE_DELAY_MS: u64 = 50;
 /// Share of a full write budget below which the budget is low.
 pub const LOW_WRITE_BUDGET_SHARE: f64 = 0.6;
 /// Batches of submissions that may be in flight; other submissions wait meanwhile.
 pub const BATCHES_IN_FLIGHT_MAX: usize = 3;
-/// Bytes of a batch's value reserved for framing: once for each job and once for the value.
-pub const BATCH_FRAME_BYTES: usize = 64;
+/// Overhead bytes of a batch's value, beside the jobs: once for each job and once for the value.
+pub const BATCH_OVERHEAD_BYTES: usize = 64;
 /// Low bits of a job's arrival number, which count the jobs of a batch; the batch's revision is above.
 pub const ARRIVAL_INDEX_BITS: u32 = 8;
 /// Bytes in a kilobyte, as the settings use it.
 pub const BYTES_PER_KB: f64 = 1024.0;
 /// Least value size in bytes that the stored records can do with: a bitmap of done tasks takes a
-/// quarter of [`DONE_CHUNK_TASKS`] in bytes, besides its name and framing.
+/// quarter of [`DONE_CHUNK_TASKS`] in bytes, besides its name and overhead.
 pub const STORE_VALUE_BYTES_MIN: usize = 1_280;
 /// Least limit of puts and deletes in a transaction: an election writes leader and term.
 pub const TRANSACTION_OPS_MIN: usize = 2;
 /// Most bytes of a stored placement, unless machines have very long names. Bounds the size of gangs,
-/// since a gang is placed by one commit.
+/// since a gang is placed by one transaction.
 pub const PLACEMENT_BYTES_MAX: usize = 64;
-/// Bytes of a group's value reserved for framing.
-pub const GROUP_FRAME_BYTES: usize = 64;
-/// Bytes of a commit reserved for framing and conditions, out of [`COMMIT_BYTES_MAX`].
-pub const COMMIT_FRAME_BYTES: usize = 16 * 1024;
-/// Conditions that a commit may have for each of its changes (protocol).
+/// Overhead bytes of a group's value, beside its entries.
+pub const GROUP_OVERHEAD_BYTES: usize = 64;
+/// Overhead bytes of a transaction, beside its values: framing and conditions, out of
+/// [`TRANSACTION_BYTES_MAX`].
+pub const TRANSACTION_OVERHEAD_BYTES: usize = 16 * 1024;
+/// Conditions that a transaction may have for each of its changes (protocol).
 pub const CONDITIONS_PER_CHANGE: usize = 4;
-/// Most bytes of a commit (protocol).
-pub const COMMIT_BYTES_MAX: usize = 64 * 1024;
+/// Most bytes of a transaction (protocol).
+pub const TRANSACTION_BYTES_MAX: usize = 64 * 1024;
 /// Bytes of one task in a heartbeat, rounded up. Bounds the tasks of a machine, since a heartbeat may
 /// have 64 KiB.
 pub const HEARTBEAT_TASK_BYTES: usize = 128;
-/// Placement groups that a periodic transaction may rewrite only to remove ended placements.
+/// Placement groups that a periodic transaction may rewrite only to remove settled placements.
 pub const CLEANED_GROUPS_PER_TRANSACTION: usize = 2;
 /// Most commands in a response to a worker: at up to 131 bytes each, the body stays under 64 KiB.
 pub const COMMANDS_MAX: usize = 500;
@@ -78,5 +79,5 @@
 pub const IMAGES_PER_MACHINE_MAX: usize = 10;
 /// Milliseconds between two writes of the images that machines hold, which are hints for a new leader.
 pub const IMAGES_WRITE_PERIOD_MS: u64 = 15_000;
-/// Milliseconds between two searches for obsolete keys.
+/// Milliseconds between two scans for stale keys.
 pub const STALE_KEY_SCAN_PERIOD_MS: u64 = 10_000;
--- a/src/constants/workers.rs
+++ b/src/constants/workers.rs
@@ -12,7 +12,7 @@
 /// Milliseconds added to a worker's lease where cancelled tasks must be gone within `cancel_s` without the
 /// state service: the lease starts when a heartbeat is sent, so only clocks and timers need a margin.
 pub const CANCEL_MARGIN_MS: u64 = 1_000;
-/// Greatest age in milliseconds of the knowledge of cancellations that start commands may rest on: one read
+/// Maximum age in milliseconds of what is known of cancellations for a start command to be sent: one read
 /// period and the longest wait for a response, so that no start is delayed while the store answers at all.
 pub const START_READ_AGE_MAX_MS: u64 = FRESH_READ_PERIOD_MS + STATE_TIMEOUT_MS + 100;
 /// Milliseconds without a read of the store after which a leader asks its peers which jobs have ended:
--- a/src/coordination/cloud_client.rs
+++ b/src/coordination/cloud_client.rs
@@ -1,11 +1,11 @@
-//! Client state for the cloud's interface: the request rate limit, and the catalogue of machine types.
+//! Client state for the cloud's interface: the request rate limit, and the catalog of machine types.
 
 use crate::constants::{CATALOG_PERIOD_MS, CLOUD_RETRY_BACKOFF_MS, REQUEST_RATE_SHARE};
 use crate::protocol::cloud::Catalog;
 use crate::storage::token_bucket::TokenBucket;
 use std::rc::Rc;
 
-/// How many times longer a follower waits between two catalogue requests than a leader.
+/// How many times longer a follower waits between two catalog requests than a leader.
 const FOLLOWER_CATALOG_PERIODS: u64 = 10;
 
 /// A controller's client state for the cloud's interface.
@@ -48,24 +48,24 @@
         self.budget.try_take(1.0, min_remaining, now)
     }
 
-    /// The last known catalogue of machine types.
+    /// The last known catalog of machine types.
     pub(super) fn catalog(&self) -> Option<&Rc<Catalog>> {
         self.catalog.as_ref()
     }
 
-    /// Stores a catalogue that the cloud has returned.
+    /// Stores a catalog that the cloud has returned.
     pub(super) fn set_catalog(&mut self, catalog: Catalog) {
         self.catalog = Some(Rc::new(catalog));
     }
 
-    /// Falls back to the catalogue kept in the store if the cloud has returned none yet.
+    /// Falls back to the catalog kept in the store if the cloud has returned none yet.
     pub(super) fn restore_catalog(&mut self, stored: Option<&Catalog>) {
         if self.catalog.is_none() {
             self.catalog = stored.map(|catalog| Rc::new(catalog.clone()));
         }
     }
 
-    /// Whether to request the catalogue now. If so, the request is recorded as in flight.
+    /// Whether to request the catalog now. If so, the request is recorded as in flight.
     pub(super) fn begin_catalog_request(&mut self, is_leader: bool, now: u64) -> bool {
         let period_ms = match (&self.catalog, is_leader) {
             (None, _) => CLOUD_RETRY_BACKOFF_MS,
@@ -81,7 +81,7 @@
         true
     }
 
-    /// Records that the catalogue request was answered or has failed.
+    /// Records that the catalog request was answered or has failed.
     pub(super) fn end_catalog_request(&mut self) {
         self.catalog_request_in_flight = false;
     }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -39,8 +39,8 @@
         self.backoff_until = now + HANDOVER_BACKOFF_MS;
     }
 
-    /// Notes that another controller holds the leader key.
-    fn note_leader(&mut self) {
+    /// Records that another controller holds the leader key.
+    fn record_leader(&mut self) {
         self.campaign_at = None;
         self.conflicts = 0;
     }
@@ -60,7 +60,7 @@
         }
         let stored = self.store.replica().leader.as_ref().map(|stored| &stored.value);
         if stored.is_some_and(|leader| !self.is_earlier_process(leader)) {
-            return self.election.note_leader();
+            return self.election.record_leader();
         }
         let campaign_at = match self.election.campaign_at {
             Some(at) => at,
@@ -178,9 +178,9 @@
     /// Begins to lead in `term`; `mod_revision` is the revision of the leader key.
     fn begin_term(&mut self, term: u64, mod_revision: u64, lease_id: u64) {
         let now = self.now.monotonic_ms;
-        log::info!("became leader in term {term}");
-        self.membership.note_term(term);
-        self.store.note_revision(mod_revision);
+        log::info!("leader elected: this controller, term {term}");
+        self.membership.record_term(term);
+        self.store.record_revision(mod_revision);
         self.cloud.set_leader_rate(now);
         let peers = self.membership.peer_count();
         let keys = self.store.replica().hash_keys();
--- a/src/coordination/gang_rules.rs
+++ b/src/coordination/gang_rules.rs
@@ -3,8 +3,8 @@
 
 use super::write_shares::leader_write_share;
 use crate::constants::{
-    COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES, GROUP_FRAME_BYTES, HEARTBEAT_JITTER_SHARE,
-    LEADER_WRITE_RESERVE, PLACEMENT_BYTES_MAX,
+    GROUP_OVERHEAD_BYTES, HEARTBEAT_JITTER_SHARE, LEADER_WRITE_RESERVE, PLACEMENT_BYTES_MAX,
+    TRANSACTION_BYTES_MAX, TRANSACTION_OVERHEAD_BYTES,
 };
 use crate::protocol::users::JobSpec;
 use crate::settings::Workers;
@@ -13,11 +13,11 @@
 /// Most tasks of a gang: the placements of an attempt are stored in one transaction, whose writes are
 /// limited by the state service and by the leader's share of its write rate.
 pub(super) fn gang_tasks_max(limits: &StoreLimits, controllers: usize) -> usize {
-    let by_bytes = (COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES) / limits.value_bytes;
+    let by_bytes = (TRANSACTION_BYTES_MAX - TRANSACTION_OVERHEAD_BYTES) / limits.value_bytes;
     let burst =
         limits.lowest_writes_per_s() * leader_write_share(controllers) - LEADER_WRITE_RESERVE;
     let groups = limits.transaction_ops.min(by_bytes).min(burst as usize).max(1);
-    groups * ((limits.value_bytes - GROUP_FRAME_BYTES) / PLACEMENT_BYTES_MAX)
+    groups * ((limits.value_bytes - GROUP_OVERHEAD_BYTES) / PLACEMENT_BYTES_MAX)
 }
 
 /// Whether all tasks of a gang could run at once if `zones` zones offer machine types that it may use.
--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -34,7 +34,7 @@
     /// Whether it proves that a response has arrived.
     pub(super) delivered: bool,
     /// Number of signs that responses do not arrive.
-    pub(super) undelivered_signs: u32,
+    pub(super) missed_response_signs: u32,
 }
 
 impl ResponseDelivery {
@@ -47,7 +47,7 @@
     pub(super) fn evaluate(
         machine: &Machine,
         id: HeartbeatId,
-        has_our_token: bool,
+        has_current_token: bool,
         now: u64,
     ) -> ResponseDelivery {
         let previous = machine.newest_heartbeat;
@@ -58,15 +58,15 @@
         let wait_ms = (WORKER_TIMEOUT_S * MS_PER_S) as u64;
         let is_in_time = received_at.is_some_and(|received| now < received + wait_ms);
         let follows_promptly = answered_last && id == previous.next() && is_in_time;
-        let mut undelivered_signs = u32::from(!has_our_token && answered_at.is_some());
+        let mut missed_response_signs = u32::from(!has_current_token && answered_at.is_some());
         if answered_last && id.incarnation > previous.incarnation {
             // A worker that responses reach keeps its incarnation.
-            undelivered_signs += NEW_INCARNATION_SIGNS;
+            missed_response_signs += NEW_INCARNATION_SIGNS;
         }
         let skipped_numbers = id.sequence > previous.next().sequence;
-        undelivered_signs += u32::from(answered_last && skipped_numbers);
-        let shows_token_first = has_our_token && !machine.has_current_token;
-        ResponseDelivery { delivered: follows_promptly || shows_token_first, undelivered_signs }
+        missed_response_signs += u32::from(answered_last && skipped_numbers);
+        let shows_token_first = has_current_token && !machine.has_current_token;
+        ResponseDelivery { delivered: follows_promptly || shows_token_first, missed_response_signs }
     }
 }
 
@@ -75,7 +75,7 @@
     machine: &mut Machine,
     heartbeat: &Heartbeat,
     catalog: Option<&Catalog>,
-    has_our_token: bool,
+    has_current_token: bool,
     now: u64,
 ) {
     machine.newest_heartbeat = HeartbeatId::of(heartbeat);
@@ -100,11 +100,11 @@
     machine.up_at.get_or_insert(now);
     // A heartbeat without this term's token, though an earlier one was answered in this term, may be a delayed
     // copy from before the term. Such a copy must not hide that the machine is silent.
-    if has_our_token || machine.last_response_at.is_none() {
+    if has_current_token || machine.last_response_at.is_none() {
         machine.last_alive_at = Some(now);
     }
     machine.lease_expired = false;
-    machine.has_current_token |= has_our_token;
+    machine.has_current_token |= has_current_token;
     update_reclaim_time(machine, heartbeat.reclaim_s, now);
 }
 
@@ -153,20 +153,20 @@
         machine: &mut Machine,
         reported: &ReportedTasks<'_>,
         heartbeat: HeartbeatId,
-        has_our_token: bool,
+        has_current_token: bool,
         now: u64,
     ) -> Evidence {
         let mut evidence = Evidence::default();
-        let open = machine.placements.iter_mut().filter(|(_, p)| p.settled.is_none());
-        for (id, placement) in open {
+        let unsettled = machine.placements.iter_mut().filter(|(_, p)| p.settled.is_none());
+        for (id, placement) in unsettled {
             match reported.get(id, placement.attempt) {
                 Some(task) if task.status.is_on_machine() => {
-                    evidence.add_present(id, placement, task, has_our_token, now);
+                    evidence.add_present(id, placement, task, has_current_token, now);
                 }
-                Some(task) if has_our_token => {
+                Some(task) if has_current_token => {
                     evidence.add_end(id, task.cause.unwrap_or(EndCause::Lost));
                 }
-                None if has_our_token => evidence.add_absent(id, placement, heartbeat),
+                None if has_current_token => evidence.add_absent(id, placement, heartbeat),
                 _ => {}
             }
         }
@@ -177,18 +177,18 @@
         self.ended.push(EndedTask { id: id.clone(), cause });
     }
 
-    /// The heartbeat reports the task as being on the machine.
+    /// Evaluates a placement whose task the heartbeat reports as being on the machine.
     fn add_present(
         &mut self,
         id: &TaskId,
         placement: &mut Placement,
         task: &ReportedTask,
-        has_our_token: bool,
+        has_current_token: bool,
         now: u64,
     ) {
         let reported_first = placement.reported_status.is_none();
         self.start_arrived |=
-            has_our_token && reported_first && placement.start_sent_after.is_some();
+            has_current_token && reported_first && placement.start_sent_after.is_some();
         placement.reported_status = Some(task.status);
         if task.status.has_begun() && placement.running_since.is_none() {
             placement.running_since = Some(now);
@@ -196,7 +196,7 @@
         }
     }
 
-    /// A heartbeat with this term's fencing token does not report the task.
+    /// Evaluates a placement whose task is missing from a heartbeat with this term's fencing token.
     fn add_absent(&mut self, id: &TaskId, placement: &Placement, heartbeat: HeartbeatId) {
         if placement.reported_status.is_some() {
             // It was reported before, so it was killed when the worker's incarnation ended.
--- a/src/coordination/heartbeats/mod.rs
+++ b/src/coordination/heartbeats/mod.rs
@@ -30,11 +30,11 @@
             Ok(heartbeat) => heartbeat,
             Err(error) => {
                 let requester = Requester::direct(connection, now);
-                return self.refuse(requester, 400, &error.to_string(), None);
+                return self.answer_error(requester, 400, &error.to_string(), None);
             }
         };
         self.metrics.work.reports += 1;
-        self.membership.note_worker_heartbeat(&heartbeat.machine, now);
+        self.membership.record_worker_heartbeat(&heartbeat.machine, now);
         self.check_worker_token(&heartbeat);
         self.observe_fencing_token(heartbeat.fencing_token);
         if heartbeat.fencing_token > self.membership.highest_term() {
@@ -71,7 +71,7 @@
         let last_read_at = self.store.last_read_at().unwrap_or(self.started_at);
         let possible_elections = (self.now.monotonic_ms - last_read_at) / ELECTION_MIN_MS + 1;
         if token - highest_term <= possible_elections {
-            self.membership.note_term(token);
+            self.membership.record_term(token);
             self.check_term();
         }
     }
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -48,12 +48,12 @@
             machine.idle_since.get_or_insert(now);
         }
         leader.evict_before_reclaim(&name, now, &self.settings.params.workers);
-        let has_our_token = heartbeat.fencing_token == leader.term;
+        let has_current_token = heartbeat.fencing_token == leader.term;
         leader.deferred_heartbeats.push(DeferredHeartbeat::new(
             connection,
             name,
             heartbeat,
-            has_our_token,
+            has_current_token,
             untracked_tasks,
             now,
         ));
@@ -66,14 +66,14 @@
         let lease_ms = self.settings.params.workers.lease_s * MS_PER_S;
         let reset_after_ms = (lease_ms * UNREACHABLE_RESET_LEASES) as u64;
         let Some(leader) = self.leader.as_mut() else { return };
-        let has_our_token = heartbeat.fencing_token == leader.term;
+        let has_current_token = heartbeat.fencing_token == leader.term;
         let keys = leader.cluster.hash_keys();
         let machine = leader.cluster.machine_entry(name, now);
         let id = HeartbeatId::of(heartbeat);
-        let delivery = ResponseDelivery::evaluate(machine, id, has_our_token, now);
-        update_machine(machine, heartbeat, catalog, has_our_token, now);
+        let delivery = ResponseDelivery::evaluate(machine, id, has_current_token, now);
+        update_machine(machine, heartbeat, catalog, has_current_token, now);
         let reported = ReportedTasks::from_heartbeat(heartbeat, keys);
-        let evidence = Evidence::collect(machine, &reported, id, has_our_token, now);
+        let evidence = Evidence::collect(machine, &reported, id, has_current_token, now);
         update_reachability(machine, &delivery, &evidence, now, reset_after_ms);
         for started in evidence.started {
             if leader.record_task_started(name, &started, catalog) {
@@ -103,7 +103,7 @@
         let was_rebuilt = self.store.replica().rebuild.is_some();
         let history_may_be_incomplete = was_rebuilt || self.starts_are_blocked();
         let Some(leader) = self.leader.as_mut() else { return Ok(Vec::new()) };
-        let has_our_token = heartbeat.fencing_token == leader.term;
+        let has_current_token = heartbeat.fencing_token == leader.term;
         let mut tasks_of_unknown_jobs = BTreeSet::new();
         let mut to_stop = Vec::new();
         for reported in heartbeat.tasks.iter().filter(|task| task.status.is_on_machine()) {
@@ -113,7 +113,7 @@
                 continue;
             }
             // The heartbeat may be a delayed copy. One with this term's token shows what really runs there.
-            if history_may_be_incomplete && !has_our_token {
+            if history_may_be_incomplete && !has_current_token {
                 continue;
             }
             if was_rebuilt && !self.store.replica().jobs.contains_key(&id.task.job) {
@@ -129,14 +129,14 @@
                 reported.task_id,
                 id.number
             );
-            if has_our_token && !was_rebuilt && self.recovery.is_enabled() {
+            if has_current_token && !was_rebuilt && self.recovery.is_enabled() {
                 return Err(UnrecordedTask { task_id: reported.task_id.clone() });
             }
             to_stop.push(TaskAttempt { task_id: reported.task_id.clone(), attempt: id.number });
             leader.cluster.add_untracked_task(name, &id, now);
         }
         let machine = leader.cluster.machines.get_mut(name);
-        if let Some(machine) = machine.filter(|_| !was_rebuilt || has_our_token) {
+        if let Some(machine) = machine.filter(|_| !was_rebuilt || has_current_token) {
             machine.unknown_tasks = tasks_of_unknown_jobs;
         }
         Ok(to_stop)
@@ -164,9 +164,9 @@
     now: u64,
     reset_after_ms: u64,
 ) {
-    let undelivered_signs = delivery.undelivered_signs + u32::from(evidence.start_missed);
+    let missed_response_signs = delivery.missed_response_signs + u32::from(evidence.start_missed);
     let delivered = delivery.delivered || evidence.start_arrived;
-    if machine.record_response_delivery(undelivered_signs, delivered, now, reset_after_ms) {
+    if machine.record_response_delivery(missed_response_signs, delivered, now, reset_after_ms) {
         log::info!(
             "machine unreachable: {} sends heartbeats but gets no response, so it gets no new tasks",
             machine.name
--- a/src/coordination/heartbeats/reclaim.rs
+++ b/src/coordination/heartbeats/reclaim.rs
@@ -23,8 +23,8 @@
         let mut gangs: BTreeSet<JobId> = BTreeSet::new();
         for (id, placement) in &mut machine.placements {
             let spec = jobs.get(&id.job).and_then(|job| job.spec.as_ref());
-            let is_open = placement.settled.is_none() && placement.stop_reason.is_none();
-            let Some(spec) = spec.filter(|_| is_open) else { continue };
+            let is_active = placement.settled.is_none() && placement.stop_reason.is_none();
+            let Some(spec) = spec.filter(|_| is_active) else { continue };
             if !must_be_evicted(spec, placement, remaining_ms, now, workers) {
                 continue;
             }
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -26,7 +26,7 @@
     machine: MachineName,
     id: HeartbeatId,
     received_at: u64,
-    has_our_token: bool,
+    has_current_token: bool,
     ended_tasks: Vec<TaskAttempt>,
     /// Reported tasks without a placement, which have to be stopped.
     untracked_tasks: Vec<TaskAttempt>,
@@ -37,7 +37,7 @@
         connection: ConnectionId,
         machine: MachineName,
         heartbeat: &Heartbeat,
-        has_our_token: bool,
+        has_current_token: bool,
         untracked_tasks: Vec<TaskAttempt>,
         now: u64,
     ) -> DeferredHeartbeat {
@@ -51,7 +51,7 @@
             machine,
             id: HeartbeatId::of(heartbeat),
             received_at: now,
-            has_our_token,
+            has_current_token,
             ended_tasks,
             untracked_tasks,
         }
@@ -167,7 +167,7 @@
     /// The heartbeat that is answered.
     heartbeat: HeartbeatId,
     /// Whether it shows this term's fencing token.
-    has_our_token: bool,
+    has_current_token: bool,
     /// Whether start commands may be sent now, and to this machine.
     may_start: bool,
 }
@@ -226,7 +226,7 @@
         let is_inherited = self.is_inherited(placement);
         let may_start = self.may_start
             && placement.reported_status.is_none()
-            && (!is_inherited || self.has_our_token);
+            && (!is_inherited || self.has_current_token);
         if !may_start {
             return Decision::NoCommand;
         }
@@ -235,7 +235,7 @@
         let is_from_before_rebuild = placement.term() < self.rebuilt_in_term;
         let gang = job.and_then(|job| job.gang.as_ref());
         let may_have_run = gang.is_some_and(|gang| self.gang_may_have_run(gang, placement));
-        match (is_from_before_rebuild || may_have_run, self.has_our_token) {
+        match (is_from_before_rebuild || may_have_run, self.has_current_token) {
             (false, _) => Decision::Start,
             (true, true) => Decision::SettleAsLost,
             (true, false) => Decision::NoCommand,
@@ -287,7 +287,7 @@
 
     /// The response to a heartbeat; `None` if its machine is gone or has sent a newer heartbeat.
     fn commands_for(&mut self, heartbeat: &DeferredHeartbeat) -> Option<HeartbeatResponse> {
-        let may_order_starts = self.may_order_starts();
+        let may_send_starts = self.may_send_starts();
         let rebuilt_in_term = self.store.replica().rebuild_term();
         let leader = self.leader.as_mut()?;
         let jobs = &leader.cluster.jobs;
@@ -300,8 +300,8 @@
             term: leader.term,
             rebuilt_in_term,
             heartbeat: heartbeat.id,
-            has_our_token: heartbeat.has_our_token,
-            may_start: may_order_starts && takes_starts,
+            has_current_token: heartbeat.has_current_token,
+            may_start: may_send_starts && takes_starts,
         };
         let peers_report_end_of = |job_id: &str| self.membership.has_ended_per_peer(job_id);
         let mut decided = DecidedCommands::new(heartbeat.stop_and_clear_commands(machine));
--- a/src/coordination/heartbeats/response/tests.rs
+++ b/src/coordination/heartbeats/response/tests.rs
@@ -11,7 +11,7 @@
         term: TERM,
         rebuilt_in_term: 0,
         heartbeat: HEARTBEAT,
-        has_our_token: true,
+        has_current_token: true,
         may_start: true,
     }
 }
@@ -47,9 +47,9 @@
 }
 
 #[test]
-fn an_inherited_placement_is_started_only_once_its_machine_shows_our_token() {
+fn an_inherited_placement_is_started_only_once_its_machine_shows_the_current_token() {
     let inherited = placement_of_term(TERM - 1);
-    let without_token = ResponseContext { has_our_token: false, ..context() };
+    let without_token = ResponseContext { has_current_token: false, ..context() };
     assert!(matches!(without_token.decide_start(&inherited, None), Decision::NoCommand));
     assert!(matches!(context().decide_start(&inherited, None), Decision::Start));
 }
--- a/src/coordination/leader/gangs.rs
+++ b/src/coordination/leader/gangs.rs
@@ -94,7 +94,7 @@
 
 impl Controller {
     /// Stops gang attempts that can't complete, if the next scan is due.
-    pub(super) fn gang_scan_due(&mut self) {
+    pub(super) fn scan_gangs_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.next_gang_scan_at)
         else {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -147,7 +147,7 @@
 
 impl Controller {
     /// Does the leader's work that is due; nothing if this controller doesn't lead.
-    pub(super) fn leader_due(&mut self) {
+    pub(super) fn run_leader_work_if_due(&mut self) {
         self.check_term();
         if self.leader.is_none() {
             return;
@@ -165,9 +165,9 @@
         if self.leader.is_none() {
             return;
         }
-        self.gang_scan_due();
+        self.scan_gangs_if_due();
         self.fleet_due();
-        self.log_summary_due();
+        self.log_summary_if_due();
         self.planning_due();
         self.send_due_transaction();
         self.answer_deferred_heartbeats();
@@ -175,10 +175,10 @@
 
     /// Handles the result of a read that was begun after the election, or after a transaction of unknown
     /// outcome.
-    pub(super) fn on_leader_read(&mut self, begun: u64) {
+    pub(super) fn on_leader_read(&mut self, begun_at: u64) {
         match &self.leader {
             None => {}
-            Some(leader) if leader.ready => self.resolve_unknown_outcome(begun),
+            Some(leader) if leader.ready => self.resolve_unknown_outcome(begun_at),
             // Takeover waits until recovery has restored the store.
             Some(_) if self.recovery.is_suspended() => {}
             Some(leader) if self.store.replica().revision < leader.mod_revision => {
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -116,7 +116,7 @@
         let shares = planner::move_shares(&input.snapshot, self.shares.clone());
         if shares != self.shares {
             self.shares = shares;
-            self.transactions.note_shares_changed();
+            self.transactions.mark_shares_changed();
         }
         for (team, share) in input.snapshot.teams.iter_mut().zip(&self.shares) {
             team.share_permille = *share;
--- a/src/coordination/leader/summary.rs
+++ b/src/coordination/leader/summary.rs
@@ -7,7 +7,8 @@
 use crate::storage::machine::{Machine, MachineState, Placement};
 
 impl Controller {
-    pub(super) fn log_summary_due(&mut self) {
+    /// Logs the summary line if the next one is due.
+    pub(super) fn log_summary_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| now >= leader.next_summary_at)
         else {
@@ -26,14 +27,14 @@
             self.cluster.jobs.values().map(|job| u64::from(job.waiting_tasks())).sum();
         let free = self.free_resources();
         log::info!(
-            "cluster summary: {} ordinary and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
+            "cluster summary: {} on-demand and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
             self.count_machines(|machine| is_up(machine) && !machine.spot),
             self.count_machines(|machine| is_up(machine) && machine.spot),
             self.count_machines(|machine| is_up(machine) && machine.placements.is_empty()),
             self.count_machines(|machine| machine.state == MachineState::Booting),
-            self.count_open_placements(is_running),
-            self.count_open_placements(is_starting),
-            self.count_open_placements(|placement| placement.stop_reason.is_some()),
+            self.count_unsettled_placements(is_running),
+            self.count_unsettled_placements(is_starting),
+            self.count_unsettled_placements(|placement| placement.stop_reason.is_some()),
             waiting_tasks,
             free.cpu / MILLI_PER_UNIT as i64,
             free.gpu / MILLI_PER_UNIT as i64,
@@ -44,7 +45,7 @@
         self.cluster.machines.values().filter(|machine| is_counted(machine)).count()
     }
 
-    fn count_open_placements(&self, is_counted: impl Fn(&Placement) -> bool) -> usize {
+    fn count_unsettled_placements(&self, is_counted: impl Fn(&Placement) -> bool) -> usize {
         let placements =
             self.cluster.machines.values().flat_map(|machine| machine.placements.values());
         placements.filter(|placement| placement.settled.is_none() && is_counted(placement)).count()
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Stops leading and redirects the workers whose heartbeats await an answer.
+    /// Stops leading and redirects the workers whose heartbeats await a response.
     pub(super) fn step_down(&mut self, reason: &str) {
         let Some(leader) = self.leader.take() else { return };
         self.abandon_rebuild();
-        log::info!("stepped down from leadership of term {}: {reason}", leader.term);
+        log::info!("leader stepped down: this controller, term {}, {reason}", leader.term);
         self.set_state_rates();
         self.cloud.set_follower_rate(self.settings.controllers(), self.now.monotonic_ms);
         for heartbeat in leader.deferred_heartbeats {
--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -42,7 +42,7 @@
     }
 
     /// Sends gossip to every peer whose gossip period has passed, unless a message is in flight to it.
-    pub(in crate::coordination) fn gossip_due(&mut self) {
+    pub(in crate::coordination) fn send_gossip_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         for index in 0..self.membership.peers.len() {
             let peer = &mut self.membership.peers[index];
@@ -94,7 +94,7 @@
             return None;
         }
         let index = self.settings.peers.iter().position(|peer| peer.label == gossip.label)?;
-        self.membership.note_term(gossip.term);
+        self.membership.record_term(gossip.term);
         self.check_peer_store(&gossip);
         let peer = &mut self.membership.peers[index];
         peer.last_heard_at = self.now.monotonic_ms;
@@ -108,26 +108,26 @@
         let Some(peer) = self.receive_gossip(body) else {
             return self.respond(connection, 400, None, vec![]);
         };
-        let answer = encode(&self.gossip_for(peer));
+        let response = encode(&self.gossip_for(peer));
         if let Some(leader) = self.leader.as_mut() {
-            // An answer that says we lead permits the peer to extend workers' leases for a while.
+            // A response that says we lead permits the peer to extend workers' leases for a while.
             leader.lease_extension_permits[peer] = Some(self.now.monotonic_ms);
         }
-        self.respond(connection, 200, None, answer);
+        self.respond(connection, 200, None, response);
     }
 
-    /// The answer to a peer's gossip, with the ended jobs that it asks for.
+    /// The response to a peer's gossip, with the ended jobs that it asks for.
     fn gossip_for(&self, peer: usize) -> Gossip {
-        let mut answer = self.gossip();
+        let mut response = self.gossip();
         let asked = self.membership.peers[peer].gossip.as_ref();
         if let Some(since) = asked.and_then(|gossip| gossip.since) {
             // A revision of another store than ours doesn't tell which ended jobs the peer lacks, so
             // the list can't be called complete.
             let asked_in = asked.and_then(|gossip| gossip.store);
-            let same_store = asked_in == answer.store && !self.recovery.is_suspended();
-            self.list_ended_jobs(since, &mut answer);
-            answer.ended_all &= same_store;
+            let same_store = asked_in == response.store && !self.recovery.is_suspended();
+            self.list_ended_jobs(since, &mut response);
+            response.ended_all &= same_store;
         }
-        answer
+        response
     }
 }
--- a/src/coordination/membership/lease_extension.rs
+++ b/src/coordination/membership/lease_extension.rs
@@ -2,8 +2,8 @@
 //! partitioned zone, keeps their leases alive for a limited time.
 //!
 //! It starts nothing and stops only tasks of jobs that it knows to have ended. The permission is the leader's
-//! own answer to our gossip, and lasts as long after our message as leases may be renewed without the state
-//! service (see [`Controller::may_renew_worker_leases`]). The leader records when it last gave that answer.
+//! own response to our gossip, and lasts as long after our message as leases may be renewed without the state
+//! service (see [`Controller::may_renew_worker_leases`]). The leader records when it last sent such a response.
 //! It treats a lease as expired only once every peer either has said, after the end of the lease, that it did
 //! not extend it, or could no longer have been permitted to when the lease began.
 
@@ -92,8 +92,8 @@
         connection: ConnectionId,
         heartbeat: &Heartbeat,
     ) {
-        let has_ended = |uid: &str| {
-            self.store.replica().has_ended(uid) || self.membership.has_ended_per_peer(uid)
+        let has_ended = |job_id: &str| {
+            self.store.replica().has_ended(job_id) || self.membership.has_ended_per_peer(job_id)
         };
         // Tasks of jobs cancelled before we were isolated must still end within `cancel_s`.
         let commands = stop_commands_of_ended_jobs(heartbeat, has_ended);
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -74,12 +74,12 @@
     }
 
     /// Records a term that a peer, a worker or the store has shown.
-    pub(super) fn note_term(&mut self, term: u64) {
+    pub(super) fn record_term(&mut self, term: u64) {
         self.highest_term = self.highest_term.max(term);
     }
 
     /// Records the time of a worker's heartbeat to this controller.
-    pub(super) fn note_worker_heartbeat(&mut self, machine: &str, now: u64) {
+    pub(super) fn record_worker_heartbeat(&mut self, machine: &str, now: u64) {
         self.worker_heartbeats.insert(machine.to_string(), now);
     }
 
@@ -108,15 +108,15 @@
             .min_by_key(|index| served_ago(&self.peers[*index]))
     }
 
-    /// The replica is loaded again, and may lack more ended jobs than peers were asked for: their
-    /// lists no longer count as complete.
+    /// Stops counting the peers' lists of ended jobs as complete: the replica is loaded again, and may
+    /// lack more ended jobs than the peers were asked for.
     pub(super) fn reset_ended_jobs_complete_at(&mut self) {
         self.peers.iter_mut().for_each(|peer| peer.ended_jobs_complete_at = None);
     }
 
     /// Whether a peer has reported the end of a job that our replica still has as live.
-    pub(super) fn has_ended_per_peer(&self, uid: &str) -> bool {
-        self.ended_jobs.contains(uid)
+    pub(super) fn has_ended_per_peer(&self, job_id: &str) -> bool {
+        self.ended_jobs.contains(job_id)
     }
 
     /// The time up to which the lists of ended jobs from all peers are complete: the earliest over all
--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -29,7 +29,7 @@
     pub health_checks: u64,
     /// Jobs accepted.
     pub accepted: u64,
-    /// Requests refused with a status of 429 or above.
+    /// Requests rejected with a status of 429 or above.
     pub refused: u64,
     /// Requests sent to peers.
     pub peer_requests_sent: u64,
@@ -41,7 +41,7 @@
     pub state_reads: u64,
     /// Reads that returned no change.
     pub state_reads_unchanged: u64,
-    /// Bytes of the answers to reads.
+    /// Bytes of the responses to reads.
     pub state_bytes_read: u64,
     /// Transactions sent.
     pub state_commits: u64,
@@ -51,7 +51,7 @@
     pub planner_passes: u64,
     /// Machines examined by these passes.
     pub planner_machines: u64,
-    /// Candidate places for tasks computed by these passes.
+    /// Candidate allocations of tasks to machines examined by these passes.
     pub planner_places: u64,
     /// Scans of the fleet for machines to rent or to return.
     pub fleet_scans: u64,
@@ -94,9 +94,9 @@
 pub(crate) struct Metrics {
     /// From a submission to its acceptance.
     pub submit_ms: Latencies,
-    /// From a poll to its answer.
+    /// From a poll to its response.
     pub poll_ms: Latencies,
-    /// From a heartbeat to its answer.
+    /// From a heartbeat to its response.
     pub report_ms: Latencies,
     /// From the decision to place a task to the heartbeat that shows it running.
     pub start_ms: Latencies,
@@ -141,7 +141,7 @@
     }
 
     /// Logs the counts since the last such line, when the next one is due.
-    pub(super) fn log_metrics_due(&mut self) {
+    pub(super) fn log_metrics_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         let metrics = &mut self.metrics;
         if now < metrics.log_at {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -173,7 +173,7 @@
                 self.recovery_decision(connection, decision, body);
             }
             Ok(Route::User(route)) => self.user_request(requester, route, body),
-            Err(error) => self.refuse_route(requester, error),
+            Err(error) => self.reject_route(requester, error),
         }
     }
 
@@ -193,10 +193,10 @@
         }
     }
 
-    /// Refuses a user's request beyond the number that one batch may contain.
+    /// Rejects a user's request beyond the number that one batch may contain.
     fn shed(&mut self, command: Command) {
         if let Command::Public { connection, .. } = command {
-            self.refuse_overloaded(Requester::direct(connection, self.now.monotonic_ms));
+            self.reject_overloaded(Requester::direct(connection, self.now.monotonic_ms));
         }
     }
 
@@ -205,7 +205,7 @@
         let Some(purpose) = self.outbox.take_purpose(call) else {
             return;
         };
-        self.note_store_response(&purpose, reply.as_ref().map(|response| response.status));
+        self.record_store_response(&purpose, reply.as_ref().map(|response| response.status));
         match purpose {
             CallPurpose::List { epoch } => self.on_list_response(epoch, reply),
             CallPurpose::Watch { read_point } => self.on_watch_response(read_point, reply),
@@ -220,10 +220,12 @@
                 self.on_lease_renewal_response(lease_id, reply);
             }
             CallPurpose::LeaseRevocation => {}
-            CallPurpose::LeaderCommit { term } => self.on_leader_commit_response(term, reply),
+            CallPurpose::LeaderTransaction { term } => {
+                self.on_leader_transaction_response(term, reply);
+            }
             CallPurpose::Submit { batch, copy } => self.on_batch_response(batch, copy, reply),
-            CallPurpose::Cancel { requester, uid, commit, read_point } => {
-                self.on_cancellation_response(requester, uid, commit, read_point, reply);
+            CallPurpose::Cancel { requester, job_id, transaction, read_point } => {
+                self.on_cancellation_response(requester, job_id, transaction, read_point, reply);
             }
             CallPurpose::Rebuild(call) => self.on_rebuild_response(call, reply),
             CallPurpose::Decision(call) => self.on_decision_response(call, reply),
@@ -240,14 +242,14 @@
     }
 
     fn run_due_work(&mut self) {
-        self.store_reads_due();
+        self.send_store_reads_if_due();
         self.run_recovery_if_due();
-        self.batches_due();
+        self.send_batches_if_due();
         self.catalog_due();
-        self.gossip_due();
+        self.send_gossip_if_due();
         self.campaign_if_due();
-        self.leader_due();
-        self.log_metrics_due();
+        self.run_leader_work_if_due();
+        self.log_metrics_if_due();
     }
 
     fn call(
--- a/src/coordination/outbox.rs
+++ b/src/coordination/outbox.rs
@@ -28,11 +28,11 @@
     /// The revocation of the leader key's lease; its reply is ignored.
     LeaseRevocation,
     /// A write-ahead transaction of the leader.
-    LeaderCommit { term: u64 },
+    LeaderTransaction { term: u64 },
     /// One send of a batch of submissions; a slow batch is sent more than once.
     Submit { batch: u64, copy: usize },
     /// The transaction that cancels a job.
-    Cancel { requester: Requester, uid: String, commit: Transaction, read_point: ReadPoint },
+    Cancel { requester: Requester, job_id: String, transaction: Transaction, read_point: ReadPoint },
     /// A transaction of a rebuild of the store.
     Rebuild(RebuildCall),
     /// A transaction that carries out an operator's decision after a rebuild.
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -37,13 +37,18 @@
         let requester = Requester::direct(connection, self.now.monotonic_ms);
         let request: DecisionRequest = match serde_json::from_slice(body) {
             Ok(request) => request,
-            Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
+            Err(error) => return self.answer_error(requester, 400, &error.to_string(), None),
         };
         if let Some(job) = request.jobs.iter().find(|job| !is_valid_job_id(job)) {
-            return self.refuse(requester, 400, &format!("{job}: must look like job-000412"), None);
+            return self.answer_error(
+                requester,
+                400,
+                &format!("{job}: must look like job-000412"),
+                None,
+            );
         }
         if !self.store_is_usable() {
-            return self.refuse_unavailable(requester);
+            return self.reject_unavailable(requester);
         }
         self.decide(requester, decision, &request);
     }
@@ -107,12 +112,12 @@
     ) {
         let writes = transaction.writes.len();
         if !self.store.take_writes(writes as f64, USER_WRITE_RESERVE, self.now.monotonic_ms) {
-            return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
+            return self.answer_error(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let connection = requester.connection();
         let purpose = CallPurpose::Decision(DecisionCall { connection, transaction, answer });
-        self.commit_call(body, writes, purpose);
+        self.transaction_call(body, writes, purpose);
     }
 
     /// Adds the writes that remove the flags of jobs.
@@ -156,7 +161,14 @@
                 log::info!("operator decision applied: {} jobs", call.answer.decided);
                 self.answer_json(requester, 200, &call.answer);
             }
-            _ => self.refuse(requester, 503, "not carried out, ask again", Some(RETRY_AFTER_S)),
+            _ => {
+                self.answer_error(
+                    requester,
+                    503,
+                    "not carried out, ask again",
+                    Some(RETRY_AFTER_S),
+                );
+            }
         }
     }
 }
--- a/src/coordination/recovery/first_start.rs
+++ b/src/coordination/recovery/first_start.rs
@@ -24,7 +24,7 @@
         if !plausible || !self.recovery.is_suspended() {
             return;
         }
-        self.membership.note_term(token);
+        self.membership.record_term(token);
         let machine = &heartbeat.machine;
         let now = self.now.monotonic_ms;
         self.recovery.add_evidence(now, || format!("the worker of {machine} shows token {token}"));
--- a/src/coordination/recovery/image_transfer.rs
+++ b/src/coordination/recovery/image_transfer.rs
@@ -98,7 +98,7 @@
         let label = &self.settings.peers[peer].label;
         let valid = |page: &ImagePage| page.version == PEER_VERSION && page.label == *label;
         let Some(page) = page.filter(valid) else { return };
-        self.membership.note_term(page.term);
+        self.membership.record_term(page.term);
         if page.holds {
             image.next_request_at = 0;
             image.add_page(page);
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -183,7 +183,7 @@
         }
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let purpose = CallPurpose::Rebuild(RebuildCall { term, transaction });
-        self.commit_call(body, writes, purpose);
+        self.transaction_call(body, writes, purpose);
         true
     }
 
--- a/src/coordination/recovery/rebuild_plan.rs
+++ b/src/coordination/recovery/rebuild_plan.rs
@@ -44,7 +44,7 @@
         // The most recent image is kept for a controller that takes over the rebuild.
         self.recovery.set_lost_image(histories.into_iter().max_by_key(StoreImage::revision));
         if self.leader.as_ref().is_some_and(|leader| merged.term > leader.term) {
-            self.membership.note_term(merged.term);
+            self.membership.record_term(merged.term);
             return self.check_term();
         }
         let limits = self.rebuild_limits();
--- a/src/coordination/rejection.rs
+++ b/src/coordination/rejection.rs
@@ -30,7 +30,7 @@
 }
 
 impl Rejection {
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub(super) fn status(&self) -> u16 {
         match self {
             Rejection::Malformed(_) => 400,
--- a/src/coordination/requester.rs
+++ b/src/coordination/requester.rs
@@ -1,4 +1,4 @@
-//! The sender of a user's request, who waits for the answer.
+//! The sender of a user's request, who waits for the response.
 
 use super::interface::ConnectionId;
 
@@ -11,7 +11,7 @@
 }
 
 impl Requester {
-    /// A client connected to this controller. `now` is in milliseconds on the steady clock.
+    /// A client connected to this controller. `now` is in milliseconds of the monotonic clock.
     pub(super) fn direct(connection: ConnectionId, now: u64) -> Requester {
         Requester { connection, relayed: false, received_at: now }
     }
@@ -26,7 +26,7 @@
         self.connection
     }
 
-    /// Whether the request was relayed by a peer, which passes the answer on to its client.
+    /// Whether the request was relayed by a peer, which passes the response on to its client.
     pub(super) fn is_relayed(self) -> bool {
         self.relayed
     }
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -3,9 +3,9 @@
 //! [`Submissions`] owns the submissions that wait for a batch, and the batches that are being committed.
 
 use crate::constants::{
-    ARRIVAL_INDEX_BITS, BATCHES_IN_FLIGHT_MAX, BATCH_COLLECT_MS, BATCH_FRAME_BYTES,
-    BATCH_HEDGE_DELAY_MS, BATCH_WAIT_MAX_MS, COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES,
-    CONDITIONS_PER_CHANGE, LOW_WRITE_BUDGET_SHARE, RETRY_AFTER_S, USER_WRITE_RESERVE,
+    ARRIVAL_INDEX_BITS, BATCHES_IN_FLIGHT_MAX, BATCH_COLLECT_MS, BATCH_HEDGE_DELAY_MS,
+    BATCH_OVERHEAD_BYTES, BATCH_WAIT_MAX_MS, CONDITIONS_PER_CHANGE, LOW_WRITE_BUDGET_SHARE,
+    RETRY_AFTER_S, TRANSACTION_BYTES_MAX, TRANSACTION_OVERHEAD_BYTES, USER_WRITE_RESERVE,
     WAITING_USER_REQUESTS_MAX,
 };
 use crate::coordination::requester::Requester;
@@ -85,7 +85,7 @@
     values: Vec<BatchValue>,
     first_sent_at: u64,
     copies: Vec<BatchCopy>,
-    /// Number of copies without an answer yet.
+    /// Number of copies without a response yet.
     unanswered: u32,
 }
 
@@ -143,7 +143,7 @@
         Submissions { pending: Vec::new(), in_flight: keys.map(), batches_created: 0 }
     }
 
-    /// When [`Controller::batches_due`] has something to do next if no command comes before.
+    /// When [`Controller::send_batches_if_due`] has something to do next if no command comes before.
     pub(in crate::coordination) fn next_wake(&self, writes: &TokenBucket) -> Option<u64> {
         let next_batch_at = self.pending.first().map(|first| {
             let budget_restored_at = writes.available_at(writes.burst() * LOW_WRITE_BUDGET_SHARE);
@@ -164,7 +164,7 @@
         self.pending.extract_if(.., is_overdue).collect()
     }
 
-    /// Batches whose only copy has had no answer for longer than [`BATCH_HEDGE_DELAY_MS`].
+    /// Batches whose only copy has had no response for longer than [`BATCH_HEDGE_DELAY_MS`].
     fn batches_to_hedge(&self, now: u64) -> Vec<u64> {
         let is_unanswered = |batch: &Batch| {
             batch.copies.len() == 1 && now > batch.first_sent_at + BATCH_HEDGE_DELAY_MS
@@ -182,7 +182,7 @@
             // Each job takes a condition; those of the values are reserved.
             let conditions = chosen.len() + limits.conditions_reserved;
             let fits = conditions < limits.conditions
-                && bytes + submission.bytes <= COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES;
+                && bytes + submission.bytes <= TRANSACTION_BYTES_MAX - TRANSACTION_OVERHEAD_BYTES;
             let has_room = |value: &BatchValue| value.has_room_for(&submission, limits.value_bytes);
             match values.iter().position(has_room) {
                 Some(index) if fits => values[index].add(&submission),
@@ -215,16 +215,17 @@
 }
 
 impl Controller {
-    /// Adds a valid submission to those that wait for a batch. A repeat is answered with the first.
+    /// Adds a valid submission to those that wait for a batch. A repeated submission of a waiting job is
+    /// answered together with the first one.
     pub(super) fn add_to_batch(&mut self, requester: Requester, spec: Rc<JobSpec>) {
-        let bytes = raw_json(&spec).get().len() + BATCH_FRAME_BYTES;
-        if bytes + BATCH_FRAME_BYTES > self.store.limits().value_bytes {
+        let bytes = raw_json(&spec).get().len() + BATCH_OVERHEAD_BYTES;
+        if bytes + BATCH_OVERHEAD_BYTES > self.store.limits().value_bytes {
             let reason = "the submission is too large to be kept";
-            return self.refuse(requester, 422, reason, None);
+            return self.answer_error(requester, 422, reason, None);
         }
         let pending = &mut self.submissions.pending;
         if pending.len() >= WAITING_USER_REQUESTS_MAX {
-            return self.refuse_overloaded(requester);
+            return self.reject_overloaded(requester);
         }
         match pending.iter_mut().find(|submission| submission.spec.uid == spec.uid) {
             Some(submission) => submission.requesters.push(requester),
@@ -239,8 +240,8 @@
 
     /// Sends the waiting submissions as a batch. While the write budget is low they wait longer, so
     /// that one write stores more of them. A submission that has waited too long is relayed to a
-    /// peer or refused.
-    pub(in crate::coordination) fn batches_due(&mut self) {
+    /// peer or rejected.
+    pub(in crate::coordination) fn send_batches_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         if self.recovery.is_suspended() {
             let pending = std::mem::take(&mut self.submissions.pending);
@@ -251,7 +252,7 @@
         }
         // Hedging: the state service takes a few hundred milliseconds now and then, and a second copy
         // of the batch is mostly answered at once. It has keys of its own. If both are committed, the
-        // earlier one counts, as for any job that stands in two batches.
+        // earlier one counts, as for any job that is in two batches.
         for id in self.submissions.batches_to_hedge(now) {
             self.send_batch(id, 0.0);
         }
@@ -276,7 +277,7 @@
         // Each value takes one write.
         let values = (writes_left.max(0.0) as usize).min(transaction_ops);
         BatchLimits {
-            value_bytes: value_bytes - BATCH_FRAME_BYTES,
+            value_bytes: value_bytes - BATCH_OVERHEAD_BYTES,
             values,
             conditions: (transaction_ops * CONDITIONS_PER_CHANGE).min(1 << ARRIVAL_INDEX_BITS),
             conditions_reserved: values + self.reserved_conditions(),
@@ -301,14 +302,14 @@
         batch.copies.push(BatchCopy { transaction, read_point });
         batch.unanswered += 1;
         let purpose = CallPurpose::Submit { batch: id, copy };
-        self.commit_call(body, writes, purpose);
+        self.transaction_call(body, writes, purpose);
     }
 
     /// Relays a submission that we can't accept to a peer, once for each request.
     fn relay_submission(&mut self, submission: PendingSubmission) {
         let body = serde_json::to_vec(&*submission.spec).unwrap_or_default();
         for requester in submission.requesters {
-            self.relay_or_refuse(requester, "POST", JOBS_PATH.into(), body.clone());
+            self.relay_or_reject(requester, "POST", JOBS_PATH.into(), body.clone());
         }
     }
 
@@ -329,24 +330,24 @@
         match reply {
             Some(Response { status: 200, body }) => self.accept_batch(batch, copy, &body),
             Some(Response { status: 409, body }) => self.resolve_batch_conflict(batch, &body),
-            Some(Response { status: 429, .. }) => self.refuse_batch(batch),
+            Some(Response { status: 429, .. }) => self.reject_batch(batch),
             _ => batch.submissions.into_iter().for_each(|s| self.relay_submission(s)),
         }
     }
 
     /// Answers the submissions of a batch that was committed.
     ///
-    /// The batch is not applied to the replica ahead of the watch: if a job stands in two batches the
+    /// The batch is not applied to the replica ahead of the watch: if a job is in two batches the
     /// earlier one counts, and the watch delivers them in order.
     fn accept_batch(&mut self, batch: Batch, copy: usize, body: &[u8]) {
         if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(body) {
             let BatchCopy { transaction, read_point } = &batch.copies[copy];
             if !self.applied_to_trusted_store(*read_point, applied.revision) {
-                // The commit went into a store that has lost data: it accepts nothing.
+                // The transaction was applied to a store that has lost data, so it accepts nothing.
                 return batch.submissions.into_iter().for_each(|s| self.relay_submission(s));
             }
             self.record_own_transaction(transaction, applied.revision);
-            self.store.note_revision(applied.revision);
+            self.store.record_revision(applied.revision);
         }
         for submission in batch.submissions {
             self.confirm_submission(submission);
@@ -375,8 +376,8 @@
         }
     }
 
-    /// Handles a batch refused because a condition failed. A job that has an end by now is answered
-    /// after a fresh read; the others wait for a batch again.
+    /// Handles a conflict: the batch was not stored because a condition failed. A job that has an end by
+    /// now is answered after a fresh read; the others wait for a batch again.
     fn resolve_batch_conflict(&mut self, batch: Batch, body: &[u8]) {
         let failed_keys = TransactionConflict::failed_keys(body);
         for submission in batch.submissions {
@@ -385,16 +386,16 @@
                 continue;
             }
             for requester in submission.requesters {
-                let uid = submission.spec.uid.clone();
-                self.request_read_for_submission(requester, uid, None);
+                let job_id = submission.spec.uid.clone();
+                self.request_read_for_submission(requester, job_id, None);
             }
         }
     }
 
-    /// Refuses the submissions of a batch that hit the state service's rate limit.
-    fn refuse_batch(&mut self, batch: Batch) {
+    /// Rejects the submissions of a batch that hit the state service's rate limit.
+    fn reject_batch(&mut self, batch: Batch) {
         for requester in batch.submissions.into_iter().flat_map(|s| s.requesters) {
-            self.refuse(requester, 503, "too many submissions", Some(RETRY_AFTER_S));
+            self.answer_error(requester, 503, "too many submissions", Some(RETRY_AFTER_S));
         }
     }
 }
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -1,6 +1,6 @@
 //! Users' requests: submissions, polls and cancellations, and their admission.
 //!
-//! Every answer about the state of a job is based on a commit, or on a read of the store that began
+//! Every response about the state of a job is based on a commit, or on a read of the store that began
 //! after the request came in. Only final states are answered from the replica without a read, since
 //! they never change.
 
@@ -25,7 +25,7 @@
 use crate::storage::replica::Versioned;
 
 impl Controller {
-    /// Answers the client, or wraps the answer for the peer that relayed the request.
+    /// Answers the client, or wraps the response for the peer that relayed the request.
     fn answer(
         &mut self,
         requester: Requester,
@@ -34,8 +34,8 @@
         body: Vec<u8>,
     ) {
         if requester.is_relayed() {
-            let answer = RelayResponse { version: PEER_VERSION, status, retry_after_s, body };
-            self.respond(requester.connection(), 200, None, encode(&answer));
+            let response = RelayResponse { version: PEER_VERSION, status, retry_after_s, body };
+            self.respond(requester.connection(), 200, None, encode(&response));
         } else {
             self.respond(requester.connection(), status, retry_after_s, body);
         }
@@ -52,7 +52,7 @@
     }
 
     /// Answers with an error, and with the seconds after which the user may retry.
-    pub(super) fn refuse(
+    pub(super) fn answer_error(
         &mut self,
         requester: Requester,
         status: u16,
@@ -66,19 +66,24 @@
         self.answer(requester, status, retry_after_s, body);
     }
 
-    /// Refuses a request because this controller is overloaded.
-    pub(super) fn refuse_overloaded(&mut self, requester: Requester) {
-        self.refuse(requester, 503, "too much to do", Some(RETRY_AFTER_OVERLOAD_S));
+    /// Rejects a request because this controller is overloaded.
+    pub(super) fn reject_overloaded(&mut self, requester: Requester) {
+        self.answer_error(requester, 503, "too much to do", Some(RETRY_AFTER_OVERLOAD_S));
     }
 
-    /// Refuses a request that can't be answered without the store.
-    pub(super) fn refuse_unavailable(&mut self, requester: Requester) {
-        self.refuse(requester, 503, "the state service can't be reached", Some(RETRY_AFTER_S));
+    /// Rejects a request that can't be answered without the store.
+    pub(super) fn reject_unavailable(&mut self, requester: Requester) {
+        self.answer_error(
+            requester,
+            503,
+            "the state service can't be reached",
+            Some(RETRY_AFTER_S),
+        );
     }
 
-    /// Refuses a request whose path or method is unknown.
-    pub(super) fn refuse_route(&mut self, requester: Requester, error: RouteError) {
-        self.refuse(requester, error.status(), &error.to_string(), None);
+    /// Rejects a request whose path or method is unknown.
+    pub(super) fn reject_route(&mut self, requester: Requester, error: RouteError) {
+        self.answer_error(requester, error.status(), &error.to_string(), None);
     }
 
     /// Handles a user's request, received from the user or relayed by a peer.
@@ -90,7 +95,7 @@
         }
     }
 
-    /// Whether a request that needs the store is admitted. If not, it is refused or relayed to a peer.
+    /// Whether a request that needs the store is admitted. If not, it is rejected or relayed to a peer.
     fn admit(
         &mut self,
         requester: Requester,
@@ -99,46 +104,48 @@
         body: &[u8],
     ) -> bool {
         if self.recovery.is_suspended() {
-            self.refuse_unavailable(requester);
+            self.reject_unavailable(requester);
             return false;
         }
         if self.store.waiting_requests() >= WAITING_USER_REQUESTS_MAX {
-            self.refuse_overloaded(requester);
+            self.reject_overloaded(requester);
             return false;
         }
         if !self.store.is_loaded() || self.store.last_request_failed() {
-            self.relay_or_refuse(requester, method, path.to_string(), body.to_vec());
+            self.relay_or_reject(requester, method, path.to_string(), body.to_vec());
             return false;
         }
         true
     }
 
-    fn job_status(&self, uid: &str, job: &Versioned<JobRecord>) -> JobStatus {
+    fn job_status(&self, job_id: &str, job: &Versioned<JobRecord>) -> JobStatus {
         match job.value.stage {
             JobStage::Done => JobStatus::Done,
             JobStage::Cancelled => JobStatus::Cancelled,
-            JobStage::Live if self.store.replica().placed_task_count(uid) > 0 => JobStatus::Running,
+            JobStage::Live if self.store.replica().placed_task_count(job_id) > 0 => {
+                JobStatus::Running
+            }
             JobStage::Live => JobStatus::Queued,
         }
     }
 
     /// Answers a submission or cancellation with the status of its job, which the replica holds.
-    fn answer_with_status(&mut self, requester: Requester, uid: &str) {
-        if self.store.replica().is_flagged(uid) {
-            return self.refuse_unavailable(requester);
+    fn answer_with_status(&mut self, requester: Requester, job_id: &str) {
+        if self.store.replica().is_flagged(job_id) {
+            return self.reject_unavailable(requester);
         }
-        if let Some(job) = self.store.replica().jobs.get(uid) {
-            let status = self.job_status(uid, job);
-            self.answer_json(requester, 200, &JobStatusResponse { uid, status });
+        if let Some(job) = self.store.replica().jobs.get(job_id) {
+            let status = self.job_status(job_id, job);
+            self.answer_json(requester, 200, &JobStatusResponse { uid: job_id, status });
         }
     }
 
-    /// Refuses a request for an unknown job. It was never accepted, unless a part of the store's
-    /// history is lost: then the answer is that the job's state can't be told.
-    fn refuse_unknown_job(&mut self, requester: Requester) {
+    /// Rejects a request for an unknown job. It was never accepted, unless a part of the store's
+    /// history is lost: then the response is that the state service can't be reached.
+    fn reject_unknown_job(&mut self, requester: Requester) {
         match self.has_history_gap() {
-            true => self.refuse_unavailable(requester),
-            false => self.refuse(requester, 404, "no such job", None),
+            true => self.reject_unavailable(requester),
+            false => self.answer_error(requester, 404, "no such job", None),
         }
     }
 }
--- a/src/coordination/requests/polls.rs
+++ b/src/coordination/requests/polls.rs
@@ -7,37 +7,44 @@
 use crate::protocol::users::{is_valid_job_id, JobProgressResponse, JobStatus};
 
 impl Controller {
-    pub(super) fn poll_job(&mut self, requester: Requester, uid: &str) {
+    pub(super) fn poll_job(&mut self, requester: Requester, job_id: &str) {
         self.metrics.work.polls += 1;
-        if !is_valid_job_id(uid) {
-            return self.refuse(requester, 404, "no such job", None);
+        if !is_valid_job_id(job_id) {
+            return self.answer_error(requester, 404, "no such job", None);
         }
-        // While data loss is suspected, the end of the job may stand only in the lost store: a
+        // While data loss is suspected, the end of the job may be only in the lost store: a
         // transaction may have been committed there late.
-        if self.store.replica().has_ended(uid) && !self.recovery.is_suspended() {
-            return self.answer_poll(requester, uid);
+        if self.store.replica().has_ended(job_id) && !self.recovery.is_suspended() {
+            return self.answer_poll(requester, job_id);
         }
-        if self.admit(requester, "GET", &job_path(uid), &[]) {
-            self.request_fresh_read(FreshReadWaiter::Poll { requester, uid: uid.to_string() });
+        if self.admit(requester, "GET", &job_path(job_id), &[]) {
+            self.request_fresh_read(FreshReadWaiter::Poll {
+                requester,
+                job_id: job_id.to_string(),
+            });
         }
     }
 
     /// Answers a poll from the replica, which shows a final state or has had a fresh read.
-    pub(in crate::coordination) fn answer_poll(&mut self, requester: Requester, uid: &str) {
+    pub(in crate::coordination) fn answer_poll(&mut self, requester: Requester, job_id: &str) {
         let _ = self.metrics.poll_ms.record(self.now.monotonic_ms - requester.received_at());
         let replica = self.store.replica();
-        let Some(job) = replica.jobs.get(uid) else {
-            return self.refuse_unknown_job(requester);
+        let Some(job) = replica.jobs.get(job_id) else {
+            return self.reject_unknown_job(requester);
         };
-        if replica.is_flagged(uid) {
-            return self.refuse_unavailable(requester);
+        if replica.is_flagged(job_id) {
+            return self.reject_unavailable(requester);
         }
-        let status = self.job_status(uid, job);
+        let status = self.job_status(job_id, job);
         let (done, running) = match status {
             JobStatus::Done => (job.value.tasks, 0),
             JobStatus::Cancelled => (job.value.done, 0),
-            _ => (replica.done_bitmap(uid).count(), replica.placed_task_count(uid)),
+            _ => (replica.done_bitmap(job_id).count(), replica.placed_task_count(job_id)),
         };
-        self.answer_json(requester, 200, &JobProgressResponse { uid, status, done, running });
+        self.answer_json(
+            requester,
+            200,
+            &JobProgressResponse { uid: job_id, status, done, running },
+        );
     }
 }
--- a/src/coordination/requests/relay.rs
+++ b/src/coordination/requests/relay.rs
@@ -10,8 +10,8 @@
 
 impl Controller {
     /// Relays a request that we can't answer to a peer that reaches the state service. Without such a
-    /// peer, or if the request was relayed to us, it is refused and the user retries.
-    pub(in crate::coordination) fn relay_or_refuse(
+    /// peer, or if the request was relayed to us, it is rejected and the user retries.
+    pub(in crate::coordination) fn relay_or_reject(
         &mut self,
         requester: Requester,
         method: &'static str,
@@ -23,7 +23,7 @@
             false => self.membership.peer_with_store_access(self.now.monotonic_ms),
         };
         let Some(peer) = peer else {
-            return self.refuse_unavailable(requester);
+            return self.reject_unavailable(requester);
         };
         let request = RelayRequest { version: PEER_VERSION, method: method.into(), path, body };
         let purpose = CallPurpose::Relay { requester };
@@ -36,16 +36,16 @@
         requester: Requester,
         reply: Option<Response>,
     ) {
-        let answer = match reply {
+        let response = match reply {
             Some(Response { status: 200, body }) => decode::<RelayResponse>(&body).ok(),
             _ => None,
         };
-        match answer.filter(|answer| answer.version == PEER_VERSION) {
-            Some(answer) => {
-                self.record_relayed_status(&answer.body);
-                self.answer(requester, answer.status, answer.retry_after_s, answer.body);
+        match response.filter(|response| response.version == PEER_VERSION) {
+            Some(response) => {
+                self.record_relayed_status(&response.body);
+                self.answer(requester, response.status, response.retry_after_s, response.body);
             }
-            None => self.refuse_unavailable(requester),
+            None => self.reject_unavailable(requester),
         }
     }
 
@@ -60,7 +60,7 @@
                 let requester = Requester::relayed(connection, self.now.monotonic_ms);
                 match UserRoute::parse(&request.method, &request.path) {
                     Ok(route) => self.user_request(requester, route, &request.body),
-                    Err(error) => self.refuse_route(requester, error),
+                    Err(error) => self.reject_route(requester, error),
                 }
             }
             _ => self.respond(connection, 400, None, vec![]),
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -20,22 +20,22 @@
         self.metrics.work.submissions += 1;
         let submission = match Submission::parse(body) {
             Ok(submission) => submission,
-            Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
+            Err(error) => return self.answer_error(requester, 400, &error.to_string(), None),
         };
-        let uid = submission.job_id().to_string();
+        let job_id = submission.job_id().to_string();
         if !self.admit(requester, "POST", JOBS_PATH, body) {
             return;
         }
-        if let Some(job) = self.store.replica().jobs.get(uid.as_str()) {
+        if let Some(job) = self.store.replica().jobs.get(job_id.as_str()) {
             if job.value.stage != JobStage::Live {
-                return self.answer_with_status(requester, &uid);
+                return self.answer_with_status(requester, &job_id);
             }
-            return self.request_read_for_submission(requester, uid, None);
+            return self.request_read_for_submission(requester, job_id, None);
         }
         match self.validate(submission) {
             Ok(spec) => self.add_to_batch(requester, spec),
             // Another controller may have just accepted the job with another body.
-            Err(rejection) => self.request_read_for_submission(requester, uid, Some(rejection)),
+            Err(rejection) => self.request_read_for_submission(requester, job_id, Some(rejection)),
         }
     }
 
@@ -43,10 +43,10 @@
     pub(super) fn request_read_for_submission(
         &mut self,
         requester: Requester,
-        uid: String,
+        job_id: String,
         rejection: Option<Rejection>,
     ) {
-        let waiter = FreshReadWaiter::Submit { requester, uid, rejection };
+        let waiter = FreshReadWaiter::Submit { requester, job_id, rejection };
         self.request_fresh_read(waiter);
     }
 
@@ -93,23 +93,23 @@
     pub(in crate::coordination) fn submit_after_read(
         &mut self,
         requester: Requester,
-        uid: &str,
+        job_id: &str,
         rejection: Option<Rejection>,
     ) {
-        if self.store.replica().jobs.contains_key(uid) {
-            return self.answer_with_status(requester, uid);
+        if self.store.replica().jobs.contains_key(job_id) {
+            return self.answer_with_status(requester, job_id);
         }
         match rejection {
             // With a gap in the history, the job may have been accepted although it is invalid now.
             Some(rejection) if !self.has_history_gap() => self.reject(requester, &rejection),
-            _ => self.refuse_unavailable(requester),
+            _ => self.reject_unavailable(requester),
         }
     }
 
     fn reject(&mut self, requester: Requester, rejection: &Rejection) {
         let status = rejection.status();
         let retry_after_s = (status == 503).then_some(RETRY_AFTER_S);
-        self.refuse(requester, status, &rejection.to_string(), retry_after_s);
+        self.answer_error(requester, status, &rejection.to_string(), retry_after_s);
     }
 }
 
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -79,7 +79,7 @@
     live_jobs: usize,
     machines: usize,
     placements: usize,
-    /// Heartbeats whose answer waits for a commit.
+    /// Heartbeats whose response waits for a commit.
     reports: usize,
 }
 
@@ -194,7 +194,7 @@
     /// The oldest waiting jobs, each with the reason why it waits.
     fn waiting_job_summaries(&self, leader: &Leader) -> Vec<WaitingJobSummary> {
         let cluster = &leader.cluster;
-        let jobs = cluster.queue.values().filter_map(|uid| cluster.jobs.get(uid));
+        let jobs = cluster.queue.values().filter_map(|job_id| cluster.jobs.get(job_id));
         let summary = |job: &Job| {
             let why = self.wait_reason(leader, job)?.to_string();
             let (waiting, done, tasks) = (job.waiting_tasks(), job.done_count, job.tasks);
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -23,8 +23,8 @@
 use crate::storage::replica::Replica;
 use crate::storage::token_bucket::TokenBucket;
 
-/// The state of the replica when a request was sent. The answer counts only in the same epoch, and a
-/// commit that it reports must have a higher revision.
+/// The state of the replica when a request was sent. The response counts only in the same epoch, and a
+/// transaction that it reports as applied must have a higher revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ReadPoint {
     /// The epoch of the replica, see [`StoreClient::epoch`].
@@ -71,13 +71,13 @@
     retry_at: u64,
     /// When the state service last answered a request.
     last_served_at: Option<u64>,
-    /// The state service refused or did not answer the last request.
+    /// The state service rejected or did not answer the last request.
     last_request_failed: bool,
     /// When the last successful fresh read was sent.
     last_read_at: Option<u64>,
-    /// Highest revision in any answer of the store.
+    /// Highest revision in any response of the store.
     max_revision: u64,
-    /// How many times the replica was dropped; answers to requests of earlier epochs are ignored.
+    /// How many times the replica was dropped; responses to requests of earlier epochs are ignored.
     epoch: u32,
 }
 
@@ -120,7 +120,7 @@
         &self.limits
     }
 
-    /// Halves the size limits: the service has refused a transaction as malformed, so its limits must
+    /// Halves the size limits: the service has rejected a transaction as malformed, so its limits must
     /// be lower than the settings say.
     pub(super) fn halve_size_limits(&mut self) {
         self.limits.halve_sizes();
@@ -158,7 +158,7 @@
         self.loaded
     }
 
-    /// Whether the state service refused or did not answer the last request.
+    /// Whether the state service rejected or did not answer the last request.
     pub(super) fn last_request_failed(&self) -> bool {
         self.last_request_failed
     }
@@ -184,13 +184,13 @@
         self.epoch
     }
 
-    /// Highest revision in any answer of the store.
+    /// Highest revision in any response of the store.
     pub(super) fn max_revision(&self) -> u64 {
         self.max_revision
     }
 
-    /// Records a revision that an answer of the store has shown.
-    pub(super) fn note_revision(&mut self, revision: u64) {
+    /// Records a revision that a response of the store has shown.
+    pub(super) fn record_revision(&mut self, revision: u64) {
         self.max_revision = self.max_revision.max(revision);
     }
 
@@ -201,7 +201,7 @@
         transaction: &Transaction,
         revision: u64,
     ) -> Vec<JobId> {
-        self.note_revision(revision);
+        self.record_revision(revision);
         let mut changed_jobs = Vec::new();
         for mutation in &transaction.writes {
             match mutation {
@@ -214,7 +214,7 @@
         changed_jobs
     }
 
-    /// Drops the replica and starts a new epoch: the whole store is listed again, and answers to
+    /// Drops the replica and starts a new epoch: the whole store is listed again, and responses to
     /// earlier requests are ignored.
     pub(super) fn reset(&mut self) {
         self.replica = Replica::new(self.replica.hash_keys());
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -2,9 +2,8 @@
 
 use super::{is_store_call, Listing, ReadPoint};
 use crate::constants::{
-    FRESH_READ_INTERVAL_MIN_MS, FRESH_READ_PERIOD_MS, KEY_NAMESPACE, KEY_ROOT, LIST_PAGE_KEYS,
-    LIST_TIMEOUT_MS, STATE_TIMEOUT_MS, UNREADABLE_LAYOUT_RECHECK_MS, WATCH_BLOCK_MS,
-    WATCH_TIMEOUT_MS,
+    FOREIGN_LAYOUT_RECHECK_MS, FRESH_READ_INTERVAL_MIN_MS, FRESH_READ_PERIOD_MS, KEY_NAMESPACE,
+    KEY_ROOT, LIST_PAGE_KEYS, LIST_TIMEOUT_MS, STATE_TIMEOUT_MS, WATCH_BLOCK_MS, WATCH_TIMEOUT_MS,
 };
 use crate::coordination::{CallPurpose, Controller, Service};
 use crate::protocol::http::Response;
@@ -20,13 +19,13 @@
     Applied,
     /// The store is being listed again, or the request was sent in an earlier epoch.
     Superseded,
-    /// There was no answer, or none that could be used.
+    /// There was no response, or none that could be used.
     Failed,
 }
 
 impl Controller {
-    /// Records the status of the state service's answer to a call; none if it did not answer.
-    pub(in crate::coordination) fn note_store_response(
+    /// Records the status of the state service's response to a call; `None` if there was none.
+    pub(in crate::coordination) fn record_store_response(
         &mut self,
         purpose: &CallPurpose,
         status: Option<u16>,
@@ -35,12 +34,14 @@
             return;
         }
         match status {
-            // A watch that ends without an answer says nothing about the service: it may stay open long.
+            // A watch that ends without a response says nothing about the service: it may stay open long.
             Some(503) | None if matches!(purpose, CallPurpose::Watch { .. }) => {}
             Some(429) => self.on_rate_limited(purpose),
             Some(503) | None => {
                 if !self.store.last_request_failed {
-                    log::info!("state service unavailable: users' requests are relayed or refused");
+                    log::info!(
+                        "state service unavailable: users' requests are relayed or rejected"
+                    );
                 }
                 self.store.last_request_failed = true;
             }
@@ -54,16 +55,16 @@
         }
     }
 
-    /// The state service has answered 429: empties the budget that the call was taken from.
+    /// Handles a response with status 429: empties the budget that the call was taken from.
     fn on_rate_limited(&mut self, purpose: &CallPurpose) {
         log::debug!("state service rate limit reached (429): request budget emptied");
         if self.store.limits.lower_rates() {
-            log::info!("state service rates lowered to the next limits of the settings");
+            log::info!("state service rates lowered: the next limits of the settings apply");
             self.set_state_rates();
         }
         let is_write = matches!(
             purpose,
-            CallPurpose::LeaderCommit { .. }
+            CallPurpose::LeaderTransaction { .. }
                 | CallPurpose::Submit { .. }
                 | CallPurpose::Cancel { .. }
         );
@@ -109,7 +110,7 @@
     }
 
     /// Sends a transaction encoded as `body`. Its writes have been taken from the write budget.
-    pub(in crate::coordination) fn commit_call(
+    pub(in crate::coordination) fn transaction_call(
         &mut self,
         body: Vec<u8>,
         writes: usize,
@@ -120,7 +121,7 @@
     }
 
     /// Sends the reads that are due.
-    pub(in crate::coordination) fn store_reads_due(&mut self) {
+    pub(in crate::coordination) fn send_store_reads_if_due(&mut self) {
         if self.now.monotonic_ms < self.store.retry_at {
             return;
         }
@@ -130,7 +131,7 @@
         if !self.store.watching && !self.store.last_request_failed {
             self.open_watch();
         }
-        self.fresh_read_due();
+        self.send_fresh_read_if_due();
     }
 
     fn list_next_page(&mut self) {
@@ -151,7 +152,7 @@
     }
 
     /// Sends a fresh read if a request waits for one, or if the last one was long ago.
-    fn fresh_read_due(&mut self) {
+    fn send_fresh_read_if_due(&mut self) {
         let now = self.now.monotonic_ms;
         let reads = &mut self.store.fresh_reads;
         let periodic = now >= reads.begun_at + FRESH_READ_PERIOD_MS;
@@ -196,7 +197,7 @@
         }
         if page.has_next {
             self.store.listing.last_key = page.items.last().map(|item| item.key.clone());
-            return self.store_reads_due();
+            return self.send_store_reads_if_due();
         }
         self.complete_listing(page.revision);
     }
@@ -212,7 +213,7 @@
         *replica = Replica::new(replica.hash_keys());
         self.recovery.clear_image();
         self.store.listing = Listing::default();
-        self.store.retry_at = self.now.monotonic_ms + UNREADABLE_LAYOUT_RECHECK_MS;
+        self.store.retry_at = self.now.monotonic_ms + FOREIGN_LAYOUT_RECHECK_MS;
     }
 
     /// Completes the initial listing, whose last page showed `revision`.
@@ -220,21 +221,21 @@
         // The pages were read at different revisions: the watch starts from that of the first one.
         let first_revision = self.store.listing.first_revision.take();
         self.store.replica.revision = first_revision.unwrap_or(revision);
-        self.store.note_revision(revision);
+        self.store.record_revision(revision);
         self.store.listing.last_key = None;
         self.store.loaded = true;
         let replica = &self.store.replica;
         if let Some(term) = replica.term.as_ref().map(|record| record.value.term) {
-            self.membership.note_term(term);
+            self.membership.record_term(term);
         }
         self.cloud.restore_catalog(replica.catalog.as_ref().map(|record| &record.value));
         self.on_listing_complete();
         let replica = &self.store.replica;
         log::info!("store loaded: {} jobs at revision {}", replica.jobs.len(), replica.revision);
-        self.store_reads_due();
+        self.send_store_reads_if_due();
     }
 
-    /// Applies the answer to a watch or a fresh read to the replica.
+    /// Applies the response to a watch or a fresh read to the replica.
     fn apply_changes(&mut self, asked: ReadPoint, reply: &Option<Response>) -> ReadOutcome {
         if asked.epoch != self.store.epoch {
             return ReadOutcome::Superseded;
@@ -259,14 +260,14 @@
         if !self.check_changes(asked.revision, &changes) {
             return ReadOutcome::Superseded;
         }
-        self.store.note_revision(changes.revision);
+        self.store.record_revision(changes.revision);
         let changed_jobs = self.store.replica.apply(&changes);
         self.on_jobs_changed(&changed_jobs);
-        self.membership.note_term(self.store.replica.term());
+        self.membership.record_term(self.store.replica.term());
         ReadOutcome::Applied
     }
 
-    /// The service has answered 410: it no longer keeps changes as old as the replica's revision.
+    /// Handles a response with status 410: the service no longer keeps changes as old as the replica's revision.
     fn on_watch_too_old(&mut self) {
         log::info!("watch revision too old (410): the store is listed again");
         if self.recovery.is_enabled() {
@@ -291,8 +292,8 @@
     pub(in crate::coordination) fn on_jobs_changed(&mut self, changed_jobs: &[JobId]) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) else { return };
-        for uid in changed_jobs {
-            leader.cluster.on_job_changed(&self.store.replica, uid, now);
+        for job_id in changed_jobs {
+            leader.cluster.on_job_changed(&self.store.replica, job_id, now);
         }
         if !changed_jobs.is_empty() {
             leader.plan_soon(now);
@@ -314,17 +315,17 @@
 
     pub(in crate::coordination) fn on_fresh_read_response(
         &mut self,
-        begun: u64,
+        begun_at: u64,
         asked: ReadPoint,
         reply: Option<Response>,
     ) {
         let waiters = self.store.fresh_reads.in_flight.take().unwrap_or_default();
         match self.apply_changes(asked, &reply) {
             ReadOutcome::Applied => {
-                self.store.last_read_at = Some(begun);
+                self.store.last_read_at = Some(begun_at);
                 self.drop_known_ended_jobs();
-                self.on_fresh_read(begun);
-                self.complete_waiters(waiters, begun);
+                self.on_fresh_read(begun_at);
+                self.complete_waiters(waiters, begun_at);
             }
             outcome => {
                 let rate_limited = matches!(reply, Some(Response { status: 429, .. }));
@@ -334,6 +335,6 @@
                 waiters.into_iter().for_each(|waiter| self.fail_waiter(waiter));
             }
         }
-        self.store_reads_due();
+        self.send_store_reads_if_due();
     }
 }
--- a/src/coordination/store_client/waiters.rs
+++ b/src/coordination/store_client/waiters.rs
@@ -13,21 +13,21 @@
         /// Who asks.
         requester: Requester,
         /// The job.
-        uid: String,
+        job_id: String,
     },
     /// A cancellation.
     Cancel {
         /// Who asks.
         requester: Requester,
         /// The job.
-        uid: String,
+        job_id: String,
     },
     /// A submission.
     Submit {
         /// Who asks.
         requester: Requester,
         /// The job.
-        uid: String,
+        job_id: String,
         /// Why it is not accepted if the job turns out to be unknown.
         rejection: Option<Rejection>,
     },
@@ -39,7 +39,7 @@
     /// Makes a request wait for a fresh read that has not begun yet.
     pub(in crate::coordination) fn request_fresh_read(&mut self, waiter: FreshReadWaiter) {
         self.store.fresh_reads.waiting.push(waiter);
-        self.store_reads_due();
+        self.send_store_reads_if_due();
     }
 
     /// Requests a fresh read for the leader, unless the leader waits for the next one already.
@@ -51,42 +51,44 @@
         }
     }
 
-    /// Continues the requests that waited for the fresh read sent at `begun`, which has succeeded.
-    pub(super) fn complete_waiters(&mut self, waiters: Vec<FreshReadWaiter>, begun: u64) {
+    /// Continues the requests that waited for the fresh read sent at `begun_at`, which has succeeded.
+    pub(super) fn complete_waiters(&mut self, waiters: Vec<FreshReadWaiter>, begun_at: u64) {
         for waiter in waiters {
             // While the store is not trusted, no user's request is decided by its data.
             let for_leader = matches!(waiter, FreshReadWaiter::Leader);
             if for_leader || !self.recovery.is_suspended() {
-                self.complete_waiter(waiter, begun);
+                self.complete_waiter(waiter, begun_at);
             } else {
                 self.fail_waiter(waiter);
             }
         }
     }
 
-    fn complete_waiter(&mut self, waiter: FreshReadWaiter, begun: u64) {
+    fn complete_waiter(&mut self, waiter: FreshReadWaiter, begun_at: u64) {
         match waiter {
-            FreshReadWaiter::Poll { requester, uid } => self.answer_poll(requester, &uid),
-            FreshReadWaiter::Cancel { requester, uid } => self.cancel_after_read(requester, uid),
-            FreshReadWaiter::Submit { requester, uid, rejection } => {
-                self.submit_after_read(requester, &uid, rejection);
+            FreshReadWaiter::Poll { requester, job_id } => self.answer_poll(requester, &job_id),
+            FreshReadWaiter::Cancel { requester, job_id } => {
+                self.cancel_after_read(requester, job_id);
             }
-            FreshReadWaiter::Leader => self.on_leader_read(begun),
+            FreshReadWaiter::Submit { requester, job_id, rejection } => {
+                self.submit_after_read(requester, &job_id, rejection);
+            }
+            FreshReadWaiter::Leader => self.on_leader_read(begun_at),
         }
     }
 
-    /// Handles a failed read: polls and cancellations are relayed to a peer, submissions are refused,
+    /// Handles a failed read: polls and cancellations are relayed to a peer, submissions are rejected,
     /// and the leader waits for the next read.
     pub(super) fn fail_waiter(&mut self, waiter: FreshReadWaiter) {
         match waiter {
-            FreshReadWaiter::Poll { requester, uid } => {
-                self.relay_or_refuse(requester, "GET", job_path(&uid), vec![]);
+            FreshReadWaiter::Poll { requester, job_id } => {
+                self.relay_or_reject(requester, "GET", job_path(&job_id), vec![]);
             }
-            FreshReadWaiter::Cancel { requester, uid } => {
-                let path = cancel_path(&uid);
-                self.relay_or_refuse(requester, "POST", path, vec![]);
+            FreshReadWaiter::Cancel { requester, job_id } => {
+                let path = cancel_path(&job_id);
+                self.relay_or_reject(requester, "POST", path, vec![]);
             }
-            FreshReadWaiter::Submit { requester, .. } => self.refuse_unavailable(requester),
+            FreshReadWaiter::Submit { requester, .. } => self.reject_unavailable(requester),
             FreshReadWaiter::Leader => self.request_leader_read(),
         }
     }
--- a/src/coordination/store_isolation.rs
+++ b/src/coordination/store_isolation.rs
@@ -30,7 +30,7 @@
     /// Whether our knowledge of ended jobs is recent enough to send start commands. No task may start
     /// after a cancellation is confirmed, so the knowledge may be no older than the longest time
     /// between two reads; within it, a start command is no later than one that is in flight anyway.
-    pub(super) fn may_order_starts(&self) -> bool {
+    pub(super) fn may_send_starts(&self) -> bool {
         let age_ms = self.knowledge_age_ms();
         !self.starts_are_blocked() && age_ms.is_some_and(|age_ms| age_ms <= START_READ_AGE_MAX_MS)
     }
--- a/src/coordination/transactions/builder.rs
+++ b/src/coordination/transactions/builder.rs
@@ -1,6 +1,6 @@
 //! Builds one transaction within the size limits of the state service.
 
-use crate::constants::{COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES};
+use crate::constants::{TRANSACTION_BYTES_MAX, TRANSACTION_OVERHEAD_BYTES};
 use crate::protocol::state::{Condition, Mutation, Transaction};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
     pub(super) fn put(&mut self, key: String, value: Box<RawValue>, mod_revision: u64) -> bool {
         let bytes = value.get().len();
         let fits = bytes <= self.value_bytes_max
-            && self.bytes + bytes <= COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES
+            && self.bytes + bytes <= TRANSACTION_BYTES_MAX - TRANSACTION_OVERHEAD_BYTES
             && self.has_room(1, 1);
         if fits {
             self.bytes += bytes;
--- a/src/coordination/transactions/builder/tests.rs
+++ b/src/coordination/transactions/builder/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_write_beyond_a_limit_is_refused() {
+fn a_write_beyond_a_limit_is_rejected() {
     let mut builder = builder();
     assert!(!builder.put("a".into(), raw_json(&"longer than a value"), 0));
     assert!(builder.put("a".into(), raw_json(&1), 0));
--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -2,7 +2,7 @@
 
 use super::builder::TransactionBuilder;
 use super::pending::PendingTransaction;
-use crate::constants::GROUP_FRAME_BYTES;
+use crate::constants::GROUP_OVERHEAD_BYTES;
 use crate::protocol::state::raw_json;
 use crate::storage::cluster::ClusterState;
 use crate::storage::done_tasks_group::DoneTasksGroup;
@@ -19,7 +19,7 @@
         pending: &mut PendingTransaction,
         writes_kept: usize,
     ) {
-        self.mark_groups_of_changed_chunks(pending, builder.value_bytes_max - GROUP_FRAME_BYTES);
+        self.mark_groups_of_changed_chunks(pending, builder.value_bytes_max - GROUP_OVERHEAD_BYTES);
         let is_dirty = |(_, group): &(&u32, &DoneTasksGroup)| group.dirty;
         let dirty_groups: Vec<u32> =
             self.done_groups.iter().filter(is_dirty).map(|(number, _)| *number).collect();
@@ -39,16 +39,16 @@
         let changed_chunks: Vec<(JobId, u32)> = self
             .queue
             .values()
-            .filter_map(|uid| self.jobs.get(uid))
+            .filter_map(|job_id| self.jobs.get(job_id))
             .filter(|job| !pending.finished_jobs.contains(&job.id))
             .flat_map(|job| job.dirty_chunks.iter().map(|chunk| (job.id.clone(), *chunk)))
             .collect();
-        for (uid, chunk) in changed_chunks {
-            let Some(job) = self.jobs.get(&uid) else { continue };
+        for (job_id, chunk) in changed_chunks {
+            let Some(job) = self.jobs.get(&job_id) else { continue };
             let bytes = job.chunk_bytes(chunk);
             let group = match job.chunk_groups.get(&chunk) {
                 Some(group) => *group,
-                None => self.assign_done_group(&uid, chunk, bytes, bytes_max),
+                None => self.assign_done_group(&job_id, chunk, bytes, bytes_max),
             };
             self.done_groups.entry(group).or_default().dirty = true;
         }
@@ -57,7 +57,7 @@
     /// Assigns a chunk to the first group with room for it, or to a new group.
     fn assign_done_group(
         &mut self,
-        uid: &JobId,
+        job_id: &JobId,
         chunk: u32,
         bytes: usize,
         bytes_max: usize,
@@ -65,8 +65,8 @@
         let with_room = self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
         let number = with_room.map_or_else(|| self.unused_done_group(), |(number, _)| *number);
         let group = self.done_groups.entry(number).or_default();
-        group.insert(uid.clone(), chunk, bytes);
-        if let Some(job) = self.jobs.get_mut(uid) {
+        group.insert(job_id.clone(), chunk, bytes);
+        if let Some(job) = self.jobs.get_mut(job_id) {
             job.chunk_groups.insert(chunk, number);
         }
         number
@@ -86,9 +86,9 @@
     ) -> bool {
         let Some(group) = self.done_groups.get_mut(&number) else { return true };
         let mut record = DoneTasksRecord::default();
-        for (uid, chunk) in group.chunks.keys() {
-            if let Some(job) = self.jobs.get(uid) {
-                record.bits.insert(chunk_name(uid, *chunk), job.done.chunk_text(*chunk));
+        for (job_id, chunk) in group.chunks.keys() {
+            if let Some(job) = self.jobs.get(job_id) {
+                record.bits.insert(chunk_name(job_id, *chunk), job.done.chunk_text(*chunk));
             }
         }
         if !builder.put(done_tasks_key(number), raw_json(&record), group.mod_revision) {
@@ -96,10 +96,10 @@
         }
         group.dirty = false;
         pending.done_groups.push(number);
-        for (uid, chunk) in group.chunks.keys() {
-            let Some(job) = self.jobs.get_mut(uid) else { continue };
+        for (job_id, chunk) in group.chunks.keys() {
+            let Some(job) = self.jobs.get_mut(job_id) else { continue };
             if job.dirty_chunks.remove(chunk) {
-                pending.done_chunks.push((uid.clone(), *chunk));
+                pending.done_chunks.push((job_id.clone(), *chunk));
             }
         }
         true
@@ -115,7 +115,7 @@
         builder: &mut TransactionBuilder,
         pending: &mut PendingTransaction,
     ) -> bool {
-        let bytes_max = builder.value_bytes_max - GROUP_FRAME_BYTES;
+        let bytes_max = builder.value_bytes_max - GROUP_OVERHEAD_BYTES;
         let group = self.done_groups.get(&number).filter(|group| group.bytes > bytes_max);
         let Some(group) = group else { return true };
         let parts = parts_to_move(group, bytes_max);
@@ -123,7 +123,7 @@
             return false;
         }
         log::info!(
-            "splitting done-task group {number} into {} groups: it exceeds the value size limit",
+            "done-task group split: group {number} exceeds the value size limit, divided into {} groups",
             parts.len() + 1
         );
         for part in parts {
@@ -137,15 +137,15 @@
     }
 
     fn move_chunks(&mut self, source: u32, target: u32, chunks: Vec<SizedChunk>) {
-        for ((uid, chunk), bytes) in chunks {
+        for ((job_id, chunk), bytes) in chunks {
             if let Some(group) = self.done_groups.get_mut(&source) {
-                group.remove(&uid, chunk);
+                group.remove(&job_id, chunk);
             }
-            if let Some(job) = self.jobs.get_mut(&uid) {
+            if let Some(job) = self.jobs.get_mut(&job_id) {
                 job.chunk_groups.insert(chunk, target);
             }
             let group = self.done_groups.entry(target).or_default();
-            group.insert(uid, chunk, bytes);
+            group.insert(job_id, chunk, bytes);
             group.dirty = true;
         }
     }
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -93,7 +93,7 @@
         }
         self.transactions.next_stale_key_scan_at = now + STALE_KEY_SCAN_PERIOD_MS;
         let jobs = &self.cluster.jobs;
-        let is_over = |uid: &JobId| replica.has_ended(uid) && !jobs.contains_key(uid);
+        let is_over = |job_id: &JobId| replica.has_ended(job_id) && !jobs.contains_key(job_id);
         for (key, batch) in &replica.batches {
             if batch.value.iter().all(is_over) {
                 let mod_revision = batch.mod_revision;
--- a/src/coordination/transactions/mod.rs
+++ b/src/coordination/transactions/mod.rs
@@ -1,5 +1,5 @@
 //! The leader's write-ahead transactions, which combine starts of placements, removals of settled ones,
-//! done tasks and job ends into as few commits as possible. A placement is settled once there is proof
+//! done tasks and job ends into as few transactions as possible. A placement is settled once there is proof
 //! that its task no longer runs on the machine.
 //!
 //! Decisions are committed before they take effect: a worker is told to start a task only once the
@@ -70,8 +70,8 @@
         self.pending.as_ref().is_some_and(|pending| !pending.outcome_unknown)
     }
 
-    /// Notes that the teams' shares have changed and must be written again.
-    pub(super) fn note_shares_changed(&mut self) {
+    /// Records that the teams' shares have changed and must be written again.
+    pub(super) fn mark_shares_changed(&mut self) {
         self.shares_written = false;
     }
 
--- a/src/coordination/transactions/outcome.rs
+++ b/src/coordination/transactions/outcome.rs
@@ -29,11 +29,11 @@
         }
         pending.in_flight = true;
         let body = pending.body.clone();
-        let purpose = CallPurpose::LeaderCommit { term: leader.term };
-        self.commit_call(body, writes, purpose);
+        let purpose = CallPurpose::LeaderTransaction { term: leader.term };
+        self.transaction_call(body, writes, purpose);
     }
 
-    pub(in crate::coordination) fn on_leader_commit_response(
+    pub(in crate::coordination) fn on_leader_transaction_response(
         &mut self,
         term: u64,
         reply: Option<Response>,
@@ -79,7 +79,7 @@
         self.apply_pending_transaction(revision);
     }
 
-    /// A condition failed: either an earlier copy was applied, or another process changed a key.
+    /// Handles a failed condition: either an earlier copy was applied, or another process changed a key.
     fn on_transaction_conflict(&mut self, body: &[u8]) {
         let failed_keys = TransactionConflict::failed_keys(body);
         log::debug!("transaction conflict: conditions failed on {failed_keys:?}");
@@ -94,7 +94,8 @@
         self.request_leader_read();
     }
 
-    /// The state service rejected the transaction as malformed or answered with an unexpected status.
+    /// Handles a transaction that the state service rejected as malformed or answered with an unexpected
+    /// status.
     fn on_transaction_rejected(&mut self, response: &Response) {
         let Response { status, body } = response;
         log::error!(
@@ -193,8 +194,8 @@
 
 impl Leader {
     fn restore_done_chunks(&mut self, pending: &PendingTransaction) {
-        for (uid, chunk) in &pending.done_chunks {
-            let job = self.cluster.jobs.get_mut(uid);
+        for (job_id, chunk) in &pending.done_chunks {
+            let job = self.cluster.jobs.get_mut(job_id);
             let Some(job) = job.filter(|job| job.is_live()) else { continue };
             job.dirty_chunks.insert(*chunk);
             if let Some(group) = job.chunk_groups.get(chunk) {
@@ -215,8 +216,8 @@
         }
         let jobs: BTreeSet<&JobId> =
             pending.additions.iter().map(|entry| &entry.attempt.task.job).collect();
-        for uid in jobs {
-            let job = self.cluster.jobs.get_mut(uid);
+        for job_id in jobs {
+            let job = self.cluster.jobs.get_mut(job_id);
             if let Some(gang) = job.and_then(|job| job.gang.as_mut()) {
                 gang.undo_attempt();
             }
@@ -268,9 +269,9 @@
         for number in &pending.done_groups {
             cluster.done_groups.entry(*number).or_default().mod_revision = revision;
         }
-        for uid in &pending.finished_jobs {
-            log::debug!("job completed: {uid}");
-            cluster.end_job(uid, JobStage::Done);
+        for job_id in &pending.finished_jobs {
+            log::debug!("job completed: {job_id}");
+            cluster.end_job(job_id, JobStage::Done);
         }
         cluster.apply_moves(pending.moves);
         for entry in &pending.removals {
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -123,8 +123,8 @@
         pending: &mut PendingTransaction,
         writes_max: usize,
     ) {
-        for uid in &self.completed_jobs {
-            let Some(job) = self.jobs.get(uid) else { continue };
+        for job_id in &self.completed_jobs {
+            let Some(job) = self.jobs.get(job_id) else { continue };
             let record = JobEndRecord {
                 at: job.accepted_at_wall_ms,
                 stage: JobStage::Done,
@@ -132,10 +132,10 @@
                 done: job.done_count,
             };
             let has_room = builder.writes.len() < writes_max;
-            if !has_room || !builder.put(job_end_key(uid), raw_json(&record), 0) {
+            if !has_room || !builder.put(job_end_key(job_id), raw_json(&record), 0) {
                 break;
             }
-            pending.finished_jobs.push(uid.clone());
+            pending.finished_jobs.push(job_id.clone());
         }
     }
 }
--- a/src/coordination/transactions/placements/mod.rs
+++ b/src/coordination/transactions/placements/mod.rs
@@ -12,8 +12,8 @@
 use super::builder::{TransactionBuilder, TransactionScope};
 use super::pending::{PendingTransaction, PlacementEntry, PlacementMove};
 use crate::constants::{
-    CLEANED_GROUPS_PER_TRANSACTION, COMMIT_BYTES_MAX, COMMIT_FRAME_BYTES, DONE_CHUNK_TASKS,
-    GROUP_FRAME_BYTES,
+    CLEANED_GROUPS_PER_TRANSACTION, DONE_CHUNK_TASKS, GROUP_OVERHEAD_BYTES, TRANSACTION_BYTES_MAX,
+    TRANSACTION_OVERHEAD_BYTES,
 };
 use crate::protocol::state::raw_json;
 use crate::protocol::workers::EndCause;
@@ -35,7 +35,7 @@
 impl ClusterState {
     /// Whether any placement group exceeds the current value size limit.
     pub(super) fn has_oversized_group(&self, value_bytes: usize) -> bool {
-        self.groups.values().any(|group| group.bytes + GROUP_FRAME_BYTES > value_bytes)
+        self.groups.values().any(|group| group.bytes + GROUP_OVERHEAD_BYTES > value_bytes)
     }
 
     /// Adds the placement groups that change: with starts, removals of settled placements, or moves
@@ -84,8 +84,8 @@
         pending.additions = additions;
     }
 
-    fn is_live(&self, uid: &str) -> bool {
-        self.jobs.get(uid).is_some_and(|job| job.is_live())
+    fn is_live(&self, job_id: &str) -> bool {
+        self.jobs.get(job_id).is_some_and(|job| job.is_live())
     }
 
     /// Whether a settled placement may be removed from the store. If its task is done, the done bit
@@ -129,7 +129,8 @@
             let entries = removable.get(number).into_iter().flatten();
             entries.map(|entry| entry.bytes).sum::<usize>()
         };
-        let bytes_left = (COMMIT_BYTES_MAX - COMMIT_FRAME_BYTES).saturating_sub(builder.bytes);
+        let bytes_left =
+            (TRANSACTION_BYTES_MAX - TRANSACTION_OVERHEAD_BYTES).saturating_sub(builder.bytes);
         let groups_by_bytes = bytes_left / builder.value_bytes_max.max(1);
         let writes_left = builder.writes_max.saturating_sub(builder.writes.len());
         let groups = self.groups.iter();
@@ -139,7 +140,7 @@
                 .collect(),
             chosen: BTreeSet::new(),
             groups_max: writes_left.min(groups_by_bytes),
-            bytes_max: builder.value_bytes_max - GROUP_FRAME_BYTES,
+            bytes_max: builder.value_bytes_max - GROUP_OVERHEAD_BYTES,
         }
     }
 
@@ -187,7 +188,7 @@
             moves.push(PlacementMove { from: *number, entry });
         }
         log::info!(
-            "splitting placement group {number}: {} placements move to other groups",
+            "placement group split: group {number}, {} placements move to other groups",
             moves.len()
         );
         *fill = split_fill;
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -45,13 +45,13 @@
                 continue;
             };
             let Some(first) = entries.first() else { continue };
-            let uid = first.attempt.task.job.clone();
-            let is_live = self.is_live(&uid);
-            let needs_condition = is_live && !jobs_with_condition.contains(&uid);
+            let job_id = first.attempt.task.job.clone();
+            let is_live = self.is_live(&job_id);
+            let needs_condition = is_live && !jobs_with_condition.contains(&job_id);
             let condition_fits = !needs_condition || jobs_with_condition.len() < conditions_left;
             if let Some(placed) = assign_groups(entries, fill, condition_fits) {
                 if is_live {
-                    jobs_with_condition.insert(uid);
+                    jobs_with_condition.insert(job_id);
                 }
                 additions.extend(placed);
                 continue;
@@ -59,7 +59,7 @@
             let is_gang = unit.gang.is_some();
             if is_gang && scope == TransactionScope::StoreGang && additions.is_empty() {
                 log::error!(
-                    "gang retracted: the tasks of job {uid} do not fit into one transaction"
+                    "gang retracted: the tasks of job {job_id} do not fit into one transaction"
                 );
                 self.retract_unit(&unit);
                 continue;
--- a/src/coordination/transactions/placements/tests.rs
+++ b/src/coordination/transactions/placements/tests.rs
@@ -82,7 +82,7 @@
 #[test]
 fn a_transaction_for_a_gang_leaves_out_urgent_groups() {
     let mut cluster = cluster_with_proposed_gang(20);
-    let bytes = VALUE_BYTES - GROUP_FRAME_BYTES;
+    let bytes = VALUE_BYTES - GROUP_OVERHEAD_BYTES;
     cluster.groups.insert(0, PlacementGroup { bytes, urgent: true, ..PlacementGroup::default() });
     let (mut builder, mut pending) = (builder_with_writes(1), PendingTransaction::default());
     cluster.pack_placements(&mut builder, &mut pending, false, TransactionScope::Everything);
--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -54,7 +54,7 @@
     pub done_groups: BTreeMap<u32, DoneTasksGroup>,
     /// Placements that are not stored yet, in the order in which they were decided.
     pub proposals: VecDeque<(MachineName, TaskId)>,
-    /// Whether a proposed gang did not fit into the last commit together with the other changes.
+    /// Whether a proposed gang did not fit into the last transaction together with the other changes.
     pub gang_is_deferred: bool,
     /// Settled placements that are in no stored group.
     pub unstored_settlements: Vec<(MachineName, TaskId)>,
@@ -62,7 +62,7 @@
     pub completed_jobs: BTreeSet<JobId>,
     /// Images and their sizes in gigabytes on machines that this term doesn't know yet.
     pub stored_images: HashMap<MachineName, Vec<(String, f64)>>,
-    /// Keys to remove when a commit has capacity for it.
+    /// Keys to remove when a transaction has capacity for it.
     pub stale_keys: Vec<StaleKey>,
 }
 
--- a/src/storage/cluster/jobs.rs
+++ b/src/storage/cluster/jobs.rs
@@ -75,7 +75,7 @@
                 group.remove(id, chunk);
             }
         }
-        // Proposed placements are stopped too: the commit in flight may store them, and their tasks
+        // Proposed placements are stopped too: the transaction in flight may store them, and their tasks
         // must not be started then.
         for task in job.placed_tasks() {
             self.stop_task(id, &task, StopReason::NotNeeded);
--- a/src/storage/cluster/placements.rs
+++ b/src/storage/cluster/placements.rs
@@ -7,7 +7,7 @@
 use crate::storage::records::{JobId, MachineName};
 
 impl ClusterState {
-    /// Proposes a placement. It uses capacity and quota at once and is stored with a later commit.
+    /// Proposes a placement. It uses capacity and quota at once and is stored with a later transaction.
     pub fn propose(
         &mut self,
         job_id: &JobId,
@@ -61,7 +61,7 @@
         let Some(placement) = placement.filter(is_same) else { return };
         placement.phase = PlacementPhase::Committed;
         placement.group = Some(group);
-        // The placement may have been settled while the commit was in flight.
+        // The placement may have been settled while the transaction was in flight.
         if let (Some(cause), Some(group)) = (placement.settled, self.groups.get_mut(&group)) {
             group.settle(attempt.clone(), cause != EndCause::Done);
         }
--- a/src/storage/limits.rs
+++ b/src/storage/limits.rs
@@ -1,7 +1,7 @@
 //! Size and rate limits of the state service.
 //!
 //! The settings may announce lower limits that take effect later without notice. The lower sizes are
-//! respected from the start, since a commit with a value that is too large always fails. The lower rates
+//! respected from the start, since a transaction with a value that is too large always fails. The lower rates
 //! are used once the service has rejected a request because of its rate.
 
 use crate::constants::{STORE_VALUE_BYTES_MIN, TRANSACTION_OPS_MIN};
@@ -50,7 +50,7 @@
         lower
     }
 
-    /// Halves the size limits, after the service has rejected a well-formed commit as malformed: its
+    /// Halves the size limits, after the service has rejected a well-formed transaction as malformed: its
     /// limits must be lower than the settings say.
     pub fn halve_sizes(&mut self) {
         self.value_bytes = (self.value_bytes / 2).max(STORE_VALUE_BYTES_MIN);
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -2,7 +2,7 @@
 //!
 //! Responses overlap and may arrive out of order. Each has all changes after the revision that its
 //! request named, so changes up to the revision of the replica are already applied and are skipped. The
-//! controller's own commits are applied at once, before the watch has them. Keys that they removed are
+//! controller's own transactions are applied at once, before the watch has them. Keys that they removed are
 //! remembered until the replica has reached the revision of the removal.
 
 mod changes;
@@ -61,7 +61,7 @@
     pub images: BTreeMap<u32, Versioned<ImagesRecord>>,
     /// Number of stored placements by job, for the status that users poll.
     placed_counts: HashMap<JobId, u32>,
-    /// Keys that own commits removed, with the revision of the removal, until the watch has it.
+    /// Keys that own transactions removed, with the revision of the removal, until the watch has it.
     removed_keys: HashMap<String, u64>,
     /// The first key found that belongs to a layout that this program can't read.
     pub foreign_layout_key: Option<String>,
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -48,8 +48,8 @@
 }
 
 #[test]
-fn jobs_of_one_commit_have_distinct_arrival_numbers() {
-    // Guards against equal arrival numbers in two batches of one commit: of two jobs with the same
+fn jobs_of_one_transaction_have_distinct_arrival_numbers() {
+    // Guards against equal arrival numbers in two batches of one transaction: of two jobs with the same
     // number, only one would ever be placed.
     let mut replica = Replica::new(HashKeys::from_seed(1));
     let mut two = batch_of("job-2", 1);
