--- a/src/coordination/membership/gossip.rs
+++ b/src/coordination/membership/gossip.rs
@@ -119,12 +119,12 @@
     /// The response to a peer's gossip, with the ended jobs that it asks for.
     fn gossip_for(&self, peer: usize) -> Gossip {
         let mut response = self.gossip();
-        let asked = self.membership.peers[peer].gossip.as_ref();
-        if let Some(since) = asked.and_then(|gossip| gossip.since) {
+        let request = self.membership.peers[peer].gossip.as_ref();
+        if let Some(since) = request.and_then(|gossip| gossip.since) {
             // A revision of another store than ours doesn't tell which ended jobs the peer lacks, so
             // the list can't be called complete.
-            let asked_in = asked.and_then(|gossip| gossip.store);
-            let same_store = asked_in == response.store && !self.recovery.is_suspended();
+            let requested_store = request.and_then(|gossip| gossip.store);
+            let same_store = requested_store == response.store && !self.recovery.is_suspended();
             self.list_ended_jobs(since, &mut response);
             response.ended_all &= same_store;
         }
--- a/src/coordination/rejection.rs
+++ b/src/coordination/rejection.rs
@@ -12,7 +12,7 @@
     /// The cloud's machine types, which decide whether it can run, are not known yet.
     #[error("machine types are not known yet")]
     MachineTypesUnknown,
-    /// No machine type that it allows has room for one task.
+    /// No machine type that it allows has capacity for one task.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
     /// The tasks that must run at once need more than the team's limit.
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether the job may be added to this value, in which jobs may take `bytes_max`.
-    fn has_room_for(&self, submission: &PendingSubmission, bytes_max: usize) -> bool {
+    fn has_capacity_for(&self, submission: &PendingSubmission, bytes_max: usize) -> bool {
         self.holds_gangs == submission.spec.is_gang() && self.bytes + submission.bytes <= bytes_max
     }
 
@@ -183,8 +183,9 @@
             let conditions = chosen.len() + limits.conditions_reserved;
             let fits = conditions < limits.conditions
                 && bytes + submission.bytes <= TRANSACTION_BYTES_MAX - TRANSACTION_OVERHEAD_BYTES;
-            let has_room = |value: &BatchValue| value.has_room_for(&submission, limits.value_bytes);
-            match values.iter().position(has_room) {
+            let has_capacity =
+                |value: &BatchValue| value.has_capacity_for(&submission, limits.value_bytes);
+            match values.iter().position(has_capacity) {
                 Some(index) if fits => values[index].add(&submission),
                 None if fits && values.len() < limits.values => {
                     values.push(BatchValue::new(&submission));
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Machine types that the job allows and that have room for one of its tasks.
+/// Machine types that the job allows and that have capacity for one of its tasks.
 fn usable_types<'a>(
     spec: &'a JobSpec,
     catalog: &'a Catalog,
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -236,12 +236,12 @@
     }
 
     /// Applies the response to a watch or a fresh read to the replica.
-    fn apply_changes(&mut self, asked: ReadPoint, reply: &Option<Response>) -> ReadOutcome {
-        if asked.epoch != self.store.epoch {
+    fn apply_changes(&mut self, read_point: ReadPoint, reply: &Option<Response>) -> ReadOutcome {
+        if read_point.epoch != self.store.epoch {
             return ReadOutcome::Superseded;
         }
         match reply {
-            Some(Response { status: 200, body }) => self.apply_changes_body(asked, body),
+            Some(Response { status: 200, body }) => self.apply_changes_body(read_point, body),
             Some(Response { status: 410, .. }) => {
                 self.on_watch_too_old();
                 ReadOutcome::Superseded
@@ -250,14 +250,14 @@
         }
     }
 
-    fn apply_changes_body(&mut self, asked: ReadPoint, body: &[u8]) -> ReadOutcome {
+    fn apply_changes_body(&mut self, read_point: ReadPoint, body: &[u8]) -> ReadOutcome {
         let Ok(changes) = serde_json::from_slice::<WatchResponse>(body) else {
             return ReadOutcome::Failed;
         };
         let work = &mut self.metrics.work;
         work.state_bytes_read += body.len() as u64;
         work.state_reads_unchanged += u64::from(changes.events.is_empty());
-        if !self.check_changes(asked.revision, &changes) {
+        if !self.check_changes(read_point.revision, &changes) {
             return ReadOutcome::Superseded;
         }
         self.store.record_revision(changes.revision);
@@ -302,13 +302,13 @@
 
     pub(in crate::coordination) fn on_watch_response(
         &mut self,
-        asked: ReadPoint,
+        read_point: ReadPoint,
         reply: Option<Response>,
     ) {
-        if asked.epoch == self.store.epoch {
+        if read_point.epoch == self.store.epoch {
             self.store.watching = false;
         }
-        if matches!(self.apply_changes(asked, &reply), ReadOutcome::Failed) {
+        if matches!(self.apply_changes(read_point, &reply), ReadOutcome::Failed) {
             self.store.back_off(self.now.monotonic_ms);
         }
     }
@@ -316,11 +316,11 @@
     pub(in crate::coordination) fn on_fresh_read_response(
         &mut self,
         begun_at: u64,
-        asked: ReadPoint,
+        read_point: ReadPoint,
         reply: Option<Response>,
     ) {
         let waiters = self.store.fresh_reads.in_flight.take().unwrap_or_default();
-        match self.apply_changes(asked, &reply) {
+        match self.apply_changes(read_point, &reply) {
             ReadOutcome::Applied => {
                 self.store.last_read_at = Some(begun_at);
                 self.drop_known_ended_jobs();
--- a/src/coordination/transactions/builder.rs
+++ b/src/coordination/transactions/builder.rs
@@ -34,7 +34,7 @@
 
 impl TransactionBuilder {
     /// Whether this many more writes and conditions fit.
-    pub(super) fn has_room(&self, writes: usize, conditions: usize) -> bool {
+    pub(super) fn has_capacity(&self, writes: usize, conditions: usize) -> bool {
         self.writes.len() + writes <= self.writes_max
             && self.conditions.len() + conditions <= self.conditions_max
     }
@@ -45,7 +45,7 @@
         let bytes = value.get().len();
         let fits = bytes <= self.value_bytes_max
             && self.bytes + bytes <= TRANSACTION_BYTES_MAX - TRANSACTION_OVERHEAD_BYTES
-            && self.has_room(1, 1);
+            && self.has_capacity(1, 1);
         if fits {
             self.bytes += bytes;
             self.conditions.insert(key.clone(), mod_revision);
--- a/src/coordination/transactions/builder/tests.rs
+++ b/src/coordination/transactions/builder/tests.rs
@@ -33,5 +33,5 @@
     assert!(builder.put("a".into(), raw_json(&1), 0));
     assert!(builder.put("b".into(), raw_json(&2), 0));
     assert!(!builder.put("c".into(), raw_json(&3), 0), "a third write exceeds the maximum of two");
-    assert!(!builder.has_room(0, 1), "a fourth condition exceeds the maximum of three");
+    assert!(!builder.has_capacity(0, 1), "a fourth condition exceeds the maximum of three");
 }
--- a/src/coordination/transactions/done_tasks.rs
+++ b/src/coordination/transactions/done_tasks.rs
@@ -27,8 +27,8 @@
             if !self.split_done_group(number, builder, pending) {
                 continue;
             }
-            let has_room = builder.has_room(1 + writes_kept, 1);
-            if !has_room || !self.pack_done_group(number, builder, pending) {
+            let has_capacity = builder.has_capacity(1 + writes_kept, 1);
+            if !has_capacity || !self.pack_done_group(number, builder, pending) {
                 return;
             }
         }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Assigns a chunk to the first group with room for it, or to a new group.
+    /// Assigns a chunk to the first group with capacity for it, or to a new group.
     fn assign_done_group(
         &mut self,
         job_id: &JobId,
@@ -62,8 +62,9 @@
         bytes: usize,
         bytes_max: usize,
     ) -> u32 {
-        let with_room = self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
-        let number = with_room.map_or_else(|| self.unused_done_group(), |(number, _)| *number);
+        let with_capacity =
+            self.done_groups.iter().find(|(_, group)| group.bytes + bytes <= bytes_max);
+        let number = with_capacity.map_or_else(|| self.unused_done_group(), |(number, _)| *number);
         let group = self.done_groups.entry(number).or_default();
         group.insert(job_id.clone(), chunk, bytes);
         if let Some(job) = self.jobs.get_mut(job_id) {
@@ -108,7 +109,7 @@
     /// Splits a group that exceeds the value size limit because it was written under a higher one.
     /// The excess chunks move to new groups, which this transaction also writes. The new groups are
     /// packed first, so that no chunk is removed from the old group before its new one is written; a
-    /// chunk that is stored in both is read from both. Returns false if the transaction has no room.
+    /// chunk that is stored in both is read from both. Returns false if the parts do not fit.
     fn split_done_group(
         &mut self,
         number: u32,
@@ -119,7 +120,7 @@
         let group = self.done_groups.get(&number).filter(|group| group.bytes > bytes_max);
         let Some(group) = group else { return true };
         let parts = parts_to_move(group, bytes_max);
-        if !builder.has_room(parts.len() + 1, parts.len() + 1) {
+        if !builder.has_capacity(parts.len() + 1, parts.len() + 1) {
             return false;
         }
         log::info!(
--- a/src/coordination/transactions/housekeeping.rs
+++ b/src/coordination/transactions/housekeeping.rs
@@ -107,7 +107,7 @@
         builder: &mut TransactionBuilder,
         pending: &mut PendingTransaction,
     ) {
-        while builder.has_room(1, 1) {
+        while builder.has_capacity(1, 1) {
             let Some(stale) = self.cluster.stale_keys.pop() else { break };
             builder.remove(stale.key.clone(), stale.mod_revision);
             pending.stale_keys.push(stale);
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -131,8 +131,8 @@
                 tasks: job.tasks,
                 done: job.done_count,
             };
-            let has_room = builder.writes.len() < writes_max;
-            if !has_room || !builder.put(job_end_key(job_id), raw_json(&record), 0) {
+            let has_capacity = builder.writes.len() < writes_max;
+            if !has_capacity || !builder.put(job_end_key(job_id), raw_json(&record), 0) {
                 break;
             }
             pending.finished_jobs.push(job_id.clone());
--- a/src/coordination/transactions/placements/group_fill.rs
+++ b/src/coordination/transactions/placements/group_fill.rs
@@ -16,8 +16,8 @@
 }
 
 impl GroupFill {
-    /// Whether a group has room for `bytes` more.
-    fn has_room(&self, group: u32, bytes: usize) -> bool {
+    /// Whether a group has capacity for `bytes` more.
+    fn has_capacity(&self, group: u32, bytes: usize) -> bool {
         self.bytes.get(&group).is_some_and(|used| used + bytes <= self.bytes_max)
     }
 
@@ -33,29 +33,29 @@
         }
     }
 
-    /// Reserves room for one placement and returns its group: one that is already chosen, else the
-    /// emptiest, else a new one. `None` if there is no room.
+    /// Reserves capacity for one placement and returns its group: one that is already chosen, else the
+    /// emptiest, else a new one. `None` if there is no capacity.
     pub(super) fn add(&mut self, bytes: usize) -> Option<u32> {
         if bytes > self.bytes_max {
             return None;
         }
-        let chosen_with_room =
-            self.chosen.iter().copied().find(|group| self.has_room(*group, bytes));
-        let group = match chosen_with_room {
+        let chosen_with_capacity =
+            self.chosen.iter().copied().find(|group| self.has_capacity(*group, bytes));
+        let group = match chosen_with_capacity {
             Some(group) => group,
             None if self.chosen.len() >= self.groups_max => return None,
-            None => self.emptiest_with_room(bytes).unwrap_or_else(|| self.unused()),
+            None => self.emptiest_with_capacity(bytes).unwrap_or_else(|| self.unused()),
         };
         self.chosen.insert(group);
         *self.bytes.entry(group).or_default() += bytes;
         Some(group)
     }
 
-    fn emptiest_with_room(&self, bytes: usize) -> Option<u32> {
+    fn emptiest_with_capacity(&self, bytes: usize) -> Option<u32> {
         let candidates = self
             .bytes
             .iter()
-            .filter(|(group, _)| !self.chosen.contains(group) && self.has_room(**group, bytes));
+            .filter(|(group, _)| !self.chosen.contains(group) && self.has_capacity(**group, bytes));
         candidates.min_by_key(|(_, used)| **used).map(|(group, _)| *group)
     }
 
--- a/src/coordination/transactions/placements/starts.rs
+++ b/src/coordination/transactions/placements/starts.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Assigns each entry to a group. Without room for all entries it returns `None` and leaves `fill`
+/// Assigns each entry to a group. Without capacity for all entries it returns `None` and leaves `fill`
 /// unchanged.
 fn assign_groups(
     entries: Vec<PlacementEntry>,
