--- a/tests/random.rs
+++ b/tests/random.rs
@@ -20,7 +20,7 @@
 /// Names a variable with the one seed that `one_seed_of_each_mix` plays.
 const SEED_VAR: &str = "MOUNTGAP_SEED";
 /// Seeds that once went wrong: 725, placements committed on a machine found gone meanwhile. That was
-/// with the draws of its time; a story in `meetings.rs` meets it now, whatever is drawn here.
+/// with the draws of its time; a story in `combined_faults.rs` meets it now, whatever is drawn here.
 const FOUND: [u64; 1] = [725];
 /// Seeds of the mix with losses that once went wrong, each with another fault: see `docs/results.md`.
 const FOUND_WITH_LOSSES: [u64; 10] = [301, 550, 619, 839, 1486, 1489, 2885, 2963, 3295, 3685];
