--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,28 +1,29 @@
-//! Short scenarios: one trouble each, three controllers, a fake world.
+//! Short scenarios with one fault or condition each, on a simulation with three controllers.
 
 mod simulation;
 
 use serde_json::json;
 use simulation::*;
 
-fn settled() -> Simulation {
+/// A simulation with a leader and no jobs.
+fn idle_cluster() -> Simulation {
     let mut sim = Simulation::new(1);
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
     sim.run(3_000);
     sim
 }
 
-/// With job-000001, a service, up and running.
-fn with_service(replicas: u32) -> Simulation {
-    let mut sim = settled();
+/// A simulation in which job-000001, a service with this many replicas, runs.
+fn cluster_with_service(replicas: u32) -> Simulation {
+    let mut sim = idle_cluster();
     let s = sim.job_spec(1, "standing", replicas);
     sim.submit(s, u64::MAX, 0);
     sim.run(8_000);
     sim
 }
 
-/// The service of [`with_service`] runs with its three replicas, and a new job is done.
-fn serves(sim: &mut Simulation) {
+/// Asserts that a new job completes and the three replicas of [`cluster_with_service`] run.
+fn assert_serves_jobs(sim: &mut Simulation) {
     let s = sim.job_spec(2, "batch", 3);
     sim.submit(s, 1_000, 0);
     sim.run_until_done("job-000002", 30_000);
@@ -31,22 +32,22 @@
 
 #[test]
 fn a_job_is_accepted_run_and_done() {
-    let mut sim = settled();
+    let mut sim = idle_cluster();
     let s = sim.job_spec(1, "batch", 3);
     let r = sim.submit(s.clone(), 3_000, 1);
     sim.run(200);
     assert_eq!(sim.response_status(r), 201);
     let again = sim.submit(s, 3_000, 2);
     sim.run(200);
-    assert_eq!(sim.response_status(again), 200, "a repeat is known at another controller");
+    assert_eq!(sim.response_status(again), 200, "another controller knows the repeated submission");
     sim.run_until_done("job-000001", 30_000);
     assert_eq!(sim.jobs["job-000001"].starts, 3, "every task started once");
 }
 
 #[test]
-fn what_can_not_be_taken_is_answered_at_once() {
-    let mut sim = settled();
-    let ask = |sim: &mut Simulation, body: String| {
+fn invalid_submissions_are_rejected_at_once() {
+    let mut sim = idle_cluster();
+    let submit = |sim: &mut Simulation, body: String| {
         let r = sim.send_user_request(
             0,
             "job-000009",
@@ -58,151 +59,160 @@
         sim.run(300);
         sim.response_status(r)
     };
-    let good = sim.job_spec(9, "batch", 1);
+    let valid = sim.job_spec(9, "batch", 1);
     let with = |k: &str, v: serde_json::Value| {
-        let mut s = good.clone();
+        let mut s = valid.clone();
         s[k] = v;
         s.to_string()
     };
-    assert_eq!(ask(&mut sim, "nonsense".into()), 400);
-    assert_eq!(ask(&mut sim, "[]".into()), 400);
-    assert_eq!(ask(&mut sim, with("uid", json!("task-1"))), 400);
-    assert_eq!(ask(&mut sim, with("loads", json!(0))), 400);
-    assert_eq!(ask(&mut sim, with("loads", json!(100_001))), 400);
-    assert_eq!(ask(&mut sim, with("gpus", json!(-1.0))), 400);
-    assert_eq!(ask(&mut sim, with("kit", json!(null))), 400);
-    assert_eq!(ask(&mut sim, with("crew", json!("nobody"))), 422);
-    assert_eq!(ask(&mut sim, with("gpus", json!(5.0))), 422, "no machine has so many");
-    let mut wide = sim.job_spec(9, "standing", 13);
-    wide["apart"] = json!(false);
-    assert_eq!(ask(&mut sim, wide.to_string()), 422, "more than the team's limit at once");
-    assert_eq!(ask(&mut sim, w_unknown(&good)), 201, "unknown fields are ignored");
+    assert_eq!(submit(&mut sim, "nonsense".into()), 400);
+    assert_eq!(submit(&mut sim, "[]".into()), 400);
+    assert_eq!(submit(&mut sim, with("uid", json!("task-1"))), 400);
+    assert_eq!(submit(&mut sim, with("loads", json!(0))), 400);
+    assert_eq!(submit(&mut sim, with("loads", json!(100_001))), 400);
+    assert_eq!(submit(&mut sim, with("gpus", json!(-1.0))), 400);
+    assert_eq!(submit(&mut sim, with("kit", json!(null))), 400);
+    assert_eq!(submit(&mut sim, with("crew", json!("nobody"))), 422);
+    assert_eq!(submit(&mut sim, with("gpus", json!(5.0))), 422, "no machine has so many GPUs");
+    let mut too_large = sim.job_spec(9, "standing", 13);
+    too_large["apart"] = json!(false);
+    assert_eq!(submit(&mut sim, too_large.to_string()), 422, "more than the team's limit at once");
+    assert_eq!(submit(&mut sim, with_unknown_field(&valid)), 201, "unknown fields are ignored");
     let r = sim.poll("job-000404", 0);
     let x = sim.cancel("job-000404", 1);
     sim.run(300);
     assert_eq!((sim.response_status(r), sim.response_status(x)), (404, 404));
 }
 
-fn w_unknown(good: &serde_json::Value) -> String {
-    let mut s = good.clone();
+fn with_unknown_field(spec: &serde_json::Value) -> String {
+    let mut s = spec.clone();
     s["colour"] = json!("green");
     s.to_string()
 }
 
 #[test]
 fn many_jobs_submitted_together_are_accepted_with_few_writes_and_all_run() {
-    let mut sim = settled();
-    let before = sim.state.mutation_count;
-    let asked: Vec<u64> = (1..=40)
+    let mut sim = idle_cluster();
+    let mutations_before = sim.state.mutation_count;
+    let submissions: Vec<u64> = (1..=40)
         .map(|n| {
             let s = sim.job_spec(n, "batch", 1);
             sim.submit(s, 300, n as usize % 3)
         })
         .collect();
     sim.run_until(1_500, "all accepted", |sim| {
-        asked.iter().all(|r| sim.response_status(*r) == 201)
+        submissions.iter().all(|r| sim.response_status(*r) == 201)
     });
-    let batches = sim.state.mutation_count - before;
-    assert!(batches < 40, "far fewer changes than one a job and its start: {batches}");
+    let mutations = sim.state.mutation_count - mutations_before;
+    assert!(
+        mutations < 40,
+        "fewer mutations than jobs, although each job is also placed: {mutations}"
+    );
     for n in 1..=40 {
         sim.run_until_done(&format!("job-{n:06}"), 60_000);
     }
 }
 
 #[test]
-fn a_slow_state_service_makes_no_submission_slow_nor_any_job_twice() {
-    let mut sim = settled();
+fn a_slow_state_service_neither_delays_nor_duplicates_a_submission() {
+    let mut sim = idle_cluster();
     sim.state.next_submission_delay_ms = 400;
     let s = sim.job_spec(1, "batch", 3);
     let r = sim.submit(s, 1_000, 1);
-    sim.run_until(200, "accepted by the second copy", |sim| sim.response_status(r) == 201);
-    // The first one is carried out all the same, some time later.
+    sim.run_until(200, "accepted by the second copy of the commit", |sim| {
+        sim.response_status(r) == 201
+    });
+    // The first copy is executed later all the same.
     sim.run_until_done("job-000001", 30_000);
     assert_eq!(sim.jobs["job-000001"].starts, 3, "every task started once");
 }
 
 #[test]
 fn hundreds_of_tasks_take_several_groups_each_under_the_limit() {
-    let mut sim = settled();
+    let mut sim = idle_cluster();
     let mut s = sim.job_spec(1, "batch", 400);
     s["gpus"] = json!(0.0);
     s["cores"] = json!(0.05);
     s["ram_gb"] = json!(0.1);
     sim.submit(s, 20_000, 0);
-    // The world checks every value and every transaction against its limit.
-    sim.run_until(20_000, "several groups", |sim| {
+    // The simulation checks every value and every transaction against its limit.
+    sim.run_until(20_000, "several placement groups", |sim| {
         sim.state.entries_under("mg/2/place/").len() >= 3
     });
-    let old = sim.leader().expect("leads");
+    let old = sim.leader().expect("a leader");
     sim.crash(old, 1_000);
     sim.run_until_done("job-000001", 120_000);
     assert_eq!(sim.jobs["job-000001"].starts, 400, "every task started once, with two leaders");
 }
 
 #[test]
-fn a_report_of_many_unknown_tasks_is_answered_within_the_limits() {
-    let mut sim = settled();
-    let leader = sim.leader().expect("leads");
+fn a_heartbeat_with_many_unknown_tasks_is_answered_within_the_limits() {
+    let mut sim = idle_cluster();
+    let leader = sim.leader().expect("a leader");
     let loads: Vec<_> = (0..650)
         .map(|n| json!({"load": format!("job-{n:06}/7"), "try": 1, "status": "running", "cause": null}))
         .collect();
-    let report = json!({"stead": "n-900000", "address": "x", "build": "g4", "yard": "a",
+    let heartbeat = json!({"stead": "n-900000", "address": "x", "build": "g4", "yard": "a",
         "lendables": false, "tenure": 1, "tally": 1, "baton": 0, "recall_s": null, "loads": loads});
-    let body = report.to_string().into_bytes();
+    let body = heartbeat.to_string().into_bytes();
     assert!((40_000..65_536).contains(&body.len()), "near the limit: {}", body.len());
     let r = sim.send_user_request(leader, "", "other", "POST", "/checkin".into(), body);
     sim.run(1_000);
     assert_eq!(sim.response_status(r), 200);
-    let answer = sim.response_body(r);
-    assert!(answer.to_string().len() < 65_536);
-    let orders = answer["orders"].as_array().map_or(0, |o| o.len());
-    assert_eq!(orders, 500, "some are halted, the others next time");
+    let response = sim.response_body(r);
+    assert!(response.to_string().len() < 65_536);
+    let commands = response["orders"].as_array().map_or(0, |o| o.len());
+    assert_eq!(commands, 500, "500 tasks are stopped now, the others with the next heartbeat");
 }
 
 #[test]
-fn controllers_that_fall_behind_the_store_read_it_anew() {
-    let mut sim = with_service(3);
+fn controllers_behind_the_compacted_revision_reload_the_store() {
+    let mut sim = cluster_with_service(3);
     sim.state.compacted_revision = sim.state.revision + 1;
     sim.run(200);
     sim.state.compacted_revision = 0;
     sim.run_until(15_000, "a leader again", |sim| sim.leader().is_some());
     sim.run(5_000);
-    serves(&mut sim);
+    assert_serves_jobs(&mut sim);
 }
 
 #[test]
-fn refused_for_asking_too_often_nothing_stalls_and_nobody_waits_for_an_answer() {
-    let mut sim = with_service(3);
+fn rate_limited_controllers_answer_users_at_once_and_recover() {
+    let mut sim = cluster_with_service(3);
     sim.state.rate_limited = true;
     sim.cloud.rate_limited = true;
     let s = sim.job_spec(2, "batch", 3);
     let (a, b) = (sim.submit(s.clone(), 1_000, 0), sim.poll("job-000001", 1));
     sim.run(2_000);
-    assert_eq!((sim.response_status(a), sim.response_status(b)), (503, 503), "answered at once");
+    assert_eq!(
+        (sim.response_status(a), sim.response_status(b)),
+        (503, 503),
+        "both are answered at once"
+    );
     sim.run(1_000);
     sim.state.rate_limited = false;
     sim.cloud.rate_limited = false;
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
     sim.submit(s, 1_000, 0);
     sim.run_until_done("job-000002", 30_000);
-    let on = sim.running_tasks();
-    assert_eq!(on, 3, "the service runs: {}", sim.describe());
+    let running = sim.running_tasks();
+    assert_eq!(running, 3, "the service runs: {}", sim.describe());
 }
 
 #[test]
-fn a_store_of_another_layout_is_left_alone() {
+fn nobody_leads_on_a_store_of_another_layout() {
     let mut sim = Simulation::new(1);
     sim.state.put("mg/job/job-000007", json!({"at": 1, "stage": "live", "loads": 1}));
     sim.run(15_000);
-    assert!(sim.leader().is_none(), "nobody leads on keys that it can't read");
+    assert!(sim.leader().is_none(), "no controller leads on keys that it can't read");
     let r = sim.poll("job-000007", 0);
     sim.run(300);
-    assert_eq!(sim.response_status(r), 503, "not unknown: unreadable");
+    assert_eq!(sim.response_status(r), 503, "the job is unreadable, not unknown");
 }
 
 #[test]
-fn an_accepted_job_outlives_all_controllers() {
-    let mut sim = settled();
+fn an_accepted_job_survives_a_crash_of_all_controllers() {
+    let mut sim = idle_cluster();
     let s = sim.job_spec(1, "batch", 6);
     let r = sim.submit(s, 8_000, 0);
     sim.run_until(1_000, "accepted", |sim| sim.response_status(r) == 201);
@@ -213,44 +223,44 @@
 }
 
 #[test]
-fn a_leader_that_only_workers_reach_makes_way_and_nothing_runs_twice() {
-    let mut sim = with_service(3);
-    let old = sim.leader().expect("leads");
+fn a_leader_reached_only_by_workers_is_replaced_and_nothing_runs_twice() {
+    let mut sim = cluster_with_service(3);
+    let old = sim.leader().expect("a leader");
     sim.nodes[old].partitioned_from_state = true;
     sim.nodes[old].partitioned_from_peers = true;
-    // Two leaders for a while; the workers see only the old one.
+    // There are two leaders for a while, and the workers know only the old one.
     sim.run_until(20_000, "another leads", |sim| sim.leader().is_some_and(|l| l != old));
     let s = sim.job_spec(2, "batch", 2);
     sim.submit(s, 2_000, (old + 1) % 3);
     sim.run(10_000);
-    // A new leader once took machines that it had not heard of for ones that fail to boot.
-    assert!(sim.workers.values().all(|x| !x.stopped), "no machine was returned for being unheard");
+    // A new leader must not take machines without a heartbeat to it for machines that failed to boot.
+    assert!(sim.workers.values().all(|w| !w.stopped), "no machine was returned for its silence");
     sim.run(30_000);
     sim.nodes[old].partitioned_from_state = false;
     sim.nodes[old].partitioned_from_peers = false;
     sim.run_until_done("job-000002", 60_000);
     sim.run(10_000);
-    let on = sim.running_tasks();
-    assert_eq!(on, 3, "the service runs");
+    let running = sim.running_tasks();
+    assert_eq!(running, 3, "the service runs");
 }
 
 #[test]
-fn a_cancellation_holds_against_a_leader_that_can_not_hear_of_it() {
-    let mut sim = with_service(3);
-    let old = sim.leader().expect("leads");
+fn a_cancellation_holds_against_a_partitioned_leader() {
+    let mut sim = cluster_with_service(3);
+    let old = sim.leader().expect("a leader");
     sim.nodes[old].partitioned_from_state = true;
     sim.nodes[old].partitioned_from_peers = true;
     sim.run(500);
     let r = sim.cancel("job-000001", (old + 1) % 3);
-    sim.run_until(2_000, "withdrawn", |sim| sim.response_status(r) == 200);
-    // The old leader goes on answering its workers, but not for too long.
+    sim.run_until(2_000, "cancelled", |sim| sim.response_status(r) == 200);
+    // The old leader keeps answering its workers, but has to stop in time.
     sim.run(CANCEL_MS + 10_000);
-    assert!(sim.workers.values().all(|x| x.running_tasks().is_empty()));
+    assert!(sim.workers.values().all(|w| w.running_tasks().is_empty()));
 }
 
 #[test]
-fn late_and_lost_commits_change_nothing_for_users() {
-    let mut sim = settled();
+fn delayed_commits_and_lost_responses_change_nothing_for_users() {
+    let mut sim = idle_cluster();
     sim.state.delayed_commit_rate = 0.3;
     sim.state.lost_response_rate = 0.1;
     for n in 1..=6 {
@@ -269,8 +279,8 @@
 }
 
 #[test]
-fn reports_that_come_late_settle_nothing() {
-    let mut sim = settled();
+fn delayed_heartbeats_settle_nothing() {
+    let mut sim = idle_cluster();
     sim.delayed_heartbeat_rate = 0.15;
     for n in 1..=4 {
         let s = sim.job_spec(n, "batch", 6);
@@ -285,66 +295,77 @@
 }
 
 #[test]
-fn a_machine_that_hears_no_answer_is_found_out_replaced_and_used_again_when_it_heals() {
-    let mut sim = settled();
-    // Two machines, no more: what is to run has to come by the one that hears nothing.
+fn a_machine_that_gets_no_responses_is_replaced_unless_it_recovers_in_time() {
+    let mut sim = idle_cluster();
+    // With only two machines, tasks also get placed on the one that receives no responses.
     sim.cloud.capacity = 2;
     let mut s = sim.job_spec(1, "standing", 3);
     s["yard"] = json!("a");
     sim.submit(s, u64::MAX, 0);
     sim.run(8_000);
     let name =
-        sim.workers.iter().find(|(_, x)| x.running_tasks().is_empty()).expect("one").0.clone();
+        sim.workers.iter().find(|(_, w)| w.running_tasks().is_empty()).expect("a worker").0.clone();
     sim.workers.get_mut(&name).unwrap().responses_lost = true;
-    // Starts that never arrive there do not hold tasks for ever.
+    // Start commands that never arrive there do not hold the tasks for ever.
     let s = sim.job_spec(2, "batch", 6);
     sim.submit(s, 1_000, 0);
     sim.run_until_done("job-000002", LEASE_MS * 4);
     sim.run(LEASE_MS);
-    let on: usize =
-        sim.workers.values().filter(|x| !x.responses_lost).map(|x| x.running_tasks().len()).sum();
-    assert_eq!(on, 3, "the service runs elsewhere: {}", sim.describe());
-    // A short time of it does not cost a machine.
-    let other = sim.workers.iter().find(|(n, x)| **n != name && !x.stopped).expect("one").0.clone();
+    let running: usize =
+        sim.workers.values().filter(|w| !w.responses_lost).map(|w| w.running_tasks().len()).sum();
+    assert_eq!(running, 3, "the service runs elsewhere: {}", sim.describe());
+    // A machine that recovers within a few seconds is kept.
+    let other =
+        sim.workers.iter().find(|(n, w)| **n != name && !w.stopped).expect("a worker").0.clone();
     sim.workers.get_mut(&other).unwrap().responses_lost = true;
     sim.run(5_000);
     sim.workers.get_mut(&other).unwrap().responses_lost = false;
     sim.run(LEASE_MS * 2);
-    assert!(!sim.is_returned(&other), "healed in time: {}", sim.describe());
+    assert!(!sim.is_returned(&other), "kept, as it recovered in time: {}", sim.describe());
 }
 
 #[test]
-fn a_machine_that_hears_no_answer_across_a_change_of_leader_is_replaced() {
-    let mut sim = with_service(3);
-    let name =
-        sim.workers.iter().find(|(_, x)| !x.running_tasks().is_empty()).expect("one").0.clone();
+fn a_machine_that_gets_no_responses_across_a_leader_change_is_replaced() {
+    let mut sim = cluster_with_service(3);
+    let name = sim
+        .workers
+        .iter()
+        .find(|(_, w)| !w.running_tasks().is_empty())
+        .expect("a worker")
+        .0
+        .clone();
     sim.workers.get_mut(&name).unwrap().responses_lost = true;
     sim.run(1_000);
-    let old = sim.leader().expect("leads");
+    let old = sim.leader().expect("a leader");
     sim.crash(old, 3_000);
-    // It shows the old token for ever: nothing it shows settles anything, only its end does.
+    // Its heartbeats show the old fencing token for ever, so they settle nothing; only the end of the machine does.
     sim.run(LEASE_MS * 2 + 40_000);
     assert!(sim.is_returned(&name), "replaced: {}", sim.describe());
-    let on = sim.running_tasks();
-    assert_eq!(on, 3, "the service runs elsewhere: {}", sim.describe());
+    let running = sim.running_tasks();
+    assert_eq!(running, 3, "the service runs elsewhere: {}", sim.describe());
 }
 
 #[test]
-fn late_copies_of_reports_settle_nothing_and_hide_no_silent_machine() {
-    let mut sim = with_service(3);
+fn duplicate_heartbeats_settle_nothing_and_hide_no_silent_machine() {
+    let mut sim = cluster_with_service(3);
     sim.duplicate_heartbeat_rate = 0.7;
     sim.duplicate_delay_max_ms = LEASE_MS * 3;
     sim.run(20_000);
-    let name =
-        sim.workers.iter().find(|(_, x)| !x.running_tasks().is_empty()).expect("one").0.clone();
+    let name = sim
+        .workers
+        .iter()
+        .find(|(_, w)| !w.running_tasks().is_empty())
+        .expect("a worker")
+        .0
+        .clone();
     sim.remove_machine(&name);
     sim.run(3_000);
-    // Copies from before its end also reach the next leader, to whom they are all news.
-    let old = sim.leader().expect("leads");
+    // Duplicates from before its end also reach the next leader, which has seen none of them.
+    let old = sim.leader().expect("a leader");
     sim.crash(old, 200);
     sim.run(LEASE_MS * 2 + 20_000);
-    let on = sim.running_tasks();
-    assert_eq!(on, 3, "the service runs on machines that are there: {}", sim.describe());
+    let running = sim.running_tasks();
+    assert_eq!(running, 3, "the service runs on machines that exist: {}", sim.describe());
     let s = sim.job_spec(2, "batch", 6);
     sim.submit(s, 2_000, 0);
     sim.run_until_done("job-000002", 60_000);
@@ -352,9 +373,9 @@
 }
 
 #[test]
-fn a_follower_with_nothing_but_workers_sends_them_on_and_says_that_it_is_not_up() {
-    let mut sim = with_service(3);
-    let other = (sim.leader().expect("leads") + 1) % 3;
+fn a_follower_reached_only_by_workers_redirects_them_and_is_not_up() {
+    let mut sim = cluster_with_service(3);
+    let other = (sim.leader().expect("a leader") + 1) % 3;
     sim.nodes[other].partitioned_from_state = true;
     sim.nodes[other].partitioned_from_peers = true;
     sim.run(6_000);
@@ -363,13 +384,13 @@
     sim.run(1_500);
     assert_eq!((sim.response_status(up), sim.response_status(poll)), (503, 503));
     sim.run(LEASE_MS * 2);
-    let on = sim.running_tasks();
-    assert_eq!(on, 3, "no lease ended for it");
+    let running = sim.running_tasks();
+    assert_eq!(running, 3, "no lease expired because of it");
 }
 
-/// A service with a replica in each zone, zone b cut off with a controller that does not lead.
-fn zone_b_cut_off() -> Simulation {
-    let mut sim = settled();
+/// A service with replicas in both zones, and zone b partitioned together with a follower.
+fn cluster_with_zone_b_partitioned() -> Simulation {
+    let mut sim = idle_cluster();
     let mut s = sim.job_spec(1, "standing", 4);
     s["apart"] = json!(true);
     sim.submit(s, u64::MAX, 0);
@@ -380,40 +401,36 @@
 }
 
 #[test]
-fn services_in_a_zone_that_is_cut_off_stay_up_while_a_controller_is_in_it() {
-    // Their leases ran out once although a controller stood beside them, and the half of each
-    // service that must be in that zone was down for the whole cut.
-    let mut sim = zone_b_cut_off();
+fn services_in_a_partitioned_zone_stay_up_while_a_controller_is_in_it() {
+    // Without lease extension by the controller in the zone, their leases expire, and the half of each service
+    // that must be in that zone is down for the whole partition.
+    let mut sim = cluster_with_zone_b_partitioned();
     sim.run(LEASE_MS + LEASE_MS / 2);
     assert_eq!(sim.running_tasks(), 4, "kept beyond their lease: {}", sim.describe());
     sim.heal_zone_partition();
     sim.run(LEASE_MS * 2);
-    assert_eq!(
-        (sim.running_tasks(), sim.jobs["job-000001"].starts),
-        (4, 4),
-        "and none was started anew"
-    );
-    serves_batch(&mut sim);
+    assert_eq!((sim.running_tasks(), sim.jobs["job-000001"].starts), (4, 4), "and none restarted");
+    assert_completes_new_job(&mut sim);
 }
 
 #[test]
-fn leases_kept_in_the_leaders_place_end_in_time_for_a_cancellation_and_are_waited_for() {
-    let mut sim = zone_b_cut_off();
+fn leases_extended_by_a_follower_expire_in_time_for_a_cancellation() {
+    let mut sim = cluster_with_zone_b_partitioned();
     sim.run(2_000);
-    let outside = sim.leader().expect("leads");
+    let outside = sim.leader().expect("a leader");
     let r = sim.cancel("job-000001", outside);
-    sim.run_until(3_000, "withdrawn", |sim| sim.response_status(r) == 200);
-    // The world's checker wants every task gone in time, also those that nobody can reach.
+    sim.run_until(3_000, "cancelled", |sim| sim.response_status(r) == 200);
+    // The simulation checks that every task is gone in time, including those out of the leader's reach.
     sim.run(CANCEL_MS + LEASE_MS);
     assert_eq!(sim.running_tasks(), 0, "{}", sim.describe());
     sim.heal_zone_partition();
-    serves_batch(&mut sim);
+    assert_completes_new_job(&mut sim);
 }
 
 #[test]
-fn what_ran_in_a_zone_that_stays_cut_off_starts_elsewhere_only_when_its_lease_is_over() {
-    let mut sim = settled();
-    // Something holds the other zone while it is placed, and there is room there afterwards.
+fn tasks_of_a_partitioned_zone_start_elsewhere_only_after_their_lease() {
+    let mut sim = idle_cluster();
+    // Another job fills zone a while this one is placed; later there is capacity in zone a.
     let mut s = sim.job_spec(3, "batch", 4);
     s["yard"] = json!("a");
     sim.submit(s, 60_000, 0);
@@ -422,32 +439,32 @@
     s["run_guess_s"] = json!(60.0);
     sim.submit(s, 60_000, 0);
     sim.run_until(10_000, "runs in zone b", |sim| sim.running_tasks() == 6);
-    let leader = sim.leader().expect("leads");
+    let leader = sim.leader().expect("a leader");
     sim.cancel("job-000003", leader);
-    sim.run_until(10_000, "room in zone a", |sim| sim.running_tasks() == 2);
+    sim.run_until(10_000, "capacity in zone a", |sim| sim.running_tasks() == 2);
     sim.partition_zone("b", (leader + 1) % 3);
-    // The checker breaks off where a task starts while it is still on a machine.
+    // The simulation fails if a task starts while it is still on another machine.
     sim.run_until_done("job-000001", 300_000);
-    assert!(sim.jobs["job-000001"].starts > 2, "they were started again");
+    assert!(sim.jobs["job-000001"].starts > 2, "its tasks were started again");
     sim.heal_zone_partition();
     sim.run(LEASE_MS);
-    serves_batch(&mut sim);
+    assert_completes_new_job(&mut sim);
 }
 
-/// A new job is done.
-fn serves_batch(sim: &mut Simulation) {
+/// Asserts that a new job completes.
+fn assert_completes_new_job(sim: &mut Simulation) {
     let s = sim.job_spec(2, "batch", 3);
-    let to = sim.leader().expect("leads");
+    let to = sim.leader().expect("a leader");
     sim.submit(s, 1_000, to);
     sim.run_until_done("job-000002", 60_000);
 }
 
 #[test]
-fn controllers_back_at_once_in_the_middle_of_elections_lead_and_lose_nothing() {
-    let mut sim = with_service(3);
+fn controllers_that_restart_during_elections_lead_and_lose_nothing() {
+    let mut sim = cluster_with_service(3);
     sim.state.commit_response_delay_ms = 300;
     for round in 0..6 {
-        // One ends with its election's commit out, another while it reads the store.
+        // One crashes while its campaign's commit is in transit, another while it loads the store.
         sim.crash(round % 3, 50);
         sim.run(150);
         sim.crash((round + 1) % 3, 100);
@@ -455,14 +472,14 @@
     }
     sim.state.commit_response_delay_ms = 0;
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
-    serves(&mut sim);
+    assert_serves_jobs(&mut sim);
 }
 
 #[test]
-fn a_wide_job_past_its_deadline_begins_and_goes_on_under_a_stream_of_small_ones() {
-    let mut sim = settled();
+fn a_large_job_past_its_deadline_starts_and_continues_among_many_small_ones() {
+    let mut sim = idle_cluster();
     sim.cloud.capacity = 2;
-    // Twelve slots' worth of small jobs that can still be in time, for eight.
+    // Small jobs that can still meet their deadline need twelve slots; there are eight.
     let small = |sim: &mut Simulation, n: u64| {
         let mut s = sim.job_spec(n, "batch", 1);
         s["due_s"] = json!(600.0);
@@ -470,69 +487,74 @@
     };
     (2..30).for_each(|n| small(&mut sim, n));
     sim.run(3_000);
-    let mut wide = sim.job_spec(1, "batch", 30);
-    wide["due_s"] = json!(1.0);
-    let begun_by = sim.now + 240_000;
-    sim.submit(wide, 12_000, 0);
+    let mut large = sim.job_spec(1, "batch", 30);
+    large["due_s"] = json!(1.0);
+    let start_deadline = sim.now + 240_000;
+    sim.submit(large, 12_000, 0);
     let mut n = 30;
-    while sim.now < begun_by + 60_000 {
+    while sim.now < start_deadline + 60_000 {
         n += 1;
         small(&mut sim, n);
         sim.run(1_000);
-        let begun = sim.jobs["job-000001"].starts > 0;
-        assert!(begun || sim.now < begun_by, "not begun within four minutes");
+        let started = sim.jobs["job-000001"].starts > 0;
+        assert!(started || sim.now < start_deadline, "not started within four minutes");
     }
     let starts = sim.jobs["job-000001"].starts;
-    assert!(starts >= 3, "it goes on after it has begun, not {starts}");
+    assert!(starts >= 3, "more tasks start after the first ones: {starts}");
 }
 
 #[test]
-fn a_machine_back_at_once_with_nothing_on_it_is_not_taken_for_the_one_before() {
-    let mut sim = with_service(3);
-    let name =
-        sim.workers.iter().find(|(_, x)| !x.running_tasks().is_empty()).expect("one").0.clone();
-    // Its numbers start anew, so that its reports look like copies of old ones.
+fn a_worker_restarted_without_state_is_not_taken_for_its_previous_incarnation() {
+    let mut sim = cluster_with_service(3);
+    let name = sim
+        .workers
+        .iter()
+        .find(|(_, w)| !w.running_tasks().is_empty())
+        .expect("a worker")
+        .0
+        .clone();
+    // Its sequence numbers start again, so that its heartbeats look like duplicates of old ones.
     sim.workers.get_mut(&name).unwrap().restart_without_state();
     sim.run(LEASE_MS + 20_000);
-    let on = sim.running_tasks();
-    assert_eq!(on, 3, "the service runs: {}", sim.describe());
+    let running = sim.running_tasks();
+    assert_eq!(running, 3, "the service runs: {}", sim.describe());
 }
 
 #[test]
-fn tasks_of_a_cut_machine_start_elsewhere_only_after_its_lease() {
-    let mut sim = with_service(2);
+fn tasks_of_a_partitioned_machine_start_elsewhere_only_after_its_lease() {
+    let mut sim = cluster_with_service(2);
     let name = sim
         .workers
         .iter()
-        .find(|(_, x)| x.holds_task_of("job-000001"))
+        .find(|(_, w)| w.holds_task_of("job-000001"))
         .map(|(n, _)| n.clone())
         .unwrap();
     let starts = sim.jobs["job-000001"].starts;
     sim.workers.get_mut(&name).unwrap().partitioned = true;
     sim.run(LEASE_MS - 2_000);
-    assert_eq!(sim.jobs["job-000001"].starts, starts, "not before the lease is over");
-    sim.run_until(20_000, "replaced", |sim| sim.jobs["job-000001"].starts > starts);
+    assert_eq!(sim.jobs["job-000001"].starts, starts, "not before its lease has expired");
+    sim.run_until(20_000, "restarted elsewhere", |sim| sim.jobs["job-000001"].starts > starts);
     sim.workers.get_mut(&name).unwrap().partitioned = false;
     sim.run(20_000);
 }
 
 #[test]
-fn a_withdrawal_holds_against_done_and_start() {
-    let mut sim = settled();
+fn a_cancellation_at_any_moment_has_one_outcome() {
+    let mut sim = idle_cluster();
     for n in 1..=12u64 {
         let s = sim.job_spec(n, "batch", 2);
         sim.submit(s, 1_000, 0);
-        // At ever later moments of the job's short life.
+        // Each job is cancelled at a later moment of its short run than the one before.
         sim.run(n * 450);
-        let uid = format!("job-{n:06}");
-        let a = sim.cancel(&uid, 1);
-        let b = sim.cancel(&uid, 2);
+        let job_id = format!("job-{n:06}");
+        let a = sim.cancel(&job_id, 1);
+        let b = sim.cancel(&job_id, 2);
         sim.run(400);
         assert_eq!(sim.response_status(a), 200);
         assert_eq!(
             sim.response_body(a)["status"],
             sim.response_body(b)["status"],
-            "one outcome for all"
+            "both cancellations have the same outcome"
         );
     }
     sim.run(CANCEL_MS + 5_000);
@@ -541,37 +563,44 @@
 }
 
 #[test]
-fn a_term_that_the_watch_tells_first_is_still_won() {
-    // The answer of the winning commit comes later than the watch that shows it.
+fn a_term_that_the_watch_reports_first_is_still_won() {
+    // The response to the commit that wins the campaign arrives after the watch has reported it.
     for seed in 0..10 {
         let mut sim = Simulation::new(seed);
         sim.state.commit_response_delay_ms = 60;
         sim.run_until(5_000, "a leader", |sim| sim.leader().is_some());
         let l = sim.leader().unwrap();
         let term = sim.nodes[l].controller.as_ref().unwrap().leading_term();
-        assert_eq!(term, Some(1), "seed {seed}: the first term taken is the one that leads");
+        assert_eq!(
+            term,
+            Some(1),
+            "seed {seed}: the controller that took the first term leads in it"
+        );
     }
 }
 
 #[test]
-fn running_work_survives_an_outage_of_the_state_service() {
-    let mut sim = with_service(2);
+fn running_tasks_survive_an_outage_of_the_state_service() {
+    let mut sim = cluster_with_service(2);
     let starts = sim.jobs["job-000001"].starts;
     sim.state.outage = true;
     sim.run(3_000);
     let s = sim.job_spec(2, "batch", 1);
     let refused = sim.submit(s, 1_000, 1);
     sim.run(60_000);
-    assert_eq!(sim.response_status(refused), 503, "refused, and at once");
-    assert_eq!(sim.jobs["job-000001"].starts, starts, "nothing was lost, all being refused alike");
+    assert_eq!(sim.response_status(refused), 503, "refused at once");
+    assert_eq!(
+        sim.jobs["job-000001"].starts, starts,
+        "no lease expired, as all controllers are refused alike"
+    );
     sim.end_outage();
     sim.run(20_000);
     assert_eq!(sim.jobs["job-000001"].starts, starts);
 }
 
 #[test]
-fn a_controller_that_alone_is_refused_has_its_peers_answer() {
-    let mut sim = settled();
+fn a_controller_refused_by_the_store_has_its_peers_answer() {
+    let mut sim = idle_cluster();
     let s = sim.job_spec(1, "batch", 2);
     sim.submit(s, 2_000, 0);
     sim.run(500);
@@ -583,7 +612,7 @@
     let x = sim.submit(s, 1_000, other);
     sim.run(500);
     assert_eq!((sim.response_status(r), sim.response_status(x)), (200, 201));
-    // The leader itself: someone else takes over.
+    // If the leader itself is refused, another controller takes over.
     sim.nodes[other].refused_by_state = false;
     let old = sim.leader().unwrap();
     sim.nodes[old].refused_by_state = true;
@@ -592,22 +621,22 @@
 }
 
 #[test]
-fn a_roll_of_all_controllers_stops_no_service() {
-    let mut sim = with_service(4);
+fn a_rolling_restart_of_all_controllers_stops_no_service() {
+    let mut sim = cluster_with_service(4);
     let starts = sim.jobs["job-000001"].starts;
     for i in 0..3 {
         sim.crash(i, 2_000);
         sim.run(10_000);
     }
-    assert_eq!(sim.jobs["job-000001"].starts, starts, "no replica was started again");
+    assert_eq!(sim.jobs["job-000001"].starts, starts, "no replica restarted");
 }
 
 #[test]
-fn a_failed_machine_is_returned_at_once_also_by_a_leader_that_never_heard_it() {
-    // Such machines once stayed for 45 s and held capacity.
-    let mut sim = with_service(2);
+fn a_failed_machine_is_returned_at_once_even_by_a_new_leader() {
+    // Otherwise such machines stay for 45 s and hold capacity.
+    let mut sim = cluster_with_service(2);
     let starts = sim.jobs["job-000001"].starts;
-    let name = sim.workers.iter().find(|(_, x)| x.holds_task_of("job-000001")).unwrap().0.clone();
+    let name = sim.workers.iter().find(|(_, w)| w.holds_task_of("job-000001")).unwrap().0.clone();
     sim.fail_machine(&name);
     let l = sim.leader().unwrap();
     sim.crash(l, 1_000);
@@ -616,12 +645,12 @@
 }
 
 #[test]
-fn a_spot_machine_past_its_time_holds_its_tasks_no_longer() {
-    let mut sim = settled();
+fn tasks_of_a_reclaimed_spot_machine_start_elsewhere() {
+    let mut sim = idle_cluster();
     let s = sim.job_spec(1, "batch", 4);
     sim.submit(s, 60_000, 0);
     sim.run(8_000);
-    let name = sim.workers.iter().find(|(_, x)| x.holds_task_of("job-000001")).unwrap().0.clone();
+    let name = sim.workers.iter().find(|(_, w)| w.holds_task_of("job-000001")).unwrap().0.clone();
     let starts = sim.jobs["job-000001"].starts;
     let at = sim.now + 3_000;
     sim.workers.get_mut(&name).unwrap().reclaim_at = Some(at);
@@ -629,18 +658,19 @@
 }
 
 #[test]
-fn tasks_do_not_wait_for_a_machine_that_is_to_be_taken() {
-    // They were placed there in every pass and never stored, hundreds of times each.
-    let mut sim = settled();
+fn tasks_do_not_wait_for_a_machine_about_to_be_reclaimed() {
+    // Guards against tasks that every pass places on such a machine without ever storing the placement, hundreds
+    // of times each.
+    let mut sim = idle_cluster();
     let mut s = sim.job_spec(1, "batch", 1);
     s["yard"] = json!("a");
     s["run_guess_s"] = json!(15.0);
     sim.submit(s, 15_000, 0);
     sim.run_until(10_000, "it runs", |sim| sim.running_tasks() == 1);
-    // It alone has the image, and is kept for what can still end on it.
+    // Only this machine has the image, and it is kept for tasks that can still end on it.
     let end = sim.now + 25_000;
     let first = sim.workers.keys().next().expect("a machine").clone();
-    sim.workers.get_mut(&first).expect("there").reclaim_at = Some(end);
+    sim.workers.get_mut(&first).expect("the entry exists").reclaim_at = Some(end);
     sim.run(3_000);
     let s = sim.job_spec(2, "batch", 3);
     sim.submit(s, 500, 0);
@@ -648,29 +678,29 @@
 }
 
 #[test]
-fn a_burst_of_submissions_at_one_controller_is_taken_with_its_peers_help() {
-    // One that had used up its share of the writes once refused what its peers could take.
-    let mut sim = settled();
+fn a_burst_of_submissions_at_one_controller_is_shared_with_its_peers() {
+    // A controller that has used up its share of the writes must not refuse what its peers can accept.
+    let mut sim = idle_cluster();
     let l = sim.leader().unwrap();
-    let asked: Vec<u64> = (1..=30)
+    let submissions: Vec<u64> = (1..=30)
         .map(|n| {
             let s = sim.job_spec(n, "batch", 1);
             sim.submit(s, 1_000, (l + 1) % 3)
         })
         .collect();
     sim.run(400);
-    let taken = asked.iter().filter(|r| sim.response_status(**r) == 201).count();
-    let refused = asked.iter().filter(|r| sim.response_status(**r) == 503).count();
-    assert_eq!(taken + refused, 30, "all are answered at once");
-    // 60 writes a second: a quarter for each controller, and a quarter for the leader.
-    assert!(taken > 15, "more than its own share: {taken}");
+    let accepted = submissions.iter().filter(|r| sim.response_status(**r) == 201).count();
+    let refused = submissions.iter().filter(|r| sim.response_status(**r) == 503).count();
+    assert_eq!(accepted + refused, 30, "all are answered at once");
+    // Of 60 writes per second, each controller has a quarter and the leader another quarter.
+    assert!(accepted > 15, "more than its own share: {accepted}");
 }
 
 #[test]
-fn guesses_that_are_far_too_low_do_not_starve_the_head() {
-    // DESIGN expects it: wrong estimates shift the reservation, and backfill delays the head.
-    // The class's guesses are corrected by what was seen, so that it ends.
-    let mut sim = settled();
+fn run_time_estimates_far_too_low_do_not_starve_the_queue_head() {
+    // With estimates that are too low, backfill shifts the reservation and so delays the head of the queue.
+    // Observed run times correct the estimates of the class, so that the delay ends.
+    let mut sim = idle_cluster();
     sim.cloud.capacity = 2;
     let mut head = sim.job_spec(1, "batch", 1);
     head["gpus"] = json!(4.0);
@@ -688,17 +718,17 @@
             return;
         }
     }
-    panic!("the head never started: {}", sim.describe());
+    panic!("the head of the queue never started: {}", sim.describe());
 }
 
 #[test]
-fn reports_held_beyond_the_lease_bring_nothing_back() {
-    let mut sim = settled();
+fn heartbeats_delayed_beyond_the_lease_restore_no_placement() {
+    let mut sim = idle_cluster();
     let s = sim.job_spec(1, "batch", 4);
     sim.submit(s, 120_000, 0);
     sim.run(8_000);
-    let name = sim.workers.iter().find(|(_, x)| x.holds_task_of("job-000001")).unwrap().0.clone();
-    // Reports of the next seconds are held for 20 s, later ones are lost.
+    let name = sim.workers.iter().find(|(_, w)| w.holds_task_of("job-000001")).unwrap().0.clone();
+    // Heartbeats of the next 8 s arrive 20 s from now, later ones are lost.
     let until = sim.now + 20_000;
     sim.workers.get_mut(&name).unwrap().heartbeats_delayed_until = Some(until);
     sim.run(8_000);
@@ -710,14 +740,17 @@
     let l = sim.leader().unwrap();
     let cluster = &sim.nodes[l].controller.as_ref().unwrap().leader().unwrap().cluster;
     let m = cluster.machines.get(name.as_str());
-    assert!(m.is_none_or(|m| m.lease_expired && m.placements.is_empty()), "it is still cut off");
+    assert!(
+        m.is_none_or(|m| m.lease_expired && m.placements.is_empty()),
+        "its lease stays expired"
+    );
     sim.run(10_000);
     assert_eq!(sim.jobs["job-000001"].starts, starts);
 }
 
 #[test]
-fn apart_counts_replicas_that_can_not_be_reached() {
-    let mut sim = settled();
+fn apart_counts_unreachable_replicas() {
+    let mut sim = idle_cluster();
     let mut s = sim.job_spec(1, "standing", 3);
     s["apart"] = json!(true);
     sim.submit(s, u64::MAX, 0);
@@ -726,7 +759,7 @@
         let name = sim
             .workers
             .iter()
-            .filter(|(_, x)| !x.stopped && x.holds_task_of("job-000001"))
+            .filter(|(_, w)| !w.stopped && w.holds_task_of("job-000001"))
             .map(|(n, _)| n.clone())
             .nth(round % 2)
             .unwrap();
@@ -737,13 +770,13 @@
         sim.workers.get_mut(&name).unwrap().partitioned = false;
         sim.run(5_000);
     }
-    let on = sim.running_tasks();
-    assert_eq!(on, 3);
+    let running = sim.running_tasks();
+    assert_eq!(running, 3);
 }
 
 #[test]
-fn the_limit_holds_across_a_change_of_leader() {
-    let mut sim = settled();
+fn the_team_limit_holds_across_leader_changes() {
+    let mut sim = idle_cluster();
     sim.cloud.capacity = 8;
     let s = sim.job_spec(1, "batch", 60);
     sim.submit(s, 4_000, 0);
@@ -756,8 +789,8 @@
 }
 
 #[test]
-fn a_second_controller_never_answers_older() {
-    let mut sim = settled();
+fn other_controllers_never_answer_with_older_state() {
+    let mut sim = idle_cluster();
     let spec = sim.job_spec(1, "batch", 1);
     let submission = sim.submit(spec, 60_000, 0);
     sim.run_until(1_000, "accepted", |sim| sim.response_status(submission) == 201);
@@ -768,8 +801,8 @@
         (200, 200),
         "no 404 right after the acceptance"
     );
-    let withdrawal = sim.cancel("job-000001", 1);
-    sim.run_until(1_000, "withdrawn", |sim| sim.response_status(withdrawal) == 200);
+    let cancellation = sim.cancel("job-000001", 1);
+    sim.run_until(1_000, "cancelled", |sim| sim.response_status(cancellation) == 200);
     let (a, b) = (sim.poll("job-000001", 0), sim.poll("job-000001", 2));
     sim.run(100);
     assert_eq!(sim.response_body(a)["status"], "withdrawn");
@@ -778,24 +811,24 @@
 
 #[test]
 fn a_large_array_is_kept_as_ranges() {
-    let mut sim = settled();
+    let mut sim = idle_cluster();
     let s = sim.job_spec(1, "batch", 100_000);
     sim.submit(s, 500, 0);
     sim.run(15_000);
     let l = sim.leader().unwrap();
     let job =
         &sim.nodes[l].controller.as_ref().unwrap().leader().unwrap().cluster.jobs["job-000001"];
-    assert!(job.done_count > 20, "it moves on: {}", job.done_count);
+    assert!(job.done_count > 20, "tasks complete: {}", job.done_count);
     assert!(job.requeued.len() < 100, "no object per waiting task");
     sim.cancel("job-000001", 0);
     sim.run(CANCEL_MS + 2_000);
 }
 
 #[test]
-fn a_sick_machine_is_set_aside_and_a_bad_job_is_not_blamed_on_machines() {
-    let mut sim = settled();
-    let sick = sim.workers.keys().next().unwrap().clone();
-    sim.workers.get_mut(&sick).unwrap().fails_all_tasks = true;
+fn a_faulty_machine_is_cordoned_and_a_failing_job_is_not_blamed_on_machines() {
+    let mut sim = idle_cluster();
+    let faulty = sim.workers.keys().next().unwrap().clone();
+    sim.workers.get_mut(&faulty).unwrap().fails_all_tasks = true;
     for n in 1..=4 {
         let s = sim.job_spec(n, "batch", 3);
         sim.submit(s, 2_000, 0);
@@ -804,7 +837,7 @@
         sim.run_until_done(&format!("job-{n:06}"), 60_000);
     }
     sim.run(5_000);
-    assert!(sim.workers[&sick].stopped, "the sick machine was returned");
+    assert!(sim.workers[&faulty].stopped, "the faulty machine was returned");
     let s = sim.job_spec(5, "batch", 3);
     sim.submit(s, 2_000, 0);
     sim.jobs.get_mut("job-000005").unwrap().always_fails = true;
@@ -816,23 +849,23 @@
     let cluster = &sim.nodes[l].controller.as_ref().unwrap().leader().unwrap().cluster;
     assert!(
         cluster.machines.values().filter(|m| !m.cordoned).count() >= 1,
-        "a good machine is left"
+        "not all machines are cordoned"
     );
-    assert!(cluster.jobs["job-000005"].paused_until > 0, "the bad job is held back");
+    assert!(cluster.jobs["job-000005"].paused_until > 0, "the failing job is paused");
 }
 
 #[test]
-fn a_task_with_no_record_is_stopped() {
-    // A start that no record explains can't come from this program; should it ever be
-    // there, it must not run beside the real one.
-    let mut sim = settled();
+fn a_task_without_a_record_is_stopped() {
+    // No controller starts a task without a record. Should such a task exist all the same, it must not run
+    // beside the one with a record.
+    let mut sim = idle_cluster();
     let s = sim.job_spec(1, "standing", 1);
     sim.submit(s, u64::MAX, 0);
     sim.run(6_000);
     let other = sim
         .workers
         .iter()
-        .find(|(_, x)| !x.holds_task_of("job-000001"))
+        .find(|(_, w)| !w.holds_task_of("job-000001"))
         .map(|(n, _)| n.clone())
         .unwrap();
     let unknown = Job::new(sim.job_spec(77, "standing", 1), 1, u64::MAX);
