--- a/examples/platform/options.rs
+++ b/examples/platform/options.rs
@@ -1,6 +1,6 @@
-//! The stand-in's command line.
+//! The command line of the platform stand-in.
 
-/// What `--help` prints.
+/// Text printed by `--help`.
 pub const USAGE: &str = "\
 Usage: platform [--state ADDRESS] [--cloud ADDRESS] [CONTROLLER]...
 
@@ -12,11 +12,11 @@
   --help             print this
 ";
 
-const STATE: &str = "127.0.0.1:2379";
-const CLOUD: &str = "127.0.0.1:8443";
-const CONTROLLER: &str = "127.0.0.1:8080";
+const DEFAULT_STATE: &str = "127.0.0.1:2379";
+const DEFAULT_CLOUD: &str = "127.0.0.1:8443";
+const DEFAULT_CONTROLLER: &str = "127.0.0.1:8080";
 
-/// What the command line asks for.
+/// The action requested on the command line.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Request {
     /// Print the usage.
@@ -25,7 +25,7 @@
     Serve(Options),
 }
 
-/// Addresses.
+/// The addresses to use.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Options {
     /// Address of the state service.
@@ -36,20 +36,24 @@
     pub controllers: Vec<String>,
 }
 
-/// Why the command line can't be used.
+/// Why the command line is invalid.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OptionsError {
+    /// An option lacks its address.
     #[error("{0} needs an address")]
-    /// The option needs an address.
     MissingAddress(String),
-    #[error("unknown option {0}, see --help")]
     /// There is no such option.
+    #[error("unknown option {0}, see --help")]
     UnknownOption(String),
 }
 
-/// Parses the arguments behind the program's name.
+/// Parses the arguments after the program's name.
 pub fn parse(arguments: impl IntoIterator<Item = String>) -> Result<Request, OptionsError> {
-    let mut options = Options { state: STATE.into(), cloud: CLOUD.into(), controllers: Vec::new() };
+    let mut options = Options {
+        state: DEFAULT_STATE.into(),
+        cloud: DEFAULT_CLOUD.into(),
+        controllers: Vec::new(),
+    };
     let mut arguments = arguments.into_iter();
     while let Some(argument) = arguments.next() {
         match argument.as_str() {
@@ -63,7 +67,7 @@
         }
     }
     if options.controllers.is_empty() {
-        options.controllers.push(CONTROLLER.into());
+        options.controllers.push(DEFAULT_CONTROLLER.into());
     }
     Ok(Request::Serve(options))
 }
--- a/src/cli/recovery.rs
+++ b/src/cli/recovery.rs
@@ -1,4 +1,5 @@
-//! `mountgap recovery`: what a rebuild of the store could not account for, and operators' decisions on it.
+//! `mountgap recovery`: shows what a rebuild of the store could not account for, and sends operators'
+//! decisions on it.
 
 use super::client::{request, ClientError};
 use crate::protocol::recovery::{
@@ -6,38 +7,38 @@
 };
 use std::net::SocketAddrV4;
 
-/// Asks a controller for its report, as JSON.
+/// Requests a controller's recovery report and returns it as JSON.
 pub fn fetch_json(address: SocketAddrV4) -> Result<String, ClientError> {
     Ok(String::from_utf8(request(address, "GET", RECOVERY_PATH, &[])?)?)
 }
 
-/// Asks a controller for its report, as text for a person.
+/// Requests a controller's recovery report and formats it as readable text.
 pub fn fetch_text(address: SocketAddrV4) -> Result<String, ClientError> {
     let body = request(address, "GET", RECOVERY_PATH, &[])?;
     let report: RecoveryReport = serde_json::from_slice(&body)?;
     Ok(report_lines(&report).join("\n"))
 }
 
-/// Has a controller carry out a decision, and tells what became of it.
+/// Sends a decision to a controller until it has been applied to all jobs, and returns a summary.
 pub fn decide(
     address: SocketAddrV4,
     decision: Decision,
-    decided: &DecisionRequest,
+    selection: &DecisionRequest,
 ) -> Result<String, ClientError> {
-    let names_jobs = !decided.jobs.is_empty() || decided.all;
+    let names_jobs = !selection.jobs.is_empty() || selection.all;
     if !names_jobs && decision != Decision::CloseGap {
         return Err(ClientError::NoJobsNamed);
     }
     let path = format!("{RECOVERY_PATH}/{}", decision.name());
-    let body = serde_json::to_vec(decided)?;
-    repeat_until_decided(|| {
-        let answer = request(address, "POST", &path, &body)?;
-        Ok(serde_json::from_slice(&answer)?)
+    let body = serde_json::to_vec(selection)?;
+    repeat_until_done(|| {
+        let response = request(address, "POST", &path, &body)?;
+        Ok(serde_json::from_slice(&response)?)
     })
 }
 
-/// Repeats a request for what did not fit into one transaction.
-fn repeat_until_decided(
+/// Repeats a request while jobs are left that did not fit into one transaction.
+fn repeat_until_done(
     mut send: impl FnMut() -> Result<DecisionAnswer, ClientError>,
 ) -> Result<String, ClientError> {
     let mut total = 0;
--- a/src/coordination/leader/summary.rs
+++ b/src/coordination/leader/summary.rs
@@ -3,7 +3,7 @@
 use super::Leader;
 use crate::constants::SUMMARY_LOG_PERIOD_MS;
 use crate::coordination::Controller;
-use crate::protocol::{Resources, MILLI};
+use crate::protocol::{Resources, MILLI_PER_UNIT};
 use crate::storage::machine::{Machine, MachineState, Placement};
 
 impl Controller {
@@ -23,7 +23,7 @@
         let is_running = |p: &Placement| p.running_since.is_some() && p.stop_reason.is_none();
         let is_starting = |p: &Placement| p.running_since.is_none() && p.stop_reason.is_none();
         let waiting_tasks: u64 =
-            self.cluster.jobs.values().map(|job| u64::from(job.waiting())).sum();
+            self.cluster.jobs.values().map(|job| u64::from(job.waiting_tasks())).sum();
         let free = self.free_resources();
         log::info!(
             "cluster summary: {} ordinary and {} spot machines up, {} idle, {} booting; {} tasks run, {} start, {} stop, {} wait; {} cores and {} gpus free",
@@ -35,8 +35,8 @@
             self.count_open_placements(is_starting),
             self.count_open_placements(|placement| placement.stop_reason.is_some()),
             waiting_tasks,
-            free.cpu / MILLI as i64,
-            free.gpu / MILLI as i64,
+            free.cpu / MILLI_PER_UNIT as i64,
+            free.gpu / MILLI_PER_UNIT as i64,
         );
     }
 
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -1,5 +1,5 @@
-//! What operators decide on jobs that a rebuild could not account for. Any controller takes a
-//! decision; it counts once it is committed.
+//! Operators' decisions on jobs that a rebuild has flagged, and on its history gap. Any controller accepts a
+//! decision, which takes effect once it is committed.
 
 use super::put_rebuild_record;
 use crate::constants::{RETRY_AFTER_S, USER_WRITE_RESERVE};
@@ -7,27 +7,27 @@
 use crate::protocol::http::Response;
 use crate::protocol::recovery::{Decision, DecisionAnswer, DecisionRequest};
 use crate::protocol::state::{Condition, Mutation, Transaction, TransactionApplied};
-use crate::protocol::users::valid_uid;
+use crate::protocol::users::is_valid_job_id;
 use crate::storage::records::{flagged_jobs_key, FlaggedJobsRecord, RebuildRecord};
 use mountgap_records::constants::REBUILD_KEY;
 use std::collections::BTreeSet;
 
-/// An operator's decision that was sent to the state service.
+/// A transaction with an operator's decision that was sent to the state service.
 #[derive(Debug)]
 pub(in crate::coordination) struct DecisionCall {
     connection: ConnectionId,
-    commit: Transaction,
+    transaction: Transaction,
     answer: DecisionAnswer,
 }
 
 impl Controller {
-    /// Answers with what operators are told of losses and rebuilds of the store.
+    /// Answers with the report on data loss and rebuilds.
     pub(in crate::coordination) fn answer_recovery_report(&mut self, connection: ConnectionId) {
         let body = serde_json::to_vec_pretty(&self.recovery_report()).unwrap_or_default();
         self.respond(connection, 200, None, body);
     }
 
-    /// Takes an operator's decision.
+    /// Handles an operator's decision.
     pub(in crate::coordination) fn recovery_decision(
         &mut self,
         connection: ConnectionId,
@@ -39,7 +39,7 @@
             Ok(request) => request,
             Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
-        if let Some(job) = request.jobs.iter().find(|job| !valid_uid(job)) {
+        if let Some(job) = request.jobs.iter().find(|job| !is_valid_job_id(job)) {
             return self.refuse(requester, 400, &format!("{job}: must look like job-000412"), None);
         }
         if !self.store_is_usable() {
@@ -50,21 +50,21 @@
 
     fn decide(&mut self, requester: Requester, decision: Decision, request: &DecisionRequest) {
         let jobs = self.jobs_to_decide(decision, request);
-        // Each job may take a write of its own, and a group of flags another.
+        // Each job may need a write of its own, and another for its group of flagged jobs.
         let jobs_max = (self.store.limits().transaction_ops / 2).max(1);
         let decided: BTreeSet<String> = jobs.iter().take(jobs_max).cloned().collect();
         let left = jobs.len() - decided.len();
         let closes_gap =
             decision == Decision::CloseGap || decision == Decision::Release && request.all;
-        let commit = self.decision_transaction(decision, &decided, closes_gap && left == 0);
+        let transaction = self.decision_transaction(decision, &decided, closes_gap && left == 0);
         let answer = DecisionAnswer { decided: decided.len(), left };
-        if commit.writes.is_empty() {
+        if transaction.writes.is_empty() {
             return self.answer_json(requester, 200, &answer);
         }
-        self.send_decision(requester, commit, answer);
+        self.send_decision(requester, transaction, answer);
     }
 
-    /// The jobs that a request is about.
+    /// The jobs that a decision applies to.
     fn jobs_to_decide(&self, decision: Decision, request: &DecisionRequest) -> Vec<String> {
         let groups = self.store.replica().flagged.values();
         let flagged = groups.flat_map(|group| group.value.jobs.keys()).cloned();
@@ -74,7 +74,7 @@
                 flagged.filter(|job| request.jobs.contains(job)).collect()
             }
             (_, true) => flagged.collect(),
-            // Also a job of which nothing is known but that its tasks run.
+            // This includes unknown jobs, which only show because machines run their tasks.
             (Decision::GiveUp, false) => {
                 let open = |job: &&String| !self.store.replica().has_ended(job);
                 request.jobs.iter().filter(open).cloned().collect()
@@ -88,30 +88,35 @@
         jobs: &BTreeSet<String>,
         closes_gap: bool,
     ) -> Transaction {
-        let mut commit = Transaction::default();
+        let mut transaction = Transaction::default();
         if decision == Decision::GiveUp {
-            jobs.iter().for_each(|job| self.add_cancellation(job, &mut commit));
+            jobs.iter().for_each(|job| self.add_cancellation(job, &mut transaction));
         }
-        self.add_flag_removals(jobs, &mut commit);
+        self.add_flag_removals(jobs, &mut transaction);
         if closes_gap {
-            self.add_gap_closure(&mut commit);
+            self.add_gap_closure(&mut transaction);
         }
-        commit
+        transaction
     }
 
-    fn send_decision(&mut self, requester: Requester, commit: Transaction, answer: DecisionAnswer) {
-        let writes = commit.writes.len();
+    fn send_decision(
+        &mut self,
+        requester: Requester,
+        transaction: Transaction,
+        answer: DecisionAnswer,
+    ) {
+        let writes = transaction.writes.len();
         if !self.store.take_writes(writes as f64, USER_WRITE_RESERVE, self.now.monotonic_ms) {
             return self.refuse(requester, 503, "too many requests", Some(RETRY_AFTER_S));
         }
-        let body = serde_json::to_vec(&commit).unwrap_or_default();
+        let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let connection = requester.connection();
-        let purpose = CallPurpose::Decision(DecisionCall { connection, commit, answer });
+        let purpose = CallPurpose::Decision(DecisionCall { connection, transaction, answer });
         self.commit_call(body, writes, purpose);
     }
 
-    /// Takes the flags off jobs.
-    fn add_flag_removals(&self, jobs: &BTreeSet<String>, commit: &mut Transaction) {
+    /// Adds the writes that remove the flags of jobs.
+    fn add_flag_removals(&self, jobs: &BTreeSet<String>, transaction: &mut Transaction) {
         for (group_number, group) in &self.store.replica().flagged {
             if !group.value.jobs.keys().any(|job| jobs.contains(job)) {
                 continue;
@@ -119,21 +124,22 @@
             let mut kept = FlaggedJobsRecord { jobs: group.value.jobs.clone() };
             kept.jobs.retain(|job, _| !jobs.contains(job));
             let key = flagged_jobs_key(*group_number);
-            commit.writes.push(Mutation::put(key.clone(), &kept));
-            commit.conditions.push(Condition { key, mod_revision: group.mod_revision });
+            transaction.writes.push(Mutation::put(key.clone(), &kept));
+            transaction.conditions.push(Condition { key, mod_revision: group.mod_revision });
         }
     }
 
-    /// From now on a job that is not known was never accepted.
-    fn add_gap_closure(&self, commit: &mut Transaction) {
+    /// Adds the write that closes the history gap: from then on, a job that is not in the store counts as
+    /// never accepted.
+    fn add_gap_closure(&self, transaction: &mut Transaction) {
         if !self.has_history_gap() {
             return;
         }
         let Some(known) = &self.store.replica().rebuild else { return };
         let closed = RebuildRecord { gap: Vec::new(), ..known.value.clone() };
         let mod_revision = known.mod_revision;
-        commit.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
-        commit.writes.push(put_rebuild_record(&closed));
+        transaction.conditions.push(Condition { key: REBUILD_KEY.into(), mod_revision });
+        transaction.writes.push(put_rebuild_record(&closed));
     }
 
     pub(in crate::coordination) fn on_decision_response(
@@ -145,9 +151,9 @@
         match reply {
             Some(Response { status: 200, body }) => {
                 if let Ok(applied) = serde_json::from_slice::<TransactionApplied>(&body) {
-                    self.apply_own_transaction(&call.commit, applied.revision);
+                    self.apply_own_transaction(&call.transaction, applied.revision);
                 }
-                log::info!("an operator has decided on {} jobs", call.answer.decided);
+                log::info!("operator decision applied: {} jobs", call.answer.decided);
                 self.answer_json(requester, 200, &call.answer);
             }
             _ => self.refuse(requester, 503, "not carried out, ask again", Some(RETRY_AFTER_S)),
--- a/src/coordination/requests/submissions.rs
+++ b/src/coordination/requests/submissions.rs
@@ -22,7 +22,7 @@
             Ok(submission) => submission,
             Err(error) => return self.refuse(requester, 400, &error.to_string(), None),
         };
-        let uid = submission.uid().to_string();
+        let uid = submission.job_id().to_string();
         if !self.admit(requester, "POST", JOBS_PATH, body) {
             return;
         }
@@ -64,7 +64,7 @@
         }
         let at_once = need * i64::from(spec.tasks_at_once());
         let limit = team.limit();
-        if !at_once.under(&limit) {
+        if !at_once.is_within(&limit) {
             return Err(Rejection::OverTeamLimit);
         }
         if spec.is_gang() {
--- a/src/coordination/store_client/reads.rs
+++ b/src/coordination/store_client/reads.rs
@@ -2,7 +2,7 @@
 
 use super::{is_store_call, Listing, ReadPoint};
 use crate::constants::{
-    FRESH_READ_INTERVAL_MIN_MS, FRESH_READ_PERIOD_MS, KEY_FAMILY, KEY_ROOT, LIST_PAGE_KEYS,
+    FRESH_READ_INTERVAL_MIN_MS, FRESH_READ_PERIOD_MS, KEY_NAMESPACE, KEY_ROOT, LIST_PAGE_KEYS,
     LIST_TIMEOUT_MS, STATE_TIMEOUT_MS, UNREADABLE_LAYOUT_RECHECK_MS, WATCH_BLOCK_MS,
     WATCH_TIMEOUT_MS,
 };
@@ -104,7 +104,7 @@
             _ if path == COMMIT_PATH => work.state_commits += 1,
             _ => {}
         }
-        self.store.read_budget.take(1.0, f64::MIN, self.now.monotonic_ms);
+        self.store.read_budget.try_take(1.0, f64::MIN, self.now.monotonic_ms);
         self.call(Service::State, method, path, body, timeout_ms, purpose);
     }
 
@@ -138,14 +138,14 @@
             return;
         }
         self.store.listing.in_flight = true;
-        let path = list_path(KEY_FAMILY, self.store.listing.last_key.as_deref(), LIST_PAGE_KEYS);
+        let path = list_path(KEY_NAMESPACE, self.store.listing.last_key.as_deref(), LIST_PAGE_KEYS);
         let purpose = CallPurpose::List { epoch: self.store.epoch };
         self.state_call("GET", path, vec![], LIST_TIMEOUT_MS, purpose);
     }
 
     fn open_watch(&mut self) {
         self.store.watching = true;
-        let path = changes_path(KEY_FAMILY, self.store.replica.revision, WATCH_BLOCK_MS);
+        let path = changes_path(KEY_NAMESPACE, self.store.replica.revision, WATCH_BLOCK_MS);
         let purpose = CallPurpose::Watch { read_point: self.store.read_point() };
         self.state_call("GET", path, vec![], WATCH_TIMEOUT_MS, purpose);
     }
@@ -160,12 +160,12 @@
         if reads.in_flight.is_some() || !(periodic || wanted) {
             return;
         }
-        if !self.store.read_budget.take(0.0, 1.0, now) && !periodic {
+        if !self.store.read_budget.try_take(0.0, 1.0, now) && !periodic {
             return;
         }
         reads.in_flight = Some(std::mem::take(&mut reads.waiting));
         reads.begun_at = now;
-        let path = changes_path(KEY_FAMILY, self.store.replica.revision, 0);
+        let path = changes_path(KEY_NAMESPACE, self.store.replica.revision, 0);
         let purpose = CallPurpose::FreshRead { begun_at: now, read_point: self.store.read_point() };
         self.state_call("GET", path, vec![], STATE_TIMEOUT_MS, purpose);
     }
@@ -191,7 +191,7 @@
             self.store.replica.apply_item(item);
             self.record_item(item);
         }
-        if self.store.replica.foreign_key.is_some() {
+        if self.store.replica.foreign_layout_key.is_some() {
             return self.reject_foreign_layout();
         }
         if page.has_next {
@@ -205,7 +205,7 @@
     /// store, and neither may touch the other's keys.
     fn reject_foreign_layout(&mut self) {
         let replica = &mut self.store.replica;
-        let key = replica.foreign_key.as_deref().unwrap_or_default();
+        let key = replica.foreign_layout_key.as_deref().unwrap_or_default();
         log::error!(
             "store layout not supported: {key} is not under {KEY_ROOT}; no requests are served"
         );
@@ -269,7 +269,7 @@
     /// The service has answered 410: it no longer keeps changes as old as the replica's revision.
     fn on_watch_too_old(&mut self) {
         log::info!("watch revision too old (410): the store is listed again");
-        if self.recovery.notices_losses() {
+        if self.recovery.is_enabled() {
             return self.suspect_data_loss(None);
         }
         self.reload_store();
@@ -292,7 +292,7 @@
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.ready) else { return };
         for uid in changed_jobs {
-            leader.cluster.job_changed(&self.store.replica, uid, now);
+            leader.cluster.on_job_changed(&self.store.replica, uid, now);
         }
         if !changed_jobs.is_empty() {
             leader.plan_soon(now);
--- a/src/storage/cluster/gangs/tests.rs
+++ b/src/storage/cluster/gangs/tests.rs
@@ -36,57 +36,57 @@
     machines.flat_map(|m| m.placements.values()).map(|p| p.stop_reason).collect()
 }
 
-/// Settles a task and, if `stored`, takes it out of the store.
+/// Settles a task and, if `stored`, reports the settlement as committed.
 fn settle(cluster: &mut ClusterState, task: u32, cause: EndCause, stored: bool) {
     let machine = cluster.jobs[&job_id()].placed_on[&task].clone();
     let id = TaskId::new(job_id(), task);
     let attempt = cluster.machines[&machine].placements[&id].attempt;
     cluster.settle(&machine, &id, cause);
     if stored {
-        cluster.settlement_committed(&machine, &AttemptId::new(id, attempt));
+        cluster.on_settlement_committed(&machine, &AttemptId::new(id, attempt));
     }
 }
 
 #[test]
-fn a_gang_that_is_stored_whole_goes_on_and_one_that_is_not_is_stopped() {
-    let whole = ClusterState::from_replica(&replica(4, 4), 0);
-    assert_eq!(stop_reasons(&whole), vec![None; 4]);
-    let part = ClusterState::from_replica(&replica(4, 3), 0);
-    assert_eq!(stop_reasons(&part), vec![Some(StopReason::NotNeeded); 3]);
+fn a_completely_stored_gang_continues_and_an_incomplete_one_is_stopped() {
+    let complete = ClusterState::from_replica(&replica(4, 4), 0);
+    assert_eq!(stop_reasons(&complete), vec![None; 4]);
+    let incomplete = ClusterState::from_replica(&replica(4, 3), 0);
+    assert_eq!(stop_reasons(&incomplete), vec![Some(StopReason::NotNeeded); 3]);
 }
 
 #[test]
-fn the_next_attempt_waits_until_the_last_is_out_of_the_store() {
+fn the_next_attempt_waits_until_all_settlements_of_the_last_one_are_committed() {
     let mut cluster = ClusterState::from_replica(&replica(2, 2), 0);
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 0);
+    assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 0);
     settle(&mut cluster, 0, EndCause::Lost, true);
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "one task is left");
+    assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 0, "one task is left");
     assert_eq!(stop_reasons(&cluster), vec![Some(StopReason::NotNeeded)]);
     settle(&mut cluster, 1, EndCause::MatesGone, false);
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 0, "and stands in the store");
+    assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 0, "the settlement is not committed yet");
     let machines: Vec<MachineName> = vec!["n-a".into(), "n-b".into()];
     assert!(!cluster.propose_gang(&job_id(), &machines, 8, 0));
-    let on: MachineName = "n-b".into();
-    cluster.settlement_committed(&on, &AttemptId::new(TaskId::new(job_id(), 1), 7));
-    assert_eq!(cluster.jobs[&job_id()].waiting(), 2);
-    assert!(!cluster.propose_gang(&job_id(), &machines[..1], 8, 0), "not a part of it");
+    let last_machine: MachineName = "n-b".into();
+    cluster.on_settlement_committed(&last_machine, &AttemptId::new(TaskId::new(job_id(), 1), 7));
+    assert_eq!(cluster.jobs[&job_id()].waiting_tasks(), 2);
+    assert!(!cluster.propose_gang(&job_id(), &machines[..1], 8, 0), "too few machines");
     assert!(cluster.propose_gang(&job_id(), &machines, 8, 0));
     assert_eq!(cluster.jobs[&job_id()].placed_on.len(), 2);
     assert_eq!(cluster.gang_phase(&cluster.jobs[&job_id()]), GangPhase::Storing);
 }
 
 #[test]
-fn one_task_that_is_done_shows_that_all_are() {
+fn a_done_task_marks_all_tasks_of_its_gang_as_done() {
     let mut cluster = ClusterState::from_replica(&replica(4, 4), 0);
     settle(&mut cluster, 2, EndCause::Done, false);
     assert!(cluster.jobs[&job_id()].is_complete());
     assert!(cluster.completed_jobs.contains(&job_id()));
     settle(&mut cluster, 0, EndCause::Lost, false);
-    assert!(cluster.jobs[&job_id()].is_complete(), "a machine that is lost later changes nothing");
+    assert!(cluster.jobs[&job_id()].is_complete(), "a later loss changes nothing");
 }
 
 #[test]
-fn a_stop_that_saves_is_not_cut_short_by_the_first_task_that_has_saved() {
+fn an_eviction_is_kept_when_the_first_task_has_saved() {
     let mut cluster = ClusterState::from_replica(&replica(4, 4), 0);
     cluster.stop_gang(&job_id(), StopReason::Eviction);
     settle(&mut cluster, 1, EndCause::Halted, true);
@@ -94,12 +94,12 @@
 }
 
 #[test]
-fn a_gang_that_is_cancelled_stops_and_starts_no_more() {
+fn a_cancelled_gang_is_stopped_and_removed() {
     let mut replica = replica(2, 2);
     let mut cluster = ClusterState::from_replica(&replica, 0);
     let end = JobEndRecord { at: 0, stage: JobStage::Cancelled, tasks: 2, done: 0 };
     replica.write(&job_end_key("job-1"), &raw_json(&end), 9);
-    cluster.job_changed(&replica, &job_id(), 0);
+    cluster.on_job_changed(&replica, &job_id(), 0);
     assert_eq!(stop_reasons(&cluster), vec![Some(StopReason::NotNeeded); 2]);
     settle(&mut cluster, 0, EndCause::Halted, true);
     settle(&mut cluster, 1, EndCause::Halted, true);
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -1,4 +1,4 @@
-//! Building the state from a replica of the store, when a term begins.
+//! Restores the leader's state from the replica of the store when a term begins.
 
 use super::ClusterState;
 use crate::storage::done_tasks_group::DoneTasksGroup;
@@ -7,15 +7,15 @@
 use crate::storage::machine::{AttemptId, MachineState, Placement, PlacementPhase, TaskId};
 use crate::storage::placement_group::PlacementGroup;
 use crate::storage::records::{
-    parse_chunk, DoneTasksRecord, JobId, JobStage, MachineName, PlacementsRecord,
+    parse_chunk_name, DoneTasksRecord, JobId, JobStage, MachineName, PlacementsRecord,
 };
 use crate::storage::replica::{Replica, Versioned};
 
-/// Tasks on machines, by job.
+/// Placed tasks by job.
 type PlacedTasks = HashMap<JobId, Vec<PlacedTask>>;
 
 impl ClusterState {
-    /// Builds the state at the start of a term. Every placement counts as possibly running.
+    /// Builds the state at the start of a term. The task of every placement is assumed to run.
     pub fn from_replica(replica: &Replica, now: u64) -> ClusterState {
         let mut cluster = ClusterState::new(replica.hash_keys());
         cluster.restore_images(replica);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Restores a group with its placements, and adds these to `placed`.
+    /// Restores a group and its placements, and adds their tasks to `placed`.
     fn restore_placement_group(
         &mut self,
         number: u32,
@@ -54,8 +54,8 @@
         now: u64,
     ) {
         let mut group = PlacementGroup::new(record.mod_revision);
-        for stored in record.value.placed() {
-            let id = TaskId::new(stored.job_id(), stored.task);
+        for stored in record.value.placements() {
+            let id = TaskId::new(stored.job_id(), stored.index);
             let machine: MachineName = stored.machine.into();
             let attempt = AttemptId::new(id.clone(), stored.attempt);
             let bytes = attempt.stored_text(stored.machine).unwrap_or_default().len() + 1;
@@ -64,14 +64,14 @@
                 let task = PlacedTask { index: id.index, machine };
                 placed.entry(id.job).or_default().push(task);
             } else {
-                log::error!("{id}: stored twice on {machine}");
+                log::error!("placement duplicated: {id} is stored twice on {machine}");
                 group.settled.insert(attempt);
             }
         }
         self.groups.insert(number, group);
     }
 
-    /// Puts a stored placement on its machine; false if another attempt of the task is there.
+    /// Adds a stored placement to its machine; false if the machine has another attempt of the task.
     fn restore_placement(
         &mut self,
         machine: &MachineName,
@@ -93,7 +93,7 @@
 
     fn restore_done_group(&mut self, number: u32, record: &Versioned<DoneTasksRecord>) {
         let mut group = DoneTasksGroup::new(record.mod_revision);
-        for (id, chunk) in record.value.bits.keys().filter_map(|name| parse_chunk(name)) {
+        for (id, chunk) in record.value.bits.keys().filter_map(|name| parse_chunk_name(name)) {
             let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else { continue };
             job.chunk_groups.insert(chunk, number);
             group.insert(job.id.clone(), chunk, job.chunk_bytes(chunk));
--- a/src/storage/cluster/restore/tests.rs
+++ b/src/storage/cluster/restore/tests.rs
@@ -11,7 +11,7 @@
 };
 use crate::storage::testing::batch_of;
 
-/// A replica with one job of three tasks, of which the last one is done.
+/// A replica with one job of three tasks, the last of which is done.
 fn replica_with_a_job() -> Replica {
     let mut replica = Replica::new(HashKeys::from_seed(1));
     replica.write(&batch_key("a"), &raw_json(&batch_of("job-1", 3)), 3);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_task_that_is_stored_twice_on_a_machine_is_placed_once_and_the_other_taken_out() {
+fn of_two_stored_placements_of_a_task_on_a_machine_one_is_removed() {
     let mut replica = replica_with_a_job();
     store_placement(&mut replica, 0, 0, "n-a", 7);
     store_placement(&mut replica, 1, 0, "n-a", 8);
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn what_waits_is_neither_placed_nor_done_and_a_done_task_is_stopped() {
+fn unplaced_tasks_wait_and_a_placed_task_that_is_done_is_stopped() {
     let mut replica = replica_with_a_job();
     store_placement(&mut replica, 0, 2, "n-a", 7);
     let cluster = ClusterState::from_replica(&replica, 100);
     let job = &cluster.jobs["job-1"];
-    assert_eq!((job.done_count, job.waiting(), job.next_waiting()), (1, 2, Some(0)));
+    assert_eq!((job.done_count, job.waiting_tasks(), job.next_waiting_task()), (1, 2, Some(0)));
     assert_eq!(job.chunk_groups.get(&0), Some(&2));
     let machine = &cluster.machines["n-a"];
     assert_eq!(machine.state, MachineState::AwaitingHeartbeat);
@@ -56,12 +56,16 @@
 }
 
 #[test]
-fn images_of_the_last_term_are_known_once_their_machine_is() {
+fn stored_images_are_assigned_once_their_machine_is_known() {
     let mut replica = replica_with_a_job();
     let mut record = ImagesRecord { images: vec![("img".into(), 1.5)], ..Default::default() };
     record.held.insert("n-b".into(), vec![0, 9]);
     replica.write(&images_key(0), &raw_json(&record), 5);
     let mut cluster = ClusterState::from_replica(&replica, 100);
     let machine = cluster.machine_entry(&"n-b".into(), 200);
-    assert_eq!(machine.images, vec![("img".to_string(), 1.5)], "an index of none is left out");
+    assert_eq!(
+        machine.images,
+        vec![("img".to_string(), 1.5)],
+        "an index without an image is skipped"
+    );
 }
--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -1,19 +1,19 @@
-//! Changes of the store, put into the replica.
+//! Applies changes of the store to the replica.
 //!
-//! A change that is older than what is held is skipped, so the order in which answers arrive doesn't
-//! matter. A value that can't be read leaves a log line and never stops the rest.
+//! A change that is older than the value in the replica is skipped, so the order in which responses
+//! arrive doesn't matter. A malformed value is logged, and the other changes are still applied.
 
 use super::{Replica, Versioned};
 use crate::constants::ARRIVAL_INDEX_BITS;
 use crate::protocol::state::{KeyValue, WatchEvent, WatchResponse};
 use crate::storage::records::{
-    foreign_layout, parse_key, BatchRecord, FlaggedJobsRecord, JobEndGroupRecord, JobEndRecord,
+    is_foreign_layout, parse_key, BatchRecord, FlaggedJobsRecord, JobEndGroupRecord, JobEndRecord,
     JobId, JobRecord, JobStage, Key, PlacementsRecord,
 };
 use serde::de::DeserializeOwned;
 use serde_json::value::RawValue;
 
-/// A value of the store as it came, with its key.
+/// A key of the store with its unparsed value.
 struct StoredValue<'a> {
     key: &'a str,
     data: &'a RawValue,
@@ -21,30 +21,30 @@
 }
 
 impl StoredValue<'_> {
-    /// The record; none, with a log line, if it can't be read.
+    /// Parses the value. If it is malformed, logs that and returns `None`.
     fn read<T: DeserializeOwned>(&self) -> Option<T> {
         match serde_json::from_str(self.data.get()) {
             Ok(record) => Some(record),
             Err(error) => {
-                log::error!("stored value of {} can't be read: {error}", self.key);
+                log::error!("stored value malformed: {}, {error}", self.key);
                 None
             }
         }
     }
 
-    /// The same, with the revision of its key.
+    /// Parses the value, like [`StoredValue::read`], and adds the revision of its key.
     fn read_versioned<T: DeserializeOwned>(&self) -> Option<Versioned<T>> {
         self.read().map(|value| Versioned { mod_revision: self.mod_revision, value })
     }
 }
 
 impl Replica {
-    /// Puts in a page of the whole store.
+    /// Applies an item of a page of the whole store.
     pub fn apply_item(&mut self, item: &KeyValue) {
         self.write(&item.key, &item.value, item.mod_revision);
     }
 
-    /// Puts in an answer of a watch or a read; gives the jobs that changed.
+    /// Applies the response to a watch or a fresh read. Returns the jobs that changed.
     pub fn apply(&mut self, changes: &WatchResponse) -> Vec<JobId> {
         let mut changed = Vec::new();
         let reached = self.revision;
@@ -53,13 +53,13 @@
         }
         self.revision = reached.max(changes.revision);
         let reached = self.revision;
-        self.removed.retain(|_, removed_at| *removed_at > reached);
+        self.removed_keys.retain(|_, removed_at| *removed_at > reached);
         changed
     }
 
     fn apply_event(&mut self, event: &WatchEvent) -> Vec<JobId> {
         if let (Some(key), Some(data)) = (&event.put_key, &event.value) {
-            let removed_at = self.removed.get(key);
+            let removed_at = self.removed_keys.get(key);
             if removed_at.is_some_and(|removed_at| *removed_at >= event.mod_revision) {
                 return Vec::new();
             }
@@ -71,10 +71,10 @@
         Vec::new()
     }
 
-    /// Puts in one value; older ones than what is held are skipped. Gives the jobs that changed.
+    /// Applies a put, unless it is older than the value in the replica. Returns the jobs that changed.
     pub fn write(&mut self, key: &str, data: &RawValue, mod_revision: u64) -> Vec<JobId> {
-        if foreign_layout(key) && self.foreign_key.is_none() {
-            self.foreign_key = Some(key.to_string());
+        if is_foreign_layout(key) && self.foreign_layout_key.is_none() {
+            self.foreign_layout_key = Some(key.to_string());
         }
         if self.mod_revision(key) >= mod_revision {
             return Vec::new();
@@ -87,13 +87,13 @@
             Some(Key::Shares) => self.shares = stored.read_versioned(),
             Some(Key::Store) => self.store = stored.read_versioned(),
             Some(Key::Rebuild) => self.rebuild = stored.read_versioned(),
-            Some(Key::Done(group)) => self.done_groups.extend(numbered(group, &stored)),
-            Some(Key::Images(part)) => self.images.extend(numbered(part, &stored)),
-            Some(Key::Place(group)) => self.write_placement_group(group, &stored),
+            Some(Key::DoneTasks(group)) => self.done_groups.extend(read_numbered(group, &stored)),
+            Some(Key::Images(part)) => self.images.extend(read_numbered(part, &stored)),
+            Some(Key::Placements(group)) => self.write_placement_group(group, &stored),
             Some(Key::Batch(_) | Key::GangBatch(_)) => return self.write_batch(&stored),
-            Some(Key::End(id)) => return self.write_end(id, &stored),
-            Some(Key::EndGroup(group)) => return self.write_end_group(group, &stored),
-            Some(Key::Flagged(group)) => return self.write_flagged_group(group, &stored),
+            Some(Key::JobEnd(id)) => return self.write_end(id, &stored),
+            Some(Key::JobEndGroup(group)) => return self.write_end_group(group, &stored),
+            Some(Key::FlaggedJobs(group)) => return self.write_flagged_group(group, &stored),
             None => {}
         }
         Vec::new()
@@ -101,9 +101,9 @@
 
     fn write_placement_group(&mut self, group: u32, stored: &StoredValue<'_>) {
         let Some(record) = stored.read_versioned::<PlacementsRecord>() else { return };
-        self.count_placed(&record.value, 1);
+        self.add_to_placed_counts(&record.value, 1);
         if let Some(previous) = self.placement_groups.insert(group, record) {
-            self.count_placed(&previous.value, -1);
+            self.add_to_placed_counts(&previous.value, -1);
         }
     }
 
@@ -123,12 +123,12 @@
 
     fn write_end_group(&mut self, group: u32, stored: &StoredValue<'_>) -> Vec<JobId> {
         let record: JobEndGroupRecord = stored.read().unwrap_or_default();
-        self.end_groups.insert(group, stored.mod_revision);
+        self.end_group_revisions.insert(group, stored.mod_revision);
         let ends = record.ends.into_iter();
         ends.map(|(id, end)| self.apply_end(&id, end, stored.mod_revision)).collect()
     }
 
-    /// A batch of accepted jobs.
+    /// Applies a batch of accepted jobs. Returns the jobs that changed.
     fn write_batch(&mut self, stored: &StoredValue<'_>) -> Vec<JobId> {
         let Some(batch) = stored.read::<BatchRecord>() else { return Vec::new() };
         let mod_revision = stored.mod_revision;
@@ -154,15 +154,15 @@
         changed
     }
 
-    /// Puts in a job of a batch. Of a job that stands in two batches the earlier one counts. Tells
-    /// whether anything changed.
+    /// Applies a job of a batch. If two batches contain the job, the earlier one counts. Returns whether
+    /// anything changed.
     fn accept_job(&mut self, id: &JobId, accepted: Versioned<JobRecord>) -> bool {
         let Some(known) = self.jobs.get_mut(id) else {
             self.jobs.insert(id.clone(), accepted);
             return true;
         };
         if known.value.spec.is_none() {
-            // Its end was read first.
+            // The job's end was read before its batch.
             known.mod_revision = accepted.mod_revision;
             known.value.at = accepted.value.at;
             known.value.tasks = accepted.value.tasks;
@@ -177,7 +177,7 @@
         false
     }
 
-    /// Puts in how a job ended.
+    /// Applies the end of a job.
     fn apply_end(&mut self, id: &str, end: JobEndRecord, mod_revision: u64) -> JobId {
         let id = self.shared_id(id);
         let job = self.jobs.entry(id.clone()).or_insert_with(|| Versioned {
@@ -197,18 +197,18 @@
         id
     }
 
-    /// A job's id, shared with the job's entry if there is one.
+    /// The job id, sharing the string of the job's entry if there is one.
     fn shared_id(&self, id: &str) -> JobId {
         self.jobs.get_key_value(id).map_or_else(|| id.into(), |(known, _)| known.clone())
     }
 
-    /// Takes out a key that was removed at `mod_revision`.
+    /// Applies the removal of a key at `mod_revision`.
     pub fn remove(&mut self, key: &str, mod_revision: u64) {
         if self.mod_revision(key) >= mod_revision {
             return;
         }
         if mod_revision > self.revision {
-            self.removed.insert(key.to_string(), mod_revision);
+            self.removed_keys.insert(key.to_string(), mod_revision);
         }
         match parse_key(key) {
             Some(Key::Leader) => self.leader = None,
@@ -218,21 +218,21 @@
             Some(Key::Store) => self.store = None,
             Some(Key::Rebuild) => self.rebuild = None,
             Some(Key::Batch(_) | Key::GangBatch(_)) => self.remove_batch(key),
-            Some(Key::Flagged(group)) => drop(self.flagged.remove(&group)),
-            Some(Key::Done(group)) => drop(self.done_groups.remove(&group)),
+            Some(Key::FlaggedJobs(group)) => drop(self.flagged.remove(&group)),
+            Some(Key::DoneTasks(group)) => drop(self.done_groups.remove(&group)),
             Some(Key::Images(part)) => drop(self.images.remove(&part)),
-            Some(Key::Place(group)) => {
+            Some(Key::Placements(group)) => {
                 if let Some(previous) = self.placement_groups.remove(&group) {
-                    self.count_placed(&previous.value, -1);
+                    self.add_to_placed_counts(&previous.value, -1);
                 }
             }
-            // Ends are kept for ever.
-            Some(Key::End(_) | Key::EndGroup(_)) | None => {}
+            // Job ends are never removed.
+            Some(Key::JobEnd(_) | Key::JobEndGroup(_)) | None => {}
         }
     }
 
-    /// A batch is removed when all its jobs are over: how they ended is kept, what they were is not
-    /// needed any more.
+    /// Applies the removal of a batch, which happens once all its jobs are over. The jobs' ends are kept,
+    /// their specifications are dropped.
     fn remove_batch(&mut self, key: &str) {
         for id in self.batches.remove(key).into_iter().flat_map(|batch| batch.value) {
             let job = self.jobs.get_mut(&id);
@@ -242,21 +242,21 @@
         }
     }
 
-    /// Adds `change` per placement of a record to the tasks placed of its job.
-    fn count_placed(&mut self, record: &PlacementsRecord, change: i64) {
-        for placement in record.placed() {
+    /// Adds `change` to the number of stored placements of a job, for each placement of a record.
+    fn add_to_placed_counts(&mut self, record: &PlacementsRecord, change: i64) {
+        for placement in record.placements() {
             let id = placement.job_id();
-            let count = self.placed.entry(id.clone()).or_default();
+            let count = self.placed_counts.entry(id.clone()).or_default();
             *count = (i64::from(*count) + change).max(0) as u32;
             if *count == 0 {
-                self.placed.remove(&id);
+                self.placed_counts.remove(&id);
             }
         }
     }
 }
 
-/// A record with the number of its key; none if it can't be read.
-fn numbered<T: DeserializeOwned>(
+/// Parses a value and adds the number of its key; `None` if the value is malformed.
+fn read_numbered<T: DeserializeOwned>(
     number: u32,
     stored: &StoredValue<'_>,
 ) -> Option<(u32, Versioned<T>)> {
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_older_answer_that_comes_late_changes_nothing() {
+fn a_late_response_of_an_older_revision_changes_nothing() {
     let mut replica = Replica::new(HashKeys::from_seed(1));
     let none = PlacementsRecord::default();
     let new = WatchResponse { revision: 9, events: vec![put(placements_key(0), &none, 8)] };
@@ -28,7 +28,7 @@
     replica.apply(&new);
     replica.apply(&old);
     assert_eq!(replica.placement_groups[&0].value, none);
-    assert_eq!((replica.revision, replica.placed("job-1")), (9, 0));
+    assert_eq!((replica.revision, replica.placed_task_count("job-1")), (9, 0));
 }
 
 #[test]
@@ -38,19 +38,19 @@
     replica.remove(&placements_key(0), 6);
     replica.apply(&WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
     assert!(replica.placement_groups.is_empty(), "the write at 4 is older than the removal at 6");
-    assert_eq!(replica.placed("job-1"), 0);
+    assert_eq!(replica.placed_task_count("job-1"), 0);
     replica.apply(&WatchResponse { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
     assert_eq!(
-        (replica.placement_groups.len(), replica.placed("job-1")),
+        (replica.placement_groups.len(), replica.placed_task_count("job-1")),
         (1, 1),
-        "a later write counts"
+        "a later write is applied"
     );
 }
 
 #[test]
-fn jobs_of_one_commit_have_arrival_numbers_of_their_own() {
-    // Two batches of one commit once gave their jobs the same numbers, and of two jobs with
-    // one number only one was ever planned.
+fn jobs_of_one_commit_have_distinct_arrival_numbers() {
+    // Guards against equal arrival numbers in two batches of one commit: of two jobs with the same
+    // number, only one would ever be placed.
     let mut replica = Replica::new(HashKeys::from_seed(1));
     let mut two = batch_of("job-2", 1);
     two.first = 1;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn of_a_job_in_two_batches_the_first_counts_in_whatever_order_they_are_read() {
+fn of_a_job_in_two_batches_the_earlier_counts_in_any_read_order() {
     let end = JobEndRecord { at: 5, stage: JobStage::Done, tasks: 3, done: 3 };
     let all = [
         (batch_key("a"), raw_json(&batch_of("job-1", 3)), 4),
@@ -81,6 +81,9 @@
             assert_eq!(job.tasks, 3, "read in order {order:?}");
         }
         replica.remove(&batch_key("a"), 12);
-        assert!(replica.jobs["job-1"].value.spec.is_none(), "how it ended is kept");
+        assert!(
+            replica.jobs["job-1"].value.spec.is_none(),
+            "the end is kept without the specification"
+        );
     }
 }
