--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,4 +1,21 @@
 //! Invariant checks for every rule of the protocol.
+//!
+//! The first word of each violation is the name of the violated rule:
+//!
+//! - `ran_twice`: a task ran on two machines at the same time.
+//! - `quota`: the running tasks of a team used more GPUs than its limit.
+//! - `wrong_place`: a task started on a spot machine or in a zone that its job does not allow.
+//! - `ran_cancelled`: a task started or ran later than [`CANCEL_MS`] after its job was reported as cancelled.
+//! - `forgotten`: a request for an accepted job was answered as if the job were unknown or invalid.
+//! - `invented`: a request for a job that no user submitted was answered with success.
+//! - `not_done`: a job was reported as done before all its tasks were done.
+//! - `went_back`: a job was reported as cancelled without a request, or left a final status.
+//!
+//! These names are not among the protocol's rules:
+//!
+//! - `starved`: a job waited for too long although there was capacity for it.
+//! - `invalid_job_accepted`: a job was accepted that can't run or lacks a field.
+//! - `started_after_cancellation`: a worker received a start command too long after a confirmed cancellation.
 
 use super::*;
 
@@ -17,8 +34,7 @@
         for (other, worker) in &self.workers {
             for k in worker.running_tasks() {
                 if k == key && other != machine {
-                    violations
-                        .push(format!("duplicate_run {job_id}/{task} on {other} and {machine}"));
+                    violations.push(format!("ran_twice {job_id}/{task} on {other} and {machine}"));
                 }
                 if k.0 == job_id {
                     *zones.entry(worker.zone.as_str()).or_default() += 1;
@@ -28,21 +44,21 @@
         let job = &self.jobs[job_id];
         let worker = &self.workers[machine];
         if job.reported_cancelled_at.is_some_and(|t| now > t + CANCEL_MS) {
-            violations.push(format!("cancelled_job_runs {job_id}/{task} starts"));
+            violations.push(format!("ran_cancelled {job_id}/{task} starts"));
         }
         if worker.spot && !job.spec["lendables"].as_bool().unwrap() {
-            violations.push(format!("constraint_violated {job_id}: spot"));
+            violations.push(format!("wrong_place {job_id}: spot"));
         }
         if job.spec["yard"].as_str().is_some_and(|y| y != worker.zone) {
-            violations.push(format!("constraint_violated {job_id}: zone"));
+            violations.push(format!("wrong_place {job_id}: zone"));
         }
         if job.spec["apart"].as_bool().unwrap()
             && zones.values().any(|n| *n > job.tasks.div_ceil(2))
         {
-            violations.push(format!("constraint_violated {job_id}: apart"));
+            violations.push(format!("wrong_place {job_id}: apart"));
         }
         if job.spec["together"].as_bool().unwrap() && zones.len() > 1 {
-            violations.push(format!("constraint_violated {job_id}: together"));
+            violations.push(format!("wrong_place {job_id}: together"));
         }
         let job = self.jobs.get_mut(job_id).unwrap();
         job.starts += 1;
@@ -169,12 +185,12 @@
                     red_gpus += job.spec["gpus"].as_f64().unwrap();
                 }
                 if job.reported_cancelled_at.is_some_and(|t| self.now > t + CANCEL_MS) {
-                    violations.push(format!("cancelled_job_runs {job_id}/{task}"));
+                    violations.push(format!("ran_cancelled {job_id}/{task}"));
                 }
             }
         }
         if red_gpus > self.team_gpus_max + 1e-9 {
-            violations.push(format!("team_limit_exceeded {red_gpus}"));
+            violations.push(format!("quota {red_gpus}"));
         }
         self.violations.extend(violations);
     }
--- a/tests/simulation/user.rs
+++ b/tests/simulation/user.rs
@@ -179,7 +179,7 @@
         let violations = &mut self.violations;
         let Some(job) = self.jobs.get_mut(&job_id) else {
             if status == 200 && kind != "other" {
-                violations.push(format!("unknown_job_confirmed {job_id}"));
+                violations.push(format!("invented {job_id}"));
             }
             return;
         };
@@ -192,10 +192,10 @@
                 job.accepted_at.get_or_insert(now);
             }
             ("submit", 400 | 422) if accepted_before => {
-                violations.push(format!("accepted_job_unknown {job_id}: {status}"));
+                violations.push(format!("forgotten {job_id}: {status}"));
             }
             ("poll" | "cancel", 404) if accepted_before => {
-                violations.push(format!("accepted_job_unknown {job_id}: 404"));
+                violations.push(format!("forgotten {job_id}: 404"));
             }
             _ => {}
         }
@@ -207,34 +207,32 @@
             "done" => {
                 if job.done_tasks.len() < job.tasks as usize {
                     violations.push(format!(
-                        "reported_done_too_early {job_id}: {} of {}",
+                        "not_done {job_id}: {} of {}",
                         job.done_tasks.len(),
                         job.tasks
                     ));
                 }
                 if job.reported_cancelled_at.is_some_and(|t| t < sent_at) {
-                    violations.push(format!("status_regressed {job_id}: withdrawn, then done"));
+                    violations.push(format!("went_back {job_id}: withdrawn, then done"));
                 }
                 job.reported_done_at.get_or_insert(now);
             }
             "withdrawn" => {
                 if !job.cancel_requested {
-                    violations
-                        .push(format!("status_regressed {job_id}: withdrawn without a request"));
+                    violations.push(format!("went_back {job_id}: withdrawn without a request"));
                 }
                 if job.reported_done_at.is_some() {
-                    violations.push(format!("status_regressed {job_id}: done, then withdrawn"));
+                    violations.push(format!("went_back {job_id}: done, then withdrawn"));
                 }
                 job.reported_cancelled_at.get_or_insert(now);
             }
             _ => {
                 // A delayed response to an earlier request may report an earlier status.
                 if job.reported_done_at.is_some_and(|t| t < sent_at) {
-                    violations.push(format!("status_regressed {job_id}: done, then {status_text}"));
+                    violations.push(format!("went_back {job_id}: done, then {status_text}"));
                 }
                 if job.reported_cancelled_at.is_some_and(|t| t < sent_at) {
-                    violations
-                        .push(format!("status_regressed {job_id}: withdrawn, then {status_text}"));
+                    violations.push(format!("went_back {job_id}: withdrawn, then {status_text}"));
                 }
             }
         }
