--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -96,12 +96,12 @@
             .cloud
             .machines
             .iter()
-            .filter(|(n, m)| {
-                m.gone_at.is_none()
-                    && m.boots_at.is_some_and(|t| t <= now)
-                    && !self.workers.contains_key(*n)
+            .filter(|(name, machine)| {
+                machine.gone_at.is_none()
+                    && machine.boots_at.is_some_and(|t| t <= now)
+                    && !self.workers.contains_key(*name)
             })
-            .map(|(n, _)| n.clone())
+            .map(|(name, _)| name.clone())
             .collect();
         for name in due {
             let machine = &self.cloud.machines[&name];
@@ -153,16 +153,16 @@
                     return (200, json!({"steads": names}));
                 }
                 let present = self.cloud.machines.values().filter(|m| m.gone_at.is_none()).count();
-                let n = (body["number"].as_u64().unwrap() as usize)
+                let count = (body["number"].as_u64().unwrap() as usize)
                     .min(self.cloud.capacity.saturating_sub(present));
-                if n == 0 {
+                if count == 0 {
                     return (503, json!({"error": "no capacity"}));
                 }
                 let zone =
                     self.zones.iter().position(|z| *z == body["yard"].as_str().unwrap()).unwrap();
                 let spot = body["lendables"].as_bool().unwrap();
                 let names: Vec<String> =
-                    (0..n).map(|_| self.add_machine(zone, spot, None)).collect();
+                    (0..count).map(|_| self.add_machine(zone, spot, None)).collect();
                 self.cloud.rentals.insert(request_id, names.clone());
                 (200, json!({"steads": names}))
             }
@@ -187,10 +187,10 @@
                     .machines
                     .iter()
                     .filter(|(_, m)| m.rented_at <= at && m.gone_at.is_none_or(|g| g > at))
-                    .map(|(n, m)| {
-                        let up = m.boots_at.is_some_and(|t| t <= at);
-                        json!({"uid": n, "address": "x", "build": "g4", "yard": m.zone, "lendables": m.spot,
-                            "status": if m.failed { "failed" } else if up { "running" } else { "starting" }, "age_s": (at - m.rented_at) as f64 / 1000.0})
+                    .map(|(name, machine)| {
+                        let up = machine.boots_at.is_some_and(|t| t <= at);
+                        json!({"uid": name, "address": "x", "build": "g4", "yard": machine.zone, "lendables": machine.spot,
+                            "status": if machine.failed { "failed" } else if up { "running" } else { "starting" }, "age_s": (at - machine.rented_at) as f64 / 1000.0})
                     })
                     .collect();
                 (200, json!({"steads": list, "has_next": false}))
--- a/tests/simulation/gangs.rs
+++ b/tests/simulation/gangs.rs
@@ -21,14 +21,14 @@
                 if !self.jobs[job].is_gang() {
                     continue;
                 }
-                for held in list {
+                for instance in list {
                     let member = GangTask {
                         machine: machine.clone(),
                         task: *task,
-                        state: held.state.clone(),
+                        state: instance.state.clone(),
                         executing: self.now >= worker.hung_until,
                     };
-                    attempts.entry((job.clone(), held.attempt)).or_default().push(member);
+                    attempts.entry((job.clone(), instance.attempt)).or_default().push(member);
                 }
             }
         }
@@ -40,8 +40,8 @@
         let key = (job.to_string(), member.task);
         let worker = self.workers.get_mut(&member.machine).expect("the machine exists");
         worker.changed = true;
-        let held = worker.tasks.get_mut(&key).expect("the task exists");
-        held.iter_mut().filter(|t| t.attempt == attempt).for_each(|t| t.state = state.clone());
+        let list = worker.tasks.get_mut(&key).expect("the task exists");
+        list.iter_mut().filter(|t| t.attempt == attempt).for_each(|t| t.state = state.clone());
     }
 
     /// Advances all gangs by one step.
@@ -182,15 +182,15 @@
         let run = gang.attempts.get_mut(&attempt);
         let worker = self.workers.get_mut(machine).expect("the machine exists");
         let Some(list) = worker.tasks.get_mut(&(job.to_string(), task)) else { return };
-        let Some(held) = list.iter_mut().find(|t| t.attempt == attempt) else { return };
-        match (&held.state, run) {
+        let Some(instance) = list.iter_mut().find(|t| t.attempt == attempt) else { return };
+        match (&instance.state, run) {
             (TaskState::Ended(_), _) => return,
             (TaskState::Running { .. }, Some(run)) if has_checkpoints && grace_s >= cost_s => {
                 run.stop_requested_at.get_or_insert(now);
-                held.state = TaskState::Flushing((cost_s * 1000.0) as u64);
+                instance.state = TaskState::Flushing((cost_s * 1000.0) as u64);
             }
             (TaskState::Flushing(_), _) if grace_s > 0.0 => return,
-            _ => held.state = TaskState::Ended("halted"),
+            _ => instance.state = TaskState::Ended("halted"),
         }
         worker.changed = true;
     }
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -32,11 +32,11 @@
         let mut violations = Vec::new();
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for (other, worker) in &self.workers {
-            for k in worker.running_tasks() {
-                if k == key && other != machine {
+            for running in worker.running_tasks() {
+                if running == key && other != machine {
                     violations.push(format!("ran_twice {job_id}/{task} on {other} and {machine}"));
                 }
-                if k.0 == job_id {
+                if running.0 == job_id {
                     *zones.entry(worker.zone.as_str()).or_default() += 1;
                 }
             }
@@ -103,28 +103,33 @@
         let mut waiting = Vec::new();
         for (job_id, job) in &self.jobs {
             let placed = placed_by_zone.get(job_id.as_str());
-            let n: u32 = placed.map_or(0, |z| z.values().sum());
+            let placed_tasks: u32 = placed.map_or(0, |zones| zones.values().sum());
             let excluded = job.cancel_requested || job.accepted_at.is_none() || job.always_fails;
             let unfinished = job.tasks - (job.done_tasks.len() as u32).min(job.tasks);
             let gpus = job.spec["gpus"].as_f64().unwrap_or(0.0);
             let over_limit =
                 job.spec["crew"] == "red" && red_gpus + gpus > self.team_gpus_max + 1e-9;
             let fits = |(free, zone, spot): &(f64, String, bool)| {
-                let here = placed.and_then(|z| z.get(zone.as_str())).copied().unwrap_or(0);
+                let here = placed.and_then(|zones| zones.get(zone.as_str())).copied().unwrap_or(0);
                 *free >= gpus
                     && (!spot || job.spec["lendables"] == true)
                     && job.spec["yard"].as_str().is_none_or(|only| only == zone)
                     && (job.spec["apart"] != true || here < job.tasks.div_ceil(2))
-                    && (job.spec["together"] != true || here == n)
+                    && (job.spec["together"] != true || here == placed_tasks)
             };
             let waits = match job.is_gang() {
                 true => {
                     !excluded
-                        && n == 0
+                        && placed_tasks == 0
                         && unfinished > 0
                         && self.gang_fits(job, &capacity, red_gpus)
                 }
-                false => !excluded && n < unfinished && !over_limit && capacity.iter().any(fits),
+                false => {
+                    !excluded
+                        && placed_tasks < unfinished
+                        && !over_limit
+                        && capacity.iter().any(fits)
+                }
             };
             if waits {
                 waiting.push(job_id.clone());
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -216,16 +216,16 @@
     pub recorder: Recorder,
 }
 
-/// Platform settings of controller `i` of `n`.
-fn platform_settings(i: usize, n: usize, team_gpus_max: f64, next: &Value) -> Platform {
-    let peers: Vec<Value> = (0..n)
-        .filter(|p| *p != i)
-        .map(|p| json!({"label": format!("c-{p}"), "zone": "a", "address": format!("10.0.0.{}:81", p + 1)}))
+/// Platform settings of controller `index` of `count`.
+fn platform_settings(index: usize, count: usize, team_gpus_max: f64, next: &Value) -> Platform {
+    let peers: Vec<Value> = (0..count)
+        .filter(|peer| *peer != index)
+        .map(|peer| json!({"label": format!("c-{peer}"), "zone": "a", "address": format!("10.0.0.{}:81", peer + 1)}))
         .collect();
-    let v = json!({
-        "label": format!("c-{i}"), "zone": "a", "listen": "10.0.0.1:80", "peer_bind": "10.0.0.1:81",
+    let settings = json!({
+        "label": format!("c-{index}"), "zone": "a", "listen": "10.0.0.1:80", "peer_bind": "10.0.0.1:81",
         "peers": peers, "services": {"cloud": "10.0.1.1:80", "state": "10.0.1.2:80"},
-        "params": {"nodes": n, "zones": ["a", "b"],
+        "params": {"nodes": count, "zones": ["a", "b"],
             "teams": [{"name": "red", "gpus": 8.0, "gpus_max": team_gpus_max}, {"name": "blue"}],
             "workers": {"report_s": HEARTBEAT_MS as f64 / 1000.0, "lease_s": LEASE_MS as f64 / 1000.0,
                         "cancel_s": CANCEL_MS as f64 / 1000.0,
@@ -235,7 +235,7 @@
             "cloud": {"rps": 8.0, "list_lag_s": LIST_LAG_MS as f64 / 1000.0},
             "machine_limits": {"core_share": 0.2, "mem_mb": 100.0, "sockets": 1000}}
     });
-    Platform::parse(&v.to_string()).expect("valid platform settings")
+    Platform::parse(&settings.to_string()).expect("valid platform settings")
 }
 
 impl Simulation {
@@ -318,9 +318,9 @@
     }
 
     /// Sends a message that arrives after `delay` milliseconds.
-    fn send(&mut self, delay: u64, m: Message) {
+    fn send(&mut self, delay: u64, message: Message) {
         self.last_sequence += 1;
-        self.network.insert((self.now + delay, self.last_sequence), m);
+        self.network.insert((self.now + delay, self.last_sequence), message);
     }
 
     fn network_delay(&mut self) -> u64 {
@@ -334,9 +334,10 @@
             if self.nodes[i].start_at.is_some_and(|t| self.now >= t) {
                 self.nodes[i].start_at = None;
                 let seed = self.rng.random();
-                let n = self.nodes.len();
+                let count = self.nodes.len();
                 let clock = Clock { monotonic_ms: self.now, wall_ms: 1_000_000 + self.now };
-                let settings = platform_settings(i, n, self.team_gpus_max, &self.next_state_limits);
+                let settings =
+                    platform_settings(i, count, self.team_gpus_max, &self.next_state_limits);
                 self.nodes[i].controller =
                     Some(Controller::new(settings, self.operator.clone(), clock, seed));
                 self.nodes[i].next_wake = 0;
@@ -347,9 +348,9 @@
             if at > self.now {
                 break;
             }
-            let m = self.network.remove(&(at, seq)).expect("the first message");
-            self.record_arrival(&m);
-            self.deliver(m);
+            let message = self.network.remove(&(at, seq)).expect("the first message");
+            self.record_arrival(&message);
+            self.deliver(message);
             self.record_stored();
         }
         self.cloud_step();
@@ -373,36 +374,36 @@
 
     fn node_step(&mut self, i: usize) {
         let now = self.now;
-        let n = &mut self.nodes[i];
-        if now < n.paused_until {
+        let process = &mut self.nodes[i];
+        if now < process.paused_until {
             return;
         }
-        let late: Vec<u64> =
-            n.deadlines.iter().filter(|(_, t)| **t <= now).map(|(c, _)| *c).collect();
-        for call in late {
-            n.deadlines.remove(&call);
-            n.inbox.push(Command::Reply { call, reply: None });
+        let timed_out: Vec<u64> =
+            process.deadlines.iter().filter(|(_, t)| **t <= now).map(|(c, _)| *c).collect();
+        for call in timed_out {
+            process.deadlines.remove(&call);
+            process.inbox.push(Command::Reply { call, reply: None });
         }
-        let Some(controller) = n.controller.as_mut() else {
-            n.inbox.clear();
+        let Some(controller) = process.controller.as_mut() else {
+            process.inbox.clear();
             return;
         };
-        if n.inbox.is_empty() && now < n.next_wake {
+        if process.inbox.is_empty() && now < process.next_wake {
             return;
         }
         let clock = Clock { monotonic_ms: now, wall_ms: 1_000_000 + now };
-        let effects = controller.handle_batch(clock, std::mem::take(&mut n.inbox));
-        n.next_wake = controller.next_wake();
-        n.paused_until = now + n.batch_duration_ms;
-        let incarnation = n.incarnation;
-        for e in effects {
-            self.record_effect(i, &e);
-            self.apply_effect(i, incarnation, e);
+        let effects = controller.handle_batch(clock, std::mem::take(&mut process.inbox));
+        process.next_wake = controller.next_wake();
+        process.paused_until = now + process.batch_duration_ms;
+        let incarnation = process.incarnation;
+        for effect in effects {
+            self.record_effect(i, &effect);
+            self.apply_effect(i, incarnation, effect);
         }
     }
 
-    fn record_effect(&mut self, node: usize, e: &Effect) {
-        match e {
+    fn record_effect(&mut self, node: usize, effect: &Effect) {
+        match effect {
             Effect::Respond { connection, status, retry_after_s, body } => {
                 let what = format_args!("c-{node} answers {connection} {status} {retry_after_s:?}");
                 self.recorder.record(self.now, what, body);
@@ -416,9 +417,9 @@
     }
 
     /// Records a message that arrives. Bodies of controllers' requests are recorded when they are sent.
-    fn record_arrival(&mut self, m: &Message) {
+    fn record_arrival(&mut self, message: &Message) {
         let now = self.now;
-        match m {
+        match message {
             Message::Reply { node, incarnation, call, status, body } => {
                 let what =
                     format_args!("reply to c-{node} life {incarnation} call {call} {status}");
@@ -471,15 +472,15 @@
     }
 
     /// Sends the message of a controller's effect, unless a fault drops it.
-    fn apply_effect(&mut self, node: usize, incarnation: u64, e: Effect) {
+    fn apply_effect(&mut self, node: usize, incarnation: u64, effect: Effect) {
         let batch_duration_ms = self.nodes[node].batch_duration_ms;
         let delay = self.network_delay() + batch_duration_ms;
-        match e {
+        match effect {
             Effect::Respond { connection, status, body, .. } => {
-                let n = &mut self.nodes[node];
+                let process = &mut self.nodes[node];
                 let (partitioned_from_workers, partitioned_from_peers) =
-                    (n.partitioned_from_workers, n.partitioned_from_peers);
-                match n.connections.remove(&connection) {
+                    (process.partitioned_from_workers, process.partitioned_from_peers);
+                match process.connections.remove(&connection) {
                     Some(Connection::Worker { name, request })
                         if !partitioned_from_workers && !self.is_partitioned(&name, node) =>
                     {
@@ -512,10 +513,13 @@
                         if self.nodes[node].partitioned_from_state {
                             return;
                         }
-                        let late = path == "/commit"
+                        let delayed = path == "/commit"
                             && self.rng.random_bool(self.state.delayed_commit_rate);
-                        let delay =
-                            if late { delay + self.rng.random_range(1_000..6_000) } else { delay };
+                        let delay = if delayed {
+                            delay + self.rng.random_range(1_000..6_000)
+                        } else {
+                            delay
+                        };
                         if path == "/commit"
                             && self.rng.random_bool(self.state.unanswered_commit_rate)
                         {
@@ -550,8 +554,11 @@
                         delay + 50 + self.cloud.extra_latency_ms,
                         Message::CloudRequest { node, incarnation, call, method, path, body },
                     ),
-                    Service::Peer(p) => {
-                        let to = (0..3).filter(|x| *x != node).nth(p).expect("one of two peers");
+                    Service::Peer(index) => {
+                        let to = (0..3)
+                            .filter(|other| *other != node)
+                            .nth(index)
+                            .expect("one of two peers");
                         if !self.nodes[node].partitioned_from_peers
                             && !self.nodes[to].partitioned_from_peers
                         {
@@ -571,50 +578,56 @@
         }
     }
 
-    fn deliver(&mut self, m: Message) {
-        match m {
+    fn deliver(&mut self, message: Message) {
+        match message {
             Message::StateRequest { node, incarnation, call, method, path, body } => {
                 self.state_request(node, incarnation, call, &method, &path, &body);
             }
             Message::CloudRequest { node, incarnation, call, method, path, body } => {
-                let (status, v) = self.cloud_request(&method, &path, &body);
+                let (status, answer) = self.cloud_request(&method, &path, &body);
                 let delay = self.network_delay();
-                let body = v.to_string().into_bytes();
+                let body = answer.to_string().into_bytes();
                 self.send(delay, Message::Reply { node, incarnation, call, status, body });
             }
             Message::PeerRequest { node, incarnation, call, to, path, body } => {
-                let n = &mut self.nodes[to];
-                if n.controller.is_none() {
+                let process = &mut self.nodes[to];
+                if process.controller.is_none() {
                     return;
                 }
-                let connection = n.next_connection;
-                n.next_connection += 1;
-                n.connections.insert(connection, Connection::Peer { node, incarnation, call });
-                n.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
+                let connection = process.next_connection;
+                process.next_connection += 1;
+                process
+                    .connections
+                    .insert(connection, Connection::Peer { node, incarnation, call });
+                process.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
             }
             Message::Reply { node, incarnation, call, status, body } => {
-                let n = &mut self.nodes[node];
-                if n.incarnation == incarnation && n.deadlines.remove(&call).is_some() {
-                    n.inbox.push(Command::Reply { call, reply: Some(Response { status, body }) });
+                let process = &mut self.nodes[node];
+                if process.incarnation == incarnation && process.deadlines.remove(&call).is_some() {
+                    process
+                        .inbox
+                        .push(Command::Reply { call, reply: Some(Response { status, body }) });
                 }
             }
             Message::Heartbeat { worker, request, node, body } => {
                 let partitioned = self.is_partitioned(&worker, node);
-                let n = &mut self.nodes[node];
-                if n.partitioned_from_workers || partitioned {
+                let process = &mut self.nodes[node];
+                if process.partitioned_from_workers || partitioned {
                     return;
                 }
-                if n.controller.is_none() {
+                if process.controller.is_none() {
                     let delay = self.network_delay();
                     return self.send(
                         delay,
                         Message::HeartbeatResponse { worker, request, status: 0, body: vec![] },
                     );
                 }
-                let connection = n.next_connection;
-                n.next_connection += 1;
-                n.connections.insert(connection, Connection::Worker { name: worker, request });
-                n.inbox.push(Command::Public {
+                let connection = process.next_connection;
+                process.next_connection += 1;
+                process
+                    .connections
+                    .insert(connection, Connection::Worker { name: worker, request });
+                process.inbox.push(Command::Public {
                     connection,
                     method: "POST".into(),
                     path: "/checkin".into(),
@@ -625,15 +638,20 @@
                 self.handle_heartbeat_response(&worker, request, status, &body);
             }
             Message::UserRequest { request, node, method, path, body } => {
-                let n = &mut self.nodes[node];
-                if n.controller.is_none() {
+                let process = &mut self.nodes[node];
+                if process.controller.is_none() {
                     return self
                         .send(1, Message::UserResponse { request, status: 0, body: vec![] });
                 }
-                let connection = n.next_connection;
-                n.next_connection += 1;
-                n.connections.insert(connection, Connection::User { request });
-                n.inbox.push(Command::Public { connection, method: method.into(), path, body });
+                let connection = process.next_connection;
+                process.next_connection += 1;
+                process.connections.insert(connection, Connection::User { request });
+                process.inbox.push(Command::Public {
+                    connection,
+                    method: method.into(),
+                    path,
+                    body,
+                });
             }
             Message::UserResponse { request, status, body } => {
                 self.handle_user_response(request, status, &body);
--- a/tests/simulation/scenario.rs
+++ b/tests/simulation/scenario.rs
@@ -20,15 +20,15 @@
 
     /// Crashes a controller, which starts again after this many milliseconds.
     pub fn crash(&mut self, i: usize, restart_after_ms: u64) {
-        let n = &mut self.nodes[i];
-        n.controller = None;
-        n.incarnation += 1;
-        n.start_at = Some(self.now + restart_after_ms);
-        n.inbox.clear();
-        n.deadlines.clear();
-        let connections = std::mem::take(&mut n.connections);
-        for c in connections.into_values() {
-            match c {
+        let process = &mut self.nodes[i];
+        process.controller = None;
+        process.incarnation += 1;
+        process.start_at = Some(self.now + restart_after_ms);
+        process.inbox.clear();
+        process.deadlines.clear();
+        let connections = std::mem::take(&mut process.connections);
+        for connection in connections.into_values() {
+            match connection {
                 // The connection is reset, which the worker or user notices at once.
                 Connection::Worker { name, request } => {
                     self.send(
@@ -51,7 +51,7 @@
 
     /// The controller that leads, in the highest term if several believe that they do.
     pub fn leader(&self) -> Option<usize> {
-        let term_led = |n: &Node| n.controller.as_ref().and_then(|c| c.leading_term());
+        let term_led = |node: &Node| node.controller.as_ref().and_then(|c| c.leading_term());
         (0..self.nodes.len())
             .filter(|i| term_led(&self.nodes[*i]).is_some())
             .max_by_key(|i| term_led(&self.nodes[*i]))
@@ -85,16 +85,16 @@
         self.faults_ended_at = Some(self.now);
         self.run(8_000);
         self.assert_accepted_jobs_known("at the end");
-        let counted = |j: &Job| j.accepted_at.is_some() && !j.cancel_requested;
+        let counted = |job: &Job| job.accepted_at.is_some() && !job.cancel_requested;
         let job_ids: Vec<String> =
-            self.jobs.iter().filter(|(_, j)| counted(j)).map(|(id, _)| id.clone()).collect();
+            self.jobs.iter().filter(|(_, job)| counted(job)).map(|(id, _)| id.clone()).collect();
         for job_id in &job_ids {
             if self.jobs[job_id].spec["shape"] != "standing" {
                 self.run_until_done(job_id, 240_000);
             } else {
-                let n = self.jobs[job_id].tasks as usize;
+                let replicas = self.jobs[job_id].tasks as usize;
                 self.run_until(120_000, "all replicas run", |sim| {
-                    sim.running_tasks_of(job_id) == n
+                    sim.running_tasks_of(job_id) == replicas
                 });
             }
         }
@@ -103,11 +103,11 @@
 
     /// Asserts that every controller knows every job that was ever accepted.
     pub fn assert_accepted_jobs_known(&mut self, when: &str) {
-        let accepted = self.jobs.iter().filter(|(_, j)| j.accepted_at.is_some());
+        let accepted = self.jobs.iter().filter(|(_, job)| job.accepted_at.is_some());
         for job_id in accepted.map(|(job_id, _)| job_id.clone()).collect::<Vec<_>>() {
             let polls: Vec<u64> = (0..3).map(|i| self.poll(&job_id, i)).collect();
             let deadline = self.now + POLL_TIMEOUT_MS;
-            while !polls.iter().all(|r| self.response_status(*r) == 200) {
+            while !polls.iter().all(|request| self.response_status(*request) == 200) {
                 assert!(
                     self.now < deadline,
                     "{when}: accepted job {job_id} is unknown: {}",
@@ -134,7 +134,7 @@
 
     /// Number of tasks that run.
     pub fn running_tasks(&self) -> usize {
-        self.workers.values().map(|x| x.running_tasks().len()).sum()
+        self.workers.values().map(|worker| worker.running_tasks().len()).sum()
     }
 
     /// Number of a job's tasks that run.
@@ -161,39 +161,39 @@
 
     /// Delivers a request, possibly a malformed one, to the port for peers of a controller.
     pub fn inject_peer_request(&mut self, node: usize, path: &str, body: &[u8]) {
-        let n = &mut self.nodes[node];
-        let connection = n.next_connection;
-        n.next_connection += 1;
+        let process = &mut self.nodes[node];
+        let connection = process.next_connection;
+        process.next_connection += 1;
         let (path, body) = (path.to_string(), body.to_vec());
-        n.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
+        process.inbox.push(Command::Peer { connection, method: "POST".into(), path, body });
     }
 
     /// State of the leader and the workers, for the messages of failed scenarios.
     pub fn describe(&self) -> String {
-        let up: Vec<bool> = self.nodes.iter().map(|n| n.controller.is_some()).collect();
+        let up: Vec<bool> = self.nodes.iter().map(|node| node.controller.is_some()).collect();
         let workers: Vec<String> = self
             .workers
             .iter()
-            .filter(|(_, w)| !w.stopped)
-            .map(|(n, w)| {
+            .filter(|(_, worker)| !worker.stopped)
+            .map(|(name, worker)| {
                 format!(
-                    "{n} {} spot={} token={} node={} {:?}",
-                    w.zone,
-                    w.spot,
-                    w.fencing_token,
-                    w.node,
-                    w.running_tasks()
+                    "{name} {} spot={} token={} node={} {:?}",
+                    worker.zone,
+                    worker.spot,
+                    worker.fencing_token,
+                    worker.node,
+                    worker.running_tasks()
                 )
             })
             .collect();
         let machines = self.cloud.machines.values().filter(|m| m.gone_at.is_none()).count();
         match self.leader() {
-            Some(l) => format!(
-                "up {up:?}, {machines} machines, leader {l}: {}\nworkers {workers:#?}",
-                self.nodes[l]
+            Some(leader) => format!(
+                "up {up:?}, {machines} machines, leader {leader}: {}\nworkers {workers:#?}",
+                self.nodes[leader]
                     .controller
                     .as_ref()
-                    .map(|c| json!(c.status_view(true)).to_string())
+                    .map(|controller| json!(controller.status_view(true)).to_string())
                     .unwrap_or_default()
             ),
             None => format!("up {up:?}, no leader, term key {:?}", self.state.get("mg/leader")),
--- a/tests/simulation/state_service.rs
+++ b/tests/simulation/state_service.rs
@@ -105,33 +105,34 @@
 
     /// Executes a transaction.
     pub(super) fn commit(&mut self, body: &[u8]) -> (u16, Value) {
-        let Ok(c) = serde_json::from_slice::<Value>(body) else {
+        let Ok(transaction) = serde_json::from_slice::<Value>(body) else {
             return (400, json!({}));
         };
-        let failed: Vec<&str> = c["if"]
+        let failed: Vec<&str> = transaction["if"]
             .as_array()
             .into_iter()
             .flatten()
-            .filter(|i| {
-                let key = i["key"].as_str().unwrap();
-                self.keys.get(key).map_or(0, |e| e.mod_revision) != i["stamp"].as_u64().unwrap()
+            .filter(|condition| {
+                let key = condition["key"].as_str().unwrap();
+                self.keys.get(key).map_or(0, |entry| entry.mod_revision)
+                    != condition["stamp"].as_u64().unwrap()
             })
-            .map(|i| i["key"].as_str().unwrap())
+            .map(|condition| condition["key"].as_str().unwrap())
             .collect();
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "ledger_rev": self.revision}));
         }
-        let writes = c["writes"].as_array().cloned().unwrap_or_default();
+        let writes = transaction["writes"].as_array().cloned().unwrap_or_default();
         assert!(writes.len() <= 8, "too many changes in one transaction");
         if let Some((value_bytes, ops)) = self.lowered_limits {
-            let large = |w: &Value| w["data"].to_string().len() > value_bytes;
+            let large = |mutation: &Value| mutation["data"].to_string().len() > value_bytes;
             if writes.len() > ops || writes.iter().any(large) {
                 self.rejected_for_size += 1;
                 return (400, json!({"error": "too large"}));
             }
         }
-        for w in &writes {
-            if let Some(lease) = w["tenancy"].as_u64() {
+        for mutation in &writes {
+            if let Some(lease) = mutation["tenancy"].as_u64() {
                 if !self.leases.contains_key(&lease) {
                     return (400, json!({"error": "no such lease"}));
                 }
@@ -140,18 +141,18 @@
         self.revision += 1;
         self.mutation_count += writes.len();
         let rev = self.revision;
-        for w in writes {
-            if let Some(key) = w["write"].as_str() {
-                assert!(w["data"].to_string().len() <= 4096, "value too large: {key}");
-                let e = Entry {
-                    data: w["data"].clone(),
+        for mutation in writes {
+            if let Some(key) = mutation["write"].as_str() {
+                assert!(mutation["data"].to_string().len() <= 4096, "value too large: {key}");
+                let entry = Entry {
+                    data: mutation["data"].clone(),
                     mod_revision: rev,
-                    lease: w["tenancy"].as_u64(),
+                    lease: mutation["tenancy"].as_u64(),
                 };
-                self.keys.insert(key.to_string(), e);
-                self.history.push((rev, key.to_string(), Some(w["data"].clone())));
+                self.keys.insert(key.to_string(), entry);
+                self.history.push((rev, key.to_string(), Some(mutation["data"].clone())));
             } else {
-                self.remove(w["remove"].as_str().unwrap(), rev);
+                self.remove(mutation["remove"].as_str().unwrap(), rev);
             }
         }
         (200, json!({"ledger_rev": rev}))
@@ -194,10 +195,10 @@
         self.leases.remove(&id);
         let keys: Vec<String> =
             self.keys.iter().filter(|(_, e)| e.lease == Some(id)).map(|(k, _)| k.clone()).collect();
-        for k in keys {
+        for key in keys {
             self.revision += 1;
             let rev = self.revision;
-            self.remove(&k, rev);
+            self.remove(&key, rev);
         }
     }
 
@@ -206,10 +207,10 @@
         let events: Vec<Value> = self
             .history
             .iter()
-            .filter(|(r, _, _)| *r > since)
-            .map(|(r, k, d)| match d {
-                Some(d) => json!({"write": k, "data": d, "stamp": r}),
-                None => json!({"remove": k, "stamp": r}),
+            .filter(|(revision, _, _)| *revision > since)
+            .map(|(revision, key, value)| match value {
+                Some(value) => json!({"write": key, "data": value, "stamp": revision}),
+                None => json!({"remove": key, "stamp": revision}),
             })
             .collect();
         json!({"ledger_rev": self.revision, "events": events})
@@ -217,8 +218,8 @@
 }
 
 pub(super) fn query_parameter(path: &str, name: &str) -> Option<String> {
-    let q = path.split_once('?')?.1;
-    q.split('&').find_map(|p| p.strip_prefix(&format!("{name}="))).map(|s| s.to_string())
+    let query = path.split_once('?')?.1;
+    query.split('&').find_map(|p| p.strip_prefix(&format!("{name}="))).map(|s| s.to_string())
 }
 
 impl Simulation {
@@ -238,26 +239,28 @@
         for id in expired {
             self.state.end_lease(id);
         }
-        let rev = self.state.revision;
+        let revision = self.state.revision;
         let stalled = self.state.watches_stalled;
         let (ready, open): (Vec<Watch>, Vec<Watch>) = self
             .state
             .watches
             .drain(..)
-            .partition(|w| (rev > w.since && !stalled) || now >= w.until);
+            .partition(|watch| (revision > watch.since && !stalled) || now >= watch.until);
         self.state.watches = open;
-        for w in ready {
-            if self.nodes[w.node].refused_by_state || self.nodes[w.node].partitioned_from_state {
+        for watch in ready {
+            if self.nodes[watch.node].refused_by_state
+                || self.nodes[watch.node].partitioned_from_state
+            {
                 continue;
             }
-            let body = self.state.changes_since(w.since).to_string().into_bytes();
+            let body = self.state.changes_since(watch.since).to_string().into_bytes();
             let delay = self.network_delay();
             self.send(
                 delay,
                 Message::Reply {
-                    node: w.node,
-                    incarnation: w.incarnation,
-                    call: w.call,
+                    node: watch.node,
+                    incarnation: watch.incarnation,
+                    call: watch.call,
                     status: 200,
                     body,
                 },
@@ -283,27 +286,27 @@
         body: &[u8],
     ) {
         let now = self.now;
-        let s = &mut self.state;
-        let (status, v) = if s.outage || self.nodes[node].refused_by_state {
+        let state = &mut self.state;
+        let (status, answer) = if state.outage || self.nodes[node].refused_by_state {
             (503, json!({}))
-        } else if s.rate_limited {
+        } else if state.rate_limited {
             (429, json!({}))
         } else if path == "/commit" {
-            s.commit(body)
+            state.commit(body)
         } else if path == "/holds" {
             let duration_ms =
                 serde_json::from_slice::<Value>(body).unwrap()["life_ms"].as_u64().unwrap();
-            let id = s.next_lease;
-            s.next_lease += 1;
-            s.leases.insert(id, (duration_ms, now + duration_ms));
+            let id = state.next_lease;
+            state.next_lease += 1;
+            state.leases.insert(id, (duration_ms, now + duration_ms));
             (200, json!({"tenancy": id}))
         } else if let Some(rest) = path.strip_prefix("/holds/") {
             let id: u64 = rest.trim_end_matches("/renew").parse().unwrap();
             if method == "DELETE" {
-                s.end_lease(id);
+                state.end_lease(id);
                 (200, json!({}))
             } else {
-                match s.leases.get_mut(&id) {
+                match state.leases.get_mut(&id) {
                     Some((duration_ms, end)) => {
                         *end = now + *duration_ms;
                         (200, json!({"tenancy": id}))
@@ -313,31 +316,31 @@
             }
         } else if path.starts_with("/changes") {
             let since: u64 = query_parameter(path, "since").unwrap().parse().unwrap();
-            let block: u64 = query_parameter(path, "block_ms").unwrap().parse().unwrap();
-            if since < s.compacted_revision {
+            let block_ms: u64 = query_parameter(path, "block_ms").unwrap().parse().unwrap();
+            if since < state.compacted_revision {
                 let delay = self.network_delay();
                 return self.send(
                     delay,
                     Message::Reply { node, incarnation, call, status: 410, body: vec![] },
                 );
             }
-            if block > 0 && s.revision <= since {
-                s.watches.push(Watch { node, incarnation, call, since, until: now + block });
+            if block_ms > 0 && state.revision <= since {
+                state.watches.push(Watch { node, incarnation, call, since, until: now + block_ms });
                 return;
             }
-            (200, s.changes_since(since))
+            (200, state.changes_since(since))
         } else if path.starts_with("/store?") {
             let prefix = query_parameter(path, "prefix").unwrap();
             let since = query_parameter(path, "since").unwrap_or_default();
             // Pages are small, so that listings take several.
             let all: Vec<(&String, &Entry)> =
-                s.keys.iter().filter(|(k, _)| k.starts_with(&prefix) && **k > since).collect();
+                state.keys.iter().filter(|(k, _)| k.starts_with(&prefix) && **k > since).collect();
             let items: Vec<Value> = all
                 .iter()
                 .take(20)
                 .map(|(k, e)| json!({"key": k, "data": e.data, "stamp": e.mod_revision}))
                 .collect();
-            (200, json!({"items": items, "has_next": all.len() > 20, "ledger_rev": s.revision}))
+            (200, json!({"items": items, "has_next": all.len() > 20, "ledger_rev": state.revision}))
         } else {
             panic!("unexpected request to the state service: {method} {path}");
         };
@@ -348,7 +351,7 @@
         let delay = self.network_delay() + commit_delay;
         let body = match self.rng.random_bool(self.state.malformed_response_rate) {
             true => MALFORMED_BODIES[self.rng.random_range(0..MALFORMED_BODIES.len())].into(),
-            false => v.to_string().into_bytes(),
+            false => answer.to_string().into_bytes(),
         };
         self.send(delay, Message::Reply { node, incarnation, call, status, body });
     }
--- a/tests/simulation/user.rs
+++ b/tests/simulation/user.rs
@@ -28,7 +28,7 @@
     pub invalid: bool,
     /// Time by which each task runs longer than the one before it.
     pub run_increment_ms: u64,
-    /// Last time at which it did not wait although there was capacity for it.
+    /// Last time at which it did not wait, or waited because there was no capacity for it.
     pub unstarved_at: u64,
     /// Progress of a gang that its checkpoints contain.
     pub checkpointed_ms: u64,
@@ -168,12 +168,12 @@
 
     /// Handles a response and checks it against what users were told before.
     pub(super) fn handle_user_response(&mut self, request: u64, status: u16, body: &[u8]) {
-        let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+        let answer: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let now = self.now;
         let Some(user_request) = self.user_requests.get_mut(&request) else {
             return;
         };
-        user_request.response = Some((status, v.clone()));
+        user_request.response = Some((status, answer.clone()));
         let (job_id, kind, sent_at) =
             (user_request.job_id.clone(), user_request.kind, user_request.sent_at);
         let violations = &mut self.violations;
@@ -202,7 +202,7 @@
         if status != 200 && status != 201 {
             return;
         }
-        let status_text = v["status"].as_str().unwrap_or("").to_string();
+        let status_text = answer["status"].as_str().unwrap_or("").to_string();
         match status_text.as_str() {
             "done" => {
                 if job.done_tasks.len() < job.tasks as usize {
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -89,8 +89,10 @@
     pub fn unfinished_tasks(&self) -> impl Iterator<Item = (&str, u32)> {
         self.tasks
             .iter()
-            .filter(|(_, v)| v.iter().any(|t| !matches!(t.state, TaskState::Ended(_))))
-            .map(|((job_id, n), _)| (job_id.as_str(), *n))
+            .filter(|(_, attempts)| {
+                attempts.iter().any(|instance| !matches!(instance.state, TaskState::Ended(_)))
+            })
+            .map(|((job_id, task), _)| (job_id.as_str(), *task))
     }
 
     /// Whether a task of the job occupies resources.
@@ -98,19 +100,19 @@
         self.unfinished_tasks().any(|(id, _)| id == job_id)
     }
 
-    /// Tasks that run, those included that wait for their gang or save their progress.
+    /// Running tasks, including those that wait for their gang or save their progress.
     pub fn running_tasks(&self) -> Vec<(String, u32)> {
         self.tasks
             .iter()
-            .filter(|(_, v)| {
-                v.iter().any(|t| {
+            .filter(|(_, attempts)| {
+                attempts.iter().any(|instance| {
                     matches!(
-                        t.state,
+                        instance.state,
                         TaskState::Waiting(_) | TaskState::Running { .. } | TaskState::Flushing(_)
                     )
                 })
             })
-            .map(|(k, _)| k.clone())
+            .map(|(key, _)| key.clone())
             .collect()
     }
 }
@@ -125,8 +127,8 @@
         if worker.stopped {
             return;
         }
-        if let Some(t) = worker.reclaim_at {
-            if now >= t && now >= worker.hung_until {
+        if let Some(reclaim_at) = worker.reclaim_at {
+            if now >= reclaim_at && now >= worker.hung_until {
                 self.remove_machine(name);
                 return;
             }
@@ -146,8 +148,8 @@
         let mut started = Vec::new();
         let mut completed = Vec::new();
         for ((job_id, task), attempts) in &mut worker.tasks {
-            for t in attempts.iter_mut() {
-                match &mut t.state {
+            for instance in attempts.iter_mut() {
+                match &mut instance.state {
                     TaskState::Pulling(remaining_ms) if *remaining_ms > STEP_MS => {
                         *remaining_ms -= STEP_MS;
                     }
@@ -155,16 +157,16 @@
                         let job = &self.jobs[job_id];
                         worker.images.insert(job.spec["kit"].as_str().unwrap().into());
                         if worker.fails_all_tasks || job.always_fails {
-                            t.state = TaskState::Ended("error");
+                            instance.state = TaskState::Ended("error");
                         } else if job.done_tasks.contains(task) {
-                            t.state = TaskState::Ended("done");
+                            instance.state = TaskState::Ended("done");
                         } else if job.is_gang() {
-                            t.state = TaskState::Waiting(now);
+                            instance.state = TaskState::Waiting(now);
                             started.push((job_id.clone(), *task));
                         } else {
                             let remaining_ms =
                                 job.run_ms.saturating_add(u64::from(*task) * job.run_increment_ms);
-                            t.state = TaskState::Running { remaining_ms, started_at: now };
+                            instance.state = TaskState::Running { remaining_ms, started_at: now };
                             started.push((job_id.clone(), *task));
                         }
                         worker.changed = true;
@@ -177,7 +179,7 @@
                         *remaining_ms -= STEP_MS;
                     }
                     TaskState::Running { .. } => {
-                        t.state = TaskState::Ended("done");
+                        instance.state = TaskState::Ended("done");
                         completed.push((job_id.clone(), *task));
                         worker.changed = true;
                     }
@@ -185,7 +187,7 @@
                         *remaining_ms -= STEP_MS;
                     }
                     TaskState::Flushing(_) => {
-                        t.state = TaskState::Ended("halted");
+                        instance.state = TaskState::Ended("halted");
                         worker.changed = true;
                     }
                     TaskState::Ended(_) => {}
@@ -225,8 +227,9 @@
             worker.next_heartbeat_at = now + HEARTBEAT_MS * 3 / 4 + jitter;
             worker.in_flight = Some((request, now));
             let node = worker.node;
-            let delay =
-                worker.heartbeats_delayed_until.map_or(delay, |t| t.saturating_sub(now).max(delay));
+            let delay = worker
+                .heartbeats_delayed_until
+                .map_or(delay, |until| until.saturating_sub(now).max(delay));
             if !worker.partitioned && !worker.heartbeats_lost {
                 if self.duplicate_heartbeat_rate > 0.0
                     && self.rng.random_bool(self.duplicate_heartbeat_rate)
@@ -254,9 +257,9 @@
         let worker = &self.workers[name];
         let mut reports = Vec::new();
         for ((job_id, task), attempts) in &worker.tasks {
-            for t in attempts {
+            for instance in attempts {
                 let task_id = format!("{job_id}/{task}");
-                let (status, cause) = match t.state {
+                let (status, cause) = match instance.state {
                     TaskState::Pulling(_) => ("pulling", None),
                     TaskState::Waiting(_) => ("waiting", None),
                     TaskState::Flushing(_) if self.jobs[job_id].is_gang() => ("running", None),
@@ -265,11 +268,11 @@
                     TaskState::Ended(c) => ("ended", Some(c)),
                 };
                 reports.push(
-                    json!({"load": task_id, "try": t.attempt, "status": status, "cause": cause}),
+                    json!({"load": task_id, "try": instance.attempt, "status": status, "cause": cause}),
                 );
             }
         }
-        let reclaim_s = worker.reclaim_at.map(|t| t.saturating_sub(self.now) as f64 / 1000.0);
+        let reclaim_s = worker.reclaim_at.map(|at| at.saturating_sub(self.now) as f64 / 1000.0);
         json!({"stead": name, "address": "x", "build": "g4", "yard": worker.zone, "lendables": worker.spot,
             "tenure": worker.incarnation, "tally": worker.sequence, "baton": worker.fencing_token, "recall_s": reclaim_s, "loads": reports})
         .to_string()
@@ -307,9 +310,9 @@
             return;
         }
         worker.in_flight = None;
-        let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+        let response: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         if status == 421 {
-            if let Some(leader) = v["steward"].as_str() {
+            if let Some(leader) = response["steward"].as_str() {
                 let to: usize = leader.trim_start_matches("c-").parse().unwrap();
                 if to != worker.node {
                     worker.node = to;
@@ -324,7 +327,7 @@
             worker.next_heartbeat_at = now + 1_000;
             return;
         }
-        let token = v["baton"].as_u64().unwrap();
+        let token = response["baton"].as_u64().unwrap();
         if token < worker.fencing_token {
             return;
         }
@@ -333,7 +336,7 @@
             worker.changed = true;
         }
         worker.lease_started_at = sent;
-        for command in v["orders"].as_array().cloned().unwrap_or_default() {
+        for command in response["orders"].as_array().cloned().unwrap_or_default() {
             self.handle_command(name, &command);
         }
     }
