--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! Real processes on the loopback: three controllers beside `examples/platform.rs`, whose state service loses
-//! its data. Nothing is asserted on how long anything takes; limits only end a test that hangs.
+//! Three controllers as processes on the loopback interface, with the state service of `examples/platform.rs`, which
+//! loses its data. Durations are not checked; the timeout only ends a test that hangs.
 
 #[path = "../examples/platform.rs"]
 #[allow(dead_code, reason = "its main function is not used here")]
@@ -18,10 +18,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seconds after which a test is taken to hang.
-const PATIENCE_S: u64 = 240;
+/// Time after which a wait of a test fails.
+const WAIT_TIMEOUT_S: u64 = 240;
 
-/// The processes of a test, ended with it.
+/// The processes of a test, which end when this is dropped.
 struct Deployment {
     directory: PathBuf,
     controllers: Vec<Option<Child>>,
@@ -30,8 +30,8 @@
     listen: Vec<String>,
 }
 
-/// Listens on a port that was free.
-fn listener() -> TcpListener {
+/// A listener on a free port.
+fn listen_on_free_port() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
@@ -39,11 +39,11 @@
     listener.local_addr().expect("bound").to_string()
 }
 
-/// Ports that controllers listen on: below those that outgoing connections take (from 32,768 on Linux), so that
-/// none of these is lost between its choice and the start of its controller.
+/// Ports that controllers listen on: below the ports of outgoing connections (from 32,768 on Linux), so that
+/// no connection takes a chosen port before its controller starts.
 const CONTROLLER_PORTS: Range<u16> = 10_000..32_000;
 
-/// Addresses that are free now, and that no other test of this process gets.
+/// Addresses that are free at the moment, and that no other test of this process uses.
 fn free_addresses(count: usize) -> Vec<String> {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
     let ports = CONTROLLER_PORTS.end - CONTROLLER_PORTS.start;
@@ -62,7 +62,7 @@
             std::env::temp_dir().join(format!("mountgap-loopback-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&directory);
         fs::create_dir_all(&directory).expect("a directory");
-        let (state_listener, cloud_listener) = (listener(), listener());
+        let (state_listener, cloud_listener) = (listen_on_free_port(), listen_on_free_port());
         let (state, cloud) = (&address_of(&state_listener), &address_of(&cloud_listener));
         let addresses = free_addresses(6);
         let (listen, peers) = (addresses[..3].to_vec(), &addresses[3..6]);
@@ -86,9 +86,9 @@
         let platform = platform::serve(listen.clone(), state_listener, cloud_listener);
         let state = state.clone();
         let controllers = vec![None, None, None];
-        let mut all = Deployment { directory, controllers, platform, state, listen };
-        (0..3).for_each(|node| all.start_controller(node));
-        all
+        let mut deployment = Deployment { directory, controllers, platform, state, listen };
+        (0..3).for_each(|node| deployment.start_controller(node));
+        deployment
     }
 
     fn start_controller(&mut self, node: usize) {
@@ -109,20 +109,22 @@
         self.controllers[node] = Some(child);
     }
 
-    fn end_controller(&mut self, node: usize) {
+    fn kill_controller(&mut self, node: usize) {
         if let Some(mut child) = self.controllers[node].take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    fn ask(&self, node: usize, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
-        ask(&self.listen[node], method, path, body)
+    /// Sends a request to the public port of a controller.
+    fn request(&self, node: usize, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
+        send_request(&self.listen[node], method, path, body)
     }
 
-    /// Asks controllers in turn until an answer will do.
-    fn until(&self, what: &str, mut holds: impl FnMut(usize) -> bool) {
-        let end = Instant::now() + Duration::from_secs(PATIENCE_S);
+    /// Calls `holds` with each controller in turn until it returns true; panics with the ends of the logs when the
+    /// time is up.
+    fn wait_until(&self, what: &str, mut holds: impl FnMut(usize) -> bool) {
+        let end = Instant::now() + Duration::from_secs(WAIT_TIMEOUT_S);
         for round in 0.. {
             if holds(round % 3) {
                 return;
@@ -144,190 +146,208 @@
             "rank": "standard", "loads": tasks, "cores": 1.0, "gpus": 0.0, "ram_gb": 1.0, "kit": "base",
             "size_gb": 1.0, "together": false, "apart": false, "lendables": true,
             "run_guess_s": seconds, "mark_every_s": 0.0, "mark_cost_s": 0.0});
-        self.until("submitted", |node| {
-            self.ask(node, "POST", "/v1/jobs", &spec).is_some_and(|(status, _)| status < 300)
+        self.wait_until("the job is submitted", |node| {
+            self.request(node, "POST", "/v1/jobs", &spec).is_some_and(|(status, _)| status < 300)
         });
     }
 
-    fn view(&self, node: usize, job: u32) -> Option<(u16, Value)> {
-        self.ask(node, "GET", &format!("/v1/jobs/job-{job:06}"), &Value::Null)
+    /// Status and body of the response to a poll.
+    fn poll(&self, node: usize, job: u32) -> Option<(u16, Value)> {
+        self.request(node, "GET", &format!("/v1/jobs/job-{job:06}"), &Value::Null)
     }
 
-    fn until_status(&self, job: u32, wanted: &str) {
-        self.until(&format!("job {job} is {wanted}"), |node| {
-            self.view(node, job).is_some_and(|(_, view)| view["status"] == wanted)
+    fn wait_for_status(&self, job: u32, expected: &str) {
+        self.wait_until(&format!("job {job} is {expected}"), |node| {
+            self.poll(node, job).is_some_and(|(_, body)| body["status"] == expected)
         });
     }
 
-    fn until_running(&self, job: u32, tasks: u32) {
-        self.until(&format!("job {job} runs"), |_| self.started(job).len() == tasks as usize);
-        self.until_status(job, "running");
+    fn wait_until_running(&self, job: u32, tasks: u32) {
+        self.wait_until(&format!("job {job} runs"), |_| {
+            self.starts_by_task(job).len() == tasks as usize
+        });
+        self.wait_for_status(job, "running");
     }
 
-    /// Tasks of a job that were started, with how often.
-    fn started(&self, job: u32) -> BTreeMap<String, u32> {
+    /// How often each started task of a job was started.
+    fn starts_by_task(&self, job: u32) -> BTreeMap<String, u32> {
         let name = format!("job-{job:06}/");
-        let world = self.platform.lock().expect("the platform lives");
-        let starts = world.starts.iter().filter(|(task, _)| task.starts_with(&name));
+        let platform = self.platform.lock().expect("no panic in the platform");
+        let starts = platform.starts.iter().filter(|(task, _)| task.starts_with(&name));
         starts.map(|(task, times)| (task.clone(), *times)).collect()
     }
 
-    fn control(&self, what: &str) {
-        let answer = ask(&self.state, "POST", &format!("/control/{what}"), &Value::Null);
-        assert_eq!(answer.map(|(status, _)| status), Some(200));
+    /// Sends a control command to the state service: `wipe`, `backup` or `restore`.
+    fn control_state(&self, command: &str) {
+        let response =
+            send_request(&self.state, "POST", &format!("/control/{command}"), &Value::Null);
+        assert_eq!(response.map(|(status, _)| status), Some(200));
     }
 
-    fn report(&self, node: usize) -> Option<Value> {
-        self.ask(node, "GET", "/v1/recovery", &Value::Null).map(|(_, report)| report)
+    fn recovery_report(&self, node: usize) -> Option<Value> {
+        self.request(node, "GET", "/v1/recovery", &Value::Null).map(|(_, report)| report)
     }
 
-    /// Every controller serves again after a loss, and every machine is accounted for.
-    fn until_rebuilt(&self) {
+    /// Waits until every controller serves again after a loss and every machine is accounted for.
+    fn wait_until_rebuilt(&self) {
         for node in 0..3 {
-            self.until("the store is rebuilt", |_| {
-                self.report(node).is_some_and(|report| {
+            self.wait_until("the store is rebuilt", |_| {
+                self.recovery_report(node).is_some_and(|report| {
                     report["phase"] != "lost" && report["last_rebuild"]["phase"] == "complete"
                 })
             });
         }
     }
 
-    /// No job is unknown anywhere, what ended is ended, and no task was started twice.
-    fn all_is_as_before(&self, running: &[(u32, u32)], done: &[u32], cancelled: &[u32]) {
+    /// Asserts that every controller knows every job and the ends of those that have ended, and that no task was
+    /// started twice.
+    fn assert_jobs_preserved(&self, running: &[(u32, u32)], done: &[u32], cancelled: &[u32]) {
         for node in 0..3 {
-            for (jobs, wanted) in [(done, "done"), (cancelled, "withdrawn")] {
+            for (jobs, expected) in [(done, "done"), (cancelled, "withdrawn")] {
                 for job in jobs {
-                    let view = self.view(node, *job);
-                    assert_eq!(view.expect("answered").1["status"], wanted, "job {job} at {node}");
+                    let response = self.poll(node, *job);
+                    assert_eq!(
+                        response.expect("a response").1["status"],
+                        expected,
+                        "job {job} at {node}"
+                    );
                 }
             }
             for (job, _) in running {
-                let (status, view) = self.view(node, *job).expect("answered");
-                assert_eq!((status, &view["status"]), (200, &json!("running")), "job {job}");
+                let (status, body) = self.poll(node, *job).expect("a response");
+                assert_eq!((status, &body["status"]), (200, &json!("running")), "job {job}");
             }
         }
         for (job, tasks) in running {
-            let started = self.started(*job);
-            assert_eq!(started.len(), *tasks as usize);
-            assert!(started.values().all(|times| *times == 1), "started twice: {started:?}");
+            let starts = self.starts_by_task(*job);
+            assert_eq!(starts.len(), *tasks as usize);
+            assert!(starts.values().all(|times| *times == 1), "started twice: {starts:?}");
         }
         for job in cancelled {
-            assert!(self.started(*job).values().all(|times| *times == 1));
+            assert!(self.starts_by_task(*job).values().all(|times| *times == 1));
         }
     }
 }
 
 impl Drop for Deployment {
     fn drop(&mut self) {
-        (0..3).for_each(|node| self.end_controller(node));
+        (0..3).for_each(|node| self.kill_controller(node));
         let _ = fs::remove_dir_all(&self.directory);
     }
 }
 
-fn ask(address: &str, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
+/// Status and body of the response, none if the connection fails.
+fn send_request(address: &str, method: &str, path: &str, body: &Value) -> Option<(u16, Value)> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(10))).ok()?;
     let body = if body.is_null() { Vec::new() } else { body.to_string().into_bytes() };
     let mut out = Vec::new();
     http::write_request(&mut out, method, path, address, &body);
     stream.write_all(&out).ok()?;
-    let (mut buf, mut chunk) = (Vec::new(), [0; 4096]);
+    let (mut buffer, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        let n = stream.read(&mut chunk).ok()?;
-        buf.extend_from_slice(&chunk[..n]);
-        if let Some(r) = http::take_response(&mut buf, n == 0).ok()? {
-            return Some((r.status, serde_json::from_slice(&r.body).unwrap_or_default()));
+        let length = stream.read(&mut chunk).ok()?;
+        buffer.extend_from_slice(&chunk[..length]);
+        if let Some(response) = http::take_response(&mut buffer, length == 0).ok()? {
+            return Some((
+                response.status,
+                serde_json::from_slice(&response.body).unwrap_or_default(),
+            ));
         }
-        if n == 0 {
+        if length == 0 {
             return None;
         }
     }
 }
 
-/// A service, an array that runs for long, a job that is done and one that is cancelled.
-fn start_work(all: &Deployment) {
-    all.submit(1, "standing", 2, 0.0);
-    all.submit(2, "batch", 3, 600.0);
-    all.submit(3, "batch", 1, 0.5);
-    all.submit(4, "standing", 1, 0.0);
-    all.until_running(1, 2);
-    all.until_running(2, 3);
-    all.until_status(3, "done");
-    all.until_running(4, 1);
-    all.until("cancelled", |node| {
-        let answer = all.ask(node, "POST", "/v1/jobs/job-000004/withdraw", &json!({}));
-        answer.is_some_and(|(status, _)| status == 200)
+/// Starts a service and a long batch job, and waits until another job is done and one is cancelled.
+fn run_jobs(deployment: &Deployment) {
+    deployment.submit(1, "standing", 2, 0.0);
+    deployment.submit(2, "batch", 3, 600.0);
+    deployment.submit(3, "batch", 1, 0.5);
+    deployment.submit(4, "standing", 1, 0.0);
+    deployment.wait_until_running(1, 2);
+    deployment.wait_until_running(2, 3);
+    deployment.wait_for_status(3, "done");
+    deployment.wait_until_running(4, 1);
+    deployment.wait_until("a controller confirms the cancellation", |node| {
+        let response = deployment.request(node, "POST", "/v1/jobs/job-000004/withdraw", &json!({}));
+        response.is_some_and(|(status, _)| status == 200)
     });
 }
 
 #[test]
 fn a_wiped_state_service_is_rebuilt_and_no_task_starts_twice() {
-    let all = Deployment::start("wipe", "recovery { enabled: true }");
-    start_work(&all);
-    all.control("wipe");
-    all.until_rebuilt();
-    all.all_is_as_before(&[(1, 2), (2, 3)], &[3], &[4]);
-    all.submit(5, "batch", 1, 0.5);
-    all.until_status(5, "done");
+    let deployment = Deployment::start("wipe", "recovery { enabled: true }");
+    run_jobs(&deployment);
+    deployment.control_state("wipe");
+    deployment.wait_until_rebuilt();
+    deployment.assert_jobs_preserved(&[(1, 2), (2, 3)], &[3], &[4]);
+    deployment.submit(5, "batch", 1, 0.5);
+    deployment.wait_for_status(5, "done");
 }
 
 #[test]
-fn a_state_service_that_is_set_back_is_brought_up_to_date() {
-    let all = Deployment::start("set-back", "recovery { enabled: true }");
-    all.submit(6, "batch", 1, 5.0);
-    all.until_status(6, "done");
-    all.control("backup");
-    start_work(&all);
-    all.control("restore");
-    all.until_rebuilt();
-    all.all_is_as_before(&[(1, 2), (2, 3)], &[3, 6], &[4]);
+fn a_state_service_restored_from_a_backup_is_brought_up_to_date() {
+    let deployment = Deployment::start("restore", "recovery { enabled: true }");
+    deployment.submit(6, "batch", 1, 5.0);
+    deployment.wait_for_status(6, "done");
+    deployment.control_state("backup");
+    run_jobs(&deployment);
+    deployment.control_state("restore");
+    deployment.wait_until_rebuilt();
+    deployment.assert_jobs_preserved(&[(1, 2), (2, 3)], &[3, 6], &[4]);
 }
 
 #[test]
-fn where_all_memories_are_lost_too_every_running_job_is_flagged_and_left_alone() {
-    let mut all = Deployment::start("memories", "recovery { enabled: true }");
-    start_work(&all);
-    let before = [all.started(1), all.started(2)];
-    all.control("wipe");
-    (0..3).for_each(|node| all.end_controller(node));
-    (0..3).for_each(|node| all.start_controller(node));
-    all.until_rebuilt();
-    all.until("every task that runs is flagged", |node| {
-        let report = all.report(node).unwrap_or_default();
+fn tasks_keep_running_and_are_reported_after_all_replicas_are_lost() {
+    let mut deployment = Deployment::start("replicas", "recovery { enabled: true }");
+    run_jobs(&deployment);
+    let starts_before = [deployment.starts_by_task(1), deployment.starts_by_task(2)];
+    deployment.control_state("wipe");
+    (0..3).for_each(|node| deployment.kill_controller(node));
+    (0..3).for_each(|node| deployment.start_controller(node));
+    deployment.wait_until_rebuilt();
+    deployment.wait_until("every running task is reported", |node| {
+        let report = deployment.recovery_report(node).unwrap_or_default();
         let tasks = report["unknown_tasks"].as_array().cloned().unwrap_or_default();
-        let of = |job: &str| {
-            tasks.iter().filter(|t| t["task"].as_str().unwrap().starts_with(job)).count()
+        let count = |job: &str| {
+            tasks.iter().filter(|task| task["task"].as_str().unwrap().starts_with(job)).count()
         };
-        of("job-000001/") == 2 && of("job-000002/") == 3
+        count("job-000001/") == 2 && count("job-000002/") == 3
     });
     for job in [1, 2, 3, 4] {
-        let (status, _) = all.view(0, job).expect("answered");
+        let (status, _) = deployment.poll(0, job).expect("a response");
         assert_eq!(status, 503, "job {job} may have been accepted");
     }
-    assert_eq!(before, [all.started(1), all.started(2)], "nothing was started again");
+    assert_eq!(
+        starts_before,
+        [deployment.starts_by_task(1), deployment.starts_by_task(2)],
+        "no task was started again"
+    );
 }
 
 #[test]
-fn where_all_memories_are_lost_too_a_snapshot_brings_the_jobs_back() {
+fn a_snapshot_restores_the_jobs_after_all_replicas_are_lost() {
     let operator = "recovery { enabled: true gap_policy: RELEASE snapshot_period_s: 1 \
                     snapshot_directory: \"DIRECTORY/snapshots\" }";
-    let mut all = Deployment::start("snapshot", operator);
-    start_work(&all);
-    let newest = |all: &Deployment| {
-        let files = fs::read_dir(all.directory.join("snapshots")).into_iter().flatten();
-        files.flatten().map(|f| f.file_name()).max()
+    let mut deployment = Deployment::start("snapshot", operator);
+    run_jobs(&deployment);
+    let newest_snapshot = |deployment: &Deployment| {
+        let files = fs::read_dir(deployment.directory.join("snapshots")).into_iter().flatten();
+        files.flatten().map(|file| file.file_name()).max()
     };
-    // What is written from now on holds all of that.
-    let (mut seen, mut changes) = (None, 0);
-    all.until("two more snapshots", |_| {
-        let now = newest(&all);
-        changes += u32::from(now != seen);
-        seen = now;
+    // Snapshots that are written from now on contain all these jobs.
+    let (mut last, mut changes) = (None, 0);
+    deployment.wait_until("more snapshots are written", |_| {
+        let newest = newest_snapshot(&deployment);
+        changes += u32::from(newest != last);
+        last = newest;
         changes > 7
     });
-    all.control("wipe");
-    (0..3).for_each(|node| all.end_controller(node));
-    (0..3).for_each(|node| all.start_controller(node));
-    all.until_rebuilt();
-    all.all_is_as_before(&[(1, 2), (2, 3)], &[3], &[4]);
+    deployment.control_state("wipe");
+    (0..3).for_each(|node| deployment.kill_controller(node));
+    (0..3).for_each(|node| deployment.start_controller(node));
+    deployment.wait_until_rebuilt();
+    deployment.assert_jobs_preserved(&[(1, 2), (2, 3)], &[3], &[4]);
 }
--- a/tests/measure_rebuild.rs
+++ b/tests/measure_rebuild.rs
@@ -1,4 +1,4 @@
-//! Measurements of the rebuild, out of CI:
+//! Measurements of the rebuild, which CI doesn't run:
 //!
 //!     cargo test --release --test measure_rebuild -- --ignored --nocapture
 
@@ -11,8 +11,9 @@
 use simulation::*;
 use std::time::Instant;
 
-/// A world in which so many machines run tasks; gives the time of the loss.
-fn loses_all(machines: usize) -> (Simulation, u64) {
+/// A simulation in which tasks run on this many machines and all data was just lost; also returns the time of the
+/// loss.
+fn simulation_after_wipe(machines: usize) -> (Simulation, u64) {
     let mut sim = Simulation::with_machines(1, machines);
     sim.operator.recovery.enabled = true;
     sim.run_until(60_000, "a leader", |sim| sim.leader().is_some());
@@ -24,26 +25,28 @@
         sim.run(10);
     }
     let tasks = jobs as usize * 16;
-    sim.run_until(600_000, "all run", |sim| sim.running_tasks() >= tasks);
+    sim.run_until(600_000, "all tasks run", |sim| sim.running_tasks() >= tasks);
     sim.run(3_000);
     sim.state.wipe();
-    let at = sim.now;
-    (sim, at)
+    let wiped_at = sim.now;
+    (sim, wiped_at)
 }
 
 #[test]
 #[ignore = "a measurement"]
 fn time_and_commits_from_wipe_to_first_placement() {
-    println!("simulated; machines, tasks running, seconds from wipe: noticed, written, first placement; commits");
+    println!("simulated; machines, tasks running, seconds from wipe: detected, written, first placement; commits");
     for machines in [50, 250, 1_000, 4_000] {
-        let (mut sim, at) = loses_all(machines);
+        let (mut sim, wiped_at) = simulation_after_wipe(machines);
         let running = sim.running_tasks();
-        let since = |sim: &Simulation| (sim.now - at) as f64 / 1_000.0;
-        sim.run_until(60_000, "noticed", |sim| sim.state.get("mg/rebuild").is_some());
-        let noticed = since(&sim);
+        let since = |sim: &Simulation| (sim.now - wiped_at) as f64 / 1_000.0;
+        sim.run_until(60_000, "the loss is detected", |sim| sim.state.get("mg/rebuild").is_some());
+        let detected = since(&sim);
         let phase =
-            |sim: &Simulation| sim.state.get("mg/rebuild").map(|mark| mark["phase"].clone());
-        sim.run_until(600_000, "written", |sim| phase(sim).is_some_and(|p| p != "writing"));
+            |sim: &Simulation| sim.state.get("mg/rebuild").map(|record| record["phase"].clone());
+        sim.run_until(600_000, "the store is written back", |sim| {
+            phase(sim).is_some_and(|name| name != "writing")
+        });
         let (written, commits) = (since(&sim), sim.state.revision);
         let mut job = sim.job_spec(900_000, "batch", 1);
         job["crew"] = "blue".into();
@@ -53,12 +56,12 @@
         }
         sim.run_until(600_000, "first placement", |sim| sim.jobs["job-900000"].starts > 0);
         let placed = since(&sim);
-        println!("{machines:6} {running:6} {noticed:8.1} {written:8.1} {placed:8.1} {commits:6}");
+        println!("{machines:6} {running:6} {detected:8.1} {written:8.1} {placed:8.1} {commits:6}");
         assert_eq!(sim.jobs.values().map(|job| job.starts as usize).sum::<usize>(), running + 1);
     }
 }
 
-/// An image of so many jobs that have ended and so many placed tasks.
+/// An image with this many ended jobs and placed tasks.
 fn image_of(ended: u64, tasks: u64) -> StoreImage {
     use mountgap_records::records::{
         job_end_key, placements_key, JobEndRecord, JobStage, PlacementsRecord, StoredPlacement,
@@ -86,15 +89,16 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn cost_of_a_snapshot_and_of_the_plan() {
-    println!("ended jobs, tasks: copy for the loop in us; encoding in ms, bytes of plain; plan in ms, values");
+fn cost_of_a_snapshot_and_of_a_write_back_plan() {
+    println!("ended jobs, tasks: copy in us; encoding in ms, compressed of plain bytes; plan in ms, values");
     let limits = TransactionLimits { value_bytes: 4_096, transaction_ops: 8 };
     for (ended, tasks) in [(1_000, 1_000), (10_000, 10_000), (50_000, 100_000)] {
         let image = image_of(ended, tasks);
-        let begun = Instant::now();
-        let frozen = image.clone();
-        let copied = begun.elapsed().as_secs_f64() * 1e6;
-        let plain: usize = image.iter().map(|(key, value)| key.len() + value.data.len() + 16).sum();
+        let started = Instant::now();
+        let copy = image.clone();
+        let copy_us = started.elapsed().as_secs_f64() * 1e6;
+        let plain_bytes: usize =
+            image.iter().map(|(key, value)| key.len() + value.data.len() + 16).sum();
         let header = SnapshotHeader {
             deployment: "here".into(),
             controller: "c-0".into(),
@@ -102,53 +106,53 @@
             taken_at: 0,
             keys: image.len() as u64,
         };
-        let begun = Instant::now();
-        let bytes = encode(&header, &frozen).expect("memory takes it").len();
-        let encoded = begun.elapsed().as_secs_f64() * 1e3;
-        let begun = Instant::now();
-        let merged = MergedState::from_image(&frozen);
+        let started = Instant::now();
+        let bytes = encode(&header, &copy).expect("an encoded snapshot").len();
+        let encode_ms = started.elapsed().as_secs_f64() * 1e3;
+        let started = Instant::now();
+        let merged = MergedState::from_image(&copy);
         let desired = DesiredState::new(&merged, StoreId(1), &StoreImage::new(), &limits);
-        let planned = begun.elapsed().as_secs_f64() * 1e3;
+        let plan_ms = started.elapsed().as_secs_f64() * 1e3;
         let values = desired.len();
-        println!("{ended:6} {tasks:6}: {copied:.1}; {encoded:.1}, {bytes} of {plain}; {planned:.1}, {values}");
+        println!("{ended:6} {tasks:6}: {copy_us:.1}; {encode_ms:.1}, {bytes} of {plain_bytes}; {plan_ms:.1}, {values}");
     }
 }
 
 #[test]
 #[ignore = "a measurement"]
-fn without_the_rebuild() {
+fn data_loss_without_recovery() {
     let mut sim = Simulation::new(1);
     sim.run_until(20_000, "a leader", |sim| sim.leader().is_some());
     for n in 1..=4 {
         let job = sim.job_spec(n, "standing", 2);
         sim.submit(job, u64::MAX, (n % 3) as usize);
     }
-    sim.run_until(60_000, "all run", |sim| sim.running_tasks() == 8);
+    sim.run_until(60_000, "all tasks run", |sim| sim.running_tasks() == 8);
     sim.run(2_000);
     sim.state.wipe();
-    let served = |sim: &mut Simulation| {
-        let mut answers: Vec<u64> = Vec::new();
+    let poll_all = |sim: &mut Simulation| {
+        let mut requests: Vec<u64> = Vec::new();
         for n in 1..=4 {
             let polls = (0..3).map(|node| sim.poll(&format!("job-{n:06}"), node));
-            answers.extend(polls.collect::<Vec<_>>());
+            requests.extend(polls.collect::<Vec<_>>());
         }
         (0..300).for_each(|_| sim.step());
-        let known = answers.iter().filter(|request| sim.response_status(**request) == 200).count();
+        let known = requests.iter().filter(|request| sim.response_status(**request) == 200).count();
         let unknown =
-            answers.iter().filter(|request| sim.response_status(**request) == 404).count();
-        (known, unknown, answers.len())
+            requests.iter().filter(|request| sim.response_status(**request) == 404).count();
+        (known, unknown, requests.len())
     };
     for minute in 1..=3 {
         (0..6_000).for_each(|_| sim.step());
-        let (known, unknown, asked) = served(&mut sim);
+        let (known, unknown, total) = poll_all(&mut sim);
         let (leader, running) = (sim.leader(), sim.running_tasks());
-        println!("{minute} min: leader {leader:?}, {running} of 8 tasks run; of {asked} polls {known} known, {unknown} 404");
+        println!("{minute} min: leader {leader:?}, {running} of 8 tasks run; of {total} polls {known} known, {unknown} 404");
     }
     (0..3).for_each(|node| sim.crash(node, 500));
     (0..3_000).for_each(|_| sim.step());
-    let (known, unknown, asked) = served(&mut sim);
-    let broken: std::collections::BTreeSet<&str> =
-        sim.violations.iter().filter_map(|rule| rule.split(' ').next()).collect();
+    let (known, unknown, total) = poll_all(&mut sim);
+    let violated: std::collections::BTreeSet<&str> =
+        sim.violations.iter().filter_map(|violation| violation.split(' ').next()).collect();
     let running = sim.running_tasks();
-    println!("all restarted: {running} of 8 tasks run; of {asked} polls {known} known, {unknown} 404; broken: {broken:?}");
+    println!("all restarted: {running} of 8 tasks run; of {total} polls {known} known, {unknown} 404; violated: {violated:?}");
 }
