--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots in a directory: what is kept, what is read, and what a disk that fails costs.
+//! Snapshots in a directory: which are kept, which is read, and what happens if the directory can't be written.
 
 use mountgap::snapshots::SnapshotDirectory;
 use mountgap_recovery::image::StoreImage;
@@ -7,14 +7,14 @@
 
 const NOW: u64 = 1_000_000;
 
-/// A directory of its own for a test, removed at its end.
-struct Scratch(PathBuf);
+/// A directory for one test, removed when this is dropped.
+struct TestDirectory(PathBuf);
 
-impl Scratch {
-    fn new(name: &str) -> Scratch {
+impl TestDirectory {
+    fn new(name: &str) -> TestDirectory {
         let path = std::env::temp_dir().join(format!("mountgap-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
-        Scratch(path)
+        TestDirectory(path)
     }
 
     fn snapshots(&self, deployment: &str) -> SnapshotDirectory {
@@ -23,7 +23,7 @@
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -37,36 +37,36 @@
 }
 
 #[test]
-fn the_newest_snapshot_that_is_whole_is_read_and_few_are_kept() {
-    let scratch = Scratch::new("newest");
-    let snapshots = scratch.snapshots("here");
+fn the_newest_intact_snapshot_is_read_and_old_ones_are_deleted() {
+    let directory = TestDirectory::new("newest");
+    let snapshots = directory.snapshots("here");
     for n in 1..=5 {
-        snapshots.write(&image(n), NOW + n).expect("it can be written");
+        snapshots.write(&image(n), NOW + n).expect("a writable directory");
     }
-    assert_eq!(fs::read_dir(&scratch.0).expect("a directory").count(), 3);
+    assert_eq!(fs::read_dir(&directory.0).expect("a directory").count(), 3);
     let revision = |now: u64| snapshots.read_newest(now).map(|(header, _)| header.revision);
     assert_eq!(revision(NOW + 10), Some(5));
 
-    // The newest is cut short, the one before it has a flipped bit: the next older one is taken.
-    let file = |n: u64| scratch.0.join(format!("c-0-{:020}.snapshot", NOW + n));
+    // The newest is truncated and the second newest has a flipped bit, so the third newest is read.
+    let file = |n: u64| directory.0.join(format!("c-0-{:020}.snapshot", NOW + n));
     let bytes = fs::read(file(5)).expect("a snapshot");
-    fs::write(file(5), &bytes[..bytes.len() / 2]).expect("it can be written");
+    fs::write(file(5), &bytes[..bytes.len() / 2]).expect("a writable directory");
     let mut bytes = fs::read(file(4)).expect("a snapshot");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 4;
-    fs::write(file(4), bytes).expect("it can be written");
+    fs::write(file(4), bytes).expect("a writable directory");
     assert_eq!(revision(NOW + 10), Some(3));
 
-    assert!(scratch.snapshots("elsewhere").read_newest(NOW + 10).is_none());
-    assert_eq!(revision(0), None, "all are from the future");
+    assert!(directory.snapshots("elsewhere").read_newest(NOW + 10).is_none());
+    assert_eq!(revision(0), None, "all snapshots are from the future");
 }
 
 #[test]
-fn a_directory_that_can_not_be_written_is_an_error_and_no_more() {
-    let scratch = Scratch::new("unwritable");
-    fs::write(&scratch.0, "a file where the directory should be").expect("it can be written");
-    let snapshots = scratch.snapshots("here");
+fn an_unwritable_directory_gives_an_error() {
+    let directory = TestDirectory::new("unwritable");
+    fs::write(&directory.0, "a file where the directory should be").expect("a writable directory");
+    let snapshots = directory.snapshots("here");
     assert!(snapshots.write(&image(1), NOW).is_err());
     assert!(snapshots.read_newest(NOW).is_none());
-    let _ = fs::remove_file(&scratch.0);
+    let _ = fs::remove_file(&directory.0);
 }
