--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages name files, terms and log lines that exist.
+//! Checks that the files, terms, tests and log lines that the pages name exist.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -13,12 +13,12 @@
     "docs/design.md",
     "docs/guards.md",
 ];
-/// What a file name in backticks begins with, from the root of the repository.
+/// Prefixes of code spans that are file names, relative to the root of the repository.
 const FILE_PREFIXES: [&str; 7] =
     ["src/", "docs/", "crates/", "tests/", "scripts/", "examples/", "proto/"];
-/// Directories with the sources of the program and its packages.
+/// Directories with the sources of the program and its crates.
 const SOURCES: [&str; 2] = ["src", "crates"];
-/// Directory with the scenarios that run whole controllers.
+/// Directory with the integration tests.
 const SCENARIOS: &str = "tests";
 /// First words of code spans in operations.md that are commands or requests, not log lines.
 const COMMANDS: [&str; 3] = ["mountgap", "cargo", "GET"];
@@ -32,21 +32,21 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Spans in backticks that stand in one line each; blocks of code are left out.
+/// Text of the code spans in backticks, without code blocks.
 fn code_spans(text: &str) -> Vec<&str> {
     let prose = text.split("```").step_by(2);
     let spans = prose.flat_map(|part| part.split('`').skip(1).step_by(2));
     spans.filter(|span| !span.is_empty()).collect()
 }
 
-/// Targets of relative links, without the heading that they may name.
+/// Targets of relative links, without fragments.
 fn relative_links(text: &str) -> Vec<&str> {
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     let targets = targets.filter(|target| !target.contains("://"));
     targets.map(|target| target.split('#').next().unwrap_or(target)).collect()
 }
 
-/// Links and file names of a page that name nothing that exists.
+/// Links and file names of a page whose files don't exist.
 fn dangling_names(page: &str, text: &str) -> Vec<String> {
     let directory = root().join(page).parent().map(Path::to_path_buf).unwrap_or_default();
     let links = relative_links(text).into_iter().map(|link| (link, directory.join(link)));
@@ -78,9 +78,9 @@
 }
 
 fn rust_files(directory: &Path, files: &mut Vec<PathBuf>) {
-    let entries = std::fs::read_dir(directory).expect("a directory of sources can be read");
+    let entries = std::fs::read_dir(directory).expect("a readable directory");
     for entry in entries {
-        let path = entry.expect("a directory of sources can be read").path();
+        let path = entry.expect("a readable directory").path();
         if path.is_dir() {
             rust_files(&path, files);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -102,7 +102,7 @@
     texts.collect::<Vec<_>>().join("\n")
 }
 
-/// Names of all functions that stand right behind `#[test]`.
+/// Names of all functions that directly follow `#[test]`.
 fn test_names(sources: &str) -> BTreeSet<&str> {
     let behind = sources.split("#[test]\n").skip(1);
     let heads = behind.filter_map(|rest| rest.split_once("fn ").map(|(_, head)| head));
@@ -115,7 +115,7 @@
     code.flat_map(|line| line.split(|c: char| !c.is_alphanumeric() && c != '_')).collect()
 }
 
-/// The variant that serde names like this: `mates_gone` is `MatesGone`.
+/// The variant that serde writes as this word: `MatesGone` for `mates_gone`.
 fn variant(wire_word: &str) -> String {
     let capitalized = |word: &str| word[..1].to_uppercase() + &word[1..];
     wire_word.split('_').filter(|word| !word.is_empty()).map(capitalized).collect()
@@ -130,8 +130,8 @@
     literals.map(|literal| literal.split("\\\n").map(str::trim_start).collect()).collect()
 }
 
-/// Fixed parts of a log line as a page quotes it: between placeholders, which are `...`, `{}`, names like `n-1` and words
-/// that begin with a capital letter or a digit.
+/// Fixed parts of a quoted log line, which are separated by placeholders: `...`, `{}`, names like `n-1`, and words that
+/// begin with a capital letter or a digit.
 fn fixed_parts(quoted: &str) -> Vec<String> {
     let mut parts = vec![String::new()];
     for word in quoted.replace("...", " X ").replace("{}", " X ").split_whitespace() {
@@ -141,7 +141,7 @@
             parts.push(String::new());
             continue;
         }
-        let part = parts.last_mut().expect("begins with one part");
+        let part = parts.last_mut().expect("at least one part");
         if !part.is_empty() {
             part.push(' ');
         }
@@ -152,7 +152,7 @@
     parts.filter(|part| !part.is_empty()).collect()
 }
 
-/// Whether one log line of the program has all fixed parts of a quoted one, in their order.
+/// Whether a format string of the program contains all fixed parts of a quoted log line in their order.
 fn is_logged(quoted: &str, formats: &[String]) -> bool {
     let parts = fixed_parts(quoted);
     formats.iter().any(|format| {
@@ -167,7 +167,7 @@
     })
 }
 
-/// Log lines that a page quotes: all code spans in tables of lines, and spans of several words elsewhere.
+/// Log lines that a page quotes: all code spans in tables of log lines, and spans of more than two words elsewhere.
 fn quoted_log_lines(text: &str) -> Vec<&str> {
     let in_tables = table_rows(text, &["line"]).into_iter().flat_map(|row| code_spans(row[0]));
     let in_prose = code_spans(text).into_iter().filter(|span| {
@@ -181,7 +181,7 @@
 fn every_link_and_file_name_in_the_pages_exists() {
     let dangling: Vec<String> =
         PAGES.iter().flat_map(|page| dangling_names(page, &read(page))).collect();
-    assert!(dangling.is_empty(), "these name nothing: {dangling:#?}");
+    assert!(dangling.is_empty(), "files that don't exist: {dangling:#?}");
 }
 
 #[test]
@@ -199,7 +199,7 @@
     let (page, sources) = (read("docs/glossary.md"), sources());
     let known = words(&sources);
     let rows = table_rows(&page, &["wire word", "term"]);
-    assert!(rows.len() > 50, "only {} rows of the glossary are read", rows.len());
+    assert!(rows.len() > 50, "only {} rows of the glossary found", rows.len());
     for row in rows {
         for wire_word in code_spans(row[0]) {
             let is_known = known.contains(wire_word) || known.contains(variant(wire_word).as_str());
@@ -212,15 +212,15 @@
 }
 
 #[test]
-fn every_test_that_guards_names_exists() {
+fn every_test_that_a_guard_names_exists() {
     let page = read("docs/guards.md");
     let sources = text_of(&[SOURCES[0], SOURCES[1], SCENARIOS]);
     let known = test_names(&sources);
     let rows = table_rows(&page, &["guard"]);
-    assert!(rows.len() > 20, "only {} guards are read", rows.len());
+    assert!(rows.len() > 20, "only {} guards found", rows.len());
     for row in rows {
         let named = code_spans(row[2]);
-        assert!(!named.is_empty(), "no test of guard: {}", row[0]);
+        assert!(!named.is_empty(), "guard without a test: {}", row[0]);
         for test in named {
             assert!(known.contains(test), "test {test} of a guard does not exist");
         }
@@ -228,19 +228,19 @@
 }
 
 #[test]
-fn a_function_that_is_no_test_is_not_taken_for_one() {
+fn a_function_without_the_test_attribute_is_not_a_test() {
     let known = test_names("#[test]\nfn checked() {}\n\nfn helper() {}\n");
     assert_eq!(known, BTreeSet::from(["checked"]));
 }
 
 #[test]
-fn every_log_line_in_operations_is_one_of_the_program() {
+fn every_log_line_in_operations_is_logged_by_the_program() {
     let (page, formats) = (read("docs/operations.md"), log_formats(&sources()));
     let quoted = quoted_log_lines(&page);
-    assert!(quoted.len() > 15, "only {} log lines are read", quoted.len());
+    assert!(quoted.len() > 15, "only {} log lines found", quoted.len());
     let unknown: Vec<&str> =
         quoted.into_iter().filter(|quoted| !is_logged(quoted, &formats)).collect();
-    assert!(unknown.is_empty(), "the program logs none of these: {unknown:#?}");
+    assert!(unknown.is_empty(), "log lines that the program does not have: {unknown:#?}");
 }
 
 #[test]
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -1,18 +1,18 @@
 //! Literal encodings of everything that leaves a process: stored records and their keys, messages
-//! between controllers, and the protocol's messages. A program of another version reads and
-//! writes the same bytes, so these literals don't change when the code's names do.
+//! between controllers, and the protocol's messages. Other versions of the program read and write
+//! the same bytes, so these literals must not change when names in the code do.
 
 use mountgap::protocol::{cloud, peers, state, users, workers};
 use mountgap::storage::records;
 use serde::{de::DeserializeOwned, Serialize};
 
-/// The text is read, and written again to the letter.
+/// Asserts that a JSON text can be decoded and that encoding the value gives the same text.
 fn json<T: DeserializeOwned + Serialize>(text: &str) {
     let value: T = serde_json::from_str(text).unwrap_or_else(|e| panic!("{text}: {e}"));
     assert_eq!(serde_json::to_string(&value).expect("it can be written"), text);
 }
 
-/// The same for a message between controllers, in hexadecimal.
+/// Asserts the same for a CBOR message between controllers, given in hexadecimal.
 fn cbor<T: DeserializeOwned + Serialize>(hex: &str) {
     let hex: String = hex.split_whitespace().collect();
     let byte = |i| u8::from_str_radix(&hex[i..i + 2], 16).expect("hexadecimal");
@@ -57,7 +57,7 @@
     json::<records::SharesRecord>(r#"{"term":7,"teams":[["red",600],["blue",400]]}"#);
     let text = records::StoredPlacement::text("job-000412", 3, "n-000231", 0x1c00_0001);
     assert_eq!(text.as_deref(), Some("000412/3@n-000231#1c000001"));
-    // A record of before its last field was added.
+    // A record without the field that was added last.
     let old: records::BatchRecord =
         serde_json::from_str(r#"{"at":5,"jobs":[]}"#).expect("it is read");
     assert!(old.jobs.is_empty());
@@ -162,9 +162,9 @@
     );
 }
 
-/// What gangs added. A program from before them reads every literal above, and none of these.
+/// Encodings that were added for gangs. Versions without gangs read every literal above and none of these.
 #[test]
-fn forms_that_gangs_added() {
+fn encodings_added_for_gangs() {
     assert_eq!(records::gang_batch_key("00ab-1-0-0"), "mg/2/gangs/00ab-1-0-0");
     let gang = SUBMISSION.replace("batch", "ensemble");
     json::<users::JobSpec>(&gang);
@@ -173,7 +173,7 @@
     for cause in ["mates_gone", "alone"] {
         json::<workers::EndCause>(&format!("\"{cause}\""));
     }
-    // A gang's placements are written like any others, all with one attempt number.
+    // Placements of a gang have the usual encoding, and all have the same attempt number.
     json::<records::PlacementsRecord>(
         r#"{"tasks":"000412/0@n-000231#1c000003 000412/1@n-000231#1c000003"}"#,
     );
