--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -39,8 +39,8 @@
         self.backoff_until = now + HANDOVER_BACKOFF_MS;
     }
 
-    /// Notes that another controller holds the leader key.
-    fn note_leader(&mut self) {
+    /// Records that another controller holds the leader key.
+    fn record_leader(&mut self) {
         self.campaign_at = None;
         self.conflicts = 0;
     }
@@ -60,7 +60,7 @@
         }
         let stored = self.store.replica().leader.as_ref().map(|stored| &stored.value);
         if stored.is_some_and(|leader| !self.is_earlier_process(leader)) {
-            return self.election.note_leader();
+            return self.election.record_leader();
         }
         let campaign_at = match self.election.campaign_at {
             Some(at) => at,
@@ -91,10 +91,10 @@
         leader.label == self.settings.label && leader.incarnation != self.process_id
     }
 
-    pub(super) fn on_lease_grant_response(&mut self, reply: Option<Response>) {
+    pub(super) fn on_lease_grant_response(&mut self, response: Option<Response>) {
         self.election.in_progress = false;
         self.election.campaign_at = None;
-        let Some(Response { status: 200 | 201, body }) = reply else { return };
+        let Some(Response { status: 200 | 201, body }) = response else { return };
         let Ok(LeaseGranted { lease_id }) = serde_json::from_slice(&body) else { return };
         let leader_key_revision = match &self.store.replica().leader {
             None => 0,
@@ -145,10 +145,10 @@
         lease_id: u64,
         term: u64,
         read_point: ReadPoint,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         self.election.in_progress = false;
-        let won: Option<TransactionApplied> = match reply {
+        let won: Option<TransactionApplied> = match response {
             Some(Response { status: 200, body }) => serde_json::from_slice(&body).ok(),
             Some(Response { status: 409, .. }) => return self.on_election_conflict(),
             // A transaction without a response may still be applied. Nobody renews its lease, so
@@ -169,7 +169,7 @@
         }
         // Only a higher term makes this one obsolete: the watch may already have shown this
         // controller's own term. Treating an equal term as another leader's would discard each
-        // election won in this way, term after term.
+        // election won in this way; that once happened in three terms in a row.
         if self.membership.highest_term() <= term {
             self.begin_term(term, revision, lease_id);
         }
@@ -178,9 +178,9 @@
     /// Begins to lead in `term`; `mod_revision` is the revision of the leader key.
     fn begin_term(&mut self, term: u64, mod_revision: u64, lease_id: u64) {
         let now = self.now.monotonic_ms;
-        log::info!("became leader in term {term}");
-        self.membership.note_term(term);
-        self.store.note_revision(mod_revision);
+        log::info!("leader elected: this controller, term {term}");
+        self.membership.record_term(term);
+        self.store.record_revision(mod_revision);
         self.cloud.set_leader_rate(now);
         let peers = self.membership.peer_count();
         let keys = self.store.replica().hash_keys();
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -70,7 +70,7 @@
     fn send_rental(&mut self, rental: Rental, catalog: &Catalog) {
         let type_name = &catalog.machine_types[rental.kind.type_index].type_name;
         log::info!(
-            "renting machines: {} {} in {}{}",
+            "machines requested: {} {} in {}{}",
             rental.count,
             type_name,
             rental.kind.zone,
@@ -95,7 +95,7 @@
     pub(in crate::coordination) fn on_rental_response(
         &mut self,
         rental: Rental,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         let now = self.now.monotonic_ms;
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
@@ -106,7 +106,7 @@
         };
         let CatalogKind { zone, spot, .. } = rental.kind;
         let kind = MachineKind { type_name: machine_type.type_name.clone(), zone, spot };
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => {
                 let Ok(names) = serde_json::from_slice::<MachineNames>(&body) else { return };
                 if names.machines.len() < rental.count {
@@ -118,7 +118,7 @@
                 if String::from_utf8_lossy(&body).contains("capacity") =>
             {
                 let MachineKind { type_name, zone, spot } = &kind;
-                log::info!("no capacity: {type_name} in {zone}, spot {spot}; backing off");
+                log::info!("rental rejected: no capacity for {type_name} in {zone}, spot {spot}; backing off");
                 leader.fleet.no_capacity_until.insert(kind, now + CAPACITY_BACKOFF_MS);
             }
             // The rental may still take effect, now or later; its machines then appear in the list.
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -43,13 +43,13 @@
         self.state_call("POST", path, b"{}".to_vec(), LEADER_RENEWAL_TIMEOUT_MS, purpose);
     }
 
-    pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, reply: Option<Response>) {
+    pub(super) fn on_lease_renewal_response(&mut self, lease_id: u64, response: Option<Response>) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.lease.id == lease_id) else {
             return;
         };
         leader.lease.renewal_in_flight = false;
-        match reply {
+        match response {
             Some(Response { status: 200..=299, .. }) => {}
             Some(Response { status: 404, .. }) => {
                 self.step_down("the lease of the leader key has expired");
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Stops leading and redirects the workers whose heartbeats await an answer.
+    /// Stops leading and redirects the workers whose heartbeats await a response.
     pub(super) fn step_down(&mut self, reason: &str) {
         let Some(leader) = self.leader.take() else { return };
         self.abandon_rebuild();
-        log::info!("stepped down from leadership of term {}: {reason}", leader.term);
+        log::info!("leader stepped down: this controller, term {}, {reason}", leader.term);
         self.set_state_rates();
         self.cloud.set_follower_rate(self.settings.controllers(), self.now.monotonic_ms);
         for heartbeat in leader.deferred_heartbeats {
--- a/src/coordination/recovery/rebuild.rs
+++ b/src/coordination/recovery/rebuild.rs
@@ -183,14 +183,14 @@
         }
         let body = serde_json::to_vec(&transaction).unwrap_or_default();
         let purpose = CallPurpose::Rebuild(RebuildCall { term, transaction });
-        self.commit_call(body, writes, purpose);
+        self.transaction_call(body, writes, purpose);
         true
     }
 
     pub(in crate::coordination) fn on_rebuild_response(
         &mut self,
         call: RebuildCall,
-        reply: Option<Response>,
+        response: Option<Response>,
     ) {
         if self.leader.as_ref().is_none_or(|leader| leader.term != call.term) {
             return;
@@ -199,7 +199,7 @@
         if let Some(rebuild) = self.recovery.rebuild_mut() {
             rebuild.transaction_sent = false;
         }
-        match reply {
+        match response {
             Some(Response { status: 200, body }) => {
                 self.on_rebuild_applied(&call.transaction, &body);
             }
@@ -286,10 +286,10 @@
         self.answer_without_starts(connection, token, commands);
     }
 
-    /// While the service is suspended: the latest time before which no user can have been told of an ended
-    /// job that we don't know. Until the complete history of every controller is gathered, this is the time
-    /// of the last read before the suspected loss. After that, users can only have been told of ended jobs
-    /// that are in the store that we read, so it is the time of the last read.
+    /// While the service is suspended: the time up to which we know all ended jobs that a user can have been
+    /// told of. Until the complete history of every controller is gathered, this is the time of the last read
+    /// before the suspected loss. After that, users can only have been told of ended jobs that are in the
+    /// store that we read, so it is the time of the last read.
     pub(in crate::coordination) fn confirmed_read_while_suspended(&self) -> Option<u64> {
         let releases_gaps = self.recovery.gap_policy() == GapPolicy::Release;
         match self.recovery.rebuild().and_then(Rebuild::plan) {
--- /dev/null
+++ b/tests/simulation/worker.rs
@@ -0,0 +1,420 @@
+//! The simulated workers: tasks, leases, fencing tokens and heartbeats.
+
+use super::*;
+
+/// State of a task on a worker.
+#[derive(Clone, PartialEq, Debug)]
+pub(super) enum TaskState {
+    /// Its image is pulled for this many milliseconds more.
+    Pulling(u64),
+    /// Task of a gang that has waited for the others since this time.
+    Waiting(u64),
+    /// Runs; services and tasks of gangs have `u64::MAX` remaining.
+    Running { remaining_ms: u64, started_at: u64 },
+    /// Saves its progress for this many milliseconds more.
+    Flushing(u64),
+    /// Has ended, with the cause as in a heartbeat.
+    Ended(&'static str),
+}
+
+/// An attempt of a task on a worker.
+#[derive(Clone)]
+pub(super) struct Task {
+    pub(super) attempt: u64,
+    pub(super) state: TaskState,
+}
+
+/// A worker and its machine, with the faults injected into them.
+pub struct Worker {
+    pub zone: String,
+    pub(super) spot: bool,
+    pub(super) incarnation: u64,
+    pub(super) sequence: u64,
+    pub(super) fencing_token: u64,
+    /// When the last heartbeat was sent that a leader confirmed.
+    pub(super) lease_started_at: u64,
+    /// Controller to which it sends heartbeats.
+    pub(super) node: usize,
+    /// Request number and time of the heartbeat that awaits its response.
+    pub(super) in_flight: Option<(u64, u64)>,
+    pub(super) next_heartbeat_at: u64,
+    pub(super) last_heartbeat_at: u64,
+    /// Whether something changed since the last heartbeat, so that the next one is sent earlier.
+    pub(super) changed: bool,
+    /// Attempts by job id and index of the task.
+    pub(super) tasks: BTreeMap<(String, u32), Vec<Task>>,
+    /// Images that have been pulled.
+    pub(super) images: BTreeSet<String>,
+    /// When the cloud reclaims the machine, once it has given notice.
+    pub reclaim_at: Option<u64>,
+    /// Drops messages in both directions.
+    pub partitioned: bool,
+    /// Heartbeats are delivered no earlier than this time, and responses before it are dropped.
+    pub heartbeats_delayed_until: Option<u64>,
+    /// Its heartbeats arrive, but all responses to it are dropped.
+    pub responses_lost: bool,
+    /// Its heartbeats are dropped.
+    pub heartbeats_lost: bool,
+    /// The machine hangs until this time: it executes, reads and sends nothing.
+    pub hung_until: u64,
+    /// Every task that it starts fails.
+    pub fails_all_tasks: bool,
+    /// The machine is gone or has failed.
+    pub stopped: bool,
+}
+
+impl Worker {
+    /// Restarts the process, which loses its state.
+    pub fn restart_without_state(&mut self) {
+        self.tasks.clear();
+        self.incarnation = 1;
+        self.sequence = 0;
+        self.fencing_token = 0;
+        self.in_flight = None;
+    }
+
+    /// Sets the highest fencing token that the worker claims to have received, which may be one that no
+    /// controller has sent.
+    pub fn set_fencing_token(&mut self, token: u64) {
+        self.fencing_token = token;
+    }
+
+    /// Gives up the heartbeat in flight and sends the next ones to this controller.
+    pub fn switch_to(&mut self, node: usize) {
+        self.node = node;
+        self.in_flight = None;
+    }
+
+    /// Tasks that occupy resources.
+    pub fn unfinished_tasks(&self) -> impl Iterator<Item = (&str, u32)> {
+        self.tasks
+            .iter()
+            .filter(|(_, v)| v.iter().any(|t| !matches!(t.state, TaskState::Ended(_))))
+            .map(|((job_id, n), _)| (job_id.as_str(), *n))
+    }
+
+    /// Whether a task of the job occupies resources.
+    pub fn holds_task_of(&self, job_id: &str) -> bool {
+        self.unfinished_tasks().any(|(id, _)| id == job_id)
+    }
+
+    /// Tasks that run, those included that wait for their gang or save their progress.
+    pub fn running_tasks(&self) -> Vec<(String, u32)> {
+        self.tasks
+            .iter()
+            .filter(|(_, v)| {
+                v.iter().any(|t| {
+                    matches!(
+                        t.state,
+                        TaskState::Waiting(_) | TaskState::Running { .. } | TaskState::Flushing(_)
+                    )
+                })
+            })
+            .map(|(k, _)| k.clone())
+            .collect()
+    }
+}
+
+impl Simulation {
+    /// Advances the tasks of a worker and sends a heartbeat if one is due.
+    pub(super) fn worker_step(&mut self, name: &str) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(name) else {
+            return;
+        };
+        if worker.stopped {
+            return;
+        }
+        if let Some(t) = worker.reclaim_at {
+            if now >= t && now >= worker.hung_until {
+                self.remove_machine(name);
+                return;
+            }
+        }
+        // The lease has expired, so all tasks end. A hung machine does this before all else when it resumes, so
+        // its tasks count as ended while it still hangs.
+        if now > worker.lease_started_at + LEASE_MS {
+            worker.tasks.clear();
+            worker.incarnation += 1;
+            worker.lease_started_at = now;
+            worker.in_flight = None;
+            worker.changed = true;
+        }
+        if now < worker.hung_until {
+            return;
+        }
+        let mut started = Vec::new();
+        let mut completed = Vec::new();
+        for ((job_id, task), attempts) in &mut worker.tasks {
+            for t in attempts.iter_mut() {
+                match &mut t.state {
+                    TaskState::Pulling(remaining_ms) if *remaining_ms > STEP_MS => {
+                        *remaining_ms -= STEP_MS;
+                    }
+                    TaskState::Pulling(_) => {
+                        let job = &self.jobs[job_id];
+                        worker.images.insert(job.spec["kit"].as_str().unwrap().into());
+                        if worker.fails_all_tasks || job.always_fails {
+                            t.state = TaskState::Ended("error");
+                        } else if job.done_tasks.contains(task) {
+                            t.state = TaskState::Ended("done");
+                        } else if job.is_gang() {
+                            t.state = TaskState::Waiting(now);
+                            started.push((job_id.clone(), *task));
+                        } else {
+                            let remaining_ms =
+                                job.run_ms.saturating_add(u64::from(*task) * job.run_increment_ms);
+                            t.state = TaskState::Running { remaining_ms, started_at: now };
+                            started.push((job_id.clone(), *task));
+                        }
+                        worker.changed = true;
+                    }
+                    // The tasks of a gang advance together, see `gangs.rs`.
+                    TaskState::Waiting(_) => {}
+                    TaskState::Flushing(_) if self.jobs[job_id].is_gang() => {}
+                    TaskState::Running { remaining_ms, .. } if *remaining_ms == u64::MAX => {}
+                    TaskState::Running { remaining_ms, .. } if *remaining_ms > STEP_MS => {
+                        *remaining_ms -= STEP_MS;
+                    }
+                    TaskState::Running { .. } => {
+                        t.state = TaskState::Ended("done");
+                        completed.push((job_id.clone(), *task));
+                        worker.changed = true;
+                    }
+                    TaskState::Flushing(remaining_ms) if *remaining_ms > STEP_MS => {
+                        *remaining_ms -= STEP_MS;
+                    }
+                    TaskState::Flushing(_) => {
+                        t.state = TaskState::Ended("halted");
+                        worker.changed = true;
+                    }
+                    TaskState::Ended(_) => {}
+                }
+            }
+        }
+        for (job_id, task) in completed {
+            self.jobs.get_mut(&job_id).unwrap().done_tasks.insert(task);
+        }
+        for (job_id, task) in started {
+            self.check_task_start(name, &job_id, task);
+        }
+        let worker = self.workers.get_mut(name).expect("the machine exists");
+        if let Some((_, sent)) = worker.in_flight {
+            if now > sent + HEARTBEAT_TIMEOUT_MS {
+                worker.in_flight = None;
+                worker.node = (worker.node + 1) % 3;
+                worker.next_heartbeat_at = now + 1_000;
+            }
+        }
+        let due = now >= worker.next_heartbeat_at
+            || (worker.changed
+                && now >= worker.last_heartbeat_at + 500
+                && now + HEARTBEAT_MS > worker.next_heartbeat_at);
+        if worker.in_flight.is_none() && due && now >= worker.last_heartbeat_at + 500 {
+            worker.sequence += 1;
+            worker.changed = false;
+            worker.last_heartbeat_at = now;
+            let jitter = self.rng.random_range(0..HEARTBEAT_MS / 2);
+            let body = self.heartbeat_body(name);
+            let request = self.next_request;
+            self.next_request += 1;
+            let late = self.rng.random_bool(self.delayed_heartbeat_rate);
+            let delay =
+                if late { self.rng.random_range(4_000..9_000) } else { self.network_delay() };
+            let worker = self.workers.get_mut(name).expect("the machine exists");
+            worker.next_heartbeat_at = now + HEARTBEAT_MS * 3 / 4 + jitter;
+            worker.in_flight = Some((request, now));
+            let node = worker.node;
+            let delay =
+                worker.heartbeats_delayed_until.map_or(delay, |t| t.saturating_sub(now).max(delay));
+            if !worker.partitioned && !worker.heartbeats_lost {
+                if self.duplicate_heartbeat_rate > 0.0
+                    && self.rng.random_bool(self.duplicate_heartbeat_rate)
+                {
+                    // A duplicate made by the network; its response is dropped.
+                    let (late, to) = (
+                        self.rng.random_range(2_000..self.duplicate_delay_max_ms),
+                        self.rng.random_range(0..3),
+                    );
+                    let copy = Message::Heartbeat {
+                        worker: name.into(),
+                        request: u64::MAX,
+                        node: to,
+                        body: body.clone(),
+                    };
+                    self.send(late, copy);
+                }
+                self.send(delay, Message::Heartbeat { worker: name.into(), request, node, body });
+            }
+        }
+    }
+
+    /// Body of the heartbeat that a worker would send now.
+    pub(super) fn heartbeat_body(&self, name: &str) -> Vec<u8> {
+        let worker = &self.workers[name];
+        let mut reports = Vec::new();
+        for ((job_id, task), attempts) in &worker.tasks {
+            for t in attempts {
+                let task_id = format!("{job_id}/{task}");
+                let (status, cause) = match t.state {
+                    TaskState::Pulling(_) => ("pulling", None),
+                    TaskState::Waiting(_) => ("waiting", None),
+                    TaskState::Flushing(_) if self.jobs[job_id].is_gang() => ("running", None),
+                    TaskState::Running { .. } => ("running", None),
+                    TaskState::Flushing(_) => ("flushing", None),
+                    TaskState::Ended(c) => ("ended", Some(c)),
+                };
+                reports.push(
+                    json!({"load": task_id, "try": t.attempt, "status": status, "cause": cause}),
+                );
+            }
+        }
+        let reclaim_s = worker.reclaim_at.map(|t| t.saturating_sub(self.now) as f64 / 1000.0);
+        json!({"stead": name, "address": "x", "build": "g4", "yard": worker.zone, "lendables": worker.spot,
+            "tenure": worker.incarnation, "tally": worker.sequence, "baton": worker.fencing_token, "recall_s": reclaim_s, "loads": reports})
+        .to_string()
+        .into_bytes()
+    }
+
+    /// Handles the response to a heartbeat: its status, fencing token and commands.
+    pub(super) fn handle_heartbeat_response(
+        &mut self,
+        name: &str,
+        request: u64,
+        status: u16,
+        body: &[u8],
+    ) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(name) else {
+            return;
+        };
+        let Some((awaited, sent)) = worker.in_flight else { return };
+        if now < worker.hung_until {
+            // Read when the machine resumes, unless the heartbeat has timed out by then.
+            let delay = worker.hung_until - now;
+            if worker.hung_until <= sent + HEARTBEAT_TIMEOUT_MS {
+                let (worker, body) = (name.to_string(), body.to_vec());
+                self.send(delay, Message::HeartbeatResponse { worker, request, status, body });
+            }
+            return;
+        }
+        if awaited != request
+            || worker.partitioned
+            || worker.responses_lost
+            || worker.stopped
+            || worker.heartbeats_delayed_until.is_some_and(|t| now < t)
+        {
+            return;
+        }
+        worker.in_flight = None;
+        let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+        if status == 421 {
+            if let Some(leader) = v["steward"].as_str() {
+                let to: usize = leader.trim_start_matches("c-").parse().unwrap();
+                if to != worker.node {
+                    worker.node = to;
+                    worker.next_heartbeat_at = now + 100;
+                    worker.last_heartbeat_at = now.saturating_sub(400);
+                    return;
+                }
+            }
+        }
+        if status != 200 {
+            worker.node = (worker.node + 1) % 3;
+            worker.next_heartbeat_at = now + 1_000;
+            return;
+        }
+        let token = v["baton"].as_u64().unwrap();
+        if token < worker.fencing_token {
+            return;
+        }
+        if token > worker.fencing_token {
+            worker.fencing_token = token;
+            worker.changed = true;
+        }
+        worker.lease_started_at = sent;
+        for command in v["orders"].as_array().cloned().unwrap_or_default() {
+            self.handle_command(name, &command);
+        }
+    }
+
+    /// Executes a command of a heartbeat response.
+    pub(super) fn handle_command(&mut self, name: &str, command: &Value) {
+        let task_id = command["load"].as_str().unwrap();
+        let attempt = command["try"].as_u64().unwrap();
+        let (job_id, task) = task_id.rsplit_once('/').unwrap();
+        let key = (job_id.to_string(), task.parse::<u32>().unwrap());
+        let worker = self.workers.get_mut(name).expect("the machine exists");
+        let list = worker.tasks.entry(key).or_default();
+        match command["verb"].as_str().unwrap() {
+            "start" => {
+                if list.iter().any(|t| t.attempt == attempt) {
+                    return;
+                }
+                // A slow batch decides at its beginning, and its effects are sent at its end.
+                let batch_ms = self.nodes.iter().map(|n| n.batch_duration_ms).max().unwrap_or(0);
+                let job = self.jobs.get_mut(job_id).expect("the job exists");
+                job.start_commands += 1;
+                if job
+                    .reported_cancelled_at
+                    .is_some_and(|t| self.now > t + LATE_START_MS + batch_ms)
+                {
+                    self.violations.push(format!("started_after_cancellation {task_id}"));
+                }
+                worker.changed = true;
+                if list.iter().any(|t| !matches!(t.state, TaskState::Ended(_))) {
+                    list.push(Task { attempt, state: TaskState::Ended("busy") });
+                    return;
+                }
+                let spec = &self.jobs[job_id].spec;
+                let pull =
+                    if worker.images.contains(spec["kit"].as_str().unwrap()) { 10 } else { 1_500 };
+                list.push(Task { attempt, state: TaskState::Pulling(pull) });
+                let gpus: f64 = worker
+                    .tasks
+                    .iter()
+                    .flat_map(|((job_id, _), v)| v.iter().map(move |t| (job_id, t)))
+                    .filter(|(_, t)| !matches!(t.state, TaskState::Ended(_)))
+                    .map(|(job_id, _)| self.jobs[job_id].spec["gpus"].as_f64().unwrap())
+                    .sum();
+                if gpus > 4.0 {
+                    let list =
+                        worker.tasks.get_mut(&(job_id.to_string(), task.parse().unwrap())).unwrap();
+                    list.last_mut().unwrap().state = TaskState::Ended("no_room");
+                }
+            }
+            "halt" if self.jobs[job_id].is_gang() => {
+                let grace_s = command["wind_down_s"].as_f64().expect("a duration");
+                self.stop_gang_task(name, job_id, task.parse().unwrap(), attempt, grace_s);
+            }
+            "halt" => {
+                for t in list.iter_mut().filter(|t| t.attempt == attempt) {
+                    if !matches!(t.state, TaskState::Ended(_)) {
+                        t.state = TaskState::Ended("halted");
+                        worker.changed = true;
+                    }
+                }
+            }
+            "clear" => {
+                list.retain(|t| t.attempt != attempt || !matches!(t.state, TaskState::Ended(_)));
+            }
+            verb => panic!("unknown command: {verb}"),
+        }
+    }
+
+    /// Sends a controller a duplicate of the heartbeat that a worker would send now, with a delay.
+    pub fn send_duplicate_heartbeat(&mut self, machine: &str, node: usize, delay: u64) {
+        let worker = self.workers.get_mut(machine).expect("the machine exists");
+        worker.sequence += 1;
+        let (worker, body) = (machine.to_string(), self.heartbeat_body(machine));
+        self.send(delay, Message::Heartbeat { worker, request: u64::MAX, node, body });
+    }
+
+    /// Makes a machine run a task that no controller has started.
+    pub fn inject_task(&mut self, machine: &str, job_id: &str, task: u32, attempt: u64) {
+        let worker = self.workers.get_mut(machine).expect("the machine exists");
+        let state = TaskState::Running { remaining_ms: u64::MAX, started_at: self.now };
+        worker.tasks.entry((job_id.into(), task)).or_default().push(Task { attempt, state });
+        worker.changed = true;
+    }
+}
