--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -382,7 +382,7 @@
             process.deadlines.iter().filter(|(_, t)| **t <= now).map(|(c, _)| *c).collect();
         for call in timed_out {
             process.deadlines.remove(&call);
-            process.inbox.push(Command::Reply { call, reply: None });
+            process.inbox.push(Command::Response { call, response: None });
         }
         let Some(controller) = process.controller.as_mut() else {
             process.inbox.clear();
@@ -604,9 +604,10 @@
             Message::Reply { node, incarnation, call, status, body } => {
                 let process = &mut self.nodes[node];
                 if process.incarnation == incarnation && process.deadlines.remove(&call).is_some() {
-                    process
-                        .inbox
-                        .push(Command::Reply { call, reply: Some(Response { status, body }) });
+                    process.inbox.push(Command::Response {
+                        call,
+                        response: Some(Response { status, body }),
+                    });
                 }
             }
             Message::Heartbeat { worker, request, node, body } => {
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -168,10 +168,13 @@
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
             .expect("an open connection");
         match poll_until_incoming(&mut transport) {
-            Incoming::Reply { call, reply: Some(reply) } => {
-                assert_eq!((call, reply.status, reply.body.as_slice()), (id, 200, &b"{}"[..]));
+            Incoming::Response { call, response: Some(response) } => {
+                assert_eq!(
+                    (call, response.status, response.body.as_slice()),
+                    (id, 200, &b"{}"[..])
+                );
             }
-            other => panic!("no reply: {other:?}"),
+            other => panic!("no response: {other:?}"),
         }
     }
     let counts = transport.counts();
