--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -1,4 +1,21 @@
 //! Invariant checks for every rule of the protocol.
+//!
+//! The first word of each violation is the name of the violated rule:
+//!
+//! - `ran_twice`: a task ran on two machines at the same time.
+//! - `quota`: the running tasks of a team used more GPUs than its limit.
+//! - `wrong_place`: a task started on a spot machine or in a zone that its job does not allow.
+//! - `ran_cancelled`: a task started or ran later than [`CANCEL_MS`] after its job was reported as cancelled.
+//! - `forgotten`: a request for an accepted job was answered as if the job were unknown or invalid.
+//! - `invented`: a request for a job that no user submitted was answered with success.
+//! - `not_done`: a job was reported as done before all its tasks were done.
+//! - `went_back`: a job was reported as cancelled without a request, or left a final status.
+//!
+//! These names are not among the protocol's rules:
+//!
+//! - `starved`: a job waited for too long although there was capacity for it.
+//! - `invalid_job_accepted`: a job was accepted that can't run or lacks a field.
+//! - `started_after_cancellation`: a worker received a start command too long after a confirmed cancellation.
 
 use super::*;
 
@@ -15,12 +32,11 @@
         let mut violations = Vec::new();
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         for (other, worker) in &self.workers {
-            for k in worker.running_tasks() {
-                if k == key && other != machine {
-                    violations
-                        .push(format!("duplicate_run {job_id}/{task} on {other} and {machine}"));
+            for running in worker.running_tasks() {
+                if running == key && other != machine {
+                    violations.push(format!("ran_twice {job_id}/{task} on {other} and {machine}"));
                 }
-                if k.0 == job_id {
+                if running.0 == job_id {
                     *zones.entry(worker.zone.as_str()).or_default() += 1;
                 }
             }
@@ -28,21 +44,21 @@
         let job = &self.jobs[job_id];
         let worker = &self.workers[machine];
         if job.reported_cancelled_at.is_some_and(|t| now > t + CANCEL_MS) {
-            violations.push(format!("cancelled_job_runs {job_id}/{task} starts"));
+            violations.push(format!("ran_cancelled {job_id}/{task} starts"));
         }
         if worker.spot && !job.spec["lendables"].as_bool().unwrap() {
-            violations.push(format!("constraint_violated {job_id}: spot"));
+            violations.push(format!("wrong_place {job_id}: spot"));
         }
         if job.spec["yard"].as_str().is_some_and(|y| y != worker.zone) {
-            violations.push(format!("constraint_violated {job_id}: zone"));
+            violations.push(format!("wrong_place {job_id}: zone"));
         }
         if job.spec["apart"].as_bool().unwrap()
             && zones.values().any(|n| *n > job.tasks.div_ceil(2))
         {
-            violations.push(format!("constraint_violated {job_id}: apart"));
+            violations.push(format!("wrong_place {job_id}: apart"));
         }
         if job.spec["together"].as_bool().unwrap() && zones.len() > 1 {
-            violations.push(format!("constraint_violated {job_id}: together"));
+            violations.push(format!("wrong_place {job_id}: together"));
         }
         let job = self.jobs.get_mut(job_id).unwrap();
         job.starts += 1;
@@ -87,28 +103,33 @@
         let mut waiting = Vec::new();
         for (job_id, job) in &self.jobs {
             let placed = placed_by_zone.get(job_id.as_str());
-            let n: u32 = placed.map_or(0, |z| z.values().sum());
+            let placed_tasks: u32 = placed.map_or(0, |zones| zones.values().sum());
             let excluded = job.cancel_requested || job.accepted_at.is_none() || job.always_fails;
             let unfinished = job.tasks - (job.done_tasks.len() as u32).min(job.tasks);
             let gpus = job.spec["gpus"].as_f64().unwrap_or(0.0);
             let over_limit =
                 job.spec["crew"] == "red" && red_gpus + gpus > self.team_gpus_max + 1e-9;
             let fits = |(free, zone, spot): &(f64, String, bool)| {
-                let here = placed.and_then(|z| z.get(zone.as_str())).copied().unwrap_or(0);
+                let here = placed.and_then(|zones| zones.get(zone.as_str())).copied().unwrap_or(0);
                 *free >= gpus
                     && (!spot || job.spec["lendables"] == true)
                     && job.spec["yard"].as_str().is_none_or(|only| only == zone)
                     && (job.spec["apart"] != true || here < job.tasks.div_ceil(2))
-                    && (job.spec["together"] != true || here == n)
+                    && (job.spec["together"] != true || here == placed_tasks)
             };
             let waits = match job.is_gang() {
                 true => {
                     !excluded
-                        && n == 0
+                        && placed_tasks == 0
                         && unfinished > 0
                         && self.gang_fits(job, &capacity, red_gpus)
                 }
-                false => !excluded && n < unfinished && !over_limit && capacity.iter().any(fits),
+                false => {
+                    !excluded
+                        && placed_tasks < unfinished
+                        && !over_limit
+                        && capacity.iter().any(fits)
+                }
             };
             if waits {
                 waiting.push(job_id.clone());
@@ -169,12 +190,12 @@
                     red_gpus += job.spec["gpus"].as_f64().unwrap();
                 }
                 if job.reported_cancelled_at.is_some_and(|t| self.now > t + CANCEL_MS) {
-                    violations.push(format!("cancelled_job_runs {job_id}/{task}"));
+                    violations.push(format!("ran_cancelled {job_id}/{task}"));
                 }
             }
         }
         if red_gpus > self.team_gpus_max + 1e-9 {
-            violations.push(format!("team_limit_exceeded {red_gpus}"));
+            violations.push(format!("quota {red_gpus}"));
         }
         self.violations.extend(violations);
     }
--- a/tests/simulation/user.rs
+++ b/tests/simulation/user.rs
@@ -28,7 +28,7 @@
     pub invalid: bool,
     /// Time by which each task runs longer than the one before it.
     pub run_increment_ms: u64,
-    /// Last time at which it did not wait although there was capacity for it.
+    /// Last time at which it did not wait, or waited because there was no capacity for it.
     pub unstarved_at: u64,
     /// Progress of a gang that its checkpoints contain.
     pub checkpointed_ms: u64,
@@ -168,18 +168,18 @@
 
     /// Handles a response and checks it against what users were told before.
     pub(super) fn handle_user_response(&mut self, request: u64, status: u16, body: &[u8]) {
-        let v: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+        let answer: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let now = self.now;
         let Some(user_request) = self.user_requests.get_mut(&request) else {
             return;
         };
-        user_request.response = Some((status, v.clone()));
+        user_request.response = Some((status, answer.clone()));
         let (job_id, kind, sent_at) =
             (user_request.job_id.clone(), user_request.kind, user_request.sent_at);
         let violations = &mut self.violations;
         let Some(job) = self.jobs.get_mut(&job_id) else {
             if status == 200 && kind != "other" {
-                violations.push(format!("unknown_job_confirmed {job_id}"));
+                violations.push(format!("invented {job_id}"));
             }
             return;
         };
@@ -192,49 +192,47 @@
                 job.accepted_at.get_or_insert(now);
             }
             ("submit", 400 | 422) if accepted_before => {
-                violations.push(format!("accepted_job_unknown {job_id}: {status}"));
+                violations.push(format!("forgotten {job_id}: {status}"));
             }
             ("poll" | "cancel", 404) if accepted_before => {
-                violations.push(format!("accepted_job_unknown {job_id}: 404"));
+                violations.push(format!("forgotten {job_id}: 404"));
             }
             _ => {}
         }
         if status != 200 && status != 201 {
             return;
         }
-        let status_text = v["status"].as_str().unwrap_or("").to_string();
+        let status_text = answer["status"].as_str().unwrap_or("").to_string();
         match status_text.as_str() {
             "done" => {
                 if job.done_tasks.len() < job.tasks as usize {
                     violations.push(format!(
-                        "reported_done_too_early {job_id}: {} of {}",
+                        "not_done {job_id}: {} of {}",
                         job.done_tasks.len(),
                         job.tasks
                     ));
                 }
                 if job.reported_cancelled_at.is_some_and(|t| t < sent_at) {
-                    violations.push(format!("status_regressed {job_id}: withdrawn, then done"));
+                    violations.push(format!("went_back {job_id}: withdrawn, then done"));
                 }
                 job.reported_done_at.get_or_insert(now);
             }
             "withdrawn" => {
                 if !job.cancel_requested {
-                    violations
-                        .push(format!("status_regressed {job_id}: withdrawn without a request"));
+                    violations.push(format!("went_back {job_id}: withdrawn without a request"));
                 }
                 if job.reported_done_at.is_some() {
-                    violations.push(format!("status_regressed {job_id}: done, then withdrawn"));
+                    violations.push(format!("went_back {job_id}: done, then withdrawn"));
                 }
                 job.reported_cancelled_at.get_or_insert(now);
             }
             _ => {
                 // A delayed response to an earlier request may report an earlier status.
                 if job.reported_done_at.is_some_and(|t| t < sent_at) {
-                    violations.push(format!("status_regressed {job_id}: done, then {status_text}"));
+                    violations.push(format!("went_back {job_id}: done, then {status_text}"));
                 }
                 if job.reported_cancelled_at.is_some_and(|t| t < sent_at) {
-                    violations
-                        .push(format!("status_regressed {job_id}: withdrawn, then {status_text}"));
+                    violations.push(format!("went_back {job_id}: withdrawn, then {status_text}"));
                 }
             }
         }
