--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -110,7 +110,7 @@
         let mut never_started: Vec<(MachineName, TaskId)> = Vec::new();
         for machine in leader.cluster.machines.values() {
             let placements = machine.placements.iter();
-            let ids = placements.filter(|(_, placement)| start_was_never_sent(machine, placement));
+            let ids = placements.filter(|(_, placement)| can_no_longer_start(machine, placement));
             never_started.extend(ids.map(|(id, _)| (machine.name.clone(), id.clone())));
         }
         for (name, id) in never_started {
@@ -124,7 +124,7 @@
 
 /// Whether the start of a placement was certainly never sent to its terminated or expired machine.
 /// An expired one may have received a start that was sent before its lease ran out.
-fn start_was_never_sent(machine: &Machine, placement: &Placement) -> bool {
+fn can_no_longer_start(machine: &Machine, placement: &Placement) -> bool {
     let is_unsettled = placement.settled.is_none() && placement.phase == PlacementPhase::Committed;
     let is_terminated = machine.state == MachineState::Terminated;
     is_unsettled && (is_terminated || machine.lease_expired && placement.start_sent_after.is_none())
--- a/src/coordination/gang_rules/tests.rs
+++ b/src/coordination/gang_rules/tests.rs
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn the_largest_gang_fits_one_commit() {
+fn the_largest_gang_fits_into_one_transaction() {
     let limits = |value_kb, txn_ops, write_rps| {
         StoreLimits::new(&StateLimits { rps: 200.0, write_rps, value_kb, txn_ops, next: None })
     };
     assert_eq!(gang_tasks_max(&limits(2.0, 4, 15.0), 3), 4 * 31);
-    // Limited by the bytes of a commit: 48 KiB of values.
+    // Limited by the bytes of a transaction: 48 KiB of values.
     assert_eq!(gang_tasks_max(&limits(8.0, 16, 200.0), 3), 6 * 127);
     // Limited by the leader's writes: six tenths of the rate, less a reserve of two.
     assert_eq!(gang_tasks_max(&limits(2.0, 16, 10.0), 3), 4 * 31);
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -259,7 +259,7 @@
         let Some(leader) = self.leader.as_mut() else {
             return;
         };
-        let commands_may_follow = leader.ready && leader.may_commit_commands_soon(now);
+        let commands_may_follow = leader.ready && leader.may_have_commands_soon(now);
         let deferred = std::mem::take(&mut leader.deferred_heartbeats);
         let (waiting, due): (Vec<_>, Vec<_>) = deferred.into_iter().partition(|heartbeat| {
             commands_may_follow
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -130,7 +130,7 @@
     }
 
     /// Whether a transaction whose commit may add commands for a worker is in flight or due soon.
-    pub(super) fn may_commit_commands_soon(&self, now: u64) -> bool {
+    pub(super) fn may_have_commands_soon(&self, now: u64) -> bool {
         self.transactions.is_pending()
             || !self.cluster.proposals.is_empty()
             || self.pass_schedule.next_at() <= now + self.min_pass_gap_ms()
@@ -161,7 +161,7 @@
             return;
         }
         self.expire_worker_leases();
-        self.hand_over_if_no_worker_reports();
+        self.hand_over_if_no_heartbeats();
         if self.leader.is_none() {
             return;
         }
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -41,7 +41,7 @@
 
     /// Hands leadership over if no worker reaches this leader while workers do reach a peer that is served by
     /// the state service.
-    pub(super) fn hand_over_if_no_worker_reports(&mut self) {
+    pub(super) fn hand_over_if_no_heartbeats(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return };
         let no_worker_is_heard = now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS
--- a/src/coordination/planner/allocation.rs
+++ b/src/coordination/planner/allocation.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Preference {
     /// For services: number of the job's tasks in the zone. For others: 0.
-    replicas_in_zone: u32,
+    tasks_in_zone: u32,
     /// How well the kind of machine suits the work; 0 is best.
     kind_rank: u8,
     /// For services: number of service tasks on the machine, negated. For others: its free
@@ -157,7 +157,7 @@
     }
 
     /// The tie-break between otherwise equal allocations. Services are packed onto machines that
-    /// already run services, in the zone with fewer replicas of the job. Other work first fills the
+    /// already run services, in the zone with fewer tasks of the job. Other work first fills the
     /// remaining capacity of those machines, which are kept in any case, then uses spot machines if
     /// it may and on-demand ones if it may not. Within each kind it takes the fullest machine first,
     /// so that whole machines become idle.
@@ -169,7 +169,7 @@
         let service_tasks = self.machines[machine].service_tasks;
         if view.is_service {
             return Preference {
-                replicas_in_zone: self.jobs[job].tasks_per_zone[machine_view.zone],
+                tasks_in_zone: self.jobs[job].tasks_per_zone[machine_view.zone],
                 kind_rank: u8::from(machine_view.spot),
                 packing: -service_tasks,
                 service_free_capacity: free_capacity,
@@ -182,7 +182,7 @@
             (false, false) => 2,
         };
         Preference {
-            replicas_in_zone: 0,
+            tasks_in_zone: 0,
             kind_rank,
             packing: free_capacity,
             service_free_capacity: 0,
