--- a/src/constants/fleet.rs
+++ b/src/constants/fleet.rs
@@ -20,9 +20,9 @@
 /// Multiple of its type's `boot_s` after which a booting machine no longer counts as capacity that
 /// will soon be available.
 pub const BOOT_LATE_FACTOR: f64 = 1.8;
-/// Booting machines, on-demand and spot ones counted separately, from which on a task may wait for one
-/// rather than for an image that is queued behind others: of so many one is up every few seconds, while a
-/// single one may take 1.5 times its `boot_s`.
+/// Number of booting machines from which on a task may wait for a machine to boot rather than for an image
+/// that is queued behind others. On-demand and spot machines are counted separately. If this many machines
+/// boot, one comes up every few seconds; a single machine may take 1.5 times its `boot_s`.
 pub const MEAN_BOOT_WAIT_MACHINES_MIN: u64 = 32;
 /// A booting machine past its `boot_s` is expected to be up after `boot_s` divided by this.
 pub const BOOT_OVERDUE_DIVISOR: u64 = 8;
@@ -38,18 +38,18 @@
 pub const BILLING_MIN_S: f64 = 60.0;
 /// Share of the machines in use that is kept free as headroom.
 pub const HEADROOM_SHARE: f64 = 0.08;
-/// Headroom in machines beyond that share, so that a small fleet has some too.
+/// Headroom in machines beyond [`HEADROOM_SHARE`], so that a small fleet has some too.
 pub const HEADROOM_MACHINES: f64 = 0.5;
 /// Milliseconds for which there must be excess capacity before machines are drained.
 pub const EXCESS_CAPACITY_MS: u64 = 8_000;
-/// Share of the usable machines that one evaluation drains or undrains at most; one at the least.
+/// Share of the usable machines that one evaluation drains or undrains at most; at least one machine.
 pub const DRAIN_SHARE_MAX: f64 = 0.06;
 /// Size of the unplaced tasks, as a share of the usable machines, above which no machine is drained:
 /// in a small fleet a single unplaced task prevents draining, in a large one a few don't.
 pub const DRAIN_UNPLACED_SHARE_MAX: f64 = 0.002;
 /// Highest load at which a machine with services is drained by moving them.
 pub const DRAIN_SERVICES_LOAD_MAX: f64 = 0.5;
-/// Service tasks that are moved at a time, as a share of the machines; one at the least.
+/// Service tasks that are moved at a time, as a share of the machines; at least one task.
 pub const SERVICE_MOVE_SHARE: f64 = 0.01;
 /// Milliseconds between two moves of service tasks: each interrupts a service for a moment.
 pub const SERVICE_MOVE_PERIOD_MS: u64 = 3_000;
@@ -57,11 +57,11 @@
 pub const FLEET_PERIOD_MS: u64 = 300;
 /// Milliseconds that each machine adds to [`FLEET_PERIOD_MS`]: an evaluation visits all placements.
 pub const FLEET_PERIOD_PER_MACHINE_MS: f64 = 0.4;
-/// Milliseconds until an empty machine that is unreachable is deleted, and, beyond the lease, one that
-/// has never sent a heartbeat.
+/// Milliseconds after which an empty unreachable machine is deleted. A machine that has never sent a
+/// heartbeat is deleted after a worker lease and this time.
 pub const UNREACHABLE_DELETE_MS: u64 = 45_000;
-/// Seconds within which the backlog of batch work should be processed: what is rented for tasks that
-/// run for less is shared by several of them.
+/// Seconds within which the backlog of batch work should be processed: tasks that run for a shorter time
+/// share the slots that are rented for them.
 pub const BATCH_BACKLOG_TARGET_S: f64 = 45.0;
 /// Longest reclaim notice in seconds that is accepted: clouds give seconds or minutes, and an absurd
 /// value must not overflow a time.
--- a/src/constants/leadership.rs
+++ b/src/constants/leadership.rs
@@ -14,8 +14,8 @@
 pub const ELECTION_MIN_MS: u64 = 10;
 /// Milliseconds for which a controller does not campaign after it has handed over leadership.
 pub const HANDOVER_BACKOFF_MS: u64 = 20_000;
-/// Low bits of an attempt number, which count the attempts of one term; the term is in the high
-/// bits.
+/// Number of low bits of an attempt number that count the attempts of one term; the high bits are the
+/// term.
 pub const ATTEMPT_COUNTER_BITS: u32 = 26;
 /// Milliseconds between two gossip messages to the same peer.
 pub const GOSSIP_PERIOD_MS: u64 = 500;
--- a/src/constants/planning.rs
+++ b/src/constants/planning.rs
@@ -1,6 +1,6 @@
 //! Planning passes: estimates, limits for one pass, starvation, preemption and repeated failures.
 
-/// Milliseconds between planning passes (DESIGN: every 2 s to start with).
+/// Milliseconds between planning passes, as in the design.
 pub const PASS_PERIOD_MS: u64 = 2_000;
 /// Minimum milliseconds between two passes if an event brings the next one forward.
 pub const PASS_GAP_MS: u64 = 60;
@@ -8,16 +8,16 @@
 /// of machines, and the state service accepts only a few writes a second, so more frequent passes
 /// would gain little.
 pub const PASS_GAP_PER_MACHINE_MS: f64 = 0.2;
-/// Milliseconds between commits that only update the bitmaps of completed tasks (DESIGN: batched
-/// every 2 s).
+/// Milliseconds between transactions that only update the bitmaps of completed tasks, as in the design.
 pub const DONE_BATCH_MS: u64 = 2_000;
-/// Thresholds on the penalty factor for which allocations are computed (DESIGN, from the paper's
-/// evaluation).
+/// Thresholds on the penalty factor for which allocations are computed. The design takes them from the
+/// evaluation in the paper on RUA-Backfilling, which the module [`planner`](crate::coordination::planner)
+/// cites.
 pub const THRESHOLDS: [f64; 4] = [1.15, 1.20, 1.25, 1.5];
 /// Shared bandwidth that a task of a low-bandwidth class takes per core, relative to a machine's
-/// bandwidth per core. The paper's machine has 1,500 MB/s a processor, and its classes use 500 and
-/// 1,000; the high class is defined so that it saturates a machine whose cores are all taken by
-/// such tasks.
+/// bandwidth per core. In the paper on RUA-Backfilling a machine has 1,500 MB/s per processor, and tasks
+/// of the two lower classes use 500 and 1,000 MB/s. The high class is defined so that its tasks saturate
+/// a machine if they take all of its cores.
 pub const BANDWIDTH_LOW: f64 = 500.0 / 1500.0;
 /// The same for a class of medium bandwidth; see [`BANDWIDTH_LOW`].
 pub const BANDWIDTH_MEDIUM: f64 = 1000.0 / 1500.0;
@@ -48,8 +48,8 @@
 /// Tasks that a pass may place on a fleet of any size.
 pub const PLACEMENTS_PER_PASS: usize = 128;
 /// Tasks that a pass may place in addition, for each machine: passes become less frequent as the
-/// fleet grows, and a whole new fleet may start within half a minute. A commit has space for well
-/// over a thousand placements.
+/// fleet grows, and a whole new fleet may start within half a minute. A transaction has space for
+/// well over a thousand placements.
 pub const PLACEMENTS_PER_MACHINE: f64 = 0.25;
 /// Maximum later starts that a pass computes for waiting tasks during backfilling; limits its
 /// duration.
@@ -63,7 +63,7 @@
 /// gets part of the free slots ahead of jobs that can still meet their deadlines.
 pub const STARVING_STARTED_MS: u64 = 240_000;
 /// One out of this many free slots is set aside for starving jobs: enough for these to complete,
-/// but few enough that other jobs don't miss their deadlines for them.
+/// but few enough that other jobs don't miss their deadlines because of them.
 pub const STARVING_PLACEMENTS_DIVISOR: usize = 4;
 /// Units of a job's work per millisecond of the whole fleet. Jobs are compared by these integer units
 /// because the heap needs integer keys.
--- a/src/constants/state_service.rs
+++ b/src/constants/state_service.rs
@@ -45,23 +45,24 @@
 pub const LOW_WRITE_BUDGET_SHARE: f64 = 0.6;
 /// Batches of submissions that may be in flight; other submissions wait meanwhile.
 pub const BATCHES_IN_FLIGHT_MAX: usize = 3;
-/// Overhead bytes of a batch's value, beside the jobs: once for each job and once for the value.
+/// Overhead bytes of a batch's value, besides the jobs: once for each job and once for the value.
 pub const BATCH_OVERHEAD_BYTES: usize = 64;
-/// Low bits of a job's arrival number, which count the jobs of a batch; the batch's revision is above.
+/// Number of low bits of a job's arrival number that count the jobs of a batch; the high bits are the
+/// batch's revision.
 pub const ARRIVAL_INDEX_BITS: u32 = 8;
 /// Bytes in a kilobyte, as the settings use it.
 pub const BYTES_PER_KB: f64 = 1024.0;
-/// Least value size in bytes that the stored records can do with: a bitmap of done tasks takes a
-/// quarter of [`DONE_CHUNK_TASKS`] in bytes, besides its name and overhead.
+/// Smallest limit in bytes on the size of a value for which every record can be stored: a bitmap of done
+/// tasks takes a quarter of [`DONE_CHUNK_TASKS`] in bytes, besides its name and overhead.
 pub const STORE_VALUE_BYTES_MIN: usize = 1_280;
-/// Least limit of puts and deletes in a transaction: an election writes leader and term.
+/// Smallest usable limit on the puts and deletes of a transaction: an election writes leader and term.
 pub const TRANSACTION_OPS_MIN: usize = 2;
 /// Most bytes of a stored placement, unless machines have very long names. Bounds the size of gangs,
 /// since a gang is placed by one transaction.
 pub const PLACEMENT_BYTES_MAX: usize = 64;
-/// Overhead bytes of a group's value, beside its entries.
+/// Overhead bytes of a group's value, besides its entries.
 pub const GROUP_OVERHEAD_BYTES: usize = 64;
-/// Overhead bytes of a transaction, beside its values: framing and conditions, out of
+/// Overhead bytes of a transaction, besides its values: framing and conditions, out of
 /// [`TRANSACTION_BYTES_MAX`].
 pub const TRANSACTION_OVERHEAD_BYTES: usize = 16 * 1024;
 /// Conditions that a transaction may have for each of its changes (protocol).
--- a/src/constants/workers.rs
+++ b/src/constants/workers.rs
@@ -12,8 +12,9 @@
 /// Milliseconds added to a worker's lease where cancelled tasks must be gone within `cancel_s` without the
 /// state service: the lease starts when a heartbeat is sent, so only clocks and timers need a margin.
 pub const CANCEL_MARGIN_MS: u64 = 1_000;
-/// Maximum age in milliseconds of what is known of cancellations for a start command to be sent: one read
-/// period and the longest wait for a response, so that no start is delayed while the store answers at all.
+/// Maximum age in milliseconds that the controller's knowledge of cancellations may have when a start command
+/// is sent: one read period and the longest wait for a response, so that no start is delayed while the store
+/// answers at all.
 pub const START_READ_AGE_MAX_MS: u64 = FRESH_READ_PERIOD_MS + STATE_TIMEOUT_MS + 100;
 /// Milliseconds without a read of the store after which a leader asks its peers which jobs have ended:
 /// one read period and the latency of most slow responses, so that no query is sent while the store is healthy.
@@ -24,8 +25,8 @@
 /// Least milliseconds between two scans for expired leases: far less than a lease, and more than a batch of
 /// commands takes, since a scan visits every machine.
 pub const WORKER_LEASE_SCAN_MS: u64 = 100;
-/// Longest time in milliseconds that the response to a heartbeat waits for a commit that may add commands to
-/// it; well below [`WORKER_TIMEOUT_S`].
+/// Longest time in milliseconds that the response to a heartbeat waits for a transaction that may add commands
+/// to it; well below [`WORKER_TIMEOUT_S`].
 pub const HEARTBEAT_HOLD_MAX_MS: u64 = 400;
 /// Seconds that a worker waits for the response to a heartbeat (protocol).
 pub const WORKER_TIMEOUT_S: f64 = 4.0;
@@ -40,7 +41,8 @@
 /// Signs in a row that responses do not reach a machine, after which it counts as unreachable: a single sign
 /// may come from a duplicate of an old heartbeat or from a response that arrived too late.
 pub const UNREACHABLE_AFTER_SIGNS: u32 = 3;
-/// Number of such signs that a new incarnation of a worker counts for if its last heartbeat was answered.
+/// Number of signs, towards [`UNREACHABLE_AFTER_SIGNS`], that a new incarnation of a worker counts for if the
+/// last heartbeat was answered.
 pub const NEW_INCARNATION_SIGNS: u32 = 2;
 /// Worker leases without a further sign after which a machine no longer counts as unreachable. A machine that
 /// no response reaches begins a new incarnation, which is such a sign, with every lease.
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -2,7 +2,7 @@
 //! term.
 //!
 //! A controller campaigns when no other controller holds the leader key. It obtains a lease, then
-//! commits the transaction, and leads once the transaction has been applied to the store that it
+//! sends the transaction, and leads once the transaction has been applied to the store that it
 //! reads. A transaction without a response may still be applied; since nobody renews its lease, the
 //! leader key then expires with the lease.
 
--- a/src/coordination/fleet/defragmentation.rs
+++ b/src/coordination/fleet/defragmentation.rs
@@ -18,7 +18,7 @@
 /// A machine with its load.
 struct LoadedMachine<'a> {
     machine: &'a Machine,
-    /// The share of it that is in use.
+    /// The share of the machine that is in use.
     load: f64,
 }
 
@@ -39,8 +39,8 @@
 
 impl Controller {
     /// Drains underutilized machines, the most expensive first, while the others have capacity for their
-    /// tasks and the headroom; undrains machines when capacity is short. How many at a time is a share
-    /// of the fleet.
+    /// tasks and the headroom; undrains machines when capacity is short. One call changes at most a
+    /// share of the fleet.
     pub(super) fn defragment(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(catalog) = self.cloud.catalog().cloned() else { return };
--- a/src/coordination/fleet/forecast.rs
+++ b/src/coordination/fleet/forecast.rs
@@ -21,7 +21,7 @@
 pub(super) struct BatchArrival {
     /// On the monotonic clock, in milliseconds.
     pub(super) at: u64,
-    /// Milliseconds for which it would keep a machine of the largest type busy.
+    /// Milliseconds for which the job would keep a machine of the largest type busy.
     pub(super) machine_ms: f64,
 }
 
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -105,8 +105,8 @@
     /// terminated machines from the state once no placement is left on them.
     pub(super) fn remove_terminated_machines(&mut self) {
         let Some(leader) = self.leader.as_mut() else { return };
-        // Settling a machine leaves out placements that are still being committed. Their start is
-        // never sent, so that without this they would block their tasks for ever.
+        // Settling a machine leaves out placements whose transaction is still pending. Once stored,
+        // they would block their tasks for ever, since their start commands are never sent.
         let mut never_started: Vec<(MachineName, TaskId)> = Vec::new();
         for machine in leader.cluster.machines.values() {
             let placements = machine.placements.iter();
@@ -122,8 +122,9 @@
     }
 }
 
-/// Whether the start of a placement was certainly never sent to its terminated or expired machine.
-/// An expired one may have received a start that was sent before its lease ran out.
+/// Whether an unsettled placement was stored too late to start: its machine is terminated, or the
+/// machine's lease has expired and no start command was sent. A start command that was sent before the
+/// lease expired may have reached the machine.
 fn can_no_longer_start(machine: &Machine, placement: &Placement) -> bool {
     let is_unsettled = placement.settled.is_none() && placement.phase == PlacementPhase::Committed;
     let is_terminated = machine.state == MachineState::Terminated;
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -121,7 +121,8 @@
         ServiceCapacity { headroom, free_slots }
     }
 
-    /// Subtracts an empty machine's capacity if the rest is enough for the headroom. Returns whether it is.
+    /// Subtracts an empty machine's capacity if the remaining capacity is enough for the headroom. Returns
+    /// whether the machine's capacity was subtracted.
     fn try_release(&mut self, machine: &Machine) -> bool {
         let Some(headroom) = self.headroom.as_ref().filter(|_| !machine.spot) else { return true };
         let machine_slots = machine.total.fit_count(&headroom.need) as f64;
--- a/src/coordination/fleet/scale_out/rental_plan.rs
+++ b/src/coordination/fleet/scale_out/rental_plan.rs
@@ -123,7 +123,7 @@
         tasks_per_zone.extend(tasks.tasks_per_zone.iter().cloned());
         let slots_left = tasks.slots;
         let mut search = Search { tasks, slots_left, tasks_per_zone, only_zone: None };
-        // Incoming machines before this index can't take such a task any more.
+        // Incoming machines before this index can't take another of these tasks.
         let mut search_from = 0;
         while search.slots_left > SLOT_EPSILON {
             let found =
@@ -176,7 +176,7 @@
         let tasks = search.tasks;
         let market_is_allowed = match kind.spot {
             true => tasks.spot_allowed && self.rent_spot,
-            // Of tasks that may use spot machines, only a part may have on-demand ones rented for it.
+            // For tasks that may use spot machines, on-demand ones are rented only for `on_demand_slots`.
             false => !tasks.spot_allowed || search.slots_left > tasks.slots - tasks.on_demand_slots,
         };
         if !market_is_allowed {
--- a/src/coordination/fleet/unplaced.rs
+++ b/src/coordination/fleet/unplaced.rs
@@ -25,7 +25,7 @@
     /// Tasks of the job that are already placed, by zone.
     pub(super) tasks_per_zone: Vec<(String, u32)>,
     pub(super) max_tasks_per_zone: u32,
-    /// Whether this is a gang whose tasks must all be in one zone, and so the machines rented for it.
+    /// Whether this is a gang whose tasks, and so the machines rented for it, must all be in one zone.
     pub(super) one_zone: bool,
 }
 
--- a/src/coordination/gang_rules.rs
+++ b/src/coordination/gang_rules.rs
@@ -26,8 +26,8 @@
 }
 
 /// Whether a task that is told to stop keeps its progress. Tasks of a gang fail within `gang_peer_s` of
-/// the end of another one, so they keep it only if all can be told to stop within that time, each in
-/// the response to its next heartbeat.
+/// the end of another one, so they keep their progress only if all can be told to stop within that time,
+/// each in the response to its machine's next heartbeat.
 pub(super) fn keeps_progress_when_stopped(spec: &JobSpec, workers: &Workers) -> bool {
     let told_within_s = workers.report_s * (1.0 + HEARTBEAT_JITTER_SHARE);
     let in_time = workers.gang_peer_s <= 0.0 || told_within_s <= workers.gang_peer_s;
--- a/src/coordination/heartbeats/evidence.rs
+++ b/src/coordination/heartbeats/evidence.rs
@@ -108,7 +108,7 @@
     update_reclaim_time(machine, heartbeat.reclaim_s, now);
 }
 
-/// Updates when the cloud reclaims the machine, if the heartbeat passes on such a notice.
+/// Updates the time at which the cloud reclaims the machine from the reclaim notice in a heartbeat, if any.
 fn update_reclaim_time(machine: &mut Machine, reclaim_s: Option<f64>, now: u64) {
     let was_known = machine.reclaim_at.is_some();
     let notice_ms = |s: f64| (s.clamp(0.0, RECLAIM_NOTICE_MAX_S) * MS_PER_S) as u64;
--- a/src/coordination/heartbeats/processing.rs
+++ b/src/coordination/heartbeats/processing.rs
@@ -19,7 +19,8 @@
 }
 
 impl Controller {
-    /// Applies a heartbeat to the leader's state and defers its response, which may wait for a commit.
+    /// Applies a heartbeat to the leader's state and defers its response, which may wait for a
+    /// transaction.
     pub(super) fn process_heartbeat(&mut self, connection: ConnectionId, heartbeat: &Heartbeat) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
@@ -112,7 +113,7 @@
             if leader.cluster.placement(name, &id.task).is_some_and(|p| p.attempt == id.number) {
                 continue;
             }
-            // The heartbeat may be a delayed copy. One with this term's token shows what really runs there.
+            // The heartbeat may be a delayed copy. Only one with this term's token proves what runs there now.
             if history_may_be_incomplete && !has_current_token {
                 continue;
             }
@@ -204,7 +205,7 @@
         true
     }
 
-    /// Whether a commit that is in flight or due may add commands to the response to a machine's heartbeat.
+    /// Whether a transaction that is in flight or due may add commands to the response to a machine's heartbeat.
     pub(super) fn may_get_commands(&self, machine_name: &MachineName) -> bool {
         self.cluster.machines.get(machine_name).is_some_and(|machine| {
             let takes_new_tasks = machine.state == MachineState::Up
--- a/src/coordination/heartbeats/response.rs
+++ b/src/coordination/heartbeats/response.rs
@@ -19,7 +19,7 @@
     pub(super) attempt: u64,
 }
 
-/// A heartbeat whose response waits for a commit that may add commands to it.
+/// A heartbeat whose response waits for a transaction that may add commands to it.
 #[derive(Debug)]
 pub(in crate::coordination) struct DeferredHeartbeat {
     connection: ConnectionId,
@@ -81,7 +81,7 @@
             commands.push(WorkerCommand::Stop { task_id, attempt, grace_s: 0.0 });
         }
         for TaskAttempt { task_id, attempt } in &self.ended_tasks {
-            // Only once the end of the task is committed, which removes the placement.
+            // Only once the end of the task is stored, which removes the placement.
             if !machine_has_placement(machine, task_id, *attempt) && commands.len() < COMMANDS_MAX {
                 let (task_id, attempt) = (task_id.clone(), *attempt);
                 commands.push(WorkerCommand::Clear { task_id, attempt });
@@ -253,7 +253,7 @@
 }
 
 impl Controller {
-    /// Answers the deferred heartbeats that have no commit to wait for, or whose deadline has come.
+    /// Answers the deferred heartbeats that have no transaction to wait for, or whose deadline has come.
     pub(in crate::coordination) fn answer_deferred_heartbeats(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = self.leader.as_mut() else {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -123,13 +123,13 @@
         let deferred = self.deferred_heartbeats.iter();
         let response =
             deferred.map(|heartbeat| heartbeat.response_deadline() + OVERDUE_WORK_RECHECK_MS).min();
-        // No pass runs until the proposals of the last one are committed.
+        // No pass runs until the proposals of the last pass are stored.
         let waits_for_pass = response.is_some() && !has_proposals;
         let pass = waits_for_pass.then(|| self.pass_schedule.next_at().max(now + 1));
         [write, response, pass].into_iter().flatten().min()
     }
 
-    /// Whether a transaction whose commit may add commands for a worker is in flight or due soon.
+    /// Whether a transaction that may add commands for a worker is in flight or due soon.
     pub(super) fn may_have_commands_soon(&self, now: u64) -> bool {
         self.transactions.is_pending()
             || !self.cluster.proposals.is_empty()
@@ -137,7 +137,8 @@
     }
 }
 
-/// Whether no start command was sent for a committed placement of the term, so that its task is on no machine.
+/// Whether a placement was made in this term and stored, and no start command was sent for it, so that its task
+/// is on no machine.
 fn start_was_never_sent(placement: &Placement, term: u64) -> bool {
     placement.term() == term
         && placement.phase == PlacementPhase::Committed
--- a/src/coordination/leader/planning.rs
+++ b/src/coordination/leader/planning.rs
@@ -1,7 +1,7 @@
 //! Planning passes: from the state of the cluster to proposed placements and tasks to stop.
 //!
-//! Placements are write-ahead: a pass only proposes them, [`super::super::transactions`] commits them to the
-//! store, and no start command is sent before that commit.
+//! Placements are write-ahead: a pass only proposes them, [`super::super::transactions`] stores them, and
+//! no start command is sent before that.
 
 use super::{start_was_never_sent, Leader};
 use crate::constants::{
@@ -65,7 +65,7 @@
         FLEET_PERIOD_MS + (self.cluster.machines.len() as f64 * FLEET_PERIOD_PER_MACHINE_MS) as u64
     }
 
-    /// Whether a pass is due. The proposals of the last pass are committed first: further ones would only
+    /// Whether a pass is due. The proposals of the last pass are stored first: further proposals would only
     /// queue up.
     fn is_pass_due(&self, now: u64) -> bool {
         self.pass_schedule.next_at() <= now && self.cluster.proposals.is_empty()
--- a/src/coordination/leader/run_times.rs
+++ b/src/coordination/leader/run_times.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Range that ratios of observed to estimated run times are clamped to; an estimate further off was left out
-/// or mistyped.
+/// Range that ratios of observed to estimated run times are clamped to: an estimate that is further off
+/// counts as missing or mistyped.
 const PLAUSIBLE_RATIOS: RangeInclusive<f64> = 0.05..=20.0;
 
 /// Ratio of observed to estimated run times of one class.
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -85,7 +85,7 @@
 /// controller may renew its lease or the lease has expired.
 ///
 /// Heartbeats count too: a machine that has come back and whose heartbeat still waits for its response is not
-/// silent. To expire its lease again while a start command is on the way to it makes that task run twice.
+/// silent. If its lease expired again while a start command is on the way, that task would run twice.
 fn last_lease_activity_at(machine: &Machine) -> Option<u64> {
     let last_response_at = machine.last_response_at?;
     let is_ours =
--- a/src/coordination/planner/backfill.rs
+++ b/src/coordination/planner/backfill.rs
@@ -6,10 +6,11 @@
 use crate::protocol::users::Priority;
 use std::cmp::Ordering;
 
-/// The next start of a job that waits for backfilling; `None` if it can't start now.
+/// A job that waits for backfilling, with its next start.
 #[derive(Debug, Clone, Copy)]
 struct BackfillCandidate {
     job: usize,
+    /// `None` if the job can't start now.
     allocation: Option<Allocation>,
     /// Number of placements on the machine when the allocation was computed.
     placements_seen: u32,
--- a/src/coordination/planner/mod.rs
+++ b/src/coordination/planner/mod.rs
@@ -1,11 +1,14 @@
 //! RUA-Backfilling: a pure function from a [`Snapshot`] to a [`Plan`].
 //!
-//! After the paper, section 5, and DESIGN. The oldest waiting job gets a reservation: LessConsume
-//! Threshold (section 4) computes an allocation for each penalty-factor threshold, and the
-//! reservation is the allocation with the least slowdown. For one threshold, LessConsume Threshold
-//! starts from first fit, replaces slots by less loaded ones and accepts a later start until the
-//! penalty factor is below the threshold. The other jobs are backfilled: a job starts now if it
-//! does not delay the reservation, in order of penalty factor, then of length.
+//! RUA stands for resource usage aware. "The paper" is F. Guim, I. Rodero and J. Corbalan, "The
+//! Resource Usage Aware Backfilling", 2009, and "the design" is the project's page `docs/design.md`.
+//!
+//! The algorithm follows section 5 of the paper and the design. The oldest waiting job gets a
+//! reservation: LessConsume Threshold (section 4) computes an allocation for each penalty-factor
+//! threshold, and the reservation is the allocation with the least slowdown. For one threshold,
+//! LessConsume Threshold starts from first fit, replaces slots by less loaded ones and accepts a
+//! later start until the penalty factor is below the threshold. The other jobs are backfilled: a job
+//! starts now if it does not delay the reservation, in order of penalty factor, then of length.
 //!
 //! Additions to the paper: fetching an image delays a task and counts towards the penalty factor of
 //! a machine, as a saturated resource does; priorities and guarantees order the queue before
--- a/src/coordination/planner/preemption.rs
+++ b/src/coordination/planner/preemption.rs
@@ -81,8 +81,8 @@
 
 impl Pass<'_> {
     /// Preempts tasks for jobs that can't start otherwise and have at least high priority or are
-    /// within their team's guarantee. Stopped are tasks of lower priority, or of teams that exceed
-    /// their guarantee. Capacity of tasks that are already being stopped counts as available.
+    /// within their team's guarantee. The tasks that are stopped have a lower priority, or their team
+    /// exceeds its guarantee. Capacity of tasks that are already being stopped counts as available.
     pub(super) fn preempt_for_waiting_jobs(&mut self, queue: &[usize]) {
         let mut state = self.preemption_state();
         let mut preemptible: BTreeMap<Preemptor, PreemptibleCapacity> = BTreeMap::new();
--- a/src/coordination/planner_input/jobs.rs
+++ b/src/coordination/planner_input/jobs.rs
@@ -81,7 +81,7 @@
     }
 
     /// Unsettled tasks of a job per zone, or zeros if its placement doesn't depend on them. `None` if the
-    /// job must be spread over zones or stay in one, and the zone of a machine it is on is not known yet.
+    /// job must be spread over zones or stay in one, and the zone of one of its machines is not known yet.
     fn tasks_per_zone(&self, job: &Job, spec: &JobSpec) -> Option<Vec<u32>> {
         let mut tasks_per_zone = vec![0; self.indices.zone_count()];
         let must_know_all = spec.spread || spec.one_zone;
@@ -144,7 +144,7 @@
     types.map(|machine_type| spec.allows_type(&machine_type.type_name)).collect()
 }
 
-/// Machines on which a job failed. None if it failed on so many that the job itself is suspected.
+/// Machines on which a job failed; empty if it failed on many, so that the job itself is suspected.
 fn avoided_machines(job: &Job, machine_indices: &HashMap<&MachineName, usize>) -> Vec<usize> {
     let may_use_every_machine = match job.is_gang() {
         true => job.failed_on.len() > GANG_AVOIDED_MACHINES_MAX,
@@ -156,7 +156,7 @@
     job.failed_on.iter().filter_map(|machine| machine_indices.get(machine).copied()).collect()
 }
 
-/// Milliseconds until each of a job's deadlines, by the objectives for its class and its own; sorted.
+/// Milliseconds until each deadline of a job, sorted: those from the objectives for its class, and its own.
 pub(super) fn due_in_ms(
     objectives: &[Objective],
     spec: &JobSpec,
--- a/src/coordination/recovery/decisions.rs
+++ b/src/coordination/recovery/decisions.rs
@@ -1,5 +1,5 @@
 //! Operators' decisions on jobs that a rebuild has flagged, and on its history gap. Any controller accepts a
-//! decision, which takes effect once it is committed.
+//! decision, which takes effect once it is stored.
 
 use super::put_rebuild_record;
 use crate::constants::{RETRY_AFTER_S, USER_WRITE_RESERVE};
@@ -79,7 +79,7 @@
                 flagged.filter(|job| request.jobs.contains(job)).collect()
             }
             (_, true) => flagged.collect(),
-            // This includes unknown jobs, which only show because machines run their tasks.
+            // This includes unknown jobs, which are known only because machines run their tasks.
             (Decision::GiveUp, false) => {
                 let open = |job: &&String| !self.store.replica().has_ended(job);
                 request.jobs.iter().filter(open).cloned().collect()
--- a/src/coordination/recovery/election.rs
+++ b/src/coordination/recovery/election.rs
@@ -35,7 +35,7 @@
         known.max(lost).saturating_add(1).saturating_add(REBUILD_TERM_MARGIN)
     }
 
-    /// Adds what an election writes beside the leader key and the term: the identity of a new store, or the
+    /// Adds what an election writes besides the leader key and the term: the identity of a new store, or the
     /// record that a rebuild has started.
     pub(in crate::coordination) fn add_recovery_writes(
         &mut self,
--- a/src/coordination/recovery/loss_detection.rs
+++ b/src/coordination/recovery/loss_detection.rs
@@ -27,7 +27,7 @@
     pub(in crate::coordination) fn reload_store(&mut self) {
         self.store.reset();
         self.recovery.clear_image();
-        // Peers left out of their lists the ended jobs that we already knew, and those are now discarded.
+        // The lists from peers leave out ended jobs that the discarded replica held.
         self.membership.reset_ended_jobs_complete_at();
     }
 
@@ -157,7 +157,7 @@
             RecoveryPhase::Following => {}
             RecoveryPhase::Verifying { .. } => self.verify_store(),
             RecoveryPhase::FirstStart { evidence, .. } => {
-                // Only a read sent after the evidence was heard contradicts it: the store may have been
+                // Only a read that was sent after the evidence was heard counts: the store may have been
                 // created after an earlier read.
                 let evidence =
                     evidence.as_ref().filter(|evidence| read_started_at > evidence.heard_at);
--- a/src/coordination/rejection.rs
+++ b/src/coordination/rejection.rs
@@ -9,10 +9,10 @@
     /// The team is not in the settings.
     #[error("unknown team {0}")]
     UnknownTeam(String),
-    /// The cloud's machine types, which decide whether it can run, are not known yet.
+    /// The cloud's machine types, which decide whether the job can run, are not known yet.
     #[error("machine types are not known yet")]
     MachineTypesUnknown,
-    /// No machine type that it allows has capacity for one task.
+    /// No machine type that the job allows has capacity for one task.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
     /// The tasks that must run at once need more than the team's limit.
--- a/src/coordination/requests/batches.rs
+++ b/src/coordination/requests/batches.rs
@@ -377,8 +377,8 @@
         }
     }
 
-    /// Handles a conflict: the batch was not stored because a condition failed. A job that has an end by
-    /// now is answered after a fresh read; the others wait for a batch again.
+    /// Handles a conflict: the batch was not stored because a condition failed. A submission whose
+    /// job has ended by now is answered after a fresh read; the others wait for a batch again.
     fn resolve_batch_conflict(&mut self, batch: Batch, body: &[u8]) {
         let failed_keys = TransactionConflict::failed_keys(body);
         for submission in batch.submissions {
--- a/src/coordination/requests/mod.rs
+++ b/src/coordination/requests/mod.rs
@@ -1,8 +1,8 @@
 //! Users' requests: submissions, polls and cancellations, and their admission.
 //!
-//! Every response about the state of a job is based on a commit, or on a read of the store that began
-//! after the request came in. Only final states are answered from the replica without a read, since
-//! they never change.
+//! Every response about the state of a job is based on an applied transaction, or on a read of the store
+//! that began after the request came in. Only final states are answered from the replica without a read,
+//! since they never change.
 
 mod batches;
 mod cancellations;
--- a/src/coordination/status.rs
+++ b/src/coordination/status.rs
@@ -71,15 +71,15 @@
 /// Numbers of entries in the large in-memory tables.
 #[derive(Debug, Default, Serialize)]
 struct EntryCounts {
-    /// In the replica, as the next two.
+    /// In the replica, like `batches` and `placement_groups`.
     jobs: usize,
     batches: usize,
     placement_groups: usize,
-    /// On the leader, as the next three; 0 elsewhere.
+    /// On the leader, like the fields below; 0 elsewhere.
     live_jobs: usize,
     machines: usize,
     placements: usize,
-    /// Heartbeats whose response waits for a commit.
+    /// Heartbeats whose response waits for a transaction.
     reports: usize,
 }
 
--- a/src/coordination/store_client/mod.rs
+++ b/src/coordination/store_client/mod.rs
@@ -136,12 +136,12 @@
         self.write_budget.available(now)
     }
 
-    /// Whether so little of the write budget is left that writes which can wait should.
+    /// Whether the write budget is so low that writes which are not urgent should wait.
     pub(super) fn is_write_budget_low(&mut self, now: u64) -> bool {
         self.write_budget.available(now) < self.write_budget.burst() * LOW_WRITE_BUDGET_SHARE
     }
 
-    /// Takes writes out of the budget if at least `reserve` remain; returns whether it did.
+    /// Takes writes out of the budget if at least `reserve` remain; returns whether they were taken.
     pub(super) fn take_writes(&mut self, writes: f64, reserve: f64, now: u64) -> bool {
         self.write_budget.try_take(writes, reserve, now)
     }
--- a/src/coordination/transactions/packing.rs
+++ b/src/coordination/transactions/packing.rs
@@ -95,8 +95,8 @@
 
 impl Leader {
     /// The scope of the next transaction. Every second one splits a placement group until none is
-    /// oversized; the others may store a gang that did not fit beside other changes. Both leave out
-    /// whatever can wait, and are packed only once the write budget allows a transaction of full size.
+    /// oversized; the others may store a gang that did not fit beside other changes. Both kinds leave
+    /// out whatever can wait, and are packed only once the write budget allows a transaction of full size.
     fn next_scope(&self, value_bytes: usize) -> TransactionScope {
         if self.cluster.has_oversized_group(value_bytes) && !self.transactions.last_was_split {
             TransactionScope::SplitGroup
--- a/src/coordination/wait_reason.rs
+++ b/src/coordination/wait_reason.rs
@@ -21,12 +21,12 @@
     TeamLimit,
     /// No machine that it may use has free resources for it.
     NoCapacity,
-    /// Gang: the placements of its tasks exceed one commit.
+    /// Gang: the placements of its tasks do not fit into one transaction.
     TooLargeToStore {
-        /// Tasks that one commit can hold.
+        /// Tasks whose placements one transaction can hold.
         max_tasks: usize,
     },
-    /// Gang: its placements are being committed.
+    /// Gang: its placements are being stored.
     Storing,
     /// Gang: its placed tasks are not all running yet.
     Assembling {
@@ -37,9 +37,9 @@
         /// Tasks that no heartbeat has shown yet.
         missing: usize,
     },
-    /// Gang: tasks of its last attempt are not proved gone.
+    /// Gang: it is not proved that all tasks of its last attempt have ended.
     LastAttempt {
-        /// Number of such tasks.
+        /// Number of tasks that may still run.
         tasks: usize,
     },
 }
