--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -123,21 +123,22 @@
         let deferred = self.deferred_heartbeats.iter();
         let response =
             deferred.map(|heartbeat| heartbeat.response_deadline() + OVERDUE_WORK_RECHECK_MS).min();
-        // No pass runs until the proposals of the last one are committed.
+        // No pass runs until the proposals of the last pass are stored.
         let waits_for_pass = response.is_some() && !has_proposals;
         let pass = waits_for_pass.then(|| self.pass_schedule.next_at().max(now + 1));
         [write, response, pass].into_iter().flatten().min()
     }
 
-    /// Whether a transaction whose commit may add commands for a worker is in flight or due soon.
-    pub(super) fn may_commit_commands_soon(&self, now: u64) -> bool {
+    /// Whether a transaction that may add commands for a worker is in flight or due soon.
+    pub(super) fn may_have_commands_soon(&self, now: u64) -> bool {
         self.transactions.is_pending()
             || !self.cluster.proposals.is_empty()
             || self.pass_schedule.next_at() <= now + self.min_pass_gap_ms()
     }
 }
 
-/// Whether no start command was sent for a committed placement of the term, so that its task is on no machine.
+/// Whether a placement was made in this term and stored, and no start command was sent for it, so that its task
+/// is on no machine.
 fn start_was_never_sent(placement: &Placement, term: u64) -> bool {
     placement.term() == term
         && placement.phase == PlacementPhase::Committed
@@ -161,7 +162,7 @@
             return;
         }
         self.expire_worker_leases();
-        self.hand_over_if_no_worker_reports();
+        self.hand_over_if_no_heartbeats();
         if self.leader.is_none() {
             return;
         }
--- a/src/coordination/leader/worker_leases.rs
+++ b/src/coordination/leader/worker_leases.rs
@@ -41,7 +41,7 @@
 
     /// Hands leadership over if no worker reaches this leader while workers do reach a peer that is served by
     /// the state service.
-    pub(super) fn hand_over_if_no_worker_reports(&mut self) {
+    pub(super) fn hand_over_if_no_heartbeats(&mut self) {
         let now = self.now.monotonic_ms;
         let Some(leader) = &self.leader else { return };
         let no_worker_is_heard = now > leader.last_heartbeat_at + WORKERS_UNREACHABLE_HANDOVER_MS
@@ -85,7 +85,7 @@
 /// controller may renew its lease or the lease has expired.
 ///
 /// Heartbeats count too: a machine that has come back and whose heartbeat still waits for its response is not
-/// silent. To expire its lease again while a start command is on the way to it makes that task run twice.
+/// silent. If its lease expired again while a start command is on the way, that task would run twice.
 fn last_lease_activity_at(machine: &Machine) -> Option<u64> {
     let last_response_at = machine.last_response_at?;
     let is_ours =
