--- a/src/storage/cluster/gangs.rs
+++ b/src/storage/cluster/gangs.rs
@@ -8,9 +8,9 @@
 use crate::storage::records::{JobId, MachineName};
 
 impl ClusterState {
-    /// The phase of a gang.
+    /// The phase of a gang, derived from its placements.
     pub fn gang_phase(&self, job: &Job) -> GangPhase {
-        if job.attempt_is_over() {
+        if job.has_no_placements() {
             return GangPhase::Unplaced;
         }
         let all_placed = job.placed_on.len() == job.tasks as usize;
@@ -27,7 +27,7 @@
         GangPhase::Running
     }
 
-    /// Proposes an attempt of a gang, with the task of each index on the machine of the same index.
+    /// Proposes an attempt of a gang: the task with index `i` is placed on `machines[i]`.
     /// Proposes nothing and returns false unless all tasks wait and there is a machine for each.
     pub fn propose_gang(
         &mut self,
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Handles the settlement of a task of a gang. If it is done, all tasks of the gang are; any other
-    /// cause ends the attempt.
+    /// Handles the settlement of a task of a gang. If the task is done, all tasks of the gang are done; any
+    /// other cause ends the attempt.
     pub(super) fn on_gang_task_settled(&mut self, id: &JobId, cause: EndCause) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| job.is_live()) else {
             return;
@@ -85,7 +85,7 @@
     /// Stops gangs of which only a part is in the store: an earlier leader has settled some of the tasks.
     pub fn stop_incomplete_gangs(&mut self) {
         let incomplete = |job: &&Job| {
-            job.is_gang() && !job.attempt_is_over() && job.placed_on.len() < job.tasks as usize
+            job.is_gang() && !job.has_no_placements() && job.placed_on.len() < job.tasks as usize
         };
         let gangs: Vec<JobId> =
             self.jobs.values().filter(incomplete).map(|job| job.id.clone()).collect();
--- a/src/storage/cluster/jobs.rs
+++ b/src/storage/cluster/jobs.rs
@@ -92,7 +92,7 @@
 
     /// Removes a job that is over and has no placements left.
     pub fn remove_if_finished(&mut self, id: &JobId) {
-        if self.jobs.get(id).is_some_and(|job| !job.is_live() && job.attempt_is_over()) {
+        if self.jobs.get(id).is_some_and(|job| !job.is_live() && job.has_no_placements()) {
             self.jobs.remove(id);
         }
     }
--- a/src/storage/job.rs
+++ b/src/storage/job.rs
@@ -53,7 +53,7 @@
     pub dirty_chunks: BTreeSet<u32>,
     /// Number of the stored group that holds a chunk, by chunk number.
     pub chunk_groups: HashMap<u32, u32>,
-    /// The first task that was never placed; nor was any task after it.
+    /// Index of the first task that was never placed; no task after it was placed either.
     pub first_never_placed: u32,
     /// Tasks before `first_never_placed` that wait.
     pub requeued: BTreeSet<u32>,
@@ -139,8 +139,9 @@
         self.is_live() && !self.quarantined && self.done_count >= self.tasks
     }
 
-    /// Whether the job has no placements left, neither on machines nor in the store.
-    pub fn attempt_is_over(&self) -> bool {
+    /// Whether no task of the job has a placement, neither on a machine nor in the store. A gang's attempt
+    /// is over then.
+    pub fn has_no_placements(&self) -> bool {
         self.placed_on.is_empty() && self.settling.is_empty()
     }
 
@@ -170,7 +171,7 @@
 
     /// Number of tasks of a gang that wait for machines: all or none.
     fn waiting_gang_tasks(&self) -> u32 {
-        match self.attempt_is_over() && self.done_count == 0 {
+        match self.has_no_placements() && self.done_count == 0 {
             true => self.tasks,
             false => 0,
         }
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Moves the never placed tasks up to and including this one to the requeued ones.
+    /// Moves the tasks that were never placed, up to and including `index`, to the requeued tasks.
     pub(super) fn requeue_up_to(&mut self, index: u32) {
         while self.first_never_placed <= index {
             if !self.done.get(self.first_never_placed) {
