--- a/src/storage/cluster.rs
+++ b/src/storage/cluster.rs
@@ -6,7 +6,7 @@
 //! module sends nothing to the state service or to machines: callers tell it what has happened.
 //!
 //! `restore` builds the state from the store when a term begins, `jobs` handles jobs from acceptance to
-//! end, `placements` is the life cycle of a placement, `adoption` records placements of tasks that run
+//! end, `placements` handles the life cycle of a placement, `adoption` records placements of tasks that run
 //! without one, `gangs` handles tasks that run together, and `resources` sums up what is used and free.
 
 mod adoption;
@@ -33,7 +33,7 @@
 pub struct StaleKey {
     /// Name of the key.
     pub key: String,
-    /// Revision of its last change at the time when it was found.
+    /// Revision of the key's last change, as of the time when the key was found to be stale.
     pub mod_revision: u64,
 }
 
--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -13,9 +13,9 @@
 /// What happens to a task that runs without a known placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adoption {
-    /// A placement is recorded where it runs.
+    /// A placement is recorded on the machine where it runs.
     Adopted,
-    /// The settlement of an earlier placement of it must be committed first.
+    /// The settlement of an earlier placement of the task must be committed first.
     Deferred,
     /// Its job is not known, is over, or doesn't need the task.
     Rejected,
@@ -103,9 +103,9 @@
         }
     }
 
-    /// Settles the known placement of a task that runs with another attempt, if that proves the known
-    /// attempt over. Attempt numbers increase, and an attempt is placed only once the settlement of the
-    /// previous one is committed, so a higher number is such a proof.
+    /// Settles a committed placement on `machine` if `attempt`, which runs without a known placement, is a
+    /// later attempt of the same task. Attempt numbers increase, and an attempt is placed only once the settlement of the
+    /// previous one is committed, so a later attempt proves that the earlier one is over.
     fn settle_earlier_attempt(&mut self, machine: &MachineName, attempt: &AttemptId) -> Adoption {
         let id = &attempt.task;
         let is_earlier = self.placement(machine, id).is_some_and(|placement| {
--- a/src/storage/cluster/placements.rs
+++ b/src/storage/cluster/placements.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Settles a placement: its task is proved to run no longer. It uses no more capacity and quota,
-    /// and the task may be placed again once the settlement is committed.
+    /// Settles a placement, once there is proof that its task no longer runs. The placement then uses no
+    /// capacity and quota, and the task may be placed again once the settlement is committed.
     pub fn settle(&mut self, machine_name: &MachineName, id: &TaskId, cause: EndCause) {
         let placement = self.placement_mut(machine_name, id);
         let Some(placement) = placement.filter(|placement| placement.settled.is_none()) else {
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Marks a settled placement for removal from its stored group, or as never stored.
+    /// Marks a settled placement for removal from its stored group. A placement that is in no stored group
+    /// is added to `unstored_settlements` instead.
     fn mark_for_removal(
         &mut self,
         machine: &MachineName,
--- a/src/storage/cluster/resources.rs
+++ b/src/storage/cluster/resources.rs
@@ -1,4 +1,4 @@
-//! Resources that teams use, and that are free on machines.
+//! Resources that teams use, and resources that are free on machines.
 
 use super::ClusterState;
 use crate::protocol::Resources;
@@ -6,7 +6,7 @@
 use crate::storage::job::Job;
 use crate::storage::machine::Machine;
 
-/// Resources that each team uses, with all unsettled placements.
+/// Resources that the unsettled placements of each team use, by name of the team.
 pub type Usage = HashMap<String, Resources>;
 
 /// Adds `tasks` placements of a job to the usage of its team.
@@ -33,8 +33,9 @@
         free
     }
 
-    /// Upper bound of what tasks of unknown jobs use. Their teams are not known either, so it is added
-    /// to the usage of each team: none may exceed its limit, whichever team they belong to.
+    /// Upper bound of the resources that tasks of unknown jobs use: all free resources of the machines
+    /// that run such tasks. The teams of the tasks are not known either, so callers add the bound to the
+    /// usage of each team: no team may exceed its limit, whichever team the tasks belong to.
     pub fn used_by_unknown_tasks(&self) -> Resources {
         let mut used = Resources::default();
         for machine in self.machines.values().filter(|machine| !machine.unknown_tasks.is_empty()) {
@@ -43,8 +44,8 @@
         used
     }
 
-    /// Capacity of a machine for services: what is free, and what tasks use that may be preempted by
-    /// services.
+    /// Capacity of a machine for services: the free resources, and those of all tasks that services may
+    /// preempt.
     pub fn capacity_for_services(&self, machine: &Machine) -> Resources {
         let mut capacity = self.free(machine);
         for job in self.jobs_on(machine).filter(|job| !job.is_service()) {
--- a/src/storage/cluster/restore.rs
+++ b/src/storage/cluster/restore.rs
@@ -36,6 +36,7 @@
         cluster
     }
 
+    /// Keeps the stored images of each machine until [`ClusterState::machine_entry`] adds the machine.
     fn restore_images(&mut self, replica: &Replica) {
         for part in replica.images.values() {
             for (machine, held) in &part.value.held {
@@ -45,7 +46,9 @@
         }
     }
 
-    /// Restores a group and its placements, and adds their tasks to `placed`.
+    /// Restores a group and its placements, and adds the placed tasks to `placed`. If the store has two
+    /// placements of a task on the same machine, the one read first is kept, and the other is marked for
+    /// removal from its group.
     fn restore_placement_group(
         &mut self,
         number: u32,
@@ -58,6 +61,7 @@
             let id = TaskId::new(stored.job_id(), stored.index);
             let machine: MachineName = stored.machine.into();
             let attempt = AttemptId::new(id.clone(), stored.attempt);
+            // The additional byte is the space that separates the texts of two placements.
             let bytes = attempt.stored_text(stored.machine).unwrap_or_default().len() + 1;
             group.insert(attempt.clone(), machine.clone(), bytes);
             if self.restore_placement(&machine, &id, stored.attempt, number, now) {
@@ -91,6 +95,8 @@
         true
     }
 
+    /// Restores which chunks of the bitmaps of live jobs a group holds. [`Replica::done_bitmap`] reads the
+    /// bitmaps themselves.
     fn restore_done_group(&mut self, number: u32, record: &Versioned<DoneTasksRecord>) {
         let mut group = DoneTasksGroup::new(record.mod_revision);
         for (id, chunk) in record.value.bits.keys().filter_map(|name| parse_chunk_name(name)) {
--- a/src/storage/cluster/tests.rs
+++ b/src/storage/cluster/tests.rs
@@ -9,7 +9,7 @@
 use crate::storage::testing::batch_of;
 
 #[test]
-fn enough_missed_response_signs_make_a_machine_unreachable_and_a_delivery_ends_it() {
+fn missed_response_signs_make_a_machine_unreachable_until_they_stop() {
     let mut machine = Machine::new("n-a".into(), 0);
     assert!(!machine.record_response_delivery(1, false, 1_000, 20_000));
     assert!(
--- a/src/storage/done_tasks_group.rs
+++ b/src/storage/done_tasks_group.rs
@@ -8,9 +8,9 @@
 pub struct DoneTasksGroup {
     /// Revision of its key.
     pub mod_revision: u64,
-    /// Maximum size in bytes of each chunk, by job and chunk number.
+    /// Upper bound of the size of each chunk in bytes, by job and chunk number.
     pub chunks: BTreeMap<(JobId, u32), usize>,
-    /// Maximum size of the value in bytes.
+    /// Upper bound of the size in bytes of all chunks in the stored value: the sum over `chunks`.
     pub bytes: usize,
     /// Whether it has changed since it was stored.
     pub dirty: bool,
--- a/src/storage/gangs.rs
+++ b/src/storage/gangs.rs
@@ -10,7 +10,7 @@
 /// State of a gang, in addition to that of any job.
 #[derive(Debug, Clone, Default)]
 pub struct GangState {
-    /// Whether a task of the present attempt was seen running. Then all its tasks have started.
+    /// Whether a task of the present attempt was seen running. Then all tasks of the attempt have started.
     pub running: bool,
     /// Number of attempts placed since one was last seen running.
     pub attempts: u32,
--- a/src/storage/hashing.rs
+++ b/src/storage/hashing.rs
@@ -15,7 +15,8 @@
 /// A hash set with a repeatable iteration order.
 pub type HashSet<T> = std::collections::HashSet<T, HashKeys>;
 
-/// Separates the random numbers for the hash keys from the controller's others, which have the same seed.
+/// XORed with the controller's seed, so that the hash keys are independent of the other random numbers
+/// that the controller draws from the same seed.
 const HASH_KEY_SEED_MASK: u64 = 0x6861_7368_2d6b_6579;
 
 /// Keys of SipHash-1-3, the hash function that `std` uses. There is deliberately no `Default`, so that
--- a/src/storage/limits.rs
+++ b/src/storage/limits.rs
@@ -7,7 +7,7 @@
 use crate::constants::{STORE_VALUE_BYTES_MIN, TRANSACTION_OPS_MIN};
 use crate::settings::StateLimits;
 
-/// The limits to respect.
+/// The limits of the state service that transactions and requests must respect at present.
 #[derive(Debug, Clone)]
 pub struct StoreLimits {
     /// Maximum size of a value in bytes.
--- a/src/storage/machine.rs
+++ b/src/storage/machine.rs
@@ -129,7 +129,7 @@
     }
 
     /// The stored form of a placement of this attempt on a machine; `None` if the job id or the
-    /// machine's name has none.
+    /// machine's name can't be written in that form.
     pub fn stored_text(&self, machine: &str) -> Option<String> {
         StoredPlacement::text(&self.task.job, self.task.index, machine, self.number)
     }
@@ -157,7 +157,7 @@
     Terminated,
 }
 
-/// A machine.
+/// A machine as the leader of a term knows it.
 #[derive(Debug, Clone)]
 pub struct Machine {
     /// Name of the machine.
@@ -170,7 +170,7 @@
     pub spot: bool,
     /// Total resources.
     pub total: Resources,
-    /// Its state.
+    /// Its state between rental and deletion.
     pub state: MachineState,
     /// When it was rented, as far as known.
     pub rented_at: u64,
@@ -277,9 +277,10 @@
         self.placements.is_empty() && self.unknown_tasks.is_empty()
     }
 
-    /// Records new signs that responses do not reach the worker, or that one was `delivered`. Enough
-    /// consecutive signs make the machine unreachable. A delivered response, or no further sign for
-    /// `reset_after_ms`, ends that. Returns whether the machine has just become unreachable.
+    /// Records the number of new signs that responses do not reach the worker, or that a response was
+    /// `delivered`. After enough consecutive signs the machine is considered unreachable, until a response
+    /// is delivered or no further sign is found for `reset_after_ms`. Returns whether the machine has just
+    /// become unreachable.
     pub fn record_response_delivery(
         &mut self,
         missed_response_signs: u32,
--- a/src/storage/placement_group.rs
+++ b/src/storage/placement_group.rs
@@ -9,7 +9,7 @@
 pub struct GroupedPlacement {
     /// Its machine.
     pub machine: MachineName,
-    /// Size of its text in the value, in bytes.
+    /// Size in bytes of its text in the value, including the space that separates it from the next one.
     pub bytes: usize,
 }
 
@@ -20,7 +20,7 @@
     pub mod_revision: u64,
     /// The stored placements, by attempt.
     pub placements: BTreeMap<AttemptId, GroupedPlacement>,
-    /// Size of the value in bytes.
+    /// Size in bytes of all placements in the stored value, without the JSON around them.
     pub bytes: usize,
     /// Settled placements, to be removed from the store.
     pub settled: BTreeSet<AttemptId>,
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -2,8 +2,8 @@
 //!
 //! Responses overlap and may arrive out of order. Each has all changes after the revision that its
 //! request named, so changes up to the revision of the replica are already applied and are skipped. The
-//! controller's own transactions are applied at once, before the watch has them. Keys that they removed are
-//! remembered until the replica has reached the revision of the removal.
+//! controller's own transactions are applied at once, before the watch reports them. Keys that such a
+//! transaction removed are remembered until the replica has reached the revision of the removal.
 
 mod changes;
 
@@ -61,7 +61,8 @@
     pub images: BTreeMap<u32, Versioned<ImagesRecord>>,
     /// Number of stored placements by job, for the status that users poll.
     placed_counts: HashMap<JobId, u32>,
-    /// Keys that own transactions removed, with the revision of the removal, until the watch has it.
+    /// Keys that the controller's own transactions removed, with the revision of the removal, until the
+    /// replica has reached that revision.
     removed_keys: HashMap<String, u64>,
     /// The first key found that belongs to a layout that this program can't read.
     pub foreign_layout_key: Option<String>,
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Whether a key that only leaders write has this value. Compares only the stage of a job's end, and
-    /// takes every catalog as equal.
+    /// Whether a key that only leaders write has this value. Of a job's end, only the stage is compared;
+    /// any two catalogs count as equal.
     pub fn has_value(&self, key: &str, data: &RawValue) -> bool {
         fn same<T: DeserializeOwned + PartialEq>(
             held: Option<&Versioned<T>>,
--- a/src/storage/replica/changes.rs
+++ b/src/storage/replica/changes.rs
@@ -39,7 +39,7 @@
 }
 
 impl Replica {
-    /// Applies an item of a page of the whole store.
+    /// Applies a key and its value from a page of a complete read of the store.
     pub fn apply_item(&mut self, item: &KeyValue) {
         self.write(&item.key, &item.value, item.mod_revision);
     }
--- a/src/storage/replica/tests.rs
+++ b/src/storage/replica/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn one() -> PlacementsRecord {
+fn one_placement() -> PlacementsRecord {
     PlacementsRecord { tasks: StoredPlacement::text("job-1", 0, "n-1", 7).expect("can be written") }
 }
 
@@ -24,7 +24,8 @@
     let mut replica = Replica::new(HashKeys::from_seed(1));
     let none = PlacementsRecord::default();
     let new = WatchResponse { revision: 9, events: vec![put(placements_key(0), &none, 8)] };
-    let old = WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] };
+    let old =
+        WatchResponse { revision: 5, events: vec![put(placements_key(0), &one_placement(), 4)] };
     replica.apply(&new);
     replica.apply(&old);
     assert_eq!(replica.placement_groups[&0].value, none);
@@ -34,12 +35,18 @@
 #[test]
 fn a_key_removed_ahead_of_the_watch_does_not_come_back() {
     let mut replica = Replica::new(HashKeys::from_seed(1));
-    replica.write(&placements_key(0), &raw_json(&one()), 4);
+    replica.write(&placements_key(0), &raw_json(&one_placement()), 4);
     replica.remove(&placements_key(0), 6);
-    replica.apply(&WatchResponse { revision: 5, events: vec![put(placements_key(0), &one(), 4)] });
+    replica.apply(&WatchResponse {
+        revision: 5,
+        events: vec![put(placements_key(0), &one_placement(), 4)],
+    });
     assert!(replica.placement_groups.is_empty(), "the write at 4 is older than the removal at 6");
     assert_eq!(replica.placed_task_count("job-1"), 0);
-    replica.apply(&WatchResponse { revision: 8, events: vec![put(placements_key(0), &one(), 8)] });
+    replica.apply(&WatchResponse {
+        revision: 8,
+        events: vec![put(placements_key(0), &one_placement(), 8)],
+    });
     assert_eq!(
         (replica.placement_groups.len(), replica.placed_task_count("job-1")),
         (1, 1),
@@ -52,10 +59,10 @@
     // Guards against equal arrival numbers in two batches of one transaction: of two jobs with the same
     // number, only one would ever be placed.
     let mut replica = Replica::new(HashKeys::from_seed(1));
-    let mut two = batch_of("job-2", 1);
-    two.first = 1;
+    let mut second = batch_of("job-2", 1);
+    second.first = 1;
     replica.write(&batch_key("a"), &raw_json(&batch_of("job-1", 1)), 4);
-    replica.write(&batch_key("b"), &raw_json(&two), 4);
+    replica.write(&batch_key("b"), &raw_json(&second), 4);
     assert!(replica.jobs["job-1"].mod_revision < replica.jobs["job-2"].mod_revision);
 }
 
--- a/src/storage/reservation.rs
+++ b/src/storage/reservation.rs
@@ -1,10 +1,10 @@
 //! The planner's reservation table: running tasks of each machine with their estimated ends, and the
 //! slowdown of tasks that share a machine's bandwidth.
 //!
-//! Follows sections 3.2 and 3.3 of the paper. The estimated ends of running tasks divide a machine's
-//! time into shared windows. In each window, the penalty is the relative excess of the bandwidth demand
-//! over the capacity, and the penalized time is the penalty times the length of the window. All times
-//! are in milliseconds on the planner's clock.
+//! Follows sections 3.2 and 3.3 of the paper that [`crate::coordination::planner`] cites. The estimated
+//! ends of running tasks divide a machine's time into shared windows. In each window, the penalty is the
+//! relative excess of the bandwidth demand over the capacity, and the penalized time is the penalty times
+//! the length of the window. All times are in milliseconds on the clock of the planner's snapshot.
 
 use crate::protocol::Resources;
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The row of a machine in the table.
+/// The row of a machine in the reservation table.
 #[derive(Debug, Clone, Default)]
 pub struct ReservationRow {
     /// Resources that are free now.
@@ -50,7 +50,8 @@
     pub buckets: Vec<Bucket>,
     /// Slots that waiting tasks are expected to use.
     pub reservations: Vec<Reservation>,
-    /// The times at which resources may become free, in order: all ends of the above.
+    /// The times at which resources may become free, in ascending order: all ends that `buckets` and
+    /// `reservations` have or have had.
     pub change_times_ms: Vec<u64>,
 }
 
@@ -104,7 +105,7 @@
         self.reservations.push(Reservation { start_ms, end_ms, need });
     }
 
-    /// Changes the estimated end of a running task.
+    /// Changes the estimated end of the running task at index `bucket` of `buckets`.
     pub fn set_end(&mut self, bucket: usize, end_ms: u64) {
         self.add_change_time(end_ms);
         self.buckets[bucket].end_ms = end_ms;
--- a/src/storage/token_bucket.rs
+++ b/src/storage/token_bucket.rs
@@ -5,7 +5,7 @@
 /// Tolerance for floating-point rounding when a bucket is checked for being full.
 const ROUNDING: f64 = 1e-9;
 
-/// A token bucket that holds the tokens of one second, and at least one token.
+/// A token bucket. It holds at most the tokens of one second, or one token if that is more.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     per_s: f64,
@@ -36,10 +36,11 @@
         self.tokens = (self.tokens + elapsed_s * self.per_s).min(self.burst);
     }
 
-    /// Takes `tokens` if at least `reserve` remain after that. Returns whether it has taken them.
+    /// Takes `tokens` if at least `reserve` remain after that, or if the bucket is full. Returns whether it
+    /// has taken them.
     pub fn try_take(&mut self, tokens: f64, reserve: f64, now: u64) -> bool {
         self.refill(now);
-        // Without this, a request for more than the burst could never succeed.
+        // A full bucket always grants a request: one for more than the burst could never succeed otherwise.
         if self.tokens - tokens >= reserve || self.tokens >= self.burst - ROUNDING {
             self.tokens -= tokens;
             return true;
@@ -47,13 +48,14 @@
         false
     }
 
-    /// Number of tokens now; negative after a request for more than there were.
+    /// Number of tokens now; negative after a request for more than the bucket held.
     pub fn available(&mut self, now: u64) -> f64 {
         self.refill(now);
         self.tokens
     }
 
-    /// When so many tokens will be there if none are taken before, rounded up to whole milliseconds.
+    /// When the bucket will hold `tokens`, or be full, if none are taken before; rounded up to whole
+    /// milliseconds.
     pub fn available_at(&self, tokens: f64) -> u64 {
         let missing = (tokens.min(self.burst) - self.tokens).max(0.0);
         self.refilled_at_ms.saturating_add((missing / self.per_s * MS_PER_S).ceil() as u64)
@@ -64,8 +66,8 @@
         self.burst
     }
 
-    /// Removes all tokens, after the service has rejected a request because of its rate: it counts more
-    /// requests than this bucket.
+    /// Removes all tokens, after the service has rejected a request because of its rate: evidently the
+    /// service has counted more requests than this bucket.
     pub fn drain(&mut self, now: u64) {
         self.refill(now);
         self.tokens = self.tokens.min(0.0);
