--- a/crates/mountgap-records/src/constants.rs
+++ b/crates/mountgap-records/src/constants.rs
@@ -6,8 +6,8 @@
 /// controller that finds keys of a version that it can't read logs that and serves no requests.
 pub const KEY_ROOT: &str = "mg/2/";
 
-/// Tasks in one stored chunk of a bitmap of done tasks. Its text form takes a quarter as many bytes,
-/// which is well below the smallest value size limit that a state service has had.
+/// Tasks in one stored chunk of a bitmap of done tasks. The text form of a chunk takes 1,024 bytes, which
+/// is well below the smallest value size limit that a state service has had.
 pub const DONE_CHUNK_TASKS: u32 = 4_096;
 /// The key of the last rebuild. It doesn't start with [`KEY_ROOT`], so that a program version without
 /// support for rebuilds takes it for a key of another layout and serves no requests.
--- a/crates/mountgap-records/src/job.rs
+++ b/crates/mountgap-records/src/job.rs
@@ -32,7 +32,7 @@
     Gang,
 }
 
-/// Priority, highest first.
+/// Priority of a job. The highest priority is the first variant and compares as the least.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
--- a/crates/mountgap-records/src/records.rs
+++ b/crates/mountgap-records/src/records.rs
@@ -25,7 +25,7 @@
 /// The present leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Name of the controller.
+    /// Label of the controller.
     pub label: String,
     /// Random number that identifies its process.
     pub incarnation: u64,
@@ -112,7 +112,7 @@
     Live,
     /// All tasks are done.
     Done,
-    /// Its user has cancelled the job.
+    /// The job was cancelled by its user or given up by an operator.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -126,8 +126,9 @@
 pub struct BatchRecord {
     /// Wall-clock time of the acceptance, in milliseconds.
     pub at: u64,
-    /// Index of its first job among all jobs that the same transaction accepted. Batches of one transaction
-    /// have the same revision, and no two jobs may have the same arrival number.
+    /// Index of its first job among all jobs that the same transaction accepted. An arrival number consists
+    /// of a revision and this index: batches of one transaction have the same revision, and no two jobs may
+    /// have the same arrival number.
     #[serde(default)]
     pub first: u64,
     /// The jobs as submitted.
@@ -137,11 +138,12 @@
 /// How a job ended.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobEndRecord {
-    /// Wall-clock time of the acceptance, in milliseconds.
+    /// Wall-clock time of the acceptance, in milliseconds; of the cancellation if the controller that
+    /// cancelled the job did not know it.
     pub at: u64,
     /// Whether it is done or cancelled.
     pub stage: JobStage,
-    /// Number of its tasks.
+    /// Number of its tasks; 0 if the controller that cancelled the job did not know it.
     #[serde(rename = "loads")]
     pub tasks: u32,
     /// Number of tasks that were done.
@@ -186,7 +188,7 @@
 /// Images in the caches of machines. They are hints for a new leader and are written rarely.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ImagesRecord {
-    /// Name and size of each image.
+    /// Name of each image, and its size in gigabytes.
     #[serde(rename = "kits")]
     pub images: Vec<(String, f64)>,
     /// Cached images by machine, as indices into the list of images; the newest comes last.
@@ -198,7 +200,7 @@
 pub struct SharesRecord {
     /// The term in which they were stored.
     pub term: u64,
-    /// Each team with its thousandths.
+    /// Name of each team, and its share in thousandths.
     pub teams: Vec<(String, i64)>,
 }
 
--- a/crates/mountgap-records/src/records/bitmap.rs
+++ b/crates/mountgap-records/src/records/bitmap.rs
@@ -39,7 +39,8 @@
         self.words.iter().map(|bits| bits.count_ones()).sum()
     }
 
-    /// Hexadecimal text of one chunk, without the trailing words that the set never needed.
+    /// Hexadecimal text of one chunk. It ends at the last word that the bitmap has, so the text of the last
+    /// chunk can be shorter than that of a full chunk.
     pub fn chunk_text(&self, chunk: u32) -> String {
         let start = (chunk as usize * CHUNK_WORDS).min(self.words.len());
         let end = (start + CHUNK_WORDS).min(self.words.len());
--- a/crates/mountgap-records/src/records/keys.rs
+++ b/crates/mountgap-records/src/records/keys.rs
@@ -30,13 +30,13 @@
 /// The key of a batch of gangs that were accepted together. Its value never changes.
 ///
 /// Gangs have batches of their own because a program version without gangs can't parse a batch with a
-/// job of an unknown kind, and would lose all other jobs of that batch. It ignores keys of unknown kinds.
+/// job of an unknown kind, and would lose all other jobs of that batch. Keys of an unknown kind it ignores.
 pub fn gang_batch_key(id: &str) -> String {
     format!("{KEY_ROOT}gangs/{id}")
 }
 
-/// The key of a job's end. It exists only if the job is done or cancelled. The end may be in a group that
-/// a rebuild has written instead.
+/// The key of a job's end. It exists only if the job is done or cancelled. An end that a rebuild has
+/// written may be in a group instead, see [`job_end_group_key`].
 pub fn job_end_key(job_id: &str) -> String {
     format!("{KEY_ROOT}end/{job_id}")
 }
@@ -61,7 +61,8 @@
     format!("{KEY_ROOT}store")
 }
 
-/// The key of a group of job ends, written by a rebuild: with one write per end it would take hours.
+/// The key of a group of job ends. Only a rebuild writes such groups: with one write for each end, the
+/// rebuild would take hours.
 pub fn job_end_group_key(group: u32) -> String {
     format!("{KEY_ROOT}ends/{group:05}")
 }
--- a/crates/mountgap-records/src/records/placement.rs
+++ b/crates/mountgap-records/src/records/placement.rs
@@ -47,7 +47,8 @@
         Some(StoredPlacement { job_digits, index: index.parse().ok()?, machine, attempt })
     }
 
-    /// The text form; `None` if the job id or the machine's name has none.
+    /// The text form; `None` if the job id lacks its prefix, or if the machine's name has characters that the
+    /// text form doesn't allow.
     pub fn text(job_id: &str, index: u32, machine: &str, attempt: u64) -> Option<String> {
         let job_digits = job_id.strip_prefix(JOB_ID_PREFIX)?;
         if !machine.bytes().all(is_allowed_in_text) {
--- a/crates/mountgap-recovery/src/audit.rs
+++ b/crates/mountgap-recovery/src/audit.rs
@@ -1,7 +1,8 @@
-//! Checks whether a store that is read again can be the continuation of one that was read before.
+//! Checks whether a store that is read again can be the same store as before, without a data loss.
 //!
-//! In a store that has lost nothing the identity stays, the revision and those of the keys never
-//! decrease, ends of jobs are kept forever, and an accepted job is kept until it has ended. A store
+//! In a store that has lost nothing the identity stays the same, neither the revision of the store nor
+//! that of a key ever decreases, ends of jobs are kept forever, and an accepted job is kept until it
+//! has ended. A store
 //! that was emptied or restored from a backup violates one of these rules, even if its revisions
 //! have grown past the old ones since.
 
@@ -91,7 +92,8 @@
         check_known_key(key, value, observed, &ended)?;
     }
     for (key, value) in observed.iter() {
-        // The known image holds every value up to its revision, with the same revision as observed.
+        // The known image is complete up to its revision, so it must have each observed value that is
+        // not newer, with the same revision.
         let is_old = value.mod_revision <= known.revision();
         if is_old && known.mod_revision(key) != value.mod_revision {
             return Err(DataLoss::KeyMismatch { key: key.to_string() });
--- a/crates/mountgap-recovery/src/constants.rs
+++ b/crates/mountgap-recovery/src/constants.rs
@@ -18,7 +18,7 @@
 pub const CONDITIONS_PER_CHANGE: usize = 4;
 
 /// Bytes of a transaction's changes: the protocol's 64 KiB minus a reserve for conditions and
-/// names.
+/// the names of JSON fields.
 pub const TRANSACTION_BYTES_MAX: usize = 48 * 1024;
 
 /// Maximum size of a decompressed snapshot in bytes. A hundred thousand tasks take about 10 MB; the
--- a/crates/mountgap-recovery/src/image.rs
+++ b/crates/mountgap-recovery/src/image.rs
@@ -109,8 +109,8 @@
         self.removed.iter().map(|(key, mod_revision)| (key, *mod_revision))
     }
 
-    /// Sets a value, unless the image has one at least as new or knows that the key was
-    /// removed since.
+    /// Sets a value, unless the image has a value that is at least as new, or a removal of the key at
+    /// this revision or a later one.
     pub fn put(&mut self, key: &str, mod_revision: u64, data: &str) {
         let newer = self.mod_revision(key) < mod_revision;
         let removed_since =
@@ -134,7 +134,7 @@
     }
 
     /// Removes a key as of a revision, unless its value is newer. A removal after the image's
-    /// revision is remembered until the image is complete up to it.
+    /// revision is remembered until the image is complete up to the removal.
     pub fn remove(&mut self, key: &str, mod_revision: u64) {
         if self.values.get(key).is_some_and(|value| value.mod_revision < mod_revision) {
             self.values.remove(key);
--- a/crates/mountgap-recovery/src/merged_state.rs
+++ b/crates/mountgap-recovery/src/merged_state.rs
@@ -45,7 +45,7 @@
     pub batches: BTreeMap<String, AcceptedBatch>,
     /// Ends by job.
     pub ends: BTreeMap<String, JobEndRecord>,
-    /// Done tasks by job: by the number of the chunk, its bitmap as stored text.
+    /// Done tasks by job and by number of the chunk: the bitmap of the chunk as stored text.
     pub done: BTreeMap<String, BTreeMap<u32, String>>,
     /// Placements by job and task.
     pub placements: BTreeMap<(String, u32), PlacedTask>,
@@ -159,9 +159,9 @@
         self.unreadable.extend(other.unreadable.iter().cloned());
     }
 
-    /// Adds a batch. A batch never changes once it is written; should two with the same key differ,
-    /// the one whose jobs are the larger text is kept, so that the result doesn't depend on the
-    /// order.
+    /// Adds a batch. A batch never changes once it is written. If two batches with the same key differ
+    /// nevertheless, the one whose jobs are the greater text is kept, so that the result doesn't depend
+    /// on the order of the calls.
     fn add_batch(&mut self, key: &str, batch: AcceptedBatch) {
         let jobs_text =
             |record: &BatchRecord| serde_json::to_string(&record.jobs).unwrap_or_default();
@@ -225,7 +225,7 @@
     }
 
     /// Adds a catalog. Catalogs differ in prices, hardly in machine types, so either of two will do
-    /// as long as the choice doesn't depend on the order.
+    /// as long as the choice doesn't depend on the order of the calls.
     fn add_catalog(&mut self, catalog: &str) {
         if self.catalog.as_deref().is_none_or(|known| known < catalog) {
             self.catalog = Some(catalog.to_string());
@@ -244,7 +244,7 @@
     }
 
     /// Flags every job that has not ended. Used when a source is missing that may have confirmed
-    /// the end of any of them to its user.
+    /// the end of any of these jobs to its user.
     pub fn flag_live_jobs(&mut self, reason: FlagReason) {
         let live: Vec<String> = self.live_jobs().map(str::to_string).collect();
         live.iter().for_each(|job| self.add_flag(job, reason));
@@ -252,7 +252,7 @@
 
     /// Removes what is no longer needed: batches whose jobs have all ended and have no placements
     /// left, done tasks and flags of ended jobs, and placements of jobs that no batch contains.
-    /// Tasks of the latter show up in the workers' heartbeats and are left running.
+    /// Tasks of such unknown jobs are listed in the workers' heartbeats and are left running.
     pub fn remove_obsolete(&mut self) {
         let placed: BTreeSet<&str> = self.placements.keys().map(|(job, _)| job.as_str()).collect();
         let is_finished = |job: &str| self.ends.contains_key(job) && !placed.contains(job);
--- a/crates/mountgap-recovery/src/write_back.rs
+++ b/crates/mountgap-recovery/src/write_back.rs
@@ -1,9 +1,9 @@
 //! Plans the write-back of a merged state into the store, in conditional transactions of limited
 //! size.
 //!
-//! The values that the store should hold are computed once ([`DesiredState`]); each transaction
-//! writes the first of those that the store still lacks, and the last ones remove obsolete keys. So
-//! a rebuild can be interrupted at any point, and the controller that continues it finds the
+//! The values that the store should hold are computed once ([`DesiredState`]). Each transaction
+//! writes the next values that the store still lacks, as many as fit, and the last transactions
+//! remove obsolete keys. So a rebuild can be interrupted at any point, and the controller that continues it finds the
 //! remaining work by reading the store. Each change has the revision of its key as a condition.
 
 use crate::constants::{TRANSACTION_BYTES_MAX, VALUE_OVERHEAD_BYTES};
@@ -20,14 +20,13 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Jobs that one transaction can give distinct arrival numbers.
+/// Number of jobs to which one transaction can assign distinct arrival numbers.
 const ARRIVAL_NUMBERS_PER_TRANSACTION: usize = 1 << 8;
 
 /// Bytes of an entry's quotes, colon and comma in a JSON object.
 const ENTRY_OVERHEAD_BYTES: usize = 4;
 
-/// Bytes of an entry's quotes, colon and comma in a JSON object if its value is a string, whose quotes
-/// are included.
+/// Bytes of an entry's quotes, colon and comma in a JSON object, the quotes of a string value included.
 const STRING_ENTRY_OVERHEAD_BYTES: usize = ENTRY_OVERHEAD_BYTES + 2;
 
 /// Limits of the state service.
@@ -334,8 +333,8 @@
     }
 }
 
-/// Whether two texts are the same JSON value. The state service may store a value with another
-/// layout or another notation of numbers than it was written with.
+/// Whether two texts are the same JSON value. The state service may store a value with other
+/// whitespace, order of fields or notation of numbers than it was written with.
 fn is_same_json_text(one: &str, other: &str) -> bool {
     let read = |text: &str| serde_json::from_str::<Value>(text).ok();
     one == other
