--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -29,7 +29,7 @@
     /// Number of workers whose heartbeats reached the sender within the last two heartbeat periods.
     pub workers_seen: u32,
     /// Milliseconds since the sender last extended a worker's lease on behalf of the leader. If this
-    /// process never did, milliseconds since its start, as the process before it may have.
+    /// process never did, milliseconds since its start, since the previous process may have done so until then.
     #[serde(rename = "stood_in_ago_ms")]
     pub extended_lease_ago_ms: u64,
     /// Set by a leader that can't read the store: it asks which jobs have ended after this revision, the
@@ -41,7 +41,7 @@
     #[serde(default)]
     pub ended: Vec<String>,
     /// In the response to such a query: whether `ended` lists all ended jobs that the sender knows of, and
-    /// thus all whose end it can have confirmed to a user.
+    /// thus all jobs whose end it can have confirmed to a user.
     #[serde(default)]
     pub ended_all: bool,
     /// Identity of the store that the sender reads, or that it read before a data loss; absent if unknown
@@ -102,8 +102,8 @@
     pub revision: u64,
     /// Keys with the revisions of their last changes and their values, sorted by key.
     pub values: Vec<(String, u64, String)>,
-    /// Removed keys with the revisions of their removals, as far as these are above `revision`; on the
-    /// first page only.
+    /// Keys that were removed after `revision`, with the revisions of their removals; on the first page
+    /// only.
     pub removed: Vec<(String, u64)>,
     /// Whether this is the last page.
     pub last: bool,
--- a/src/protocol/recovery.rs
+++ b/src/protocol/recovery.rs
@@ -13,7 +13,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
-    /// The jobs continue in their last known state. For all jobs this also closes the history gap.
+    /// The jobs continue in their last known state. If the decision applies to all jobs, it also closes the
+    /// history gap.
     Release,
     /// The jobs are cancelled.
     GiveUp,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -135,7 +135,7 @@
     pub fn complete_within(&self, deadline_s: Option<f64>, run_s: f64) -> Option<f64> {
         match self.kind.as_str() {
             "finished" => self.within_s,
-            // The last task must have started within that time, and then it runs.
+            // The last task must have started within `within_s`, and then it runs for `run_s`.
             "wait" => self.within_s.map(|within_s| within_s + run_s),
             "deadline" => deadline_s.map(|deadline_s| deadline_s * self.times.unwrap_or(1.0)),
             _ => None,
@@ -148,15 +148,15 @@
 pub struct Workers {
     /// Seconds between two heartbeats of a worker.
     pub report_s: f64,
-    /// Length of a worker's lease in seconds: a worker that gets no response for so long kills its tasks.
+    /// Length of a worker's lease in seconds: a worker that gets no response for that time kills its tasks.
     pub lease_s: f64,
     /// Seconds after the cancellation of a job within which its tasks must have ended.
     pub cancel_s: f64,
     /// Seconds for which a task of a gang waits for the other tasks of its attempt; 0: unknown.
     #[serde(default)]
     pub gang_wait_s: f64,
-    /// Seconds after which the tasks of a gang fail once another one is gone. To save their progress, all
-    /// of them have to be told to stop within that time. 0: unknown.
+    /// Seconds after which the other tasks of a gang fail once one of its tasks is gone. They can save their
+    /// progress only if all of them are told to stop within that time. 0: unknown.
     #[serde(default)]
     pub gang_peer_s: f64,
 }
--- a/src/snapshots.rs
+++ b/src/snapshots.rs
@@ -1,8 +1,8 @@
 //! Snapshots of the store's image in a directory: written by a background thread, read at startup.
 //!
-//! A thread of its own encodes and writes them, since the disk may be slow. The event loop hands it an
-//! immutable copy of the image, which takes constant time. A full or unwritable directory causes an
-//! error in the log and in the status, and nothing else.
+//! The background thread encodes and writes the snapshots, since the disk may be slow. The event loop hands
+//! it an immutable copy of the image, which takes constant time. A full disk or an unwritable directory
+//! causes an error in the log and in the status, and nothing else.
 
 use crate::settings::{Platform, SnapshotSettings};
 use mountgap_recovery::image::StoreImage;
@@ -25,7 +25,7 @@
 /// The result of the last snapshot, as operators see it in the status.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct SnapshotStatus {
-    /// Time of day at which the last successful one was taken, in milliseconds.
+    /// Time of day at which the image of the last successful snapshot was taken, in milliseconds.
     pub taken_at: Option<u64>,
     /// Revision of its image.
     pub revision: u64,
@@ -38,7 +38,7 @@
 /// A request to the writer thread to write an image.
 struct SnapshotRequest {
     image: StoreImage,
-    /// Time of day at which it was taken, in milliseconds.
+    /// Time of day at which the image was taken, in milliseconds.
     taken_at: u64,
 }
 
@@ -173,8 +173,8 @@
         self.newest_first()?.into_iter().skip(self.kept).try_for_each(fs::remove_file)
     }
 
-    /// The newest snapshot that is intact, of this deployment and not from the future. Rejected ones are
-    /// logged with the reason.
+    /// The newest snapshot that is intact, of this deployment and not from the future; `wall_ms` is the time
+    /// of day in milliseconds. Rejected snapshots are logged with the reason.
     pub fn read_newest(&self, wall_ms: u64) -> Option<(SnapshotHeader, StoreImage)> {
         let files = match self.newest_first() {
             Ok(files) => files,
--- a/src/transport/connection.rs
+++ b/src/transport/connection.rs
@@ -132,7 +132,7 @@
     }
 
     /// Reads the available input, using `scratch` as the read buffer. Also fails if the input grows beyond
-    /// the size limit of every message.
+    /// the size limit of the largest message.
     pub(super) fn read_input(
         &mut self,
         scratch: &mut [u8],
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -1,4 +1,4 @@
-//! Types exchanged between the transport and its user.
+//! Types exchanged between the transport and its caller.
 
 use super::http;
 
--- a/src/transport/net.rs
+++ b/src/transport/net.rs
@@ -27,7 +27,8 @@
     next_key: ConnectionKey,
     pub(super) inbound: HashMap<ConnectionId, ConnectionKey>,
     pub(super) next_connection_id: ConnectionId,
-    /// Number of inbound connections from which on new ones of users and workers are dropped.
+    /// Maximum number of inbound connections; once it is reached, new connections of users and workers are
+    /// dropped.
     pub(super) inbound_max: usize,
     pub(super) destinations: Vec<Destination>,
     pub(super) next_sweep_at: Instant,
