--- a/crates/mountgap-recovery/src/write_back.rs
+++ b/crates/mountgap-recovery/src/write_back.rs
@@ -3,8 +3,9 @@
 //!
 //! The values that the store should hold are computed once ([`DesiredState`]). Each transaction
 //! writes the next values that the store still lacks, as many as fit, and the last transactions
-//! remove obsolete keys. So a rebuild can be interrupted at any point, and the controller that continues it finds the
-//! remaining work by reading the store. Each change has the revision of its key as a condition.
+//! remove obsolete keys. So a rebuild can be interrupted at any point, and the controller that
+//! continues it finds the remaining work by reading the store. Each change has the revision of its
+//! key as a condition.
 
 use crate::constants::{TRANSACTION_BYTES_MAX, VALUE_OVERHEAD_BYTES};
 use crate::image::{StoreId, StoreImage};
--- a/src/storage/cluster/adoption.rs
+++ b/src/storage/cluster/adoption.rs
@@ -104,8 +104,8 @@
     }
 
     /// Settles a committed placement on `machine` if `attempt`, which runs without a known placement, is a
-    /// later attempt of the same task. Attempt numbers increase, and an attempt is placed only once the settlement of the
-    /// previous one is committed, so a later attempt proves that the earlier one is over.
+    /// later attempt of the same task. Attempt numbers increase, and an attempt is placed only once the
+    /// settlement of the previous one is committed, so a later attempt proves that the earlier one is over.
     fn settle_earlier_attempt(&mut self, machine: &MachineName, attempt: &AttemptId) -> Adoption {
         let id = &attempt.task;
         let is_earlier = self.placement(machine, id).is_some_and(|placement| {
