--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -29,7 +29,7 @@
     /// Number of workers whose heartbeats reached the sender within the last two heartbeat periods.
     pub workers_seen: u32,
     /// Milliseconds since the sender last extended a worker's lease on behalf of the leader. If this
-    /// process never did, milliseconds since its start, since the previous process may have done so until then.
+    /// process never did, milliseconds since its start: the previous process may have done so until then.
     #[serde(rename = "stood_in_ago_ms")]
     pub extended_lease_ago_ms: u64,
     /// Set by a leader that can't read the store: it asks which jobs have ended after this revision, the
