--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn peers_name_a_thousand_ended_jobs_in_one_message_and_with_more_leases_expire() {
+fn a_refused_leader_renews_leases_only_if_peers_can_name_all_ended_jobs() {
     // A response names up to 4,096 jobs that ended. With more, a peer doesn't prove that no other job has ended,
     // and the leader, which can't read the store, renews no leases.
     for (ended_jobs, tasks_kept) in [(1_000, 3), (5_000, 0)] {
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn a_leader_crash_leaves_tasks_on_unreachable_machines_to_their_leases() {
+fn no_task_runs_twice_after_a_leader_crash_with_all_machines_unreachable() {
     for seed in SEEDS {
         for only_responses_lost in [false, true] {
             let mut sim = running_cluster(seed);
--- a/tests/encodings.rs
+++ b/tests/encodings.rs
@@ -25,7 +25,7 @@
 const SUBMISSION: &str = r#"{"uid":"job-000412","duty":"train","crew":"vision","shape":"batch","rank":"high","loads":16,"cores":8.0,"gpus":1.0,"ram_gb":64.0,"kit":"img-07","size_gb":6.2,"builds":["g8"],"yard":"a","together":true,"apart":false,"lendables":true,"run_guess_s":240.0,"mark_every_s":30.0,"mark_cost_s":4.0,"due_s":900.0}"#;
 
 #[test]
-fn keys_of_the_store() {
+fn store_keys_are_unchanged() {
     assert_eq!(records::leader_key(), "mg/2/leader");
     assert_eq!(records::term_key(), "mg/2/term");
     assert_eq!(records::catalog_key(), "mg/2/catalog");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn records_of_the_store() {
+fn store_records_keep_their_encoding() {
     json::<records::LeaderRecord>(
         r#"{"label":"stead-0","incarnation":18446744073709551615,"term":7}"#,
     );
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn messages_of_users() {
+fn user_messages_keep_their_encoding() {
     json::<users::JobSpec>(SUBMISSION);
     let bare = SUBMISSION
         .replace(r#""builds":["g8"],"yard":"a","#, "")
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn messages_of_workers() {
+fn worker_messages_keep_their_encoding() {
     json::<workers::Heartbeat>(
         r#"{"stead":"n-000231","address":"10.1.0.232:9000","build":"g8","yard":"a","lendables":true,"tenure":1,"tally":88,"baton":41,"recall_s":30.5,"loads":[{"load":"job-000412/3","try":2,"status":"running","cause":null,"saved":null},{"load":"job-000398/0","try":1,"status":"ended","cause":"done","saved":true}]}"#,
     );
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn messages_of_the_cloud() {
+fn cloud_messages_keep_their_encoding() {
     json::<cloud::Catalog>(
         r#"{"builds":[{"sku":"g8","cores":96.0,"gpus":8.0,"ram_gb":768.0,"local_gb":200.0,"pull_gb_per_s":1.0,"rate":12.0,"low_price":4.5,"ready_s":45.0,"yards":["a","b"]}]}"#,
     );
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn messages_of_the_state_service() {
+fn state_service_messages_keep_their_encoding() {
     let commit = state::Transaction {
         conditions: vec![state::Condition { key: "a/b".into(), mod_revision: 0 }],
         writes: vec![
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn messages_between_controllers() {
+fn peer_messages_keep_their_encoding() {
     cbor::<peers::Gossip>(
         "ad6776657273696f6e02656c6162656c6773746561642d306b696e6361726e6174696f6e1bffffff
          ffffffffff647465726d07656c65616473f5676d61785f7265761901af666167655f6d731913886d
@@ -164,7 +164,7 @@
 
 /// Encodings that were added for gangs. Versions without gangs read every literal above and none of these.
 #[test]
-fn encodings_added_for_gangs() {
+fn gang_records_and_messages_keep_their_encoding() {
     assert_eq!(records::gang_batch_key("00ab-1-0-0"), "mg/2/gangs/00ab-1-0-0");
     let gang = SUBMISSION.replace("batch", "ensemble");
     json::<users::JobSpec>(&gang);
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_gang_with_a_hung_machine_completes() {
+fn a_gang_with_a_hung_machine_completes_within_three_attempts() {
     for (seed, hang_ms) in [(0, 3_000), (1, LEASE_MS + 4_000), (2, LEASE_MS * 3)] {
         let mut sim = simulation_with_leader(seed);
         let job_id = start_gang(&mut sim, 1, 6, 12_000);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn hundreds_of_tasks_take_several_groups_each_under_the_limit() {
+fn hundreds_of_tasks_are_stored_in_several_groups_within_limits_and_start_once() {
     let mut sim = idle_cluster();
     let mut s = sim.job_spec(1, "batch", 400);
     s["gpus"] = json!(0.0);
@@ -580,7 +580,7 @@
 }
 
 #[test]
-fn running_tasks_survive_an_outage_of_the_state_service() {
+fn during_an_outage_running_tasks_continue_and_submissions_are_refused() {
     let mut sim = cluster_with_service(2);
     let starts = sim.jobs["job-000001"].starts;
     sim.state.outage = true;
@@ -599,7 +599,7 @@
 }
 
 #[test]
-fn a_controller_refused_by_the_store_has_its_peers_answer() {
+fn a_refused_follower_answers_through_its_peers_and_a_refused_leader_is_replaced() {
     let mut sim = idle_cluster();
     let s = sim.job_spec(1, "batch", 2);
     sim.submit(s, 2_000, 0);
--- a/tests/snapshots.rs
+++ b/tests/snapshots.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_newest_intact_snapshot_is_read_and_old_ones_are_deleted() {
+fn the_newest_intact_snapshot_of_the_deployment_is_read_and_old_ones_are_deleted() {
     let directory = TestDirectory::new("newest");
     let snapshots = directory.snapshots("here");
     for n in 1..=5 {
--- a/tests/state_loss.rs
+++ b/tests/state_loss.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_first_start_on_an_empty_store_does_not_wait() {
+fn a_first_start_on_an_empty_store_elects_a_leader_without_a_rebuild() {
     let mut sim = Simulation::with_recovery(1);
     sim.run_until(8_000, "a leader", |sim| sim.leader().is_some());
     assert!(sim.state.get("mg/2/store").is_some(), "the store has an identity");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn tasks_that_no_controller_knows_are_left_running() {
+fn tasks_that_no_controller_knows_keep_running_and_rejoin_a_resubmitted_job() {
     let mut sim = simulation_with_jobs(7);
     let running = sim.running_tasks();
     sim.state.wipe();
