--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -14,10 +14,10 @@
     let mut sim = Simulation::new(seed);
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
     sim.run(3_000);
-    let s = sim.job_spec(1, "standing", 3);
-    sim.submit(s, u64::MAX, 0);
-    let s = sim.job_spec(2, "batch", 2);
-    sim.submit(s, 200_000, 1);
+    let spec = sim.job_spec(1, "standing", 3);
+    sim.submit(spec, u64::MAX, 0);
+    let spec = sim.job_spec(2, "batch", 2);
+    sim.submit(spec, 200_000, 1);
     sim.run_until(15_000, "all run", |sim| sim.running_tasks() == 5);
     sim
 }
@@ -33,8 +33,8 @@
     let other = (old + 1) % 3;
     sim.nodes[old].refused_by_state = true;
     sim.run(300);
-    let r = sim.cancel("job-000002", other);
-    sim.run_until(1_000, "confirmed", |sim| sim.response_status(r) == 200);
+    let request = sim.cancel("job-000002", other);
+    sim.run_until(1_000, "confirmed", |sim| sim.response_status(request) == 200);
     sim.state.outage = true;
     old
 }
@@ -51,8 +51,8 @@
     let end = sim.now + 20_000;
     while sim.jobs.get(&job_id).is_none_or(|j| j.accepted_at.is_none()) {
         assert!(sim.now < end, "{job_id} is not accepted: {}", sim.describe());
-        let s = sim.job_spec(n, shape, tasks);
-        sim.submit(s, run_ms, n as usize % 3);
+        let spec = sim.job_spec(n, shape, tasks);
+        sim.submit(spec, run_ms, n as usize % 3);
         sim.run(1_000);
     }
 }
@@ -97,8 +97,8 @@
         for n in 0..ended_jobs {
             sim.state.put(&format!("mg/2/end/job-{:06}", 500_000 + n), end_record.clone());
         }
-        let r = sim.cancel("job-000002", (old + 1) % 3);
-        sim.run_until(1_500, "confirmed", |sim| sim.response_status(r) == 200);
+        let request = sim.cancel("job-000002", (old + 1) % 3);
+        sim.run_until(1_500, "confirmed", |sim| sim.response_status(request) == 200);
         sim.run(100);
         sim.state.outage = true;
         sim.run(CANCEL_MS + 5_000);
@@ -167,8 +167,8 @@
         sim.nodes[old].refused_by_state = true;
         sim.end_outage();
         sim.run(1_000);
-        let r = sim.cancel("job-000002", other);
-        sim.run_until(1_000, "confirmed", |sim| sim.response_status(r) == 200);
+        let request = sim.cancel("job-000002", other);
+        sim.run_until(1_000, "confirmed", |sim| sim.response_status(request) == 200);
         sim.state.outage = true;
         sim.run(CANCEL_MS + 5_000);
         sim.nodes[old].partitioned_from_peers = false;
@@ -184,9 +184,9 @@
         let old = sim.leader().expect("a leader");
         // No heartbeat arrives between the placement and the cancellation.
         sim.workers.values_mut().for_each(|w| w.heartbeats_lost = true);
-        let s = sim.job_spec(4, "batch", 2);
-        let r = sim.submit(s, 5_000, old);
-        sim.run_until(1_000, "accepted", |sim| sim.response_status(r) == 201);
+        let spec = sim.job_spec(4, "batch", 2);
+        let request = sim.submit(spec, 5_000, old);
+        sim.run_until(1_000, "accepted", |sim| sim.response_status(request) == 201);
         sim.run_until(2_000, "placed", |sim| {
             sim.state
                 .entries_under("mg/2/place/")
@@ -195,8 +195,8 @@
         });
         sim.nodes[old].refused_by_state = true;
         sim.nodes[old].partitioned_from_peers = true;
-        let r = sim.cancel("job-000004", (old + 1) % 3);
-        sim.run_until(500, "confirmed", |sim| sim.response_status(r) == 200);
+        let request = sim.cancel("job-000004", (old + 1) % 3);
+        sim.run_until(500, "confirmed", |sim| sim.response_status(request) == 200);
         sim.state.outage = true;
         sim.run(2_500);
         for w in sim.workers.values_mut() {
@@ -209,8 +209,8 @@
         sim.nodes[old].partitioned_from_peers = false;
         restore_state_service(&mut sim, old);
         sim.run(5_000);
-        let r = sim.cancel("job-000002", 0);
-        sim.run_until(5_000, "confirmed", |sim| sim.response_status(r) == 200);
+        let request = sim.cancel("job-000002", 0);
+        sim.run_until(5_000, "confirmed", |sim| sim.response_status(request) == 200);
         assert_serves_jobs(&mut sim);
     }
 }
@@ -219,9 +219,9 @@
 fn stored_placements_start_in_an_outage_while_all_peers_answer() {
     let mut sim = running_cluster(1);
     sim.workers.values_mut().for_each(|w| w.heartbeats_lost = true);
-    let s = sim.job_spec(4, "batch", 2);
-    let r = sim.submit(s, 5_000, 0);
-    sim.run_until(1_000, "accepted", |sim| sim.response_status(r) == 201);
+    let spec = sim.job_spec(4, "batch", 2);
+    let request = sim.submit(spec, 5_000, 0);
+    sim.run_until(1_000, "accepted", |sim| sim.response_status(request) == 201);
     sim.run_until(2_000, "placed", |sim| {
         sim.state
             .entries_under("mg/2/place/")
@@ -261,8 +261,8 @@
         sim.state.commit_response_delay_ms = 900;
         sim.state.watches_stalled = true;
         for n in 10..14 {
-            let s = sim.job_spec(n, "batch", 1);
-            sim.submit(s, 3_000, n as usize % 3);
+            let spec = sim.job_spec(n, "batch", 1);
+            sim.submit(spec, 3_000, n as usize % 3);
         }
         sim.run(2_000);
         sim.state.commit_response_delay_ms = 0;
@@ -286,8 +286,8 @@
     for seed in SEEDS {
         let mut sim = running_cluster(seed);
         for restart_after_ms in [3_000, 100, 20] {
-            let l = sim.leader().expect("a leader");
-            sim.crash(l, restart_after_ms);
+            let leader = sim.leader().expect("a leader");
+            sim.crash(leader, restart_after_ms);
             sim.run_until(8_000, "a leader", |sim| sim.leader().is_some());
             sim.run(150);
         }
@@ -315,16 +315,16 @@
         partitioned
             .iter()
             .for_each(|n| sim.workers.get_mut(n).expect("the entry exists").partitioned = true);
-        let l = sim.leader().expect("a leader");
-        sim.crash(l, 2_000);
-        let r = sim.cancel("job-000003", (l + 1) % 3);
-        sim.run_until(2_000, "confirmed", |sim| sim.response_status(r) == 200);
+        let leader = sim.leader().expect("a leader");
+        sim.crash(leader, 2_000);
+        let request = sim.cancel("job-000003", (leader + 1) % 3);
+        sim.run_until(2_000, "confirmed", |sim| sim.response_status(request) == 200);
         sim.run(5_000);
         partitioned
             .iter()
             .for_each(|n| sim.workers.get_mut(n).expect("the entry exists").partitioned = false);
         sim.run(8_000);
-        sim.cancel("job-000002", l);
+        sim.cancel("job-000002", leader);
         sim.assert_all_jobs_complete();
     }
 }
@@ -343,8 +343,8 @@
             sim.workers.get_mut(name).expect("the entry exists").partitioned = false;
             sim.run(2_000);
             if i % 2 == 1 {
-                let l = sim.leader().expect("a leader");
-                sim.crash(l, 1_000);
+                let leader = sim.leader().expect("a leader");
+                sim.crash(leader, 1_000);
                 sim.run(2_000);
             }
         }
@@ -382,8 +382,8 @@
         }
         for restart_after_ms in [50, 2_000, 400] {
             sim.run(6_000);
-            let l = sim.leader().expect("a leader");
-            sim.crash(l, restart_after_ms);
+            let leader = sim.leader().expect("a leader");
+            sim.crash(leader, restart_after_ms);
         }
         sim.run_until_done("job-000003", 60_000);
         sim.run_until_done("job-000004", 60_000);
@@ -404,8 +404,8 @@
             sim.workers.get_mut(&name).expect("the entry exists").heartbeats_lost = true;
             sim.run(silent_ms / 2);
             if seed % 2 == 0 {
-                let l = sim.leader().expect("a leader");
-                sim.crash(l, 500);
+                let leader = sim.leader().expect("a leader");
+                sim.crash(leader, 500);
             }
             sim.run(silent_ms / 2);
             sim.workers.get_mut(&name).expect("the entry exists").heartbeats_lost = false;
@@ -426,8 +426,8 @@
                 let w = sim.workers.get_mut(n).expect("the entry exists");
                 (w.partitioned, w.responses_lost) = (!only_responses_lost, only_responses_lost);
             }
-            let l = sim.leader().expect("a leader");
-            sim.crash(l, 3_000);
+            let leader = sim.leader().expect("a leader");
+            sim.crash(leader, 3_000);
             sim.run(9_000);
             for n in &all {
                 let w = sim.workers.get_mut(n).expect("the entry exists");
@@ -447,10 +447,12 @@
         let old = sim.leader().expect("a leader");
         sim.nodes[old].partitioned_from_state = true;
         sim.nodes[old].partitioned_from_peers = true;
-        sim.run_until(10_000, "another leads", |sim| sim.leader().is_some_and(|l| l != old));
+        sim.run_until(10_000, "another leads", |sim| {
+            sim.leader().is_some_and(|leader| leader != old)
+        });
         let new = sim.leader().expect("a leader");
-        let r = sim.cancel("job-000002", new);
-        sim.run_until(2_000, "confirmed", |sim| sim.response_status(r) == 200);
+        let request = sim.cancel("job-000002", new);
+        sim.run_until(2_000, "confirmed", |sim| sim.response_status(request) == 200);
         for _ in 0..10 {
             // The former leader can't know of the cancellation and has to say so.
             sim.poll("job-000002", old);
@@ -468,21 +470,21 @@
         let mut sim = running_cluster(seed);
         sim.state.unanswered_commit_rate = 0.4;
         for n in 10..20 {
-            let s = sim.job_spec(n, "batch", 2);
-            sim.submit(s, 2_000, n as usize % 3);
+            let spec = sim.job_spec(n, "batch", 2);
+            sim.submit(spec, 2_000, n as usize % 3);
             sim.run(1_000);
             sim.cancel(&format!("job-{:06}", n - 2), (n as usize + 1) % 3);
             if n == 15 {
-                let l = sim.leader().expect("a leader");
-                sim.crash(l, 200);
+                let leader = sim.leader().expect("a leader");
+                sim.crash(leader, 200);
                 sim.run(1_000);
             }
         }
         sim.state.unanswered_commit_rate = 0.0;
         sim.run(13_000);
         for n in 10..20 {
-            let s = sim.job_spec(n, "batch", 2);
-            sim.submit(s, 2_000, n as usize % 3);
+            let spec = sim.job_spec(n, "batch", 2);
+            sim.submit(spec, 2_000, n as usize % 3);
         }
         sim.cancel("job-000002", 1);
         sim.assert_all_jobs_complete();
@@ -534,8 +536,8 @@
         sim.crash(old, 8_000);
         sim.crash((old + 2) % 3, 9_000);
         sim.run_until(8_000, "the new leader", |sim| sim.leader() == Some(new));
-        let r = sim.cancel("job-000003", new);
-        sim.run_until(2_000, "confirmed", |sim| sim.response_status(r) == 200);
+        let request = sim.cancel("job-000003", new);
+        sim.run_until(2_000, "confirmed", |sim| sim.response_status(request) == 200);
         // The duplicates arrive now. They don't list the tasks of job-000003, which is cancelled but still runs.
         sim.run(8_000);
         partitioned
@@ -552,14 +554,14 @@
     for seed in SEEDS {
         for leader_in_zone in [false, true] {
             let mut sim = running_cluster(seed);
-            let l = sim.leader().expect("a leader");
-            sim.partition_zone("b", if leader_in_zone { l } else { (l + 1) % 3 });
+            let leader = sim.leader().expect("a leader");
+            sim.partition_zone("b", if leader_in_zone { leader } else { (leader + 1) % 3 });
             sim.run(2_000);
-            let r = sim.cancel("job-000002", (l + 2) % 3);
+            let request = sim.cancel("job-000002", (leader + 2) % 3);
             sim.run(LEASE_MS * 2);
             sim.heal_zone_partition();
-            if sim.response_status(r) != 200 {
-                sim.cancel("job-000002", (l + 2) % 3);
+            if sim.response_status(request) != 200 {
+                sim.cancel("job-000002", (leader + 2) % 3);
             }
             sim.run(2_000);
             sim.assert_all_jobs_complete();
@@ -573,9 +575,9 @@
         for hang_ms in [3_000, LEASE_MS - 1_000, LEASE_MS + 3_000, CANCEL_MS + 8_000] {
             let mut sim = running_cluster(seed);
             let until = sim.now + hang_ms;
-            let r = sim.cancel("job-000002", seed as usize % 3);
+            let request = sim.cancel("job-000002", seed as usize % 3);
             sim.workers.values_mut().for_each(|w| w.hung_until = until);
-            sim.run_until(1_000, "confirmed", |sim| sim.response_status(r) == 200);
+            sim.run_until(1_000, "confirmed", |sim| sim.response_status(request) == 200);
             sim.run(hang_ms + 5_000);
             sim.assert_all_jobs_complete();
         }
@@ -589,20 +591,20 @@
         sim.cancel("job-000002", 0);
         sim.delayed_heartbeat_rate = 0.2;
         for n in 10..22 {
-            let mut s = sim.job_spec(n, "batch", 6);
-            s["crew"] = json!("blue");
-            s["rank"] = json!(["high", "standard", "best_effort"][n as usize % 3]);
-            s["size_gb"] = json!(4.0);
-            s["kit"] = json!(format!("img-{n}"));
-            sim.submit(s, 8_000, n as usize % 3);
+            let mut spec = sim.job_spec(n, "batch", 6);
+            spec["crew"] = json!("blue");
+            spec["rank"] = json!(["high", "standard", "best_effort"][n as usize % 3]);
+            spec["size_gb"] = json!(4.0);
+            spec["kit"] = json!(format!("img-{n}"));
+            sim.submit(spec, 8_000, n as usize % 3);
         }
         sim.run(20_000);
-        let s = sim.job_spec(3, "standing", 4);
-        sim.submit(s, u64::MAX, 1);
+        let spec = sim.job_spec(3, "standing", 4);
+        sim.submit(spec, u64::MAX, 1);
         sim.run_until(30_000, "the urgent job runs", |sim| sim.running_tasks_of("job-000003") == 4);
         // Jobs that were preempted for it keep waiting across a change of leader.
-        let l = sim.leader().expect("a leader");
-        sim.crash(l, 1_000);
+        let leader = sim.leader().expect("a leader");
+        sim.crash(leader, 1_000);
         sim.delayed_heartbeat_rate = 0.0;
         sim.run(9_000);
         sim.assert_all_jobs_complete();
@@ -631,9 +633,9 @@
             let polls: Vec<u64> = (0..3).map(|i| sim.poll(&job_id, i)).collect();
             sim.run(100);
             let statuses: Vec<_> =
-                polls.iter().map(|r| sim.response_body(*r)["status"].clone()).collect();
+                polls.iter().map(|request| sim.response_body(*request)["status"].clone()).collect();
             assert!(
-                statuses.iter().all(|s| *s == statuses[0]),
+                statuses.iter().all(|status| *status == statuses[0]),
                 "seed {seed}: {job_id}: {statuses:?}"
             );
         }
@@ -647,15 +649,15 @@
     for seed in SEEDS {
         let mut sim = running_cluster(seed);
         sim.cancel("job-000002", 0);
-        let mut s = sim.job_spec(3, "standing", 2);
-        s["yard"] = json!("b");
-        sim.submit(s, u64::MAX, 0);
-        let mut s = sim.job_spec(4, "batch", 5);
-        s["yard"] = json!("b");
-        sim.submit(s, 8_000, 1);
-        let mut s = sim.job_spec(5, "batch", 3);
-        s["together"] = json!(true);
-        sim.submit(s, 8_000, 2);
+        let mut spec = sim.job_spec(3, "standing", 2);
+        spec["yard"] = json!("b");
+        sim.submit(spec, u64::MAX, 0);
+        let mut spec = sim.job_spec(4, "batch", 5);
+        spec["yard"] = json!("b");
+        sim.submit(spec, 8_000, 1);
+        let mut spec = sim.job_spec(5, "batch", 3);
+        spec["together"] = json!(true);
+        sim.submit(spec, 8_000, 2);
         sim.run(8_000);
         let zone_machines: Vec<String> =
             sim.workers.iter().filter(|(_, w)| w.zone == "b").map(|(n, _)| n.clone()).collect();
@@ -665,8 +667,8 @@
                 _ => sim.fail_machine(name),
             }
         }
-        let l = sim.leader().expect("a leader");
-        sim.crash(l, 1_500);
+        let leader = sim.leader().expect("a leader");
+        sim.crash(leader, 1_500);
         sim.run(5_000);
         sim.assert_all_jobs_complete();
     }
@@ -677,8 +679,8 @@
     for seed in SEEDS {
         let mut sim = running_cluster(seed);
         for k in 0..10 {
-            if let Some(l) = sim.leader() {
-                sim.crash(l, [20, 300, 2_500][k % 3]);
+            if let Some(leader) = sim.leader() {
+                sim.crash(leader, [20, 300, 2_500][k % 3]);
             }
             if k == 4 {
                 sim.state.outage = true;
@@ -687,8 +689,8 @@
                 sim.end_outage();
             }
             let n = 10 + k as u64;
-            let s = sim.job_spec(n, "batch", 2);
-            sim.submit(s, 4_000, k % 3);
+            let spec = sim.job_spec(n, "batch", 2);
+            sim.submit(spec, 4_000, k % 3);
             sim.run(6_000);
             if k % 3 == 2 {
                 sim.cancel(&format!("job-{n:06}"), (k + 1) % 3);
@@ -711,9 +713,9 @@
     for seed in SEEDS {
         for batch_duration_ms in [300, 1_500, 3_500] {
             let mut sim = running_cluster(seed);
-            let l = sim.leader().expect("a leader");
-            let (slow, other) = ((l + 1) % 3, (l + 2) % 3);
-            sim.nodes[l].batch_duration_ms = batch_duration_ms;
+            let leader = sim.leader().expect("a leader");
+            let (slow, other) = ((leader + 1) % 3, (leader + 2) % 3);
+            sim.nodes[leader].batch_duration_ms = batch_duration_ms;
             sim.nodes[slow].batch_duration_ms = batch_duration_ms / 2;
             let name = sim.workers.keys().next().cloned().expect("a worker");
             sim.workers.get_mut(&name).expect("the entry exists").partitioned = true;
@@ -723,8 +725,8 @@
             sim.workers.get_mut(&name).expect("the entry exists").partitioned = false;
             sim.crash(other, 2_000);
             sim.run(5_000);
-            if let Some(l) = sim.leader() {
-                sim.crash(l, 1_000);
+            if let Some(leader) = sim.leader() {
+                sim.crash(leader, 1_000);
             }
             sim.run(10_000);
             for n in &mut sim.nodes {
@@ -775,12 +777,13 @@
             }
             for b in bodies {
                 let (path, body) = ("/checkin".to_string(), b.clone().into_bytes());
-                let r = sim.send_user_request(i, "job-000099", "other", "POST", path, body.clone());
+                let request =
+                    sim.send_user_request(i, "job-000099", "other", "POST", path, body.clone());
                 sim.inject_peer_request(i, "/gossip", &body);
                 sim.inject_peer_request(i, "/relay", &body);
                 sim.send_user_request(i, "job-000099", "other", "POST", "/v1/jobs".into(), body);
                 sim.run(30);
-                let status = sim.response_status(r);
+                let status = sim.response_status(request);
                 assert!([200, 400, 421, 503].contains(&status) || status == 0, "{status} for {b}");
             }
         }
@@ -798,8 +801,8 @@
     for seed in SEEDS {
         let mut sim = running_cluster(seed);
         let jobs_before = sim.state.entries_under("mg/2/jobs/").len();
-        let s = sim.job_spec(3, "batch", 3);
-        sim.submit(s, 2_000, 0);
+        let spec = sim.job_spec(3, "batch", 3);
+        sim.submit(spec, 2_000, 0);
         sim.run_until(2_000, "accepted", |sim| {
             sim.state.entries_under("mg/2/jobs/").len() > jobs_before
         });
@@ -834,8 +837,8 @@
             .expect("the leader's term");
         let name = sim.workers.keys().next().expect("there are workers").clone();
         sim.workers.get_mut(&name).expect("the entry exists").set_fencing_token(token);
-        let s = sim.job_spec(1, "batch", 6);
-        sim.submit(s, 2_000, leader);
+        let spec = sim.job_spec(1, "batch", 6);
+        sim.submit(spec, 2_000, leader);
         sim.run_until_done("job-000001", 60_000);
         assert_eq!(sim.leader(), Some(leader), "token {token}");
         let term_now =
@@ -847,8 +850,8 @@
         assert_eq!(sim.leader(), Some(leader), "token {token}, during an outage");
         sim.end_outage();
         sim.assert_all_jobs_complete();
-        let last_term = sim.leader().and_then(|l| {
-            sim.nodes[l].controller.as_ref().expect("the controller runs").leading_term()
+        let last_term = sim.leader().and_then(|leader| {
+            sim.nodes[leader].controller.as_ref().expect("the controller runs").leading_term()
         });
         assert!(last_term.expect("a leader") <= term + 1, "terms continue from the last one");
     }
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -18,8 +18,7 @@
     ["src/", "docs/", "crates/", "tests/", "scripts/", "examples/", "proto/"];
 /// Directories with the sources of the program and its crates.
 const SOURCES: [&str; 2] = ["src", "crates"];
-/// Directory with the integration tests.
-const SCENARIOS: &str = "tests";
+const INTEGRATION_TESTS: &str = "tests";
 /// First words of code spans in operations.md that are commands or requests, not log lines.
 const COMMANDS: [&str; 3] = ["mountgap", "cargo", "GET"];
 
@@ -67,8 +66,8 @@
             continue;
         };
         let cells: Vec<&str> = inner.trim_end_matches('|').split('|').map(str::trim).collect();
-        let is_rule = cells[0].starts_with("---");
-        if in_table && !is_rule {
+        let is_separator = cells[0].starts_with("---");
+        if in_table && !is_separator {
             rows.push(cells);
         } else if headings.contains(&cells[0]) {
             in_table = true;
@@ -104,9 +103,10 @@
 
 /// Names of all functions that directly follow `#[test]`.
 fn test_names(sources: &str) -> BTreeSet<&str> {
-    let behind = sources.split("#[test]\n").skip(1);
-    let heads = behind.filter_map(|rest| rest.split_once("fn ").map(|(_, head)| head));
-    heads.filter_map(|head| head.split('(').next()).collect()
+    let after_attributes = sources.split("#[test]\n").skip(1);
+    let signatures =
+        after_attributes.filter_map(|rest| rest.split_once("fn ").map(|(_, signature)| signature));
+    signatures.filter_map(|signature| signature.split('(').next()).collect()
 }
 
 /// Identifiers and words of string literals in the sources, without comments.
@@ -214,7 +214,7 @@
 #[test]
 fn every_test_that_a_guard_names_exists() {
     let page = read("docs/guards.md");
-    let sources = text_of(&[SOURCES[0], SOURCES[1], SCENARIOS]);
+    let sources = text_of(&[SOURCES[0], SOURCES[1], INTEGRATION_TESTS]);
     let known = test_names(&sources);
     let rows = table_rows(&page, &["guard"]);
     assert!(rows.len() > 20, "only {} guards found", rows.len());
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,10 +15,10 @@
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
     sim.run(4_000);
     for n in 1..=JOBS {
-        let mut s = sim.job_spec(n, "batch", TASKS);
-        s["crew"] = json!("blue");
-        s["run_guess_s"] = json!(40.0);
-        sim.submit(s, 40_000, n as usize % 3);
+        let mut spec = sim.job_spec(n, "batch", TASKS);
+        spec["crew"] = json!("blue");
+        spec["run_guess_s"] = json!(40.0);
+        sim.submit(spec, 40_000, n as usize % 3);
     }
     sim
 }
--- a/tests/work.rs
+++ b/tests/work.rs
@@ -7,9 +7,9 @@
 use simulation::*;
 
 const MACHINES: usize = 100;
-const SECONDS: u64 = 20;
+const MEASURED_SECONDS: u64 = 20;
 
-/// Work counts of the leader and of one follower over the next [`SECONDS`].
+/// Work counts of the leader and of one follower over the next [`MEASURED_SECONDS`].
 fn work_of_leader_and_follower(sim: &mut Simulation) -> (WorkCounts, WorkCounts) {
     let leader = sim.leader().expect("a leader");
     let follower = (leader + 1) % sim.nodes.len();
@@ -18,7 +18,7 @@
         *controller.work_counts()
     };
     let before = (counts(sim, leader), counts(sim, follower));
-    sim.run(SECONDS * 1_000);
+    sim.run(MEASURED_SECONDS * 1_000);
     assert_eq!(sim.leader(), Some(leader), "the leader has not changed");
     let after = (counts(sim, leader), counts(sim, follower));
     (after.0.since(&before.0), after.1.since(&before.1))
@@ -49,18 +49,18 @@
 fn an_idle_fleet_causes_heartbeats_but_no_planning() {
     let mut sim = idle_fleet();
     let (leader, follower) = work_of_leader_and_follower(&mut sim);
-    let expected = MACHINES as u64 * SECONDS * 1_000 / HEARTBEAT_MS;
+    let expected = MACHINES as u64 * MEASURED_SECONDS * 1_000 / HEARTBEAT_MS;
     assert!(leader.reports.abs_diff(expected) < expected / 10, "{leader:?}");
     assert_eq!(leader.reports_redirected, 0, "every worker knows the leader");
     assert_eq!((leader.planner_passes, leader.planner_machines), (0, 0), "no job waits");
-    assert!(leader.state_commits <= SECONDS / 10, "{leader:?}");
+    assert!(leader.state_commits <= MEASURED_SECONDS / 10, "{leader:?}");
     // A read every 0.7 s, a watch every 5 s and a renewal every 0.75 s.
-    assert!(leader.state_calls <= SECONDS * 4, "{leader:?}");
-    assert!(leader.batches_empty <= SECONDS * 11, "a wake-up every 100 ms: {leader:?}");
+    assert!(leader.state_calls <= MEASURED_SECONDS * 4, "{leader:?}");
+    assert!(leader.batches_empty <= MEASURED_SECONDS * 11, "a wake-up every 100 ms: {leader:?}");
     // Two messages per second to each of two peers, in both directions.
-    assert!(leader.peer_requests_sent <= SECONDS * 4 && leader.peer_requests_sent > 0);
+    assert!(leader.peer_requests_sent <= MEASURED_SECONDS * 4 && leader.peer_requests_sent > 0);
     assert_eq!(follower.reports, 0, "nobody reports to a follower");
-    assert!(follower.state_calls <= SECONDS * 3, "{follower:?}");
+    assert!(follower.state_calls <= MEASURED_SECONDS * 3, "{follower:?}");
     assert_eq!(follower.state_commits, 0);
 }
 
@@ -92,7 +92,7 @@
     submit_arrays(&mut sim, 20, 10, 2_000);
     let (leader, _) = work_of_leader_and_follower(&mut sim);
     assert!(leader.planner_passes > 10 && leader.state_commits > 10, "{leader:?}");
-    assert!(leader.batches_empty <= SECONDS * 9, "{leader:?}");
+    assert!(leader.batches_empty <= MEASURED_SECONDS * 9, "{leader:?}");
 }
 
 #[test]
@@ -119,5 +119,5 @@
     submit_arrays(&mut sim, 30, 16, 3_000);
     let (leader, _) = work_of_leader_and_follower(&mut sim);
     assert!(leader.state_commits > 10, "{leader:?}");
-    assert!(leader.batches_empty <= SECONDS * 9, "{leader:?}");
+    assert!(leader.batches_empty <= MEASURED_SECONDS * 9, "{leader:?}");
 }
