--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -8,8 +8,8 @@
 
 const SEEDS: std::ops::Range<u64> = 0..6;
 
-/// A simulation with a leader in which job-000001, a service of three replicas, and job-000002, a long array
-/// of two tasks, run.
+/// A simulation with a leader and two running jobs: job-000001, a service of three replicas, and job-000002, a
+/// long array of two tasks.
 fn running_cluster(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seed);
     sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
@@ -85,8 +85,8 @@
 
 #[test]
 fn a_refused_leader_renews_leases_only_if_peers_can_name_all_ended_jobs() {
-    // A response names up to 4,096 jobs that ended. With more, a peer doesn't prove that no other job has ended,
-    // and the leader, which can't read the store, renews no leases.
+    // A response names at most 4,096 ended jobs. If more have ended, it doesn't prove that the jobs that it
+    // leaves out are live, and the leader, which can't read the store, renews no leases.
     for (ended_jobs, tasks_kept) in [(1_000, 3), (5_000, 0)] {
         let mut sim = running_cluster(1);
         submit_until_accepted(&mut sim, 9, "batch", 1, 500);
@@ -155,14 +155,16 @@
         let mut sim = running_cluster(seed);
         let old = sim.leader().expect("a leader");
         let other = (old + 1) % 3;
-        // In an outage, the followers' requests to the leader, and what these report, are delayed.
+        // During an outage, the followers' requests to the leader are delayed, and with them the news that these
+        // requests carry.
         sim.state.outage = true;
         sim.run(3_000);
         for i in (0..3).filter(|i| *i != old) {
             sim.nodes[i].peer_requests_delayed_until = sim.now + CANCEL_MS - 3_000;
         }
         sim.run(2_000);
-        // The leader is isolated, and the state service answers the followers for a short time.
+        // The leader reaches neither the state service nor its peers. The state service answers the followers for
+        // a short time.
         sim.nodes[old].partitioned_from_peers = true;
         sim.nodes[old].refused_by_state = true;
         sim.end_outage();
@@ -336,7 +338,8 @@
         sim.duplicate_heartbeat_rate = 0.6;
         sim.duplicate_delay_max_ms = LEASE_MS * 3;
         let all: Vec<String> = sim.workers.keys().cloned().collect();
-        // The lease of each machine expires in turn: its tasks start elsewhere and later return to it.
+        // The leases of the machines expire one after the other. The tasks of each machine start elsewhere and
+        // later return to it.
         for (i, name) in all.iter().cycle().take(4).enumerate() {
             sim.workers.get_mut(name).expect("the entry exists").partitioned = true;
             sim.run(LEASE_MS + 2_500);
@@ -770,7 +773,7 @@
                 b["stead"] = json!(format!("n-{:06}", 900 + n));
                 b[*field] = value.clone();
                 bodies.push(b.to_string());
-                // Once more, as the second heartbeat.
+                // The same fields again, in a second heartbeat, which shows fencing token 1.
                 b["baton"] = json!(1);
                 b["tally"] = json!(b["tally"].as_u64().unwrap_or(1).saturating_add(1));
                 bodies.push(b.to_string());
@@ -822,8 +825,8 @@
 
 #[test]
 fn a_fencing_token_that_no_leader_had_deposes_nobody() {
-    // A leader stores its term before it sends it to workers, so a token above all terms is invalid. If the
-    // leader stepped down for such a heartbeat, the highest token of all would leave no next term.
+    // A leader stores its term before it sends it to workers, so a token above all terms is invalid. A leader
+    // must not step down for a heartbeat with such a token: after the highest possible one there is no next term.
     for token in [1_000, u64::MAX] {
         let mut sim = Simulation::new(1);
         sim.run_until(10_000, "a leader", |sim| sim.leader().is_some());
--- a/tests/gangs.rs
+++ b/tests/gangs.rs
@@ -210,8 +210,8 @@
     }
 }
 
-/// Submits a gang of eight and runs until one machine has received its start commands and the other has not.
-/// Returns the names of these two machines in this order.
+/// Submits a gang of eight tasks and runs until one of two machines has received its start commands. Returns the
+/// name of that machine and the name of the other one.
 fn start_half_of_gang(sim: &mut Simulation) -> (String, String) {
     let spec = gang_spec(sim, 1, 8);
     sim.submit(spec, 4_000, 0);
@@ -220,7 +220,7 @@
     });
     let first = machines_of(sim, "job-000001")[0].clone();
     let other = sim.workers.keys().find(|n| **n != first).expect("two machines").clone();
-    assert_eq!(sim.jobs["job-000001"].start_commands, 4, "the other machine has not");
+    assert_eq!(sim.jobs["job-000001"].start_commands, 4, "the other machine has none yet");
     (first, other)
 }
 
@@ -299,7 +299,7 @@
     sim.run_until(20_000, "the gang is placed", |sim| {
         sim.state.entries_under("mg/2/place/").len() == 1
     });
-    // One of the machines doesn't receive its start commands.
+    // The first machine doesn't receive its start commands.
     sim.workers.get_mut(&names[0]).expect("a machine").responses_lost = true;
     sim.run(GANG_WAIT_MS * 3);
     sim.workers.get_mut(&names[0]).expect("a machine").responses_lost = false;
@@ -517,10 +517,10 @@
         spec["crew"] = json!("blue");
         let job_id = spec["uid"].as_str().expect("a job id").to_string();
         sim.submit(spec, 2_000, n as usize % 3);
-        // The first task of each is done soon, the others are not.
+        // The first task of each job is done soon, the others run for 40 s and more.
         sim.jobs.get_mut(&job_id).expect("just submitted").run_increment_ms = 40_000;
     }
-    sim.run_until(60_000, "a task of each is done", |sim| {
+    sim.run_until(60_000, "a task of each job is done", |sim| {
         sim.jobs.values().skip(1).all(|job| !job.done_tasks.is_empty())
     });
     sim.run(5_000);
@@ -540,7 +540,7 @@
     }
     sim.run_until(20_000, "placements are split", |sim| largest(sim, "mg/2/place/") <= 2_048);
     sim.state.lowered_limits = Some((2_048, 4));
-    // Bitmaps of done tasks are split when another of their tasks ends.
+    // A bitmap of done tasks is split when the next task in it ends.
     sim.run_until(80_000, "bitmaps are split", |sim| largest(sim, "mg/2/done/") <= 2_048);
     let jobs = || sim.jobs.iter().filter(|(_, job)| job.tasks == 3);
     let stored = sim.state.entries_under("mg/2/done/");
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random scenarios: many seeds, with every fault that the simulation can inject, singly and overlapping. The
+//! Random scenarios: many seeds, with every kind of fault that the protocol allows for, singly and overlapping. The
 //! simulation checks its invariants throughout. At the end all faults stop, and every accepted job must complete.
 
 #![allow(
@@ -22,9 +22,9 @@
 const SEED_COUNT_VAR: &str = "MOUNTGAP_SEEDS";
 /// Environment variable with the seed that `one_seed_of_each_mix` runs.
 const SEED_VAR: &str = "MOUNTGAP_SEED";
-/// Seeds that have found faults. 725: placements were committed on a machine that had been found gone in the
-/// meantime. The random draws have changed since then; a scenario in `combined_faults.rs` covers this case whatever is
-/// drawn here.
+/// Seeds of the mixes without data losses that have found faults. 725: placements were committed on a machine that
+/// had been found gone in the meantime. The random draws have changed since then; a scenario in
+/// `combined_faults.rs` covers this case whatever is drawn here.
 const REGRESSION_SEEDS: [u64; 1] = [725];
 /// Seeds of [`Mix::WithStateLoss`] that have found faults, each a different one: see `docs/results.md`.
 const REGRESSION_SEEDS_WITH_STATE_LOSS: [u64; 10] =
@@ -362,7 +362,7 @@
             sim.run(200);
         }
         sim.run(5_000);
-        // Ends that only a lost replica contained are unknown.
+        // If only a lost replica contained the end of a job, no controller knows that it ended.
         let ended =
             sim.jobs.iter().filter(|(_, job)| job.accepted_at.is_some() && end_reported(job));
         let ended: Vec<String> = ended.map(|(job_id, _)| job_id.clone()).collect();
@@ -477,7 +477,8 @@
         Mix::WithStateLoss => resolve_flagged_jobs(&mut sim),
         _ => Vec::new(),
     };
-    // No controller knows these jobs any more.
+    // The ends of these jobs are lost for good, and no controller can answer for them: they no longer count as
+    // accepted.
     for job_id in &unrecoverable {
         sim.jobs.get_mut(job_id).expect("a job").accepted_at = None;
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -388,7 +388,7 @@
     assert_eq!(running, 3, "no lease expired because of it");
 }
 
-/// A service with replicas in both zones, and zone b partitioned together with a follower.
+/// A simulation in which a service has replicas in both zones, and zone b is partitioned together with a follower.
 fn cluster_with_zone_b_partitioned() -> Simulation {
     let mut sim = idle_cluster();
     let mut spec = sim.job_spec(1, "standing", 4);
@@ -402,8 +402,8 @@
 
 #[test]
 fn services_in_a_partitioned_zone_stay_up_while_a_controller_is_in_it() {
-    // Without lease extension by the controller in the zone, their leases expire, and the half of each service
-    // that must be in that zone is down for the whole partition.
+    // Unless the controller in the zone extends them, the leases of the zone's workers expire, and the half of
+    // each service that must run in that zone is down for the whole partition.
     let mut sim = cluster_with_zone_b_partitioned();
     sim.run(LEASE_MS + LEASE_MS / 2);
     assert_eq!(sim.running_tasks(), 4, "kept beyond their lease: {}", sim.describe());
@@ -430,7 +430,7 @@
 #[test]
 fn tasks_of_a_partitioned_zone_start_elsewhere_only_after_their_lease() {
     let mut sim = idle_cluster();
-    // Another job fills zone a while this one is placed; later there is capacity in zone a.
+    // job-000003 fills zone a while job-000001 is placed, and is cancelled later, which frees that capacity.
     let mut spec = sim.job_spec(3, "batch", 4);
     spec["yard"] = json!("a");
     sim.submit(spec, 60_000, 0);
@@ -700,7 +700,7 @@
 
 #[test]
 fn run_time_estimates_far_too_low_do_not_starve_the_queue_head() {
-    // With estimates that are too low, backfill shifts the reservation and so delays the head of the queue.
+    // By design, estimates that are too low shift the reservation, and backfill then delays the head of the queue.
     // Observed run times correct the estimates of the class, so that the delay ends.
     let mut sim = idle_cluster();
     sim.cloud.capacity = 2;
--- a/tests/simulation/cloud.rs
+++ b/tests/simulation/cloud.rs
@@ -30,7 +30,7 @@
     pub unavailable: bool,
     /// Answers all requests with 429.
     pub rate_limited: bool,
-    /// Extra latency of requests, which are also executed later.
+    /// Extra latency of requests, by which their execution is delayed too.
     pub extra_latency_ms: u64,
 }
 
@@ -74,7 +74,7 @@
         self.cloud.machines.get_mut(name).expect("the machine exists").failed = true;
     }
 
-    /// Whether a machine is gone, deleted ones included.
+    /// Whether a machine was deleted, reclaimed or lost.
     pub fn is_returned(&self, name: &str) -> bool {
         self.cloud.machines[name].gone_at.is_some()
     }
--- a/tests/simulation/invariants.rs
+++ b/tests/simulation/invariants.rs
@@ -11,7 +11,7 @@
 //! - `not_done`: a job was reported as done before all its tasks were done.
 //! - `went_back`: a job was reported as cancelled without a request, or left a final status.
 //!
-//! These names are not among the protocol's rules:
+//! Three more first words stand for conditions that are not rules of the protocol:
 //!
 //! - `starved`: a job waited for too long although there was capacity for it.
 //! - `invalid_job_accepted`: a job was accepted that can't run or lacks a field.
--- a/tests/simulation/user.rs
+++ b/tests/simulation/user.rs
@@ -32,7 +32,7 @@
     pub unstarved_at: u64,
     /// Progress of a gang that its checkpoints contain.
     pub checkpointed_ms: u64,
-    /// Started attempts of a gang.
+    /// Started attempts of a gang by attempt number.
     pub attempts: BTreeMap<u64, GangAttempt>,
 }
 
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -31,7 +31,7 @@
     pub(super) incarnation: u64,
     pub(super) sequence: u64,
     pub(super) fencing_token: u64,
-    /// When the last heartbeat was sent that a leader confirmed.
+    /// When it sent the last heartbeat that a leader confirmed.
     pub(super) lease_started_at: u64,
     /// Controller to which it sends heartbeats.
     pub(super) node: usize,
--- a/tests/state_loss.rs
+++ b/tests/state_loss.rs
@@ -154,7 +154,7 @@
     let polls = [sim.poll("job-000001", 0), sim.poll("job-000003", 1)];
     sim.run(2_000);
     assert!(polls.iter().all(|request| sim.response_status(*request) == 503), "{}", sim.describe());
-    // The resubmission stores the description again, and the running tasks are assigned to the job again.
+    // The resubmission stores the job's description again, and the job gets its running tasks back.
     let starts_before = starts_by_job(&sim);
     let spec = sim.jobs["job-000001"].spec.clone();
     let request = sim.submit(spec, u64::MAX, 2);
@@ -188,7 +188,8 @@
     let mut sim = simulation_with_jobs(9);
     let starts_before = starts_by_job(&sim);
     sim.state.wipe();
-    // One controller loses its replica along with the store. What only this controller confirmed is unknown.
+    // One controller loses its replica along with the store. Acceptances and ends that only this controller had
+    // confirmed are unknown.
     sim.crash(0, 300);
     sim.run_until(REBUILD_LIMIT_MS, "the store is rebuilt", is_rebuilt);
     sim.run(10_000);
@@ -374,7 +375,7 @@
 
 #[test]
 fn the_leader_key_gets_no_revision_from_before_the_loss() {
-    // Delayed transactions of the old leader have this revision as a condition and must not be applied.
+    // Delayed transactions of the old leader have the key's revision as a condition and must not be applied.
     let mut sim = simulation_with_jobs(17);
     let revision_before = sim.state.mod_revision("mg/2/leader");
     assert!(revision_before <= 2, "an empty store assigns such revisions again");
